--- a/src/gateway/absent_test.go
+++ b/src/gateway/absent_test.go
@@ -15,15 +15,15 @@
 	"github.com/stilemast/stilemast/src/exchange"
 )
 
-// absentPlay is what came of a crash of two thirds of a pool's twelve servers.
+// absentResult is the outcome of a run in which listed servers are gone.
 type absentPlay struct {
 	answered, refused int
-	tries             map[string]int // of servers that are gone, by id
-	sends             int            // the most that one request was sent to
+	tries             map[string]int // attempts on servers that are gone, by id
+	sends             int            // the most servers that one request was sent to
 }
 
-// absentServers plays 60 requests that come in while the list still names servers that are gone, of twelve in all. limit is
-// how many servers a request may be sent to.
+// runWithAbsentServers sends 60 requests while the list of twelve servers still names servers that are gone.
+// limit is the number of servers that a request may be sent to.
 func absentServers(t *testing.T, limit int, gone func(id string) bool, absent func() (*Reply, error)) absentPlay {
 	f := newTestFleet(t, 1)
 	f.catalog.Pipelines[1].Attempts = limit
@@ -49,7 +49,7 @@
 		return reply, err
 	}
 	settle()
-	time.Sleep(unsureFor) // then the box knows that the whole budget of repeats is its own
+	time.Sleep(unsureFor) // until the box counts on the whole retry budget for itself
 	for i := range 60 {
 		a := f.ask("box0", "/stamp/x", fmt.Sprint("r", i), nil)
 		switch {
@@ -63,7 +63,8 @@
 	return out
 }
 
-// allButTheLastTried gives a set of servers that are gone: whichever is tried as the twelfth lives.
+// allButOneGone returns a predicate under which the first eleven servers tried are gone and the twelfth is
+// alive.
 func allButTheLastTried() func(id string) bool {
 	tried := map[string]bool{}
 	return func(id string) bool {
@@ -74,11 +75,11 @@
 	}
 }
 
-// Other servers that are gone in the plays.
+// Further predicates for which servers are gone.
 func twoThirds(id string) bool { return catalog.Hash(id)%3 != 0 }
 func everyOne(string) bool     { return true }
 
-// tried counts the tries of all servers that are gone.
+// totalTries returns the number of attempts on servers that are gone.
 func (p absentPlay) tried() int {
 	n := 0
 	for _, k := range p.tries {
@@ -87,28 +88,29 @@
 	return n
 }
 
-// All servers but one crash and their addresses refuse connections. Nothing is sent there and a try takes a round trip, so a
-// request goes on to the next server, eleven times here, and a server that refused is left alone for a while.
+// All servers but one have crashed and their addresses refuse connections. Nothing is sent and a refused
+// connection costs one round trip, so a request moves on to the next server, eleven times here, and a server
+// that refused is skipped for a while.
 func TestServersWithoutAProcessCostNoRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := absentServers(t, 1, allButTheLastTried(), func() (*Reply, error) {
 			return nil, &exchange.NotSent{Cause: fmt.Errorf("dial: %w", syscall.ECONNREFUSED)}
 		})
 		if p.answered != 60 || p.refused != 0 || p.tried() > 60 {
-			t.Errorf("%+v: want 60 answered, and the eleven servers that are gone tried 60 times at most", p)
+			t.Errorf("%+v: want 60 answered and at most 60 attempts on the eleven servers that are gone", p)
 		}
 	})
 }
 
-// replaced answers as a server does that has the address of one that ended.
+// wrongServer replies as a server that has taken over the address of another one.
 func replaced() (*Reply, error) {
 	r := textReply(http.StatusMisdirectedRequest, "")
 	r.NotRun, r.Moved = true, true
 	return r, nil
 }
 
-// A server that ended has another's address: that one runs nothing and says so. A server that is gone costs one try, and
-// whoever is refused is told that nothing ran and when to come back.
+// The address of a stopped server now belongs to another server, which runs nothing and says so. Each stopped
+// server costs one attempt, and a refused caller learns that nothing ran and when to retry.
 func TestServersWhoseAddressAnotherHasAreTriedOnce(t *testing.T) {
 	for limit := 1; limit <= 2; limit++ {
 		synctest.Test(t, func(t *testing.T) {
@@ -125,8 +127,8 @@
 	}
 }
 
-// A request that met another server at the chosen one's address was sent to a server all the same: where every server is
-// gone it is sent to exactly as many as the operator allows, and then refused.
+// A request that met another server at the chosen address counts as sent: where every server is gone, it is
+// sent to exactly as many servers as the pipeline allows and then refused.
 func TestARequestIsSentToNoMoreServersThanItsLimit(t *testing.T) {
 	for limit := 1; limit <= 3; limit++ {
 		synctest.Test(t, func(t *testing.T) {
--- a/src/gateway/attempts_test.go
+++ b/src/gateway/attempts_test.go
@@ -58,13 +58,13 @@
 		for left, want := range map[time.Duration]time.Duration{time.Second: time.Second, time.Minute: 5 * time.Second} {
 			a := f.ask("box0", "/look/x", "r", func(r *Request) { r.Left = left })
 			if a.refused == nil || a.refused.Code != code.DeadlinePassed || a.took != want || a.refused.RetryAfter != 0 {
-				t.Errorf("a caller that waits %s: %+v", left, a)
+				t.Errorf("caller with %s left: %+v", left, a)
 			}
 		}
 	})
 }
 
-// A deadline that no server can keep says nothing of one server: none is left alone for it.
+// A deadline that no server can meet says nothing about a single server: none is put into backoff for it.
 func TestDeadlinesThatNobodyKeepsRestNoServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
@@ -82,7 +82,7 @@
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		if r := e.picker.Resting(time.Now()); len(r) > 0 {
-			t.Errorf("%v rest", r)
+			t.Errorf("%v are in backoff", r)
 		}
 	})
 }
--- a/src/gateway/bench_test.go
+++ b/src/gateway/bench_test.go
@@ -14,10 +14,10 @@
 	"github.com/stilemast/stilemast/src/pushback"
 )
 
-// benchSizes are servers of the model pool; the stage pool has a third of them more.
+// benchSizes are numbers of servers in the model pool; the stage pool adds a third as many.
 var benchSizes = []int{60, 600}
 
-// benchGateway is a gateway that knows a configuration, servers and members, and sends nowhere.
+// benchGateway returns a gateway that knows a configuration, servers and members, and sends nothing.
 func benchGateway(b testing.TB, servers, boxes int) *Gateway {
 	g := &Gateway{
 		Settings: Settings{Address: "a:1", FailureDomain: "d0", RetryRatio: 0.2, RetrySlack: 50, RetryWindow: 10 * time.Second, Admission: true, SharedBatches: true},
@@ -47,8 +47,9 @@
 	return serversByID(list)
 }
 
-// BenchmarkServerChange is the work of a box when one server of the list changes, which it is told as a difference: 4.6 ms of 800 and 50
-// to 74 ms and 9.9 MB of 10,000 where whole lists were copied and pools told anew; 1.3 and 2.0 us and 1 kB now.
+// BenchmarkServerChange measures applying a change of one server that arrives as a difference. Copying whole
+// lists and reloading the pools took 4.6 ms with 800 servers, and 50 to 74 ms and 9.9 MB with 10,000;
+// differences take 1.3 and 2.0 us and 1 kB.
 func BenchmarkServerChange(b *testing.B) {
 	for _, n := range append(benchSizes, 7500) {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -62,7 +63,7 @@
 	}
 }
 
-// BenchmarkBeat is the work of a box for one heartbeat with loads.
+// BenchmarkBeat measures handling one heartbeat that carries loads.
 func BenchmarkBeat(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -79,7 +80,7 @@
 	}
 }
 
-// BenchmarkChoice is the choice of a server for one prompt.
+// BenchmarkChoice measures selecting a server for one prompt.
 func BenchmarkChoice(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -96,7 +97,7 @@
 	}
 }
 
-// BenchmarkScheduler is the choice of a pool's scheduler after a change of members.
+// BenchmarkScheduler measures selecting a pool's scheduler after a membership change.
 func BenchmarkScheduler(b *testing.B) {
 	for _, n := range benchSizes {
 		b.Run(fmt.Sprint(n/2), func(b *testing.B) {
@@ -109,7 +110,8 @@
 	}
 }
 
-// BenchmarkChoiceWhileLimitsAreKnown is a choice while all servers name a limit, and while one does.
+// BenchmarkChoiceWhileLimitsAreKnown measures selecting a server while one server, or all of them, announce a
+// request limit.
 func BenchmarkChoiceWhileLimitsAreKnown(b *testing.B) {
 	for _, limited := range []int{1, 600} {
 		b.Run(fmt.Sprint(limited, " of 600"), func(b *testing.B) {
--- a/src/gateway/budgets_test.go
+++ b/src/gateway/budgets_test.go
@@ -10,30 +10,31 @@
 	"github.com/stilemast/stilemast/src/catalog"
 )
 
-// budget is one bound of the users' sheets.
+// propagationBound is one of the users' bounds on how soon all boxes act on a change.
 type budget struct {
 	name   string
-	bounds map[int]time.Duration // by the number of boxes: what the sheets of sites of about that size say; of twice a size, as of that size
+	bounds map[int]time.Duration // by number of boxes, as users of sites of about that size ask; a size twice as large has the same bound
 	change func(f *testFleet)
-	// holds says whether a box still acts as before the change.
+	// stale reports whether a box still acts as before the change.
 	holds func(g *Gateway) bool
 }
 
-// budgets are the bounds that hang on how soon all boxes know. Two thirds of each are for knowing; the rest is left to
-// connections, slow machines and slow links, of which there are none in virtual time.
+// propagationBounds returns the bounds that depend on how soon all boxes know of a change. Propagation may
+// use two thirds of each; the rest is left to connections, slow machines and slow links, which virtual time
+// does not model.
 func budgets() []budget {
 	uses := func(g *Gateway) bool { return g.mayUse("model1") }
 	soon := map[int]time.Duration{6: 2 * time.Second, 61: 3 * time.Second, 295: 4 * time.Second, 985: 5 * time.Second}
 	later := map[int]time.Duration{6: 5 * time.Second, 61: 5 * time.Second, 295: 5 * time.Second, 985: 5 * time.Second}
 	return []budget{
-		{"a server leaves, its entry says so", soon, func(f *testFleet) {
+		{"a server leaves, its entry is marked as draining", soon, func(f *testFleet) {
 			list := slices.Clone(f.servers)
 			list[slices.IndexFunc(list, func(s catalog.Server) bool { return s.ID == "model1" })].Draining = true
 			f.setServers(list)
 		}, uses},
-		{"a server leaves, its entry goes", soon, func(f *testFleet) { f.remove("model1") }, uses},
+		{"a server leaves, its entry is removed", soon, func(f *testFleet) { f.remove("model1") }, uses},
 		{"a configuration is accepted", soon, func(f *testFleet) { f.publish(testCatalog(2)) }, func(g *Gateway) bool { return g.Version() < 2 }},
-		{"a token is taken away", later, func(f *testFleet) {
+		{"a token is revoked", later, func(f *testFleet) {
 			c := testCatalog(2)
 			c.Workspaces[0].Tokens = []string{"another"}
 			f.publish(c)
@@ -46,14 +47,14 @@
 	}
 }
 
-// setServers has the store list these servers and go on as it is.
+// setServers replaces the store's list of servers and leaves its availability as it is.
 func (f *testFleet) setServers(list []catalog.Server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.list(list)
 }
 
-// budgetTrouble is what happens as something changes.
+// disturbance is a fault that occurs together with a change.
 type budgetTrouble struct {
 	name string
 	do   func(f *testFleet, readers []string)
@@ -62,29 +63,30 @@
 var (
 	quiet      = budgetTrouble{"quiet", func(*testFleet, []string) {}}
 	readerDies = budgetTrouble{"a reader dies", func(f *testFleet, readers []string) { f.kill(readers[0]) }}
-	turnedAway = budgetTrouble{"the readers are turned away", func(f *testFleet, readers []string) {
+	turnedAway = budgetTrouble{"the store refuses the readers", func(f *testFleet, readers []string) {
 		f.turnAway(func(box string) bool { return slices.Contains(readers, box) })
 		time.Sleep(500 * time.Millisecond)
 	}}
-	heardNothing = budgetTrouble{"the readers hear nothing", func(f *testFleet, readers []string) {
+	heardNothing = budgetTrouble{"the store does not answer the readers", func(f *testFleet, readers []string) {
 		f.silence(func(box string) bool { return slices.Contains(readers, box) })
 		time.Sleep(500 * time.Millisecond)
 	}}
-	mostTurnedAway = budgetTrouble{"the readers and half of all others are turned away", func(f *testFleet, readers []string) {
+	mostTurnedAway = budgetTrouble{"the store refuses the readers and half of all others", func(f *testFleet, readers []string) {
 		f.turnAway(func(box string) bool { return slices.Contains(readers, box) || catalog.Hash(box)%2 == 0 })
 		time.Sleep(3 * time.Second)
 	}}
 )
 
-// silence has the store say nothing to some boxes.
+// silence makes the store leave reads of some boxes unanswered.
 func (f *testFleet) silence(unheard func(box string) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.silent = unheard
 }
 
-// Within two thirds of each bound the last box knows: on a quiet day, when a reader dies at the moment of the change and, in a small
-// fleet, when the store has turned the three readers away since half a second before and goes on to.
+// The last box knows within two thirds of each bound: without a fault, when a reader dies at the moment of
+// the change and, in a small fleet, when the store has refused the three readers since half a second before
+// the change.
 func TestBudgetsOfBounds(t *testing.T) {
 	for _, b := range budgets() {
 		for _, trouble := range []budgetTrouble{quiet, readerDies} {
@@ -98,7 +100,8 @@
 	}
 }
 
-// The same in larger fleets while the three readers are turned away or hear nothing, and half of the others besides.
+// The same in larger fleets while the three readers are refused or unanswered, and also while half of the
+// other boxes are refused.
 func TestBudgetsOfBoundsWithoutReadersInLargeFleets(t *testing.T) {
 	for _, b := range budgets() {
 		b.play(t, turnedAway, 61)
@@ -132,7 +135,8 @@
 	})
 }
 
-// lastHolding watches for a while until when a box acts as before a change. Boxes that were killed don't count.
+// lastStale returns when, during a period, a box last acted as before a change. Boxes that were killed don't
+// count.
 func (f *testFleet) lastHolding(boxes int, holds func(*Gateway) bool, watch time.Duration) time.Duration {
 	last := time.Duration(0)
 	for began := time.Now(); time.Since(began) < watch; time.Sleep(50 * time.Millisecond) {
--- a/src/gateway/claim_test.go
+++ b/src/gateway/claim_test.go
@@ -13,7 +13,7 @@
 	"github.com/stilemast/stilemast/src/catalog"
 )
 
-// callers counts the boxes that make calls to the pieces' servers, from now on.
+// countCallers counts the calls to the stage servers by box, from now on.
 func (f *testFleet) callers() func() map[string]int {
 	var mu sync.Mutex
 	at := map[string]int{}
@@ -39,8 +39,8 @@
 	return out
 }
 
-// A pool stays with the box that has it: the seeds' term does not end by the clock, and boxes that join
-// do not take it though they come first by hash.
+// A pool stays with the box that holds it: the seeds' term does not end by the clock, and boxes that join do
+// not take the pool even if they come first by hash.
 func TestAPoolStaysWithItsSchedulerWhenBoxesJoin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
@@ -51,7 +51,7 @@
 		}
 		first := f.box("box2").schedulerOf("encode", nil)
 		if first != "box0" && first != "box1" {
-			t.Fatalf("%s schedules, want a seed", first)
+			t.Fatalf("%s is the scheduler, want a seed", first)
 		}
 		for i := 4; i < 16; i++ {
 			f.start(fmt.Sprint("box", i))
@@ -69,7 +69,7 @@
 	})
 }
 
-// A new box that every other would choose by hash learns of the claim before it gets a job.
+// A new box that every other box would select by hash learns of the claim before it gets a job.
 func TestAllAgreeOnTheClaimant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 12)
@@ -107,13 +107,14 @@
 		}
 		for _, n := range append(slices.Clone(rest), first) {
 			if got := f.box(n).schedulerOf("encode", nil); got != next {
-				t.Errorf("%s has %s schedule, %s says %s", n, got, rest[0], next)
+				t.Errorf("%s takes %s for the scheduler, %s takes %s", n, got, rest[0], next)
 			}
 		}
 	})
 }
 
-// Two boxes that claimed one pool apart agree as soon as they hear of one another: one hands it over.
+// Two boxes that claimed one pool independently converge as soon as they hear of each other: one hands it
+// over.
 func TestOfTwoClaimantsOneHandsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
@@ -128,7 +129,7 @@
 		for _, n := range boxNames(4) {
 			g := f.box(n)
 			if got := g.schedulerOf("encode", nil); got != want {
-				t.Errorf("%s has %s schedule, box3 says %s", n, got, want)
+				t.Errorf("%s takes %s for the scheduler, box3 takes %s", n, got, want)
 			}
 			g.fleet.mu.Lock()
 			if g.fleet.claims("encode") && n == want {
@@ -137,12 +138,12 @@
 			g.fleet.mu.Unlock()
 		}
 		if claims != 1 {
-			t.Errorf("%s claims the pool no more", want)
+			t.Errorf("%s no longer claims the pool", want)
 		}
 	})
 }
 
-// In a large fleet one box's word that a scheduler is silent may come of a lost message; it takes two.
+// In a large fleet a single report that a scheduler does not answer may come of a lost message; it takes two.
 func TestInALargeFleetASchedulerIsSilentOnTheWordOfTwo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, complaintsFrom+2)
@@ -153,16 +154,16 @@
 		g.fleet.toldSilent(g.now(), "box1", "box2")
 		g.fleet.toldSilent(g.now(), "box1", "box2")
 		if !g.fleet.mayAsk(g.now(), "box1") {
-			t.Error("a scheduler is passed over on the word of one box")
+			t.Error("a scheduler is skipped after the report of one box")
 		}
 		time.Sleep(2 * complaintLife)
 		g.fleet.toldSilent(g.now(), "box1", "box3")
 		if !g.fleet.mayAsk(g.now(), "box1") {
-			t.Error("a scheduler is passed over on an old word")
+			t.Error("a scheduler is skipped after an expired report")
 		}
 		g.fleet.toldSilent(g.now(), "box1", "box4")
 		if g.fleet.mayAsk(g.now(), "box1") {
-			t.Error("a scheduler that two boxes found silent is asked")
+			t.Error("a scheduler that two boxes reported as unresponsive is asked")
 		}
 	})
 }
--- a/src/gateway/clock_test.go
+++ b/src/gateway/clock_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// knownBy counts the boxes that hold a box for one that works.
+// knownBy counts the boxes that take a box for usable.
 func (f *testFleet) knownBy(name string, boxes int) int {
 	n := 0
 	for i := range boxes {
@@ -33,7 +33,7 @@
 					time.Sleep(3 * time.Second)
 					for range 20 {
 						if n := f.knownBy("box3", boxes); n < boxes {
-							t.Fatalf("%d of %d boxes know a box that started again over three seconds ago", n, boxes)
+							t.Fatalf("%d of %d boxes know a box that restarted over three seconds ago", n, boxes)
 						}
 						time.Sleep(500 * time.Millisecond)
 					}
--- a/src/gateway/confined_test.go
+++ b/src/gateway/confined_test.go
@@ -19,13 +19,14 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// twoRegions is a fleet before servers of both pools in two failure domains of each of two regions, and what each domain was sent.
+// twoRegions is a fleet with servers of both pools in two failure domains of each of two regions, and a
+// record of what each domain was sent.
 type twoRegions struct {
 	f       *testFleet
-	refusal time.Duration // that a request takes to be refused, at most; set by ask
+	refusal time.Duration // the longest time until a refusal; set by serve
 
 	mu    sync.Mutex
-	sent  map[string]int  // requests and pieces by failure domain
+	sent  map[string]int  // requests and pieces, by failure domain
 	tried map[string]bool // requests that arrived at a server
 }
 
@@ -47,7 +48,7 @@
 	for i := range 6 {
 		f.start(fmt.Sprint("box", i))
 	}
-	time.Sleep(2 * unsureFor) // until the boxes know how many they are, and so how much they may repeat
+	time.Sleep(2 * unsureFor) // until the boxes know the size of the fleet, on which their retry budgets depend
 	return s
 }
 
@@ -65,9 +66,9 @@
 	s.sent[v.Domain]++
 }
 
-// send has a third of the requests turned away by the first server, so that they are sent to another.
+// send has the first server refuse a third of the requests, so that they are sent to another.
 func (s *twoRegions) send(ctx context.Context, _ string, c *Call) (*Reply, error) {
-	wait(ctx, 5*time.Millisecond) // a connection opens
+	wait(ctx, 5*time.Millisecond) // until the connection is open
 	if err := c.Start(); err != nil {
 		return nil, &exchange.NotSent{Cause: err}
 	}
@@ -85,7 +86,8 @@
 	return textReply(http.StatusOK, "ok"), nil
 }
 
-// serve sends requests of a path at all boxes and gives how many were answered and refused for their boundary.
+// serve sends requests for a path to all boxes and returns how many were answered and how many were refused
+// because of their boundary.
 func (s *twoRegions) serve(path string, n int) (answered, nowhere int) {
 	var all sync.WaitGroup
 	var mu sync.Mutex
@@ -111,7 +113,7 @@
 	return answered, nowhere
 }
 
-// outside adds up what was sent outside some failure domains, and forgets all that was sent.
+// sentOutside returns how much was sent outside some failure domains, and resets the record.
 func (s *twoRegions) outside(inside ...string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,8 +129,8 @@
 
 func regions(names ...string) *catalog.Boundary { return &catalog.Boundary{Regions: names} }
 
-// Requests, their repeats and the pieces of their stages are sent inside the boundaries of their pipeline and their workspace only; where
-// no server stands inside them, callers hear it at once.
+// Requests, their retries and the pieces of their stages are sent only inside the boundaries of their
+// pipeline and workspace; callers are refused at once where no server stands inside them.
 func TestRequestsAreSentInsideTheirBoundaries(t *testing.T) {
 	bind := func(pipeline, workspace *catalog.Boundary) func(*catalog.Catalog) {
 		return func(c *catalog.Catalog) {
@@ -156,13 +158,13 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := newTwoRegions(t, c.bounds)
 				for _, path := range []string{"/draft/x", "/stamp/x", "/look/x"} {
-					time.Sleep(s.f.box("box0").Settings.RetryWindow) // for a whole budget of repeats
+					time.Sleep(s.f.box("box0").Settings.RetryWindow) // for a full retry budget
 					answered, nowhere := s.serve(path, 60)
 					if out := s.outside(c.inside...); out > 0 {
-						t.Errorf("%s: %d were sent outside", path, out)
+						t.Errorf("%s: %d were sent outside the boundary", path, out)
 					}
 					if c.inside != nil && answered != 60 || c.inside == nil && nowhere != 60 {
-						t.Errorf("%s: of 60 %d were answered and %d refused for their boundary", path, answered, nowhere)
+						t.Errorf("%s: of 60 requests %d were answered and %d refused because of their boundary", path, answered, nowhere)
 					}
 				}
 				if s.refusal > 10*time.Millisecond {
@@ -173,8 +175,8 @@
 	}
 }
 
-// A boundary that comes into force binds the requests that come after it, and those that were at work but not yet sent: a request
-// whose server was chosen before goes to one inside.
+// A boundary that comes into force applies to later requests and to those under way but not yet sent: a
+// request whose server was selected before goes to one inside the boundary.
 func TestABoundaryBindsWhatIsNotYetSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTwoRegions(t, nil)
@@ -196,13 +198,13 @@
 		time.AfterFunc(1500*time.Millisecond, func() { close(opened) })
 		answered, _ := s.serve("/stamp/x", 60)
 		if out := s.outside("c1", "c2"); out > 0 || answered != 60 || chosen <= 60 {
-			t.Errorf("of 60 requests %d were answered, after %d choices; %d were sent outside", answered, chosen, out)
+			t.Errorf("of 60 requests %d were answered, after %d selections; %d were sent outside", answered, chosen, out)
 		}
 	})
 }
 
-// A box of a release that knows no boundaries gives configurations without them. They are not taken, and the box reads the
-// store itself.
+// A box of a release that does not know boundaries passes configurations on without them. They are rejected,
+// and the receiving box reads the store itself.
 func TestAConfigurationWithoutItsBoundariesIsNotTaken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 9)
@@ -220,7 +222,7 @@
 				return nil
 			}
 			asked++
-			raw, err := msgpack.Marshal(testCatalog(2)) // as an earlier release knows it
+			raw, err := msgpack.Marshal(testCatalog(2)) // as an earlier release encodes it
 			if err != nil {
 				return err
 			}
@@ -235,7 +237,7 @@
 			}
 		}
 		if f.box(name).Version() != 2 || asked == 0 {
-			t.Errorf("version %d is in force %s after the change, and %d times a box was asked", f.box(name).Version(), applyBound, asked)
+			t.Errorf("version %d is in force %s after the change, and boxes were asked %d times", f.box(name).Version(), applyBound, asked)
 		}
 	})
 }
--- a/src/gateway/costs_test.go
+++ b/src/gateway/costs_test.go
@@ -12,13 +12,14 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// The sizes between which work is compared: a fleet of today, and twice the whole fleet of a user.
+// The list sizes that are compared: a typical fleet, and twice the largest known one.
 const (
 	fewServers  = 600
 	manyServers = 15_000
 )
 
-// allocated is what a piece of work allocates at a gateway that knows so many model servers, the mean of some.
+// allocated returns the mean number of bytes that a piece of work allocates at a gateway that knows so many
+// model servers.
 func allocated(t *testing.T, servers int, prepare func(g *Gateway) func(i int)) float64 {
 	t.Helper()
 	g := benchGateway(t, servers, 0)
@@ -35,22 +36,23 @@
 	return float64(after.TotalAlloc-before.TotalAlloc) / times
 }
 
-// A change of one server costs what one server costs, however many the list has: at a box that is told the difference, at one whose list
-// has moved on since, at a reader of the store and at one that tells it on. Before: 9.9 MB among 10,000 servers, 16 times what it was among
-// 600; now 1.1 to 5.6 kB at both sizes.
+// The cost of a change of one server does not depend on the length of the list: at a box that gets the
+// difference, at one whose list has changed since, at a reader of the store and at one that passes the change
+// on. Copying lists allocated 9.9 MB among 10,000 servers, 16 times what it did among 600; differences
+// allocate 1.1 to 5.6 kB at both sizes.
 func TestAChangeOfOneServerCostsNoMoreInALargerList(t *testing.T) {
 	changed := func(i int) catalog.Server {
 		return catalog.Server{ID: "i-00000007", Pool: "model", Address: "10.0.0.7:80", Domain: "d3", Slots: 65 + i}
 	}
 	for name, prepare := range map[string]func(g *Gateway) func(i int){
-		"told": func(g *Gateway) func(int) {
+		"difference received": func(g *Gateway) func(int) {
 			return func(i int) {
 				l := g.published.list
 				d := &catalog.Difference{Put: []catalog.Server{changed(i)}}
 				g.takeDifference(&port.Published{AsOf: uint64(100 + i), Base: l.Digest(), Digest: l.DigestAfter(*d), Since: d}, "peer")
 			}
 		},
-		"told of an earlier list": func(g *Gateway) func(int) {
+		"difference to an earlier list received": func(g *Gateway) func(int) {
 			return func(i int) {
 				base := g.published.list.Digest()
 				for k, id := range []string{"i-00000008", "i-00000009"} {
@@ -62,7 +64,7 @@
 				g.takeDifference(&port.Published{AsOf: uint64(100 + 4*i + 3), Base: base, Digest: g.published.list.DigestAfter(after), Since: &d}, "peer")
 			}
 		},
-		"read": func(g *Gateway) func(int) {
+		"read from the store": func(g *Gateway) func(int) {
 			l := &catalog.Listing{}
 			l.Replace(g.published.list.Servers())
 			l.Changes()
@@ -71,13 +73,13 @@
 				g.takeListing(l, catalog.State(100+i), time.Now())
 			}
 		},
-		"told on": func(g *Gateway) func(int) {
+		"difference passed on": func(g *Gateway) func(int) {
 			return func(i int) {
 				q := g.published.question(port.DocumentServers)
 				d := catalog.Difference{Put: []catalog.Server{changed(i)}}
 				g.takeDifference(&port.Published{AsOf: uint64(100 + i), Base: g.published.list.Digest(), Digest: g.published.list.DigestAfter(d), Since: &d}, "peer")
 				if given := g.give(q); given.Since == nil || len(given.Since.Put) != 1 {
-					t.Errorf("told on as %+v", given)
+					t.Errorf("passed on as %+v", given)
 				}
 			}
 		},
@@ -86,16 +88,17 @@
 			few, many := allocated(t, fewServers, prepare), allocated(t, manyServers, prepare)
 			t.Logf("%.0f and %.0f bytes", few, many)
 			if many > 2*few {
-				t.Errorf("a change allocates %.0f bytes among %d servers, %.0f among %d", few, fewServers, many, manyServers)
+				t.Errorf("a change allocates %.0f bytes with %d servers, %.0f with %d", few, fewServers, many, manyServers)
 			}
 		})
 	}
 }
 
-// boxBytes bounds what a box keeps for each server that it knows: the entry, which all share, and a place in each of four maps.
+// maxBytesPerServer bounds what a box keeps for each server that it knows: the shared entry and a place in
+// each of four maps.
 const boxBytes = 700
 
-// What a box keeps of a list grows with the list and not with how often it has changed.
+// What a box keeps of a list grows with the list and not with the number of its changes.
 func TestAListIsKeptOnce(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -110,16 +113,17 @@
 	each := float64(after.HeapAlloc-before.HeapAlloc) / float64(g.published.list.Len())
 	t.Logf("%.0f bytes a server", each)
 	if each > boxBytes {
-		t.Errorf("a box keeps %.0f bytes for each server, want %d at most", each, boxBytes)
+		t.Errorf("a box keeps %.0f bytes per server, want at most %d", each, boxBytes)
 	}
 	runtime.KeepAlive(g)
 }
 
-// historySeen is more changes than a box remembers.
+// manyChanges is more changes than a box remembers.
 const historySeen = 100
 
-// A box whose members don't change works the choice of schedulers and readers out a few times a minute, and not with each tick; a
-// change of a member, and the end of a time that it depends on, count within a tenth of a second.
+// A box with stable membership recomputes schedulers and readers a few times a minute and not with each tick;
+// a membership change, and the end of a period that the choice depends on, take effect within a tenth of a
+// second.
 func TestTheRosterIsWorkedOutWhenSomethingChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 30)
@@ -138,12 +142,12 @@
 			return times
 		}
 		if n, most := made(time.Minute), 1+int(time.Minute/mostRosterLife); n > most {
-			t.Errorf("in a minute without a change it was worked out %d times, want %d at most", n, most)
+			t.Errorf("the roster was rebuilt %d times in a minute without a change, want at most %d", n, most)
 		}
 		f.kill("box20")
 		for began := time.Now(); slices.Contains(g.fleet.usable(), "box20"); time.Sleep(rosterLife / 4) {
 			if time.Since(began) > 10*time.Second {
-				t.Fatal("a box that was killed counts still")
+				t.Fatal("a killed box still counts as usable")
 			}
 		}
 		time.Sleep(2 * rosterLife)
@@ -151,19 +155,19 @@
 		held := slices.Contains(g.fleet.eligible(g.now()), "box20")
 		g.fleet.mu.Unlock()
 		if held {
-			t.Error("a box that is gone may schedule still")
+			t.Error("a box that is gone is still eligible as scheduler")
 		}
 		f.start("box30")
 		time.Sleep(settledAfter + time.Second)
 		g.fleet.mu.Lock()
 		defer g.fleet.mu.Unlock()
 		if !slices.Contains(g.fleet.eligible(g.now()), "box30") {
-			t.Error("a box that has settled may not schedule")
+			t.Error("a settled box is not eligible as scheduler")
 		}
 	})
 }
 
-// A claim changes no member's state. It counts at all boxes soon all the same.
+// A claim changes no member's state. It takes effect at all boxes soon all the same.
 func TestAClaimCountsThoughNoMemberComesOrGoes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const boxes = 24
--- a/src/gateway/crashing_builds_test.go
+++ b/src/gateway/crashing_builds_test.go
@@ -12,8 +12,8 @@
 	"github.com/stilemast/stilemast/src/crasher"
 )
 
-// Old and new builds side by side: boxes of an earlier release name no contents in their jobs. What ends servers beside those
-// speaks against none of them: they are no one content, and were all refused after the third end.
+// Mixed releases: boxes of an earlier release send no content keys in their jobs. Server crashes during such
+// jobs count against no content; counted as one content, all of them were refused after the third crash.
 func TestJobsThatNameNoContentAreNotBarred(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newCrashSite(t, 6, "encode")
@@ -28,7 +28,7 @@
 		others := &tally{}
 		var all sync.WaitGroup
 		for i := range 500 {
-			box := fmt.Sprint("box", 1+i%2*2) // the old ones
+			box := fmt.Sprint("box", 1+i%2*2) // the boxes of the earlier release
 			all.Go(func() { others.add(s.askAs(box, "/draft/x", fmt.Sprint("good", i), fmt.Sprint("body", i))) })
 			if i%10 == 0 {
 				all.Go(func() { s.askAs("box0", "/draft/x", fmt.Sprint("bad", i), "the same") })
@@ -36,12 +36,12 @@
 			time.Sleep(30 * time.Millisecond)
 		}
 		all.Wait()
-		t.Logf("%d servers ended; %d answered, %d not", s.ended, others.answered, others.unserved)
+		t.Logf("%d servers crashed; %d answered, %d not", s.ended, others.answered, others.unserved)
 		if s.ended < 3 {
-			t.Fatalf("%d servers ended: nothing was pressed", s.ended)
+			t.Fatalf("%d servers crashed: the load was too low", s.ended)
 		}
 		if others.unserved > 15 {
-			t.Errorf("%d of 500 requests of boxes that name no contents were not answered, want 15 at most", others.unserved)
+			t.Errorf("%d of 500 requests of boxes that send no content keys were not answered, want at most 15", others.unserved)
 		}
 		time.Sleep(5 * time.Second)
 	})
--- a/src/gateway/crashing_test.go
+++ b/src/gateway/crashing_test.go
@@ -20,38 +20,34 @@
 	"github.com/stilemast/stilemast/src/exchange"
 )
 
-// The story. Model engines of one site stopped answering, one every second or so, thirteen in eight seconds, each back
-// after some five seconds; the streams that were at work there broke off with them, and their callers lost a letter or a
-// review. Order of events: a caller sent a request under which its engine ended; the caller got an unknown outcome and sent the
-// same content again, under a new id, to another box; that box knew nothing and gave it to the next engine; and so on, 6 and
-// 8 times more than the three seconds after the third engine's end in which the boxes were to have learned of it.
-//
-// Evidence: at each end, the lines of all boxes show the streams at that engine broken off in the same millisecond, and one
-// digest of content is in each of these groups, from another box each time, with one attempt; no other digest is in three.
-//
-// Cause: all that a box knew of a request was its id, which is new at each try. A break spoke against the server alone.
+// These tests guard against one request crashing server after server. A request crashes the server that runs
+// it, its caller gets an unknown outcome and sends the same content again under a new id to another box,
+// which knows nothing of the first attempt: thirteen engines crashed within eight seconds, and all streams on
+// them broke off. A broken connection used to count against the server alone, since all that a box knew of a
+// request was its id, which is new with each try. Boxes now count crashes by content and must agree on it
+// within three seconds of the third crash.
 
-// crashSite is a fleet before servers that end when they run a request whose id begins with "bad". An ended server refuses
-// connections for some time and then begins a new life.
+// crashSite is a fleet with servers that crash when they run a request whose id begins with "bad". A crashed
+// server refuses connections for some time and then restarts.
 type crashSite struct {
 	f      *testFleet
-	at     string        // the pool whose servers it ends
-	dark   bool          // an ended server answers no connection; its entry goes after three heartbeats
-	newID  bool          // a new life has a new id, and the entry of the old one is removed
-	downAt time.Duration // time from the beginning of a run to the server's end
-	downs  time.Duration // that an ended server refuses connections
+	at     string        // the pool whose servers crash
+	dark   bool          // a crashed server does not answer connections; its entry is removed after three heartbeats
+	newID  bool          // a restarted server has a new id, and its old entry is removed
+	downAt time.Duration // from the start of a request to the crash
+	downs  time.Duration // how long a crashed server refuses connections
 
 	mu     sync.Mutex
-	lives  map[string]chan struct{} // of servers that run; closed at their end
+	lives  map[string]chan struct{} // of running servers; closed when they crash
 	ended  int
-	third  time.Time // when the third ended
-	late   int       // sends of the bad content over 3 s after that
+	third  time.Time // when the third server crashed
+	late   int       // sends of the crashing content later than knownWithin after that
 	sends  int
 	births int
 }
 
-// knownWithin is how long after the third server's end the content may still be sent, and lateSends how often it may be
-// after that: as the users ask.
+// Bounds that users ask for: knownWithin is how long after the third crash the content may still be sent, and
+// maxLateSends how often it may be sent after that.
 const (
 	knownWithin = 3 * time.Second
 	lateSends   = 3
@@ -75,14 +71,15 @@
 	return s
 }
 
-// life is the life of a server, nil while no process listens there.
+// process returns a channel that is closed when the running process of a server ends; it is nil while none
+// runs.
 func (s *crashSite) life(id string) chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lives[id]
 }
 
-// end ends a server's life, once, and lets the next one begin later.
+// crash ends the given process of a server, once, and schedules its restart.
 func (s *crashSite) end(id string, life chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +98,7 @@
 	time.AfterFunc(s.downs, func() { s.begin(id) })
 }
 
-// begin starts a server again.
+// restart starts a server again.
 func (s *crashSite) begin(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,7 +118,7 @@
 	s.f.list(list)
 }
 
-// strike ends a server in a moment, when the request is one that ends it.
+// crashSoon crashes a server after crashDelay if the request is one that crashes servers of this pool.
 func (s *crashSite) strike(request, pool, id string, life chan struct{}) {
 	if !strings.HasPrefix(request, "bad") || pool != s.at {
 		return
@@ -157,7 +154,7 @@
 	return textReply(http.StatusOK, "ok"), nil
 }
 
-// probe answers as the address of a server does, which is its id.
+// probe answers a connection attempt to a server, whose address is its id.
 func (s *crashSite) probe(address string) error {
 	if s.life(address) == nil {
 		return s.unreached(s.f.ctx)
@@ -165,7 +162,7 @@
 	return nil
 }
 
-// unreached is the error of a connection to a server that has ended.
+// connectError is the error of a connection to a crashed server.
 func (s *crashSite) unreached(ctx context.Context) error {
 	if !s.dark {
 		return syscall.ECONNREFUSED
@@ -196,7 +193,7 @@
 	return batch.CallDone, piecesOf(v, items)
 }
 
-// tally counts what callers got.
+// tally counts the outcomes of callers.
 type tally struct {
 	mu                 sync.Mutex
 	answered, unserved int
@@ -212,7 +209,7 @@
 	y.unserved++
 }
 
-// askAs sends a request with a body.
+// askAs sends a request with the given body.
 func (s *crashSite) askAs(box, path, id, body string) answerOf {
 	return s.f.ask(box, path, id, func(r *Request) {
 		r.Body = []byte(body)
@@ -222,13 +219,13 @@
 	})
 }
 
-// play sends good requests, each with a body of its own, at all boxes, and one bad content again and again at one box after
-// the other.
+// run sends harmless requests, each with a body of its own, to all boxes, and one crashing content again and
+// again to one box after the other.
 func (s *crashSite) play(path string, boxes int, pace, length time.Duration) (others *tally, last answerOf) {
 	others = &tally{}
 	between := 15 * time.Millisecond
 	if strings.HasPrefix(path, "/draft/") {
-		between *= 2 // what the stage's servers can make
+		between *= 2 // what the stage's servers can process
 	}
 	var all sync.WaitGroup
 	all.Go(func() {
@@ -256,13 +253,13 @@
 	cases := []struct {
 		name, path, at string
 		newID          bool
-		unserved       int // good requests that may go without an answer: those beside it at the servers that it ended
+		unserved       int // harmless requests that may fail: those that ran beside it on the servers that crashed
 	}{
 		{"repeatable", "/look/x", "model", false, 10},
-		{"repeatable, a new id with each life", "/look/x", "model", true, 10},
-		{"may run once", "/stamp/x", "model", false, 10},
+		{"repeatable, a new id with each restart", "/look/x", "model", true, 10},
+		{"at most once", "/stamp/x", "model", false, 10},
 		{"stream", "/draft/x", "model", false, 10},
-		{"piece of a stage", "/draft/x", "encode", false, 15},
+		{"pieces of a stage", "/draft/x", "encode", false, 15},
 	}
 	for _, c := range cases {
 		for _, boxes := range []int{6, 61} {
@@ -272,28 +269,28 @@
 					s.newID = c.newID
 					settle()
 					others, last := s.play(c.path, boxes, 300*time.Millisecond, 20*time.Second)
-					t.Logf("%d servers ended, %d sends, %d of them late; others: %d answered, %d not", s.ended, s.sends, s.late, others.answered, others.unserved)
+					t.Logf("%d servers crashed, %d sends, %d of them late; others: %d answered, %d not", s.ended, s.sends, s.late, others.answered, others.unserved)
 					if s.late > lateSends {
-						t.Errorf("sent %d times later than %s after the third server's end, want %d at most", s.late, knownWithin, lateSends)
+						t.Errorf("sent %d times later than %s after the third crash, want at most %d", s.late, knownWithin, lateSends)
 					}
 					if s.ended > 8 {
-						t.Errorf("%d servers ended, want 8 at most", s.ended)
+						t.Errorf("%d servers crashed, want at most 8", s.ended)
 					}
 					if others.unserved > c.unserved {
-						t.Errorf("%d good requests of %d had no answer, want %d at most", others.unserved, others.answered+others.unserved, c.unserved)
+						t.Errorf("%d harmless requests of %d had no answer, want at most %d", others.unserved, others.answered+others.unserved, c.unserved)
 					}
 					if last.refused == nil || last.refused.DidRun() != code.RanNo || last.took > 50*time.Millisecond {
-						t.Errorf("the last try got %v after %s, want a refusal at once that says that nothing ran", last.refused, last.took)
+						t.Errorf("the last try got %v after %s, want an immediate refusal that says that nothing ran", last.refused, last.took)
 					}
-					time.Sleep(5 * time.Second) // servers that are down begin their next lives
+					time.Sleep(5 * time.Second) // until crashed servers have restarted
 				})
 			})
 		}
 	}
 }
 
-// Half of a pool is lost at one moment, three times, and one and the same good request runs on all its servers. It is no
-// cause, and nobody is shut out.
+// Half of a pool fails at once, three times, while the same harmless request runs on all its servers. The
+// request is not taken for the cause, and no caller is refused.
 func TestAGoodRequestIsNotShutOutWhenHalfAPoolIsLost(t *testing.T) {
 	for _, boxes := range []int{6, 61} {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
@@ -327,7 +324,7 @@
 	}
 }
 
-// A box that starts after the verdict knows it before it serves such a request.
+// A box that starts after the content was identified knows it before it serves such a request.
 func TestABoxThatStartsLaterSendsNoRequestThatCrashesServers(t *testing.T) {
 	for _, boxes := range []int{6, 61} {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
@@ -347,7 +344,7 @@
 					}
 				}
 				if s.sends > before || s.late > 0 {
-					t.Errorf("boxes that started later sent it %d times", s.sends-before)
+					t.Errorf("boxes that started later sent the content %d times", s.sends-before)
 				}
 				time.Sleep(5 * time.Second)
 			})
@@ -355,7 +352,7 @@
 	}
 }
 
-// The content comes at several boxes at the same moment, again and again.
+// The same content arrives at several boxes at the same moment, repeatedly.
 func TestARequestThatComesAtSeveralBoxesAtOnceIsNotSentOn(t *testing.T) {
 	for _, boxes := range []int{6, 61} {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
@@ -371,7 +368,7 @@
 				}
 				all.Wait()
 				if s.late > 0 || s.ended > 5 {
-					t.Errorf("%d servers ended, %d sends were late", s.ended, s.late)
+					t.Errorf("%d servers crashed, %d sends were late", s.ended, s.late)
 				}
 				time.Sleep(5 * time.Second)
 			})
@@ -379,7 +376,8 @@
 	}
 }
 
-// Servers that end refuse no connections, as when a machine is lost: only the list shows the end.
+// Crashed servers do not refuse connections, as when a whole machine is lost: only the list of servers shows
+// the crash.
 func TestARequestThatTakesMachinesWithItIsNotSentOn(t *testing.T) {
 	for _, pace := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second} {
 		t.Run(pace.String(), func(t *testing.T) {
@@ -388,9 +386,9 @@
 				s.dark = true
 				settle()
 				_, last := s.play("/stamp/x", 6, pace, 30*time.Second)
-				t.Logf("%d ended, %d sends, %d late", s.ended, s.sends, s.late)
+				t.Logf("%d servers crashed, %d sends, %d late", s.ended, s.sends, s.late)
 				if s.late > 0 || s.ended > 8 {
-					t.Errorf("%d servers ended, want 8 at most; sent %d times later than %s after the third", s.ended, s.late, knownWithin)
+					t.Errorf("%d servers crashed, want at most 8; sent %d times later than %s after the third crash", s.ended, s.late, knownWithin)
 				}
 				if last.refused == nil || last.refused.Code != code.CrashesServers {
 					t.Errorf("the last try got %v", last.refused)
@@ -401,8 +399,9 @@
 	}
 }
 
-// A thousand requests break at one moment with half of their pool, and the one that crashes servers comes beside them. What
-// boxes tell one another of a thousand suspects stays small, and the guilty one is found among them.
+// A thousand requests fail at one moment with half of their pool while one content crashes servers beside
+// them. The notes about a thousand suspects that boxes exchange stay small, and the crashing content is found
+// among them.
 func TestAThousandSuspectsCostLittleAndHideNobody(t *testing.T) {
 	for _, boxes := range []int{6, 61} {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
@@ -423,7 +422,7 @@
 					}
 				}
 				s.mu.Lock()
-				s.ended, s.third = 0, time.Time{} // of the content that crashes servers, from here on
+				s.ended, s.third = 0, time.Time{} // from here on only crashes by the content are counted
 				s.mu.Unlock()
 				for i := range 60 {
 					all.Go(func() { s.askAs(fmt.Sprint("box", i*7%boxes), "/stamp/x", fmt.Sprint("bad", i), "the same") })
@@ -431,12 +430,12 @@
 				}
 				all.Wait()
 				perBox := s.f.noteBytes() / boxes / 12
-				t.Logf("%d servers ended, %d sends, %d late; %d others unserved; %d bytes of notes a second and box", s.ended, s.sends, s.late, others.unserved, perBox)
+				t.Logf("%d servers crashed, %d sends, %d late; %d others unserved; %d bytes of notes per second and box", s.ended, s.sends, s.late, others.unserved, perBox)
 				if s.late > 0 {
 					t.Errorf("%d sends were late", s.late)
 				}
 				if perBox > 6000 {
-					t.Errorf("%d bytes of notes a second and box, want 6,000 at most: a third of what a box may spend on control", perBox)
+					t.Errorf("%d bytes of notes per second and box, want at most 6,000: a third of a box's budget for control traffic", perBox)
 				}
 				time.Sleep(5 * time.Second)
 			})
@@ -444,7 +443,7 @@
 	}
 }
 
-// The boxes that add up the ends under a content are lost without a word as it begins to come.
+// The boxes that count the crashes of a content are lost without notice as it begins to arrive.
 func TestARequestThatCrashesServersIsNotSentOnWhenWhoCountsIsLost(t *testing.T) {
 	for _, boxes := range []int{6, 61} {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
@@ -463,9 +462,9 @@
 					}
 					time.Sleep(300 * time.Millisecond)
 				}
-				t.Logf("%d servers ended, %d sends, %d late", s.ended, s.sends, s.late)
+				t.Logf("%d servers crashed, %d sends, %d late", s.ended, s.sends, s.late)
 				if s.late > lateSends {
-					t.Errorf("sent %d times later than %s after the third server's end", s.late, knownWithin)
+					t.Errorf("sent %d times later than %s after the third crash", s.late, knownWithin)
 				}
 				time.Sleep(5 * time.Second)
 			})
--- a/src/gateway/evacuation_test.go
+++ b/src/gateway/evacuation_test.go
@@ -12,7 +12,7 @@
 	"github.com/stilemast/stilemast/src/catalog"
 )
 
-// domains has the servers of the fleet stand in two failure domains by turns.
+// spreadOverDomains places the fleet's servers in two failure domains alternately.
 func (f *testFleet) domains() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -24,7 +24,7 @@
 	f.rev++
 }
 
-// evacuate has the operator empty failure domains, and take others back.
+// evacuate has the operator evacuate failure domains and lift the evacuation of others.
 func (f *testFleet) evacuate(domains, restored []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -32,8 +32,8 @@
 	f.rev++
 }
 
-// While a failure domain is evacuated its servers get neither requests nor pieces, from any box, and the
-// version of the configuration stays; when it is taken back they do again.
+// While a failure domain is evacuated its servers get neither requests nor pieces from any box, and the
+// version of the configuration stays; once the evacuation is lifted they do again.
 func TestAnEvacuatedFailureDomainGetsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 5)
@@ -82,10 +82,10 @@
 		if got := serve(); got["d0"] == 0 || got["d1"] > 0 {
 			t.Errorf("during the evacuation of d1: %v", got)
 		}
-		f.start("box5") // knows it from its first document
+		f.start("box5") // learns of it with its first configuration
 		time.Sleep(2 * time.Second)
 		if x := f.box("box5"); x.mayUse(f.servers[2].ID) || !x.mayUse(f.servers[0].ID) {
-			t.Error("a fresh box does not know of the evacuation")
+			t.Error("a new box does not know of the evacuation")
 		}
 		f.evacuate(nil, []string{"d1"})
 		time.Sleep(1500 * time.Millisecond)
@@ -104,7 +104,7 @@
 	}{
 		{"nothing", CatalogChange{}, "4/a/b"},
 		{"one more", CatalogChange{Evacuated: []string{"c", "a"}}, "4/a/b/c"},
-		{"one taken back", CatalogChange{Restored: []string{"a", "x"}}, "4/b"},
+		{"one lifted", CatalogChange{Restored: []string{"a", "x"}}, "4/b"},
 		{"a new configuration", CatalogChange{Catalog: testCatalog(5)}, "5/a/b"},
 	} {
 		if got := c.change.apply(before).Digest(); got != c.want {
@@ -112,11 +112,12 @@
 		}
 	}
 	if got := (CatalogChange{Evacuated: []string{"a"}}).apply(nil); got != nil {
-		t.Errorf("a change of no configuration: %v", got)
+		t.Errorf("a change without a configuration: %v", got)
 	}
 }
 
-// How long a server is cold runs from when its entry said so, also for a box that hears of it again.
+// The cold period of a server runs from when its entry first said so, also for a box that receives the entry
+// again.
 func TestAColdServerIsColdOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	first := &catalog.Server{ID: "s", Cold: 3 * time.Second}
@@ -132,6 +133,6 @@
 		t.Errorf("cold again until %s, want %s", other.ColdUntil, want)
 	}
 	if catalog.Digest(serversByID([]catalog.Server{*first})) == catalog.Digest(map[string]catalog.Server{"s": {ID: "s"}}) {
-		t.Error("a list tells nothing of a server that turned cold")
+		t.Error("the digest of a list does not change when a server turns cold")
 	}
 }
--- a/src/gateway/fleet_test.go
+++ b/src/gateway/fleet_test.go
@@ -24,46 +24,46 @@
 	"github.com/stilemast/stilemast/src/pushback"
 )
 
-// testFleet is some gateways in one process in virtual time, with messages that take a millisecond,
-// a store and servers that are functions.
+// testFleet runs several gateways in one process in virtual time. Messages take a millisecond; the store and
+// the backend servers are functions.
 type testFleet struct {
 	t         *testing.T
 	ctx       context.Context
 	mu        sync.Mutex
 	boxes     map[string]*Gateway // by address
-	lost      map[string]bool     // addresses that neither send nor get messages
-	side      map[string]int      // of a partition, by address
+	lost      map[string]bool     // addresses that neither send nor receive messages
+	side      map[string]int      // side of a network partition, by address
 	stop      map[string]context.CancelFunc
 	storeOK   bool
 	rev       uint64
-	era       catalog.Era // of the store, one more each time it comes back from a copy
+	era       catalog.Era // of the store; incremented with each restore from a copy
 	catalog   *catalog.Catalog
 	servers   []catalog.Server
-	reads     map[string]int                                                    // store calls by box
-	refuses   bool                                                              // whether the address of a killed box refuses connections, as that of a process does
-	slept     sync.Map                                                          // of a box's name to the time.Duration for which its machine was suspended
-	notes     int                                                               // bytes in which boxes told one another of contents that may crash servers
-	held      int                                                               // messages that told a scheduler of results
-	removed   map[string]uint64                                                 // revisions at which entries were removed, by server
-	restored  []string                                                          // failure domains of which an evacuation was taken back
-	lists     int                                                               // whole lists of servers that one box gave another
-	turnsAway func(box string) bool                                             // whether the store answers a box with an error; nil for none
-	silent    func(box string) bool                                             // whether a box hears nothing of the store; nil for none
-	hear      map[string]func(to string, q port.Question, a *port.Answer) error // by the asker's address
-	watch     func(box string) Watcher                                          // nil for none
-	clockBack time.Duration                                                     // how far the clock was set back from which a box that starts takes its life
-	earlier   func(box string) bool                                             // whether a box reads the store as one of a release that knows no eras; nil for none
-	regions   catalog.Regions                                                   // nil where none is known
-	links     *links                                                            // what the boxes' links carry, nil when they carry anything at once
+	reads     map[string]int                                                    // store calls, by box
+	refuses   bool                                                              // whether the address of a killed box refuses connections, as when only its process has ended
+	slept     sync.Map                                                          // box name to the time.Duration for which its machine was suspended
+	notes     int                                                               // bytes of notes between boxes about contents that may crash servers
+	held      int                                                               // results reported to schedulers as held
+	removed   map[string]uint64                                                 // revision at which an entry was removed, by server
+	restored  []string                                                          // failure domains whose evacuation was lifted
+	lists     int                                                               // complete lists of servers sent from box to box
+	turnsAway func(box string) bool                                             // whether the store answers a box with an error; nil: never
+	silent    func(box string) bool                                             // whether the store leaves a box without an answer; nil: never
+	hear      map[string]func(to string, q port.Question, a *port.Answer) error // called with each answer, by the asker's address
+	watch     func(box string) Watcher                                          // nil: none
+	clockBack time.Duration                                                     // how far the clock is set back from which a starting box takes its incarnation
+	earlier   func(box string) bool                                             // whether a box reads the store as a release without eras does; nil: never
+	regions   catalog.Regions                                                   // nil: none is known
+	links     *links                                                            // network links of the boxes; nil: unlimited
 
 	runPieces  func(ctx context.Context, box string, s catalog.Server, items []batch.Item) (batch.CallOutcome, []batch.ItemResult)
-	alter      func(to string, b *core.Beat)                                 // changes a heartbeat on its way; nil changes none
-	alterBatch func(from string, m *batch.Message)                           // changes a message on jobs on its way; nil changes none
-	callPieces func(ctx context.Context, box string, c PieceCall) PieceReply // in place of runPieces, where a server says more than its results; nil for none
-	freePieces func(box string, s catalog.Server) pushback.Word              // nil answers with nothing
+	alter      func(to string, b *core.Beat)                                 // modifies a heartbeat in transit; nil: none
+	alterBatch func(from string, m *batch.Message)                           // modifies a batch message in transit; nil: none
+	callPieces func(ctx context.Context, box string, c PieceCall) PieceReply // replaces runPieces where replies carry more than results; nil: runPieces
+	freePieces func(box string, s catalog.Server) pushback.Word              // nil: an empty answer
 
 	send  func(ctx context.Context, box string, c *Call) (*Reply, error)
-	probe func(address string) error // opens a connection to a server; nil finds that its process is there
+	probe func(address string) error // opens a connection to a server; nil: always succeeds
 }
 
 func newTestFleet(t *testing.T, boxes int) *testFleet {
@@ -74,7 +74,7 @@
 	return f
 }
 
-// newEmptyFleet is a fleet before the start of its first box.
+// newEmptyFleet returns a fleet without boxes.
 func newEmptyFleet(t *testing.T) *testFleet {
 	ctx, cancel := context.WithCancel(t.Context())
 	f := &testFleet{
@@ -123,7 +123,7 @@
 	return out
 }
 
-// wait sleeps and gives false when the context ended first.
+// wait sleeps and returns false if the context ended first.
 func wait(ctx context.Context, d time.Duration) bool {
 	sleep(ctx, d)
 	return ctx.Err() == nil
@@ -136,7 +136,7 @@
 
 func addressOf(name string) string { return name + ":1" }
 
-// start begins a life of a box.
+// start starts a box, with a new incarnation each time.
 func (f *testFleet) start(name string) *Gateway {
 	f.t.Helper()
 	address := addressOf(name)
@@ -194,7 +194,7 @@
 	return g
 }
 
-// kill ends a box without a word.
+// kill ends a box without notice.
 func (f *testFleet) kill(name string) {
 	f.mu.Lock()
 	f.lost[addressOf(name)] = true
@@ -203,7 +203,7 @@
 	stop()
 }
 
-// part has some boxes not reach the others; none heals the partition.
+// partition separates some boxes from the others; without names it heals the partition.
 func (f *testFleet) part(names ...string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -219,7 +219,7 @@
 	f.lost[addressOf(name)] = lost
 }
 
-// refusal says whether an address refuses connections: no process listens there.
+// refusesConnections reports whether an address refuses connections because no process listens there.
 func (f *testFleet) refusal(address string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -234,7 +234,7 @@
 	}
 }
 
-// countNotes adds up what boxes tell one another of contents that may crash servers.
+// countNotes adds up the bytes of notes about contents that may crash servers.
 func (f *testFleet) countNotes(notes []crasher.Note) {
 	if len(notes) == 0 {
 		return
@@ -254,7 +254,7 @@
 	return f.notes
 }
 
-// reach gives the box at an address unless a message can't get there.
+// reach returns the box at an address, or nil if a message can't get there.
 func (f *testFleet) reach(from, to string) *Gateway {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -294,7 +294,7 @@
 		Ask: func(ctx context.Context, to string, q port.Question) (port.Answer, error) {
 			g := f.reach(from, to)
 			if g == nil || !wait(ctx, 2*time.Millisecond) {
-				return port.Answer{}, errors.New("no way there")
+				return port.Answer{}, errors.New("unreachable")
 			}
 			if err := f.links.connect(ctx, from, to); err != nil {
 				return port.Answer{}, err
@@ -348,7 +348,8 @@
 		defer f.mu.Unlock()
 		return f.catalog, append([]catalog.Server(nil), f.servers...), f.revision()
 	}
-	// changed waits for a change; the store ends its watches when it goes away and knows none from a revision that it lacks.
+	// changed waits for a change. The store ends open watches when it is restored, and rejects revisions that
+	// it does not have.
 	changed := func(ctx context.Context, after catalog.Revision, d time.Duration) (bool, error) {
 		_, _, began := state()
 		if after.Era() != began.Era() || after > began {
@@ -414,13 +415,13 @@
 	return out
 }
 
-// revision is the store's. f.mu is held.
+// revision returns the store's current revision. f.mu is held.
 func (f *testFleet) revision() catalog.Revision {
 	r, _ := catalog.RevisionAt(f.era, f.rev)
 	return r
 }
 
-// removals are the entries that were removed after a revision and up to another.
+// removals returns the entries that were removed after one revision and up to another.
 func (f *testFleet) removals(after, rev uint64) []ServerChange {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -441,7 +442,7 @@
 	return out
 }
 
-// publish puts a new configuration into the store.
+// publish stores a new configuration.
 func (f *testFleet) publish(c *catalog.Catalog) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -449,7 +450,7 @@
 	f.rev++
 }
 
-// answerOf is what a caller got.
+// callResult is the outcome of one call.
 type answerOf struct {
 	refused *code.Error
 	status  int
@@ -485,7 +486,8 @@
 	return a
 }
 
-// events replies with a stream that gives its events with pauses, then its end or an error.
+// eventStream replies with a stream of events with a pause before each, followed by an error or the end of
+// the stream.
 func events(ctx context.Context, from, to int, pause time.Duration, end error) *Reply {
 	next := from
 	return &Reply{Status: http.StatusOK, Header: http.Header{}, Events: true, Signed: true, Close: func(bool) {},
@@ -502,7 +504,7 @@
 		}}
 }
 
-// streams has every server answer with a whole stream of some events.
+// serveStreams has every server answer with a complete stream of n events.
 func (f *testFleet) streams(n int) {
 	f.send = func(ctx context.Context, _ string, _ *Call) (*Reply, error) {
 		return events(ctx, 1, n, time.Millisecond, io.EOF), nil
--- a/src/gateway/gateway_test.go
+++ b/src/gateway/gateway_test.go
@@ -8,7 +8,7 @@
 	"github.com/stilemast/stilemast/src/code"
 )
 
-// settle lets a fleet find itself.
+// settle waits until the boxes of a new fleet know each other.
 func settle() { time.Sleep(3 * time.Second) }
 
 func TestABoxKnowsItsPeersAndFewRead(t *testing.T) {
@@ -58,7 +58,7 @@
 	})
 }
 
-// In a fleet too large to tell everybody a change goes round in a few hops.
+// In a fleet too large for one box to notify all others, a change still spreads within a few hops.
 func TestAChangeGoesRoundALargeFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 40)
@@ -89,7 +89,7 @@
 		fresh := f.start("box1")
 		time.Sleep(1500 * time.Millisecond)
 		if !fresh.Ready() {
-			t.Error("a fresh box is not ready though its peers know the configuration")
+			t.Error("a new box is not ready though its peers know the configuration")
 		}
 		for _, b := range []string{"box0", "box1", "box2"} {
 			f.kill(b)
@@ -104,12 +104,12 @@
 		f.mu.Unlock()
 		time.Sleep(1500 * time.Millisecond)
 		if !alone.Ready() {
-			t.Error("not ready 1.5 s after the store is back")
+			t.Error("not ready 1.5 s after the store's return")
 		}
 	})
 }
 
-// A process that was paused confirms what it believes before it serves: a token may be gone.
+// A process that was paused confirms its state before it serves: a token may have been revoked meanwhile.
 func TestAPausedBoxConfirmsFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
@@ -121,7 +121,7 @@
 		f.publish(next)
 		a := f.ask("box0", "/look/x", "r", nil)
 		if a.refused == nil || a.refused.Code != code.Unauthenticated {
-			t.Errorf("a token that was taken away during the pause: %+v", a)
+			t.Errorf("a token that was revoked during the pause: %+v", a)
 		}
 	})
 }
--- a/src/gateway/inputs_test.go
+++ b/src/gateway/inputs_test.go
@@ -12,12 +12,13 @@
 	"github.com/stilemast/stilemast/src/pushback"
 )
 
-// The makers' room is free again when the engine has fetched the inputs, not at the first output.
+// A request's inputs are freed at the stage servers once the engine has fetched them, not at the first
+// output.
 func TestInputsAreGivenUpWhenTheEngineHasFetchedThem(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 2)
 		f.send = func(ctx context.Context, _ string, _ *Call) (*Reply, error) {
-			wait(ctx, time.Second) // reads the prompt
+			wait(ctx, time.Second) // prefill
 			return events(ctx, 1, 1, time.Millisecond, io.EOF), nil
 		}
 		settle()
@@ -31,7 +32,7 @@
 		go f.ask("box1", "/draft/x", "r", nil)
 		time.Sleep(800 * time.Millisecond)
 		if n := freed.Load(); n != 2 {
-			t.Errorf("%d of 2 inputs were given up while the engine reads the prompt", n)
+			t.Errorf("%d of 2 inputs were freed during prefill", n)
 		}
 	})
 }
@@ -51,6 +52,6 @@
 		p.fetchTime()
 	}
 	if d := p.fetchTime(); d != leastFetch {
-		t.Errorf("%s after 200 requests without trouble", d)
+		t.Errorf("%s after 200 requests whose inputs were there", d)
 	}
 }
--- a/src/gateway/known_test.go
+++ b/src/gateway/known_test.go
@@ -10,8 +10,8 @@
 	"github.com/stilemast/stilemast/src/code"
 )
 
-// returnOfAll plays the start of eight boxes at once while callers go on trying, before a store that answers only
-// after a while. It gives what the callers of the first half second got.
+// startWithCallers starts eight boxes at once while callers retry, with a store that answers only after a
+// while. It returns what the callers of the first half second got.
 func returnOfAll(t *testing.T, storeAfter time.Duration) []answerOf {
 	f := newEmptyFleet(t)
 	f.streams(1)
@@ -36,18 +36,18 @@
 	return out
 }
 
-// A configuration that comes within a third of a second of the boxes' start costs no caller its return.
+// A configuration that arrives within a third of a second of the boxes' start costs no caller its request.
 func TestCallersWaitForADocumentThatIsComing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, a := range returnOfAll(t, 250*time.Millisecond) {
 			if !a.ended || a.took > knownWait+100*time.Millisecond {
-				t.Errorf("a caller of the return got %+v", a)
+				t.Errorf("a caller at the start got %+v", a)
 			}
 		}
 	})
 }
 
-// Without a configuration callers are told so after a bounded time, and when to come back.
+// Without a configuration callers are refused after a bounded time and told when to retry.
 func TestCallersDoNotWaitForADocumentThatStaysAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, a := range returnOfAll(t, 5*time.Second) {
@@ -58,7 +58,7 @@
 	})
 }
 
-// A caller with little time waits for a fifth of it.
+// A caller with a short deadline waits a fifth of it.
 func TestACallerWithLittleTimeWaitsLess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newEmptyFleet(t)
--- a/src/gateway/late_test.go
+++ b/src/gateway/late_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A burst of 6 s of the servers' work comes at once, of callers that wait 10 s. Half are late, and a late answer is
-// better for them than none: all are answered, as soon as the servers can.
+// A burst of 6 s of the servers' work arrives at once, from callers that wait 10 s. Half miss their
+// objective, but a late answer is better than none: all are answered as soon as the servers can.
 func TestABurstIsWorkedOffWithinTheCallersTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
--- a/src/gateway/leaving_test.go
+++ b/src/gateway/leaving_test.go
@@ -15,23 +15,14 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// The story. Users saw requests arrive at backend servers that had left: up to 0.9 s after the time in which a
-// leaving server may still get some. Order of events: the store refused some boxes for half a second; a server that
-// never says that it leaves had its entry removed; the boxes that could read dropped it at once; a box that had been
-// refused read again, missed the server, took its own failed call for an outage of the store in which entries lapse
-// without their servers' doing, and kept the server for two seconds; and since it numbered that list by the store's
-// newest revision, the boxes that had dropped the server took it back from there. Another refusal within the two
-// seconds began them anew. The last boxes' requests then waited for connections, and nothing asked again whether the
-// server was still wanted before the first byte.
-//
-// Evidence: the boxes' lines. "server gone" of a revision, then "servers without an entry after an outage" at a box with
-// one failed call, then "server that had left is listed again ... from" that box on the others, and "sending to a server
-// that takes no new work" for a choice made before.
-//
-// Cause: what a box believes without a word of the store was handed on as the store's list, and an older knowledge came
-// with a newer number.
+// These tests guard against requests to servers that have left. A box whose store read had failed took one
+// missing entry for an entry that lapsed in a store outage and kept the server for two seconds. It numbered
+// this list with the store's newest revision, so boxes that had already dropped the server took it back;
+// another refused read restarted the two seconds. Requests that were waiting for a connection were sent
+// without another check. A list that a box keeps without confirmation by the store must not be passed on as
+// the store's, and a server is checked again before the first byte.
 
-// users lists the boxes that would still use a server.
+// boxesUsing lists the boxes that would still use a server.
 func (f *testFleet) users(id string, boxes int) []string {
 	var out []string
 	for i := range boxes {
@@ -43,7 +34,7 @@
 	return out
 }
 
-// lastUse watches for a while until when any box would use a server, from now on.
+// lastUse returns when, during a period from now on, any box would last have used a server.
 func (f *testFleet) lastUse(id string, boxes int, watch time.Duration) time.Duration {
 	last := time.Duration(0)
 	for began := time.Now(); time.Since(began) < watch; time.Sleep(10 * time.Millisecond) {
@@ -54,24 +45,24 @@
 	return last
 }
 
-// turnAway has the store refuse boxes.
+// refuseReads sets which boxes the store refuses; nil refuses none.
 func (f *testFleet) turnAway(refused func(box string) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.turnsAway = refused
 }
 
-// readersOf names the boxes that read the store for the others.
+// storeReaders returns the boxes that read the store on behalf of the others.
 func (f *testFleet) readersOf() []string { return f.box("box0").fleet.readers(time.Now()) }
 
-// heldRevision is the store's revision of the list that a box holds.
+// heldRevision returns the store revision of the list that a box holds.
 func (f *testFleet) heldRevision(box string) uint64 {
 	_, _, held := f.box(box).published.behind(port.DocumentServers)
 	return held.Number()
 }
 
-// stopsWithin is how long after a server's removal the last box may use it where some box can read the store: the
-// shortest time in which a leaving server may get requests is 2 s, of which a connection takes up to 0.7 s.
+// dropBound is how long after a server's removal the last box may use it where some box can read the store. A
+// leaving server may get requests for at least 2 s, of which connecting takes up to 0.7 s.
 const stopsWithin = time.Second
 
 func TestAServerThatIsGoneIsDroppedWhereverTheStoreRefusesSomeBoxes(t *testing.T) {
@@ -80,9 +71,9 @@
 		name    string
 		boxes   int
 		refused func(f *testFleet) func(string) bool
-		before  time.Duration // that they are refused before the removal
+		before  time.Duration // how long they are refused before the removal
 		after   time.Duration // and after it
-		again   int           // times that they are refused so once more, with a second between
+		again   int           // how often they are refused again, a second apart
 	}{
 		{"readers, until the removal", 6, nil, 500 * time.Millisecond, 0, 0},
 		{"readers, until the removal", 61, nil, 500 * time.Millisecond, 0, 0},
@@ -125,7 +116,7 @@
 	}
 }
 
-// A box that was away comes back with a list of long ago. What the others know of departures stands.
+// A box that was cut off comes back with an old list. What the others know of removed servers stays.
 func TestABoxThatWasAwayBringsNoServerBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 6)
@@ -143,9 +134,9 @@
 		f.remove("model2")
 		time.Sleep(time.Second)
 		f.turnAway(func(string) bool { return true })
-		time.Sleep(1100 * time.Millisecond) // open watches have ended
+		time.Sleep(1100 * time.Millisecond) // until open watches have ended
 		f.remove("piece2")
-		f.turnAway(func(box string) bool { return box != away }) // the news of this come from the box that was away
+		f.turnAway(func(box string) bool { return box != away }) // only the returning box reads this change
 		for f.heldRevision(away) < f.rev {
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -158,7 +149,7 @@
 			for _, id := range []string{"model1", "model2"} {
 				for _, box := range others {
 					if f.box(box).mayUse(id) {
-						t.Fatalf("%s uses %s, which had left long before %s came back", box, id, away)
+						t.Fatalf("%s uses %s, which had left long before %s returned", box, id, away)
 					}
 				}
 			}
@@ -166,8 +157,8 @@
 	})
 }
 
-// A choice may wait for its connection while the server leaves. It is looked at once more before the first byte,
-// and another server gets the request.
+// A server leaves while a request that selected it waits for its connection. The server is checked again
+// before the first byte, and another one gets the request.
 func TestAServerThatLeftAfterItWasChosenIsSentNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
@@ -179,7 +170,7 @@
 				first = c.Server.ID
 			}
 			mu.Unlock()
-			wait(ctx, 600*time.Millisecond) // the connection opens
+			wait(ctx, 600*time.Millisecond) // until the connection is open
 			if err := c.Start(); err != nil {
 				return nil, &exchange.NotSent{Cause: err}
 			}
@@ -201,7 +192,7 @@
 			t.Errorf("the caller got %d %v, want the answer of another server", a.status, a.refused)
 		}
 		if got[first] || len(got) != 1 {
-			t.Errorf("servers %v got the request, chosen first was %s, which had left", got, first)
+			t.Errorf("servers %v got the request; %s was selected first and had left", got, first)
 		}
 	})
 }
--- a/src/gateway/limits_fleet_test.go
+++ b/src/gateway/limits_fleet_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// What befalls the box that grants the permits of a server, in the middle of a play.
+// Faults and changes that affect the box that grants a server's permits, in the middle of a run.
 func TestAServersLimitIsKeptWhileTheFleetChanges(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -70,7 +70,7 @@
 		}{{"/look/x", "model", 4, 8 * time.Millisecond}, {"/draft/x", "piece", 1, 60 * time.Millisecond}} {
 			for _, boxes := range []int{6, 61} {
 				if boxes > 6 && c.name == "all boxes stop as planned in turn" {
-					continue // takes a minute of a play of 14 s
+					continue // takes a minute, the run only 14 s
 				}
 				t.Run(fmt.Sprint(boxes, " boxes, ", pool.name, ": ", c.name), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
@@ -81,7 +81,7 @@
 							c.befall(s, s.coordinator(pool.name), boxes)
 						}()
 						h := s.play(pool.path, boxes, pool.between, 14*time.Second)
-						t.Logf("%d answered, %d refused, %d again, %d without an answer", h.answered, h.refused, h.lost, h.unserved)
+						t.Logf("%d answered, %d refused, %d refused twice, %d without an answer", h.answered, h.refused, h.lost, h.unserved)
 						s.checkLimits(t, pool.limit, time.Now())
 					})
 				})
@@ -90,7 +90,7 @@
 	}
 }
 
-// coordinator is the box that grants the permits of the first server of a pool.
+// coordinator returns the box that grants the permits of the first server of a pool.
 func (s *wordSite) coordinator(pool string) string {
 	name := "model"
 	if pool == "piece" {
@@ -99,7 +99,7 @@
 	return s.f.box("box0").coordinatorOf(name, pool+"0", nil)
 }
 
-// lose takes a box from its callers and from the others; killed ends it besides.
+// lose disconnects a box from its callers and from the other boxes, and ends it if killed is set.
 func (s *wordSite) lose(box string, killed bool) {
 	s.mu.Lock()
 	if s.down == nil {
@@ -114,7 +114,7 @@
 	}
 }
 
-// up gives a box callers again.
+// up lets a box get callers again.
 func (s *wordSite) up(box string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/src/gateway/limits_site_test.go
+++ b/src/gateway/limits_site_test.go
@@ -5,23 +5,25 @@
 	"time"
 )
 
-// limitLedger counts what reaches servers that name a limit of requests a second for all boxes together. Its owner's lock guards it.
+// limitRecord counts what reaches servers that announce a limit of requests per second for all boxes
+// together. The owner's lock guards it.
 type limitLedger struct {
-	perSecond map[string]float64 // by server; those that name none are not in it
+	perSecond map[string]float64 // by server; absent for servers without a limit
 	named     map[string]time.Time
-	heard     map[[2]string]time.Time // when a box first had an answer that named the limit, by box and server
+	heard     map[[2]string]time.Time // when a box first got an answer with the limit, by box and server
 	sends     map[string][]limitSend
-	excused   map[string]bool // boxes that were ended, frozen or cut
+	excused   map[string]bool // boxes that were killed, frozen or partitioned
 }
 
 type limitSend struct {
 	at      time.Time
-	counted bool // the box that sent it had heard of the limit
+	counted bool // the sending box knew of the limit
 }
 
-// The users' bounds. From limitBegins after a server first named its limit, it gets in limitWindow at most limitFactor of what that
-// allows and limitSlack requests more, from boxes that had its word limitHeard before. Under limitUsed of what it offers used, a
-// server that callers want is left idle.
+// The users' bounds. From limitGrace after a server first announced its limit, it gets in each limitWindow at
+// most limitFactor times what the limit allows plus limitSlack requests, from boxes that got the limit at
+// least limitKnownAfter before. A server of whose limit less than minLimitUse is used while callers want more
+// is left idle.
 const (
 	limitBegins = 3 * time.Second
 	limitWindow = 4 * time.Second
@@ -31,7 +33,7 @@
 	limitUsed   = 0.5
 )
 
-// name has servers name a limit from now on; 0 ends it.
+// set has servers announce a limit from now on; 0 ends it.
 func (l *limitLedger) name(now time.Time, perSecond float64, servers ...string) {
 	if l.perSecond == nil {
 		l.perSecond, l.named, l.heard, l.sends = map[string]float64{}, map[string]time.Time{}, map[[2]string]time.Time{}, map[string][]limitSend{}
@@ -49,7 +51,7 @@
 	}
 }
 
-// arrives counts a request and gives the limit that its answer names.
+// arrives records a request and returns the limit that its answer carries.
 func (l *limitLedger) arrives(now time.Time, box, server string) float64 {
 	limit := l.perSecond[server]
 	if limit > 0 {
@@ -66,7 +68,8 @@
 	}
 }
 
-// most is the largest number of requests that one server got in any window, of those that count by the users' bound or of all.
+// most returns the largest number of requests that one server got in any window: of those that count by the
+// users' bound, or of all.
 func (l *limitLedger) most(all bool) int {
 	most := 0
 	for server, list := range l.sends {
@@ -82,7 +85,7 @@
 	return most
 }
 
-// used is the part of what the servers offer that was used, of the one that was used least, from the time at which the bound holds.
+// used returns the fraction of its limit that was used at the least used server, from when the bound applies.
 func (l *limitLedger) used(until time.Time) float64 {
 	least := 1.0
 	for server, limit := range l.perSecond {
--- a/src/gateway/limits_test.go
+++ b/src/gateway/limits_test.go
@@ -7,16 +7,11 @@
 	"time"
 )
 
-// The story. Users saw model engines that were in need, and had named in their answers how many requests a second they take from
-// all boxes together, get half as many again and more: 13 in 4 s where 11 were allowed. Order of events: two of 18 engines named 1
-// and 1.2 a second; six boxes went on to choose them as before, each a few times in those 4 s, none of them alone over the limit.
-//
-// Evidence: the boxes' lines show the engines' answers as good and the reasons of the choice unchanged; the adapter decoded no such
-// word. With the word decoded and each box keeping it by its own sends, six boxes would still have sent six times as much
-// (TestWaysToShareALimit of quota).
-//
-// Cause: the limit is of all boxes together, nobody read it, and no box sees the sum. What boxes tell one another of a server is what
-// runs there, not what was sent.
+// A server may announce in its answers how many requests a second it accepts from all boxes together. This
+// test guards against each box enforcing the limit on its own: none exceeds it, but six boxes together send
+// up to six times as much (TestWaysToShareALimit of quota; 13 requests in 4 s reached engines where 11 were
+// allowed). Boxes exchange only what currently runs at a server and not what was sent, so no box sees the
+// sum.
 func TestAServersLimitIsKeptByAllBoxesTogether(t *testing.T) {
 	for _, c := range limitCases {
 		for _, boxes := range []int{6, 61} {
@@ -27,7 +22,7 @@
 	}
 }
 
-// limitCase is some servers of a pool that name a limit while callers ask.
+// limitCase is a run in which some servers of a pool announce a limit while callers send requests.
 type limitCase struct {
 	name, path, pool string
 	naming           int
@@ -37,12 +32,12 @@
 
 var limitCases = []limitCase{
 	{"repeatable, 1 of 5", "/look/x", "model", 1, 1, 8 * time.Millisecond},
-	{"may run once, 1 of 5", "/stamp/x", "model", 1, 1, 8 * time.Millisecond},
+	{"at most once, 1 of 5", "/stamp/x", "model", 1, 1, 8 * time.Millisecond},
 	{"stream, 1 of 5", "/draft/x", "model", 1, 1.1, 60 * time.Millisecond},
 	{"calls of a stage, 1 of 5", "/draft/x", "piece", 1, 1, 60 * time.Millisecond},
 	{"repeatable, 3 of 5", "/look/x", "model", 3, 20, 8 * time.Millisecond},
 	{"repeatable, all", "/look/x", "model", 5, 4, 8 * time.Millisecond},
-	{"may run once, all", "/stamp/x", "model", 5, 4, 8 * time.Millisecond},
+	{"at most once, all", "/stamp/x", "model", 5, 4, 8 * time.Millisecond},
 	{"stream, all", "/draft/x", "model", 5, 1, 60 * time.Millisecond},
 	{"calls of a stage, all", "/draft/x", "piece", 5, 1, 60 * time.Millisecond},
 }
@@ -55,12 +50,12 @@
 	h := s.play(c.path, boxes, c.between, limitPlays)
 	s.checkLimits(t, c.perSecond, time.Now())
 	all := h.answered + h.refused + h.unserved
-	t.Logf("of %d callers %d answered, %d refused (%d again when they came back), %d of them late, the slowest after %s, %d without an answer", all, h.answered, h.refused, h.lost, h.slow, h.slowest, h.unserved)
+	t.Logf("of %d callers %d answered, %d refused (%d again when they retried), %d of them late, the slowest after %s, %d without an answer", all, h.answered, h.refused, h.lost, h.slow, h.slowest, h.unserved)
 	if most := all / 100; c.naming < 5 && h.refused > most || h.unserved > 0 {
-		t.Errorf("%d refused, %d without an answer of %d, want at most %d and none", h.refused, h.unserved, all, most)
+		t.Errorf("%d refused and %d without an answer of %d, want at most %d and none", h.refused, h.unserved, all, most)
 	}
 	if h.noTime > 0 {
-		t.Errorf("%d refused without a time to come back", h.noTime)
+		t.Errorf("%d refused without a retry time", h.noTime)
 	}
 	if c.path != "/draft/x" && h.slowest > 100*time.Millisecond {
 		t.Errorf("a refusal took %s", h.slowest)
@@ -75,17 +70,17 @@
 	}
 }
 
-// checkLimits holds the requests that reached servers against their limit.
+// checkLimits compares the requests that reached servers with their limit.
 func (s *wordSite) checkLimits(t *testing.T, perSecond float64, until time.Time) {
 	t.Helper()
 	s.mu.Lock()
 	told, all, used := s.limits.most(false), s.limits.most(true), s.limits.used(until)
 	s.mu.Unlock()
-	t.Logf("at most %d requests in %s, %d of boxes that had heard of the limit in answers of their own, %d allowed; %.2f used", all, limitWindow, told, limitAllows(perSecond), used)
+	t.Logf("at most %d requests in %s, %d from boxes that had received the limit in answers of their own, %d allowed; %.2f used", all, limitWindow, told, limitAllows(perSecond), used)
 	if most := max(told, all); most > limitAllows(perSecond) {
-		t.Errorf("%d requests in %s reached a server that takes %g a second from all boxes together, want %d at most", most, limitWindow, perSecond, limitAllows(perSecond))
+		t.Errorf("%d requests in %s reached a server that accepts %g a second from all boxes together, want at most %d", most, limitWindow, perSecond, limitAllows(perSecond))
 	}
 	if used < limitUsed {
-		t.Errorf("%.2f of what a server takes was used while callers wanted it, want %.2f at least", used, limitUsed)
+		t.Errorf("%.2f of a server's limit was used while callers wanted more, want at least %.2f", used, limitUsed)
 	}
 }
--- a/src/gateway/limits_urgency_test.go
+++ b/src/gateway/limits_urgency_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Where all servers name a limit and callers want three times as much, the urgent are served before the less urgent.
+// Where all servers announce a limit and callers want three times as much, urgent requests are served before
+// less urgent ones.
 func TestTheUrgentGetTheFewPermits(t *testing.T) {
 	for _, boxes := range []int{6, 61} {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
@@ -28,7 +29,7 @@
 				var mu sync.Mutex
 				var all sync.WaitGroup
 				served, asked := map[string]int{}, map[string]int{}
-				for i := range 720 { // 60 a second, of which 20 can be served
+				for i := range 720 { // 60 per second, of which 20 can be served
 					path := []string{"/look/x", "/peek/x", "/peek/x"}[i%3]
 					all.Go(func() {
 						a := s.askAs(i%boxes, path, fmt.Sprint("r", i), callerTime)
@@ -45,7 +46,7 @@
 				share := func(path string) float64 { return float64(served[path]) / float64(asked[path]) }
 				t.Logf("urgent: %.2f of %d served; less urgent: %.2f of %d", share("/look/x"), asked["/look/x"], share("/peek/x"), asked["/peek/x"])
 				if share("/look/x") < share("/peek/x")+0.05 {
-					t.Errorf("%.2f of the urgent are served, %.2f of the less urgent", share("/look/x"), share("/peek/x"))
+					t.Errorf("%.2f of the urgent requests are served, %.2f of the less urgent", share("/look/x"), share("/peek/x"))
 				}
 			})
 		})
--- a/src/gateway/limits_words_test.go
+++ b/src/gateway/limits_words_test.go
@@ -15,9 +15,10 @@
 	"github.com/stilemast/stilemast/src/pushback"
 )
 
-var limitTable = flag.Bool("limits.table", false, "play servers' limits in fleets of 295 and 985 boxes too")
+var limitTable = flag.Bool("limits.table", false, "run servers' limits in fleets of 985 boxes too")
 
-// limitSizes are the fleets of the users, the largest only on demand: it takes a minute.
+// limitFleetSizes returns the fleet sizes of the users; the largest is run on demand only, as it takes a
+// minute.
 func limitSizes() []int {
 	if *limitTable {
 		return []int{6, 61, 295, 985}
@@ -25,8 +26,9 @@
 	return []int{6, 61, 295}
 }
 
-// In a fleet of any size one server of five, or all of them, names a limit: it is neither overrun, by boxes that know of it or not,
-// nor left idle, and what boxes ask its coordinator follows their requests.
+// In a fleet of any size one server of five, or all of them, announce a limit: the server is neither overrun,
+// by boxes that know of the limit or not, nor left idle, and the questions to its coordinator stay in
+// proportion to the requests.
 func TestLimitsInFleetsOfAnySize(t *testing.T) {
 	for _, c := range []limitCase{limitCases[0], limitCases[3], limitCases[5], limitCases[8]} {
 		for _, boxes := range limitSizes() {
@@ -38,9 +40,9 @@
 					h := s.play(c.path, boxes, c.between, limitPlays)
 					s.checkLimits(t, c.perSecond, time.Now())
 					perRequest := float64(asked()) / float64(h.answered+2*h.refused)
-					t.Logf("%d answered, %d refused, %d again, %d late, %.2f questions for a request", h.answered, h.refused, h.lost, h.slow, perRequest)
+					t.Logf("%d answered, %d refused, %d refused twice, %d late, %.2f questions per request", h.answered, h.refused, h.lost, h.slow, perRequest)
 					if perRequest > permitsAsked {
-						t.Errorf("%.2f questions for a request, want %d at most", perRequest, permitsAsked)
+						t.Errorf("%.2f questions per request, want at most %d", perRequest, permitsAsked)
 					}
 				})
 			})
@@ -48,7 +50,7 @@
 	}
 }
 
-// countQuestions counts the questions for permits between boxes from now on.
+// countQuestions counts the permit questions between boxes from now on.
 func (s *wordSite) countQuestions() func() int {
 	n := 0
 	for _, box := range s.f.names() {
@@ -78,8 +80,8 @@
 	return out
 }
 
-// What one box hears of a limit, of its fall and of its end, all boxes know within twice the time from which on a box that had the
-// word is held to it.
+// When one box learns of a limit, of its decrease and of its end, all boxes know within twice the time after
+// which a box that got it itself is held to it.
 func TestTheWordOfALimitGoesRound(t *testing.T) {
 	for _, boxes := range limitSizes() {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
@@ -110,7 +112,7 @@
 					}
 					t.Logf("%s: the last box knew after %s", step.name, last)
 					if last == 0 || last > step.within {
-						t.Errorf("%s: the last box knew after %s, want %s at most", step.name, last, step.within)
+						t.Errorf("%s: the last box knew after %s, want at most %s", step.name, last, step.within)
 					}
 				}
 			})
@@ -118,15 +120,15 @@
 	}
 }
 
-// Boxes of an earlier release hear no limit and grant no permits. The others pass them over as coordinators, and tell them such a
-// server as full, so that they go where there is room.
+// Boxes of an earlier release ignore limits and grant no permits. The others skip them as coordinators and
+// report such a server to them as full, so that they use servers with free capacity.
 func TestLimitsBesideBoxesThatKnowNone(t *testing.T) {
 	for _, boxes := range []int{6, 61} {
 		for _, c := range []limitCase{limitCases[0], limitCases[1]} {
 			t.Run(fmt.Sprint(boxes, " boxes: ", c.name), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					s := newWordSite(t, boxes)
-					first := s.coordinator(c.pool) // of the server that names the limit: were it a newer box
+					first := s.coordinator(c.pool) // of the server with the limit, if it were of this release
 					old := func(box string) bool {
 						return box == first || strings.HasSuffix(box, "1") || strings.HasSuffix(box, "3")
 					}
@@ -143,7 +145,7 @@
 	}
 }
 
-// hearsNoLimits makes some boxes those of an earlier release.
+// ignoreLimits makes some boxes behave as those of an earlier release.
 func (s *wordSite) hearsNoLimits(old func(box string) bool) {
 	s.f.alter = func(to string, b *core.Beat) {
 		if !old(strings.TrimSuffix(to, ":1")) {
@@ -174,7 +176,7 @@
 	}
 }
 
-// Servers that name no limit any more get their load back in steps, twice as much with each second, and then all of it.
+// Servers that end their limit get their load back in steps, twice as much with each second, up to all of it.
 func TestAServerIsNotOverrunWhenItsLimitEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newWordSite(t, 6)
@@ -201,25 +203,25 @@
 		const all = 5 * 4 // requests a second by the limit
 		for i := 4; i < 10; i++ {
 			if most := all<<(i-4) + 5*limitSlack; arrived[i] > most {
-				t.Errorf("%d requests in second %d, want %d at most", arrived[i], i, most)
+				t.Errorf("%d requests in second %d, want at most %d", arrived[i], i, most)
 			}
 		}
 		if arrived[11] < 120 {
-			t.Errorf("%d requests a second at the end of 125 that callers send", arrived[11])
+			t.Errorf("%d requests in the last second, of 125 that callers send", arrived[11])
 		}
 	})
 }
 
-// A limit that changes with each answer, or makes no sense, takes no server out.
+// A limit that changes with each answer, or is invalid, takes no server out of use.
 func TestLimitsThatChangeWithEachAnswer(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		says  func(i int) float64
-		least float64 // of what the callers sent is answered at once
+		least float64 // the fraction of requests that is answered at the first try
 	}{
-		{"flickers", func(i int) float64 { return float64(i%2) * 20 }, 0},
+		{"is there in every other answer", func(i int) float64 { return float64(i%2) * 20 }, 0},
 		{"rises and falls", func(i int) float64 { return []float64{40, 20, 80, 30}[i%4] }, 0},
-		{"makes no sense", func(int) float64 { return pushback.NoSense }, 0.99},
+		{"is invalid", func(int) float64 { return pushback.NoSense }, 0.99},
 		{"is huge", func(int) float64 { return pushback.MostLimit }, 0.99},
 		{"is near nothing at one of five", func(int) float64 { return math.Inf(1) }, 0.99},
 	} {
@@ -245,7 +247,7 @@
 					return r, err
 				}
 				h := s.play("/look/x", 6, 8*time.Millisecond, 6*time.Second)
-				t.Logf("%d answered, %d refused, %d again, the slowest after %s", h.answered, h.refused, h.lost, h.slowest)
+				t.Logf("%d answered, %d refused, %d refused twice, the slowest after %s", h.answered, h.refused, h.lost, h.slowest)
 				if h.unserved > 0 || float64(h.answered) < c.least*float64(h.answered+h.refused) {
 					t.Errorf("%d answered, %d refused, %d without an answer", h.answered, h.refused, h.unserved)
 				}
--- a/src/gateway/links_test.go
+++ b/src/gateway/links_test.go
@@ -15,25 +15,25 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// What the model of links takes for granted.
+// Parameters of the link model.
 const (
-	linkChunk    = 16 << 10               // bytes that a flow has on its way at once, as a small window
-	connectLimit = 200 * time.Millisecond // after which a connection that did not open is given up (peer.connectWait)
+	linkChunk    = 16 << 10               // bytes that a flow has in flight, as with a small window
+	connectLimit = 200 * time.Millisecond // connect timeout (peer.connectWait)
 	storeName    = "store"
 	storeRate    = 1000 // Mbit/s
-	storeFactor  = 2.2  // bytes of a catalog in the store's answer for one between boxes: 1.05 MB and 0.486 MB for 4,249 pipelines in the incident's play
+	storeFactor  = 2.2  // size of a catalog in the store's answer relative to that between boxes: 1.05 MB to 0.486 MB for 4,249 pipelines
 	bytesPerMbit = 1e6 / 8
 )
 
 var errConnect = errors.New("the connection did not open in time")
 
-// links gives each box's link a rate in each direction and a queue, in virtual time. Flows take turns by
-// chunks. Heartbeats are not counted. A nil links carries anything at once.
+// links gives each box's link a rate and a queue in each direction, in virtual time. Flows take turns chunk
+// by chunk; heartbeats are not counted. A nil *links is unlimited.
 type links struct {
 	rate func(box string) float64 // Mbit/s
 
 	mu    sync.Mutex
-	out   map[string]time.Time // by address: until when the link is taken by what was sent
+	out   map[string]time.Time // by address: until when the link is busy
 	in    map[string]time.Time
 	bytes map[string]int // received, by address
 	sizes map[uint64]int // bytes of a catalog between boxes, by version
@@ -54,7 +54,7 @@
 	return l.rate(strings.TrimSuffix(address, ":1")) * bytesPerMbit
 }
 
-// pass puts bytes into both queues and gives when they have arrived.
+// enqueue puts bytes into both queues and returns when they will have arrived.
 func (l *links) pass(from, to string, n int) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -77,7 +77,7 @@
 	return b
 }
 
-// carry sends bytes chunk by chunk; what was sent before the context ended has loaded the links.
+// carry sends bytes chunk by chunk; what was sent before the context ended has used the links.
 func (l *links) carry(ctx context.Context, from, to string, n int) error {
 	for sent := 0; sent < n; sent += linkChunk {
 		arrived := l.pass(from, to, min(linkChunk, n-sent))
@@ -113,7 +113,7 @@
 	return l.carry(ctx, from, to, len(b))
 }
 
-// carryCatalog gives a box a catalog from the store.
+// carryCatalog sends a catalog from the store to a box.
 func (l *links) carryCatalog(ctx context.Context, to string, c *catalog.Catalog) error {
 	if l == nil {
 		return nil
@@ -134,7 +134,7 @@
 	return l.carry(ctx, storeName, to, int(storeFactor*float64(n)))
 }
 
-// received is the bytes that all boxes have received.
+// received returns the bytes that all boxes have received.
 func (l *links) received() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -145,7 +145,7 @@
 	return sum
 }
 
-// withRoutes is a catalog of the next version with more pipelines.
+// withRoutes returns a catalog of the next version with n more pipelines.
 func withRoutes(c *catalog.Catalog, n int) *catalog.Catalog {
 	out := *c
 	out.Version++
@@ -161,8 +161,8 @@
 	return &out
 }
 
-// arrivals waits until all boxes have a version and gives the longest time that one took, or the limit when one
-// does not have it by then.
+// arrivals waits until all boxes have a version and returns how long the last one took, or the limit and how
+// many are without it by then.
 func (f *testFleet) arrivals(version uint64, limit time.Duration) (last time.Duration, missing int) {
 	began := time.Now()
 	for time.Since(began) < limit {
--- a/src/gateway/outage_test.go
+++ b/src/gateway/outage_test.go
@@ -13,7 +13,7 @@
 	"github.com/stilemast/stilemast/src/catalog"
 )
 
-// setStore has the store answer or fail, with these servers listed from now on.
+// setStore sets whether the store answers, and the servers that it lists.
 func (f *testFleet) setStore(ok bool, servers []catalog.Server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -21,7 +21,7 @@
 	f.list(servers)
 }
 
-// list has the store list these servers from now on. f.mu is held.
+// listLocked sets the servers that the store lists. f.mu is held.
 func (f *testFleet) list(servers []catalog.Server) {
 	f.rev++
 	if f.removed == nil {
@@ -36,14 +36,15 @@
 	f.servers = servers
 }
 
-// remove takes one server's entry away while the store goes on as it is.
+// remove removes one server's entry; the store's availability stays.
 func (f *testFleet) remove(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.list(slices.DeleteFunc(slices.Clone(f.servers), func(s catalog.Server) bool { return s.ID == id }))
 }
 
-// outage takes the store away for a while, after which it lists only so many of the servers. It gives all.
+// outage makes the store unavailable for a while, after which it lists only the first servers. It returns all
+// of them.
 func (f *testFleet) outage(left int) []catalog.Server {
 	time.Sleep(3 * time.Second)
 	all := f.servers
@@ -53,8 +54,8 @@
 	return all
 }
 
-// Entries lapse while the store is away; whoever lives writes its entry again within about two
-// seconds of the store's return. Until then its servers are used, after that they are gone.
+// Entries lapse while the store is unavailable; a running server writes its entry again within about two
+// seconds of the store's return. Until then such servers are used, after that they are dropped.
 func TestServersWhoseEntriesLapsedInAnOutageAreUsedUntilTheyCouldBeBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
@@ -69,7 +70,7 @@
 		time.Sleep(3 * time.Second)
 		for _, box := range []string{"box0", "box1", "box2", "box3"} {
 			if !f.box(box).mayUse(all[1].ID) {
-				t.Errorf("%s lost a server that is listed again", box)
+				t.Errorf("%s dropped a server that is listed again", box)
 			}
 			if f.box(box).mayUse(all[2].ID) {
 				t.Errorf("%s uses a server that never came back", box)
@@ -78,8 +79,8 @@
 	})
 }
 
-// The end of the grace changes the list while the store's revision stays: the boxes that do not read
-// must hear of it all the same.
+// The end of the grace period changes the list while the store's revision stays: the boxes that do not read
+// the store must learn of it all the same.
 func TestBoxesThatDoNotReadDropLapsedServersToo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 6)
@@ -93,8 +94,8 @@
 	})
 }
 
-// A box that has read that a server leaves sends it nothing more, also while the store is away, and nobody
-// brings the server back by an older word.
+// A box that has read that a server is leaving sends it nothing more, also while the store is unavailable,
+// and no box brings the server back with an older list.
 func TestALeavingServerGetsNothingInAnOutageOfTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
@@ -113,13 +114,13 @@
 		time.Sleep(500 * time.Millisecond)
 		f.setStore(false, leaving)
 		f.kill("box3")
-		f.start("box3") // knows the list from the others alone
+		f.start("box3") // gets the list from the other boxes only
 		for i := range 60 {
 			time.Sleep(200 * time.Millisecond)
 			f.ask(fmt.Sprint("box", i%4), "/look/x", fmt.Sprint("r", i), func(r *Request) { r.Pieces = nil })
 		}
 		if n := arrived[leaving[1].ID]; n > 0 {
-			t.Errorf("the leaving server got %d requests while the store was away", n)
+			t.Errorf("the leaving server got %d requests during the store outage", n)
 		}
 		if len(arrived) != 2 {
 			t.Errorf("requests went to %v, want both other servers", arrived)
@@ -127,7 +128,7 @@
 	})
 }
 
-// An outage of the store alone costs no request that needs no token, whether it may be repeated or not.
+// A store outage fails no request that needs no token, whether it may be repeated or not.
 func TestPublicRequestsAreServedThroughAnOutageOfTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
--- a/src/gateway/pacing_test.go
+++ b/src/gateway/pacing_test.go
@@ -11,7 +11,8 @@
 	"github.com/stilemast/stilemast/src/catalog"
 )
 
-// A pipeline of a chain of three stages and of a fourth with large results that only the request reads.
+// pacedCatalog returns a pipeline with a chain of three stages and a fourth stage whose results, of the given
+// size, only the request reads.
 func pacedCatalog(large int) *catalog.Catalog {
 	c := testCatalog(1)
 	c.Pipelines[0].Stages = []catalog.Stage{
@@ -23,7 +24,8 @@
 	return c
 }
 
-// begunStages plays one request and gives when each stage's first piece went out, from the request's start.
+// stageStarts runs one request and returns when each stage's first piece was sent, relative to the start of
+// the request.
 func begunStages(t *testing.T, c *catalog.Catalog) map[int]time.Duration {
 	t.Helper()
 	out := map[int]time.Duration{}
@@ -55,12 +57,12 @@
 func TestLargeResultsAreMadeWhenTheirPartnersAre(t *testing.T) {
 	began := begunStages(t, pacedCatalog(largeResults))
 	if began[0] < began[2] || began[0] > began[3]+partnerPace {
-		t.Errorf("large results were begun %s after the start, the stages of the chain beside them at %s, %s and %s", began[0], began[1], began[2], began[3])
+		t.Errorf("the stage with large results started after %s, the stages of the parallel chain after %s, %s and %s", began[0], began[1], began[2], began[3])
 	}
 }
 
 func TestSmallResultsAreMadeAtOnce(t *testing.T) {
 	if began := begunStages(t, pacedCatalog(10)); began[0] > began[1] {
-		t.Errorf("small results waited until %s", began[0])
+		t.Errorf("the stage with small results waited until %s", began[0])
 	}
 }
--- a/src/gateway/published_test.go
+++ b/src/gateway/published_test.go
@@ -14,7 +14,7 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// changeServers puts servers into the list, one change after another.
+// addServers adds servers to the list, one change after another.
 func (f *testFleet) changeServers(n int) {
 	for i := range n {
 		f.mu.Lock()
@@ -38,7 +38,7 @@
 				t.Errorf("box%d holds %d servers of %d", i, got, len(f.servers))
 			}
 			if g.published.list.Digest() != want {
-				t.Errorf("box%d names the same list otherwise", i)
+				t.Errorf("box%d has another digest for the same list", i)
 			}
 		}
 	})
@@ -54,20 +54,20 @@
 		time.Sleep(time.Second)
 		d := g.TakeQuestion(t.Context(), port.Question{Publish: held}).Publish
 		if d.Since == nil || len(d.Since.Put) != 3 || len(d.Servers) != 0 {
-			t.Errorf("told %+v, want the three servers that are new", d)
+			t.Errorf("got %+v, want the three new servers", d)
 		}
 		other := &port.PullPublished{Document: port.DocumentServers, Held: append([]string{"unknown"}, held.Held...)}
 		if d = g.TakeQuestion(t.Context(), port.Question{Publish: other}).Publish; d.Since == nil || d.Base != held.Held[0] {
-			t.Errorf("told %+v, want the difference to the earlier list that both know", d)
+			t.Errorf("got %+v, want the difference to the earlier list that both know", d)
 		}
 		d = g.TakeQuestion(t.Context(), port.Question{Publish: &port.PullPublished{Document: port.DocumentServers, Held: []string{"unknown"}}}).Publish
 		if d.Since != nil || len(d.Servers) != len(f.servers) {
-			t.Errorf("a box with an unknown list was told %+v, want the whole", d)
+			t.Errorf("a box with an unknown list got %+v, want the whole list", d)
 		}
 	})
 }
 
-// A difference was asked for, and before it came the list had changed: it must not be applied.
+// The list changed between the request for a difference and its arrival: the difference must not be applied.
 func TestADifferenceToAnotherListIsNotTaken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
@@ -78,12 +78,12 @@
 			g.takeDifference(&port.Published{AsOf: 99, Digest: "other", Base: base, Since: &catalog.Difference{Gone: []string{"model0"}}}, "box9")
 		}
 		if g.published.list.Digest() != before || !g.mayUse("model0") {
-			t.Error("a difference to another list was taken")
+			t.Error("a difference to another list was applied")
 		}
 	})
 }
 
-// Boxes follow different readers, which see a list that changes often in different states.
+// Boxes follow different readers, which see a frequently changing list in different states.
 func TestAListThatChangesOftenIsToldByDifferences(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const boxes = 24
@@ -93,7 +93,7 @@
 		f.changeServers(100)
 		time.Sleep(2 * time.Second)
 		if n := f.lists - before; n > boxes/4 {
-			t.Errorf("%d whole lists went from box to box", n)
+			t.Errorf("%d complete lists were sent between boxes", n)
 		}
 		for i := range boxes {
 			if got := f.box(fmt.Sprint("box", i)).published.list.Len(); got != len(f.servers) {
@@ -103,7 +103,7 @@
 	})
 }
 
-// A box has followed another reader since it held the list that the difference is to.
+// The box has followed another reader since it held the list that the difference is based on.
 func TestADifferenceToAnEarlierListIsTaken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
@@ -111,7 +111,7 @@
 		g := f.box("box0")
 		base := g.published.list.Digest()
 		want := serversByID(g.published.list.Servers())
-		f.setStore(false, f.servers) // nothing more is read
+		f.setStore(false, f.servers) // no further reads succeed
 		time.Sleep(2 * time.Second)
 		later := func(n uint64) catalog.State {
 			r, _ := catalog.RevisionAt(f.era, f.rev+n)
@@ -128,8 +128,8 @@
 	})
 }
 
-// Lists come from the store and from peers at once. Whichever is applied last, pools must end up with
-// the servers of the newest.
+// Lists arrive from the store and from peers concurrently. Whichever is applied last, the pools must end up
+// with the servers of the newest.
 func TestTheNewestListWinsInThePools(t *testing.T) {
 	for range 40 {
 		g := &Gateway{ID: core.BoxID{Name: "self", Incarnation: 1}, Peers: port.Peers{Beat: func(string, core.Beat) {}}}
@@ -151,7 +151,7 @@
 	}
 }
 
-// A configuration that can't be read changes nothing; the evacuations that were read beside it hold.
+// A configuration that can't be decoded changes nothing; the evacuations that were read with it still apply.
 func TestAnUnreadableConfigurationKeepsTheOneBefore(t *testing.T) {
 	before := testCatalog(5).WithEvacuated([]string{"north"})
 	c := CatalogChange{Evacuated: []string{"south"}, Unreadable: &Unreadable{Revision: 9, Cause: errStore}}
@@ -163,6 +163,6 @@
 		t.Errorf("a change gives %+v", after)
 	}
 	if c.whole(nil) != nil {
-		t.Error("a configuration came from nothing")
+		t.Error("a configuration resulted from none")
 	}
 }
--- a/src/gateway/pulling_test.go
+++ b/src/gateway/pulling_test.go
@@ -14,15 +14,15 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// listen gives the answers that a box gets from others to a function, which may change or refuse them.
+// intercept passes the answers that a box gets from others to a function, which may modify or reject them.
 func (f *testFleet) listen(name string, hear func(to string, q port.Question, a *port.Answer) error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.hear[addressOf(name)] = hear
 }
 
-// A fresh box takes a document of several parts. The box that gives them ends midway: another gives what is
-// missing, and nothing is sent twice.
+// A new box fetches a document in several parts. The box that serves them ends midway: another one serves the
+// missing parts, and none is sent twice.
 func TestWhatCameOfADocumentIsKeptWhenItsGiverEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
@@ -39,7 +39,7 @@
 				return nil
 			}
 			if len(offsets) == 2 && to == givers[0] {
-				return errors.New("the giver has ended")
+				return errors.New("the serving box has ended")
 			}
 			offsets, givers = append(offsets, a.Publish.Part.Offset), append(givers, to)
 			return nil
@@ -47,21 +47,22 @@
 		g := f.start("fresh")
 		time.Sleep(6 * time.Second)
 		if g.Version() != f.catalog.Version {
-			t.Fatalf("the fresh box has version %d, want %d; parts at %v", g.Version(), f.catalog.Version, offsets)
+			t.Fatalf("the new box has version %d, want %d; parts at %v", g.Version(), f.catalog.Version, offsets)
 		}
 		if len(offsets) < 4 || givers[0] == givers[len(givers)-1] {
-			t.Fatalf("parts at %v from %v, want several, and from two boxes", offsets, givers)
+			t.Fatalf("parts at %v from %v, want several from two boxes", offsets, givers)
 		}
 		for i, o := range offsets {
 			if o != i*partBytes {
-				t.Errorf("parts at %v, want each once and in order", offsets)
+				t.Errorf("parts at %v, want each part once and in order", offsets)
 				break
 			}
 		}
 	})
 }
 
-// A difference that does not fit, damaged bytes and parts out of order change nothing, and the whole is asked for.
+// A difference to another document, damaged bytes and parts out of order change nothing, and the whole
+// document is requested.
 func TestDamagedPartsAreNotTaken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 2)
@@ -72,7 +73,7 @@
 			giver.Init()
 			giver.takeCatalog(f.box("box0").published.held, nil, 1, time.Now(), "store")
 			next := withRoutes(f.catalog, 10)
-			next.Version = 1000 // which the store never has
+			next.Version = 1000 // never in the store
 			giver.takeCatalog(next, nil, 90, time.Now(), "store")
 			return giver.give(&port.PullPublished{Document: port.DocumentConfig, Held: []string{f.box("box0").published.held.Digest()}})
 		}
@@ -80,14 +81,14 @@
 			name  string
 			spoil func(d *port.Published)
 		}{
-			{"a part that does not begin", func(d *port.Published) { d.Part.Offset = 7 }},
+			{"a first part with an offset", func(d *port.Published) { d.Part.Offset = 7 }},
 			{"an empty part", func(d *port.Published) { d.Part.Bytes = nil }},
 			{"a part longer than the whole", func(d *port.Published) { d.Part.Size = 5 }},
-			{"a document too large", func(d *port.Published) { d.Part.Size = mostPacked + 1 }},
-			{"a wrong sum", func(d *port.Published) { d.Part.Sum++ }},
+			{"a document that is too large", func(d *port.Published) { d.Part.Size = mostPacked + 1 }},
+			{"a wrong checksum", func(d *port.Published) { d.Part.Sum++ }},
 			{"an unknown base", func(d *port.Published) { d.Base = "unknown" }},
 			{"another digest", func(d *port.Published) { d.Digest = "77" }},
-			{"bytes that are not packed", func(d *port.Published) {
+			{"bytes that are not compressed", func(d *port.Published) {
 				d.Part.Bytes = []byte("nonsense")
 				d.Part.Size, d.Part.Sum = 8, catalog.Hash("nonsense")
 			}},
@@ -104,16 +105,16 @@
 			}
 		}
 		if more, err := g.takePublished(good(), "giver", time.Now()); err != nil || more || g.Version() != 1000 {
-			t.Errorf("what is not spoiled: more %t, %v, version %d", more, err, g.Version())
+			t.Errorf("an intact part: more %t, %v, version %d", more, err, g.Version())
 		}
 		g.published.taking = taking{whole: true}
 		if q := g.published.question(port.DocumentConfig); len(q.Held) > 0 {
-			t.Error("after a difference that did not fit a difference is asked for again")
+			t.Error("a difference is requested again after one that did not apply")
 		}
 	})
 }
 
-// A box that has promised its link names others that have the document, and the asker goes there.
+// A box whose link is fully committed names other holders of the document, and the asker goes there.
 func TestABusyBoxNamesAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newEmptyFleet(t)
@@ -135,34 +136,35 @@
 			begun++
 		}
 		if most := 2 + int(giveAhead.Seconds()*giveShare*10*bytesPerMbit/float64(size)); busy == nil || begun > most {
-			t.Fatalf("%d transfers of %d bytes were begun at once, want %d at most", begun, size, most)
+			t.Fatalf("%d transfers of %d bytes were started at once, want at most %d", begun, size, most)
 		}
 		if busy.For <= 0 || busy.For > time.Second {
-			t.Errorf("to be asked again after %v", busy.For)
+			t.Errorf("retry time is %v", busy.For)
 		}
-		// Those that it has begun with are given the rest all the same.
+		// Transfers under way continue all the same.
 		p := g.give(whole).Busy
 		rest := g.give(&port.PullPublished{Document: port.DocumentConfig, From: "a", Offset: partBytes, Sum: g.published.given.packs[0].sum})
 		if p == nil || rest.Part == nil || rest.Part.Offset != partBytes {
-			t.Errorf("a transfer that was begun is not gone on with: %+v", rest)
+			t.Errorf("a transfer under way is not continued: %+v", rest)
 		}
 		for offset := partBytes; offset < size; offset += partBytes {
 			g.give(&port.PullPublished{Document: port.DocumentConfig, From: "a", Offset: offset, Sum: rest.Part.Sum})
 		}
 		if d := g.give(whole); d.Busy == nil || !slices.Equal(d.Busy.Holders, []string{"a"}) {
-			t.Errorf("names %+v, want the box that has the whole", d.Busy)
+			t.Errorf("names %+v, want the box that has the whole document", d.Busy)
 		}
 		other := newEmptyFleet(t).start("other")
 		other.published.hearHolders(&port.Published{AsOf: 9, Digest: "2", Busy: &port.Busy{Holders: []string{"a"}}})
 		other.published.mu.Lock()
 		defer other.published.mu.Unlock()
 		if from := other.published.catalogs.Pull(time.Now()); from != "a" {
-			t.Errorf("asks %q next, want the box that was named", from)
+			t.Errorf("asks %q next, want the named box", from)
 		}
 	})
 }
 
-// A holder whose connections open and then say nothing holds a change up by one part's limit, not more.
+// A holder that accepts connections and then does not answer delays a change by the time limit of one part at
+// most.
 func TestASilentHolderIsLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const boxes = 12
@@ -172,7 +174,7 @@
 		for i := range boxes {
 			f.listen(fmt.Sprint("box", i), func(to string, q port.Question, a *port.Answer) error {
 				if silent[to] && q.Publish != nil {
-					wait(f.ctx, partTime) // ends with the test: a goroutine that sleeps on would be one too many
+					wait(f.ctx, partTime) // uses the fleet's context, so that no goroutine outlives the test
 					return context.DeadlineExceeded
 				}
 				return nil
@@ -181,7 +183,7 @@
 		next := withRoutes(f.catalog, 1400)
 		f.publish(next)
 		if last, missing := f.arrivals(next.Version, 6*time.Second); last > applyBound {
-			t.Errorf("the last box after %v, %d without it", last, missing)
+			t.Errorf("the last box took %v, %d boxes without the version", last, missing)
 		}
 	})
 }
--- a/src/gateway/pushback_site_test.go
+++ b/src/gateway/pushback_site_test.go
@@ -17,34 +17,36 @@
 	"github.com/stilemast/stilemast/src/pushback"
 )
 
-// wordSite is a fleet before servers that say in their answers that they leave or want rest.
+// pushbackSite is a fleet with servers that say in their answers that they are leaving, want rest or limit
+// their requests.
 type wordSite struct {
 	f *testFleet
 
 	mu      sync.Mutex
 	leaving map[string]bool
-	shedsTo map[string]time.Time // until when a server turns away what arrives
-	restFor time.Duration        // that such a server asks for
-	sentAt  map[string]time.Time // of callers' requests
+	shedsTo map[string]time.Time // until when a server refuses what arrives
+	restFor time.Duration        // the rest that such a server asks for
+	sentAt  map[string]time.Time // by request id
 	told    map[[2]string]time.Time
 	asked   map[[2]string][]*askedRest // by box and server
 	askedAt map[string]time.Time       // when a box was last asked for rest
-	lateAt  map[string]int             // of late, by box
-	late    int                        // arrivals sent later than allowed after the box had the word
+	lateAt  map[string]int             // late, by box
+	late    int                        // requests sent later than allowed after the box was notified
 	arrived int
-	frees   int // give-ups of results that reached a server which had told the box that it leaves
+	frees   int // calls to free results that reached a server after it had told the box that it is leaving
 	limits  limitLedger
-	down    map[string]bool // boxes that get no callers
+	down    map[string]bool // boxes without callers
 }
 
-// askedRest is one answer that asked for rest.
+// restPeriod is one answer that asked for rest.
 type askedRest struct {
-	from, until time.Time // in which at most two requests may arrive
+	from, until time.Time // between these at most maxRestArrivals requests may arrive
 	n           int
 }
 
-// The users' bounds: after a server's word a box sends it nothing that a caller sent later than this, and in the time
-// for which it wants rest, but for its first half second, two requests.
+// The users' bounds. A box sends a server nothing that a caller sent later than leavingGrace after the
+// server's notice. During a requested rest, except for the first restGrace of it, at most maxRestArrivals
+// requests may arrive.
 const (
 	leavesWithin = 2 * time.Second
 	restBegins   = 500 * time.Millisecond
@@ -71,7 +73,8 @@
 	return s
 }
 
-// arrives notes that a message reached a server, and gives what its answer is to say.
+// arrives records a message that reached a server and returns what its answer says, and whether the message
+// is refused.
 func (s *wordSite) arrives(box, server string, requests ...string) (pushback.Word, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +104,7 @@
 	return w, shed
 }
 
-// hears notes that a box got an answer.
+// hears records an answer that a box got.
 func (s *wordSite) hears(box, server string, w pushback.Word) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,7 +172,7 @@
 	return w
 }
 
-// say has servers of a pool leave, or turn requests away for a while.
+// leave has the first n servers of a pool leave.
 func (s *wordSite) leave(pool string, n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,22 +189,22 @@
 	}
 }
 
-// callerTime is for how long a caller waits, all its tries together. It comes back once, heeding the time that it is told up to a
-// third of what it has left, as the users' callers do.
+// callerTimeout is how long a caller waits, all its tries together. It retries once, after the time that it
+// was told or a third of what it has left, as the users' callers do.
 const callerTime = 10 * time.Second
 
-// heard is what the callers of a play got.
+// callerTotals are the outcomes of the callers of a run.
 type heard struct {
 	answered, refused int
-	slow              int           // refusals after a quarter of the objective of the pipeline with stages
-	slowest           time.Duration // until a refusal, from its arrival or from the last word of a server to the box, which may have made it needful
-	noTime            int           // refusals without a time to come back
+	slow              int           // refusals later than a quarter of the objective of the pipeline with stages
+	slowest           time.Duration // the longest time to a refusal, from the request's arrival or from the last rest request to the box, which may have caused it
+	noTime            int           // refusals without a retry time
 	unserved          int           // neither
-	later             int           // refused among those sent after the first second
-	lost              int           // refused again when they came back at another box
+	later             int           // refused of those sent after the first second
+	lost              int           // refused again when retried at another box
 }
 
-// play sends requests at all boxes in turn.
+// run sends requests to all boxes in turn.
 func (s *wordSite) play(path string, boxes int, between, length time.Duration) heard {
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -250,19 +253,19 @@
 	return out
 }
 
-// sinceAsked is how long ago a server last asked a box for rest.
+// sinceRestAsked returns how long ago a server last asked a box for rest.
 func (s *wordSite) sinceAsked(box int) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Since(s.askedAt[fmt.Sprint("box", box)])
 }
 
-// askAs sends one request to a box.
+// askAs sends one request to a box, or to the next one that has callers.
 func (s *wordSite) askAs(box int, path, id string, left time.Duration) answerOf {
 	s.mu.Lock()
 	s.sentAt[id] = time.Now()
 	for s.down[fmt.Sprint("box", box)] {
-		box = (box + 1) % 6 // each fleet here has as many at least, and one of them is up
+		box = (box + 1) % 6 // each fleet has at least six boxes, and one of the first six is up
 	}
 	s.mu.Unlock()
 	return s.f.ask(fmt.Sprint("box", box), path, id, func(r *Request) {
@@ -273,7 +276,7 @@
 	})
 }
 
-// restsOver counts the rests in which more requests arrived than allowed, of how many that were asked for.
+// brokenRests returns in how many rests more requests arrived than allowed, and how many were asked for.
 func (s *wordSite) restsOver() (over, rests int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/src/gateway/pushback_test.go
+++ b/src/gateway/pushback_test.go
@@ -15,29 +15,22 @@
 	"github.com/stilemast/stilemast/src/pushback"
 )
 
-// The story. Users saw requests arrive at model engines up to 6.6 s after those had said that they leave, and engines that
-// had asked for three seconds of rest were asked again and again. Order of events: the platform's store took no writes, so that
-// an engine which was leaving stood in all lists as one that takes work; it said in each of its answers that it leaves; boxes
-// passed those answers on and chose it for the next request as before, as the home of its prompt, until the store
-// wrote again 13 s later. On another day five of 18 engines turned every request away and said for how long they wanted none; each
-// box asked them again after a moment, 85 times within nine seconds.
-//
-// Evidence: the boxes' lines show the engine's answers as good, with nothing that tells them from those before, and the choice of it
-// unchanged; the adapter decoded neither word. A server's own time for its rest met only the guess that two failures make 0.6 s.
-//
-// Cause: what is known of a server came from the store's list and from our count of failures alone. What the server itself says
-// in its answers was passed on to the caller and not heard.
+// These tests guard against ignoring what servers say in their answers. Engines that had said that they are
+// leaving got requests up to 6.6 s later, because the store took no writes and still listed them; engines
+// that had asked for three seconds of rest were asked again after 0.6 s, the backoff after two failures, 85
+// times within nine seconds. Boxes passed those answers on to callers and relied on the store's list and
+// their own failure counts alone.
 
 func TestAServerThatSaysItLeavesGetsNothingMore(t *testing.T) {
 	cases := []struct {
 		name, path, pool string
 		leaving          int
-		written          bool // the store writes its entry again, as one that takes work
+		written          bool // the store writes its entry again without marking it as leaving
 		between          time.Duration
 	}{
 		{"repeatable", "/look/x", "model", 1, false, 8 * time.Millisecond},
 		{"repeatable, its entry is written again", "/look/x", "model", 1, true, 8 * time.Millisecond},
-		{"may run once", "/stamp/x", "model", 1, false, 8 * time.Millisecond},
+		{"at most once", "/stamp/x", "model", 1, false, 8 * time.Millisecond},
 		{"stream", "/draft/x", "model", 1, false, 60 * time.Millisecond},
 		{"calls of a stage", "/draft/x", "piece", 1, false, 60 * time.Millisecond},
 		{"all of them", "/look/x", "model", 5, false, 8 * time.Millisecond},
@@ -62,15 +55,15 @@
 						}
 					}()
 					h := s.play(c.path, boxes, c.between, 8*time.Second)
-					t.Logf("%d arrivals, %d late, %d give-ups; %d answered, %d refused, %d without an answer", s.arrived, s.late, s.frees, h.answered, h.refused, h.unserved)
+					t.Logf("%d arrivals, %d late, %d late calls to free results; %d answered, %d refused, %d without an answer", s.arrived, s.late, s.frees, h.answered, h.refused, h.unserved)
 					if s.late > 0 || s.frees > 0 {
-						t.Errorf("%d requests and %d give-ups of results reached a server over %s after it had said that it leaves", s.late, s.frees, leavesWithin)
+						t.Errorf("%d requests and %d calls to free results reached a server more than %s after it had said that it is leaving", s.late, s.frees, leavesWithin)
 					}
 					if h.unserved > 0 || c.leaving < 5 && h.refused > 0 {
-						t.Errorf("%d refused, %d without an answer of %d, where other servers were there", h.refused, h.unserved, h.answered+h.refused+h.unserved)
+						t.Errorf("%d refused and %d without an answer of %d, though other servers were available", h.refused, h.unserved, h.answered+h.refused+h.unserved)
 					}
 					if h.slowest > 100*time.Millisecond || h.noTime > 0 {
-						t.Errorf("a refusal took %s, %d had no time to come back", h.slowest, h.noTime)
+						t.Errorf("a refusal took %s, %d had no retry time", h.slowest, h.noTime)
 					}
 				})
 			})
@@ -85,7 +78,7 @@
 		between          time.Duration
 	}{
 		{"repeatable, 3 of 5", "/look/x", "model", 3, 4 * time.Millisecond},
-		{"may run once, 3 of 5", "/stamp/x", "model", 3, 4 * time.Millisecond},
+		{"at most once, 3 of 5", "/stamp/x", "model", 3, 4 * time.Millisecond},
 		{"calls of a stage, 2 of 5", "/draft/x", "piece", 2, 60 * time.Millisecond},
 		{"repeatable, all", "/look/x", "model", 5, 4 * time.Millisecond},
 		{"stream, all", "/draft/x", "model", 5, 60 * time.Millisecond},
@@ -99,21 +92,22 @@
 					s.shed(c.pool, c.shedding, 7*time.Second)
 					h := s.play(c.path, boxes, c.between, 10*time.Second)
 					over, rests := s.restsOver()
-					t.Logf("%d arrivals, %d rests asked for, %d not kept; %d answered, %d refused (the slowest after %s, %d after the first second, %d again when they came back), %d without an answer",
+					t.Logf("%d arrivals, %d rests asked for, %d not kept; %d answered, %d refused (the slowest after %s, %d after the first second, %d again when they retried), %d without an answer",
 						s.arrived, rests, over, h.answered, h.refused, h.slowest, h.later, h.lost, h.unserved)
 					if over > 0 {
 						t.Errorf("in %d of %d rests more than %d requests arrived", over, rests, restAllowed)
 					}
-					// A box that has had no request before may not repeat one: its part of the shared budget is 50 repeats by 61.
+					// A box without earlier requests may not retry one: its share of the common budget is 50
+					// retries divided by 61.
 					if most := (h.answered + h.refused) / 100; c.shedding < 5 && (boxes == 6 && h.refused > most || h.later > most || h.lost > most) {
-						t.Errorf("%d refused, %d of them after the first second, %d again, where two servers were there, want %d at most", h.refused, h.later, h.lost, most)
+						t.Errorf("%d refused, %d of them after the first second, %d refused twice, though two servers were available, want at most %d", h.refused, h.later, h.lost, most)
 					}
 					if h.unserved > 0 || h.noTime > 0 {
-						t.Errorf("%d without an answer, %d refused without a time to come back", h.unserved, h.noTime)
+						t.Errorf("%d without an answer, %d refused without a retry time", h.unserved, h.noTime)
 					}
 					// Callers wait for 10 s, three times as long as a rest: nearly all can be served.
 					if most := (h.answered + h.refused) / 20; c.path == "/look/x" && boxes == 6 && h.lost > most {
-						t.Errorf("%d callers were not served, want %d at most", h.lost, most)
+						t.Errorf("%d callers were not served, want at most %d", h.lost, most)
 					}
 					if c.path == "/look/x" && h.slowest > 100*time.Millisecond {
 						t.Errorf("a refusal took %s", h.slowest)
@@ -124,8 +118,8 @@
 	}
 }
 
-// What one box hears of a server that leaves, all boxes know within the time in which it may still get something, the store
-// being silent.
+// When one box learns that a server is leaving, all boxes know within the time in which it may still get
+// requests, while the store does not answer.
 func TestTheWordOfALeavingServerGoesRound(t *testing.T) {
 	for _, boxes := range []int{6, 61, 295} {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
@@ -149,19 +143,19 @@
 				said := len(s.told)
 				s.mu.Unlock()
 				if said != 4 {
-					t.Fatalf("%d of 4 servers that were asked said so at one box", said)
+					t.Fatalf("%d of 4 servers told one box that they are leaving", said)
 				}
-				t.Logf("the last box knew %s after the word", last)
+				t.Logf("the last box knew %s after the notice", last)
 				if bound := leavesWithin * 2 / 3; last > bound {
-					t.Errorf("the last box knew %s after the word, want %s at most", last, bound)
+					t.Errorf("the last box knew %s after the notice, want at most %s", last, bound)
 				}
 			})
 		})
 	}
 }
 
-// A choice may wait for its connection while another request's answer says that the server leaves or wants rest. It is looked
-// at once more before the first byte, and another server gets the request.
+// While a request waits for its connection, another request's answer says that the server is leaving or wants
+// rest. The server is checked again before the first byte, and another one gets the request.
 func TestAWordThatComesBetweenChoiceAndFirstByte(t *testing.T) {
 	for _, word := range []pushback.Word{{Leaving: true}, {Rest: 3 * time.Second}} {
 		t.Run(fmt.Sprintf("%+v", word), func(t *testing.T) {
@@ -172,7 +166,7 @@
 				f.send = func(ctx context.Context, _ string, c *Call) (*Reply, error) {
 					if server == "" {
 						server = c.Server.ID
-						wait(ctx, 600*time.Millisecond) // the connection opens
+						wait(ctx, 600*time.Millisecond) // until the connection is open
 					}
 					if err := c.Start(); err != nil {
 						return nil, &exchange.NotSent{Cause: err}
@@ -191,7 +185,8 @@
 	}
 }
 
-// A machine that was suspended has slept through the rest, by a clock that counts it; its belief that a server leaves stays.
+// A rest ends while the machine is suspended, by a clock that counts the suspension; the knowledge that a
+// server is leaving stays.
 func TestARestPassesWhileTheMachineSleeps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
@@ -201,20 +196,21 @@
 		g.hear(leaves, pushback.Word{Leaving: true}, "r", time.Now())
 		g.hear(rests, pushback.Word{Rest: 3 * time.Second}, "r", time.Now())
 		if !g.restsUntil(&rests).After(g.now()) || g.mayUse("model0") {
-			t.Fatal("the words were not heard")
+			t.Fatal("the notices had no effect")
 		}
 		f.slept.Store("box2", 4*time.Second)
 		if g.restsUntil(&rests).After(g.now()) {
-			t.Error("the rest goes on after a sleep that was longer")
+			t.Error("the rest outlasts a longer suspension")
 		}
 		if g.mayUse("model0") {
-			t.Error("the server that leaves is used after a sleep")
+			t.Error("the leaving server is used after a suspension")
 		}
 		time.Sleep(time.Second)
 	})
 }
 
-// Results are not given up at a server that wants nothing, also when its word came after the scheduler had decided to.
+// Results are not freed at a server that is leaving or wants rest, also when it says so after the scheduler
+// has decided to free them.
 func TestResultsAreNotGivenUpAtAServerThatWantsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
@@ -231,13 +227,13 @@
 			}
 		}
 		if freed["piece0"] != 0 || freed["piece1"] != 1 {
-			t.Errorf("give-ups that reached servers: %v, want none at the one that leaves, one at the one that asked for rest in its answer", freed)
+			t.Errorf("calls to free results: %v, want none at the leaving server and one at the server that asked for rest in its answer", freed)
 		}
 	})
 }
 
-// Old and new builds side by side: a box of an earlier release hears no word, neither in answers nor from boxes, but knows loads.
-// The others tell it a server that leaves as full, and it goes where there is room.
+// Mixed releases: a box of an earlier release ignores notices, both in answers and from other boxes, but
+// knows loads. The others report a leaving server to it as full, so that it uses servers with free capacity.
 func TestABoxThatHearsNoWordsGoesElsewhere(t *testing.T) {
 	for _, boxes := range []int{6, 61} {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
@@ -266,12 +262,12 @@
 					late[old(box)] += n
 				}
 				s.mu.Unlock()
-				t.Logf("%d late at boxes that hear no word, %d at the others; %d answered of 2,000", late[true], late[false], h.answered)
+				t.Logf("%d late at boxes of the earlier release, %d at the others; %d answered of 2,000", late[true], late[false], h.answered)
 				if late[false] > 0 {
-					t.Errorf("%d late at boxes that hear words", late[false])
+					t.Errorf("%d late at boxes of this release", late[false])
 				}
 				if most := 2000 / 100; late[true] > most {
-					t.Errorf("%d late at boxes that hear no word, want %d at most", late[true], most)
+					t.Errorf("%d late at boxes of the earlier release, want at most %d", late[true], most)
 				}
 				if h.answered < 2000 {
 					t.Errorf("%d of 2,000 answered", h.answered)
--- a/src/gateway/relay_test.go
+++ b/src/gateway/relay_test.go
@@ -29,7 +29,7 @@
 				return r, nil
 			}
 			if c.LastEvent != "3" || len(c.Inputs) == 0 {
-				t.Errorf("taken up after %q with inputs %v", c.LastEvent, c.Inputs)
+				t.Errorf("resumed after %q with inputs %v", c.LastEvent, c.Inputs)
 			}
 			return events(ctx, 2, 5, time.Millisecond, io.EOF), nil // repeats two events
 		}
--- a/src/gateway/restarts_test.go
+++ b/src/gateway/restarts_test.go
@@ -14,7 +14,7 @@
 	"github.com/stilemast/stilemast/src/code"
 )
 
-// restart has a server begin a new life under its id; all else of its entry stays.
+// restart gives a server a new incarnation under its id; the rest of its entry stays.
 func (f *testFleet) restart(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -27,15 +27,16 @@
 	f.list(list)
 }
 
-// twoStages has drafts made in two stages of the same pool, the second of which reads the first one's results.
+// useTwoStages publishes a pipeline with two stages in the same pool, the second of which reads the first
+// one's results.
 func (f *testFleet) twoStages() {
 	c := testCatalog(2)
 	c.Pipelines[0].Stages = []catalog.Stage{{Pool: "encode", ResultBytes: 10}, {Pool: "encode", After: []int{0}, ResultBytes: 10}}
 	f.publish(c)
 }
 
-// Results of a stage that lie at a server which starts again are made again as soon as that is known, and nobody asks the
-// new life for them.
+// Stage results on a server that restarts are computed again as soon as the restart is known, and nobody asks
+// the new process for them.
 func TestResultsAtAServerThatStartsAgainAreMadeAgainBeforeAnyoneAsksForThem(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
@@ -52,7 +53,7 @@
 			}
 			restarted := items[0].Stage == 1 && made[0] == 1
 			mu.Unlock()
-			if restarted { // the second stage waits at its server while the first one's starts again
+			if restarted { // the second stage waits at its server while that of the first restarts
 				f.restart(holder)
 				wait(ctx, 3*time.Second)
 				return batch.CallBroken, nil
@@ -66,16 +67,17 @@
 			t.Errorf("the caller got %+v", a)
 		}
 		if made[0] != 2 {
-			t.Errorf("the first stage was made %d times, want twice; its results lay at %s", made[0], holder)
+			t.Errorf("the first stage ran %d times, want twice; its results were on %s", made[0], holder)
 		}
 		if a.took > time.Second {
-			t.Errorf("took %s: the loss was found out by a failed call", a.took)
+			t.Errorf("took %s: the loss was noticed only by a failed call", a.took)
 		}
-		time.Sleep(4 * time.Second) // the waiting call ends
+		time.Sleep(4 * time.Second) // until the waiting call ends
 	})
 }
 
-// A request that may have run in a server's earlier life is never sent again on the word that the new life knows nothing.
+// A request that may have run before a server's restart is never resent because the restarted server knows
+// nothing of it.
 func TestARequestThatMayHaveRunInAnEarlierLifeIsNotSentAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
@@ -97,14 +99,15 @@
 	})
 }
 
-// The entry may have been a bad one in between: what lay at the server is found by its id, whatever the pool says.
+// Held results are found by the server's id, whatever pool its entry names: the entry may have been invalid
+// in between.
 func TestResultsAreFoundByTheServerThatHeldThem(t *testing.T) {
 	h := &holdings{}
 	h.init(nil)
 	r := &results{freed: make([]bool, 2), onLoss: func() {}}
 	h.add("vault", &batch.Done{Handles: []string{"a", "b"}, Servers: []string{"i-1", "i-2"}}, 1, time.Time{}, r, 1)
 	if n := h.lose("i-1"); n != 1 || !r.wasLost() || !r.freed[1] || r.freed[0] {
-		t.Errorf("%d results were lost, of the stages %v", n, r.freed)
+		t.Errorf("%d results were lost, of stages %v", n, r.freed)
 	}
 	if n := h.lose("i-1"); n != 0 {
 		t.Errorf("%d results were lost twice", n)
--- a/src/gateway/restored_beliefs_test.go
+++ b/src/gateway/restored_beliefs_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// wroteAgain is how long after the store's return what it lost is written again.
+// rewriteDelay is how long after the store's return the lost changes are written again.
 const wroteAgain = 4 * time.Second
 
 func TestAServerThatLeftIsNotUsedWhenARestoredStoreListsItAgain(t *testing.T) {
@@ -20,7 +20,7 @@
 		f.strike("model2")
 		time.Sleep(1200 * time.Millisecond)
 		if users := append(f.users("model1", boxes), f.users("model2", boxes)...); len(users) > 0 {
-			t.Fatalf("before the restore %v use a server that has left", users)
+			t.Fatalf("before the restore %v use a server that had left", users)
 		}
 		f.restore(c, 500*time.Millisecond)
 		fresh := f.startFresh()
@@ -32,17 +32,17 @@
 			}
 			for _, id := range []string{"model1", "model2"} {
 				if users := f.users(id, boxes); len(users) > 0 && (time.Since(began) > freshKnows || !slices.Equal(users, []string{fresh})) {
-					t.Fatalf("%s after the store's return %v use %s, which has left; %s has started since", time.Since(began), users, id, fresh)
+					t.Fatalf("%s after the store's return %v use %s, which had left; %s has started since", time.Since(began), users, id, fresh)
 				}
 			}
 		}
 	})
 }
 
-// freshKnows is how long after its start a box must know what the others do.
+// newBoxBound is how long after its start a box must know what the others do.
 const freshKnows = time.Second
 
-// startFresh starts a box and gives its name. It reads the store itself at once, as the seeds do.
+// restartSeed restarts a seed and returns its name. Seeds read the store themselves right after their start.
 func (f *testFleet) startFresh() string {
 	f.kill("box0")
 	f.start("box0")
@@ -52,7 +52,7 @@
 func TestAServerThatLeftAndLivesIsUsedAgainOnceItsEntryOutlastsALease(t *testing.T) {
 	fleetOf(t, func(t *testing.T, f *testFleet, boxes int) {
 		c := f.copyStore()
-		f.strike("model2") // its entry lapsed, and is written again in what the store lost
+		f.strike("model2") // its entry lapsed; the write that renewed it is among the lost changes
 		time.Sleep(time.Second)
 		f.restore(c, 500*time.Millisecond)
 		time.Sleep(10 * time.Second)
@@ -84,7 +84,7 @@
 					want = boxes
 				}
 				if users := f.users("model9", boxes); len(users) != want {
-					t.Errorf("later %d of %d boxes use it, want %d", len(users), boxes, want)
+					t.Errorf("%d of %d boxes use it later, want %d", len(users), boxes, want)
 				}
 			})
 		})
@@ -111,7 +111,7 @@
 		f.evacuate(nil, []string{"d"})
 		time.Sleep(2 * time.Second)
 		if users := f.users("model1", boxes); len(users) != boxes {
-			t.Errorf("%d of %d boxes use a failure domain that the operator has taken back", len(users), boxes)
+			t.Errorf("%d of %d boxes use a failure domain whose evacuation was lifted", len(users), boxes)
 		}
 	})
 }
@@ -124,15 +124,15 @@
 		f.restore(c, 500*time.Millisecond)
 		time.Sleep(3 * time.Second)
 		f.written(1)
-		f.evacuate(nil, []string{"d"}) // one change for whoever watches
+		f.evacuate(nil, []string{"d"}) // watchers see both as one change
 		time.Sleep(2 * time.Second)
 		if users := f.users("model1", boxes); len(users) != boxes {
-			t.Errorf("%d of %d boxes use a failure domain that the operator has taken back", len(users), boxes)
+			t.Errorf("%d of %d boxes use a failure domain whose evacuation was lifted", len(users), boxes)
 		}
 	})
 }
 
-// versions gives the lowest and the highest version of the configuration that boxes hold.
+// versionRange returns the lowest and the highest version of the configuration that boxes hold.
 func (f *testFleet) versions(boxes int) (least, most uint64) {
 	for i := range boxes {
 		v := f.box(fmt.Sprint("box", i)).Version()
@@ -154,7 +154,7 @@
 		fresh := f.startFresh()
 		for began := time.Now(); time.Since(began) < 3*time.Second; time.Sleep(10 * time.Millisecond) {
 			if least, _ := f.versions(boxes); least < 3 && time.Since(began) > freshKnows {
-				t.Fatalf("%s after the store's return a box holds version %d, 3 was in force; of the box that started since: %d", time.Since(began), least, f.box(fresh).Version())
+				t.Fatalf("%s after the store's return a box holds version %d, 3 was in force; the restarted box holds %d", time.Since(began), least, f.box(fresh).Version())
 			}
 		}
 		f.publish(testCatalog(3))
@@ -264,7 +264,7 @@
 					for _, id := range []string{"model1", "model2"} {
 						users := f.users(id, boxes)
 						if len(users) > 0 && (time.Since(began) > stopsWithin || !slices.Equal(users, []string{box})) {
-							t.Fatalf("%s after it came back %v use %s, which left", time.Since(began), users, id)
+							t.Fatalf("%s after the box returned %v use %s, which had left", time.Since(began), users, id)
 						}
 					}
 				}
--- a/src/gateway/restored_mixed_test.go
+++ b/src/gateway/restored_mixed_test.go
@@ -14,8 +14,8 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// newMixedFleet is a fleet in which some boxes tell, hear and read as those of a release that knows no eras: fields that they don't know
-// are lost on the way to and from them, and they read the store's bare numbers.
+// newMixedFleet returns a fleet in which some boxes behave as those of a release without eras: newer fields
+// are dropped on the way to and from them, and they read the store's plain revision numbers.
 func newMixedFleet(t *testing.T, boxes int, earlier func(box string) bool) *testFleet {
 	f := newEmptyFleet(t)
 	f.earlier = earlier
@@ -42,7 +42,7 @@
 	return f
 }
 
-// bare is the store as a box reads it that knows no eras.
+// withoutEras wraps the store as a release without eras reads it.
 func (f *testFleet) bare(s Store) Store {
 	number := func(r catalog.Revision) catalog.Revision { return catalog.RevisionTold(r.Number(), 0) }
 	after := func(r catalog.Revision) catalog.Revision {
@@ -81,7 +81,8 @@
 	}
 }
 
-// playMix has a server leave in a fleet of which some boxes are of an earlier release, before or after a restore.
+// runMixedReleases has a server leave in a fleet of which some boxes are of an earlier release, before or
+// after a restore.
 func playMix(t *testing.T, boxes int, restored bool, earlier func(i int) bool) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newMixedFleet(t, boxes, func(box string) bool {
--- a/src/gateway/restored_test.go
+++ b/src/gateway/restored_test.go
@@ -14,10 +14,10 @@
 	"github.com/stilemast/stilemast/src/catalog"
 )
 
-// restoreTable plays restores in large fleets too.
-var restoreTable = flag.Bool("restore.table", false, "play restores of the store in fleets of 295 and 985 boxes too")
+// restoreTable enables runs in large fleets.
+var restoreTable = flag.Bool("restore.table", false, "run restores of the store in fleets of 295 and 985 boxes too")
 
-// restoreSizes are the fleets in which restores are played.
+// restoreFleetSizes returns the fleet sizes in which restores are run.
 func restoreSizes() []int {
 	if *restoreTable {
 		return []int{6, 61, 295, 985}
@@ -25,7 +25,7 @@
 	return []int{6, 61}
 }
 
-// storeCopy is the store's content at one moment.
+// storeSnapshot is the store's content at one moment.
 type storeCopy struct {
 	rev     uint64
 	catalog *catalog.Catalog
@@ -39,7 +39,7 @@
 	return storeCopy{f.rev, f.catalog, slices.Clone(f.servers), f.removed}
 }
 
-// restore has the store go away for a moment and come back from a copy.
+// restore makes the store unavailable for a moment and then restores it from a snapshot.
 func (f *testFleet) restore(c storeCopy, away time.Duration) {
 	f.mu.Lock()
 	f.storeOK = false
@@ -51,7 +51,7 @@
 	f.mu.Unlock()
 }
 
-// written has the store number some changes that say nothing new.
+// skipRevisions advances the store's revision by changes without effect.
 func (f *testFleet) written(n uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,7 +66,7 @@
 	f.servers = change(slices.Clone(f.servers), f.revision())
 }
 
-// drain has a server say that it leaves.
+// drain marks a server as leaving.
 func (f *testFleet) drain(id string) {
 	f.rewrite(func(list []catalog.Server, at catalog.Revision) []catalog.Server {
 		i := slices.IndexFunc(list, func(s catalog.Server) bool { return s.ID == id })
@@ -75,7 +75,7 @@
 	})
 }
 
-// strike removes a server's entry.
+// deleteEntry removes a server's entry.
 func (f *testFleet) strike(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -88,14 +88,14 @@
 	f.removed = removed
 }
 
-// join lists another server of a pool.
+// join adds a server to a pool.
 func (f *testFleet) join(id, pool string) {
 	f.rewrite(func(list []catalog.Server, at catalog.Revision) []catalog.Server {
 		return append(list, catalog.Server{ID: id, Pool: pool, Domain: "d", Slots: 1, Revision: at})
 	})
 }
 
-// fleetOf plays restores in fleets of all sizes.
+// forEachFleetSize runs a test in fleets of all sizes.
 func fleetOf(t *testing.T, play func(t *testing.T, f *testFleet, boxes int)) {
 	for _, boxes := range restoreSizes() {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
@@ -140,10 +140,10 @@
 		settle()
 		g := f.box("box0")
 		ahead := catalog.ListAt(catalog.RevisionTold(f.rev+2, f.era))
-		g.takeServers(serversByID(f.servers[1:]), ahead, time.Time{}, "a box whose number is of another history")
+		g.takeServers(serversByID(f.servers[1:]), ahead, time.Time{}, "a box with a revision of another history")
 		time.Sleep(3 * time.Second)
 		if !g.mayUse("piece0") {
-			t.Error("a list that was passed over while a later one was held is not taken once it is the newest")
+			t.Error("a list that was skipped while a later one was held is not applied once it is the newest")
 		}
 	})
 }
@@ -177,8 +177,8 @@
 	}
 }
 
-// leavingKnown is within which all boxes know of a leaving server while those that read the store fail: two thirds of the time in which
-// such a server may still get requests, which is longer in larger fleets.
+// leavingBound is the time within which all boxes know of a leaving server while the store's readers fail:
+// two thirds of the time in which such a server may still get requests, which is longer in larger fleets.
 func leavingKnown(boxes int) time.Duration {
 	bound := 2 * time.Second
 	for _, size := range []int{60, 200, 600} {
@@ -189,7 +189,8 @@
 	return bound * 2 / 3
 }
 
-// leaveAfterRestore restores the store, has a server leave 4 s later, and checks when the last box that is not lost uses it.
+// leaveAfterRestore restores the store, has a server leave 4 s later, and checks when the last reachable box
+// uses it.
 func (f *testFleet) leaveAfterRestore(boxes int, trouble func()) {
 	f.t.Helper()
 	before := f.copyStore()
@@ -222,10 +223,10 @@
 
 func TestAServerThatLeavesAfterARestoreIsDroppedWithoutTheReaders(t *testing.T) {
 	troubles := map[string]func(f *testFleet, readers []string){
-		"the store turns them away": func(f *testFleet, readers []string) {
+		"the store refuses them": func(f *testFleet, readers []string) {
 			f.turnAway(func(box string) bool { return slices.Contains(readers, box) })
 		},
-		"the store is silent to them": func(f *testFleet, readers []string) {
+		"the store does not answer them": func(f *testFleet, readers []string) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.silent = func(box string) bool { return slices.Contains(readers, box) }
@@ -235,7 +236,7 @@
 				f.setLost(box, true)
 			}
 		},
-		"the store turns seven boxes of ten away": func(f *testFleet, _ []string) {
+		"the store refuses seven boxes of ten": func(f *testFleet, _ []string) {
 			f.turnAway(func(box string) bool { return catalog.Hash("turned away", box)%10 < 7 })
 		},
 	}
--- a/src/gateway/roster_test.go
+++ b/src/gateway/roster_test.go
@@ -23,14 +23,14 @@
 		all  []contender
 		want []string
 	}{
-		{"a start of all without seeds", []contender{{name: "a", up: time.Second, seed: false}, {name: "b", up: 1200 * time.Millisecond, seed: false}}, []string{"a", "b"}},
-		{"a start of all", []contender{{name: "a", up: 1500 * time.Millisecond, seed: false}, {name: "b", up: 1500 * time.Millisecond, seed: true}, {name: "c", up: time.Second, seed: true}}, []string{"b", "c"}},
+		{"all start, without seeds", []contender{{name: "a", up: time.Second, seed: false}, {name: "b", up: 1200 * time.Millisecond, seed: false}}, []string{"a", "b"}},
+		{"all start", []contender{{name: "a", up: 1500 * time.Millisecond, seed: false}, {name: "b", up: 1500 * time.Millisecond, seed: true}, {name: "c", up: time.Second, seed: true}}, []string{"b", "c"}},
 		{"all know one another", []contender{{name: "a", up: young, seed: false}, {name: "b", up: young, seed: true}, {name: "c", up: young, seed: true}}, []string{"a", "b", "c"}},
-		{"one has come back", []contender{{name: "a", up: old, seed: false}, {name: "b", up: old, seed: false}, {name: "c", up: young, seed: true}}, []string{"a", "b"}},
+		{"one has restarted", []contender{{name: "a", up: old, seed: false}, {name: "b", up: old, seed: false}, {name: "c", up: young, seed: true}}, []string{"a", "b"}},
 		{"it has settled", []contender{{name: "a", up: old, seed: false}, {name: "c", up: settledAfter, seed: true}}, []string{"a", "c"}},
 		{"a small machine", []contender{{name: "a", up: old, capacity: core.Capacity{CPU: 192, Link: 20}}, {name: "b", up: old, capacity: core.Capacity{CPU: 800, Link: 200}}, {name: "c", up: old, capacity: core.Capacity{CPU: 400, Link: 100}}}, []string{"b", "c"}},
 		{"no machine has the most of both", []contender{{name: "a", up: old, capacity: core.Capacity{CPU: 100, Link: 200}}, {name: "b", up: old, capacity: core.Capacity{CPU: 800, Link: 20}}}, []string{"a", "b"}},
-		{"a large machine has not settled", []contender{{name: "a", up: old, capacity: core.Capacity{CPU: 192, Link: 20}}, {name: "b", up: young, capacity: core.Capacity{CPU: 800, Link: 200}}}, []string{"a"}},
+		{"the large machine has not settled", []contender{{name: "a", up: old, capacity: core.Capacity{CPU: 192, Link: 20}}, {name: "b", up: young, capacity: core.Capacity{CPU: 800, Link: 200}}}, []string{"a"}},
 		{"only one is old", []contender{{name: "a", up: 10 * time.Second, seed: false}, {name: "b", up: 4 * time.Second, seed: false}}, []string{"a"}},
 	} {
 		if got := eligible(c.all); !slices.Equal(got, c.want) {
@@ -39,8 +39,8 @@
 	}
 }
 
-// After a loss of all boxes each knows only itself at first. Their pieces must go to one box all the
-// same, or every box fills the same servers with calls of its own.
+// After a restart of the whole fleet each box knows only itself at first. Pieces must still go to one box, or
+// each box sends calls of its own to the same servers.
 func TestAfterALossOfAllBoxesOneSchedulesEachPool(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 12)
@@ -63,7 +63,7 @@
 			return run(ctx, box, s, items)
 		}
 		var done sync.WaitGroup
-		for i, n := range slices.Backward(names) { // the seeds come back last
+		for i, n := range slices.Backward(names) { // the seeds start last
 			f.start(n)
 			time.Sleep(20 * time.Millisecond)
 			done.Go(func() {
@@ -77,12 +77,12 @@
 		}
 		done.Wait()
 		if len(schedulers) != 1 {
-			t.Errorf("%d boxes made calls to one pool's servers", len(schedulers))
+			t.Errorf("%d boxes made calls to one pool's servers, want one", len(schedulers))
 		}
 	})
 }
 
-// schedulerAmong is the box that schedules a pool if only these may.
+// schedulerAmong returns the scheduler of a pool if only these boxes are eligible.
 func schedulerAmong(pool string, boxes ...string) string {
 	return firstByHash(pool, boxes, nil, "")
 }
@@ -105,13 +105,13 @@
 		time.Sleep(3 * time.Second)
 		for _, b := range []string{"box0", "box1", "box2", "box3"} {
 			if got := f.box(b).schedulerOf("encode", nil); got != next {
-				t.Errorf("%s has %s schedule after a restart of %s, want %s", b, got, first, next)
+				t.Errorf("%s takes %s for the scheduler after a restart of %s, want %s", b, got, first, next)
 			}
 		}
 		time.Sleep(settledAfter)
 		for _, b := range []string{"box0", "box1", "box2", "box3"} {
 			if got := f.box(b).schedulerOf("encode", nil); got != first {
-				t.Errorf("%s has %s schedule, want %s, which has settled", b, got, first)
+				t.Errorf("%s takes %s for the scheduler, want %s, which has settled", b, got, first)
 			}
 		}
 	})
@@ -130,7 +130,7 @@
 		}
 		scheduler := f.box("box0").schedulerOf("encode", nil)
 		others := slices.DeleteFunc([]string{"box0", "box1", "box2"}, func(b string) bool { return b == scheduler })
-		asker := others[0] // the other one schedules next, and has not missed the first yet
+		asker := others[0] // the other one is the next scheduler and has not noticed the loss yet
 		if schedulerAmong("encode", others...) == asker {
 			asker = others[1]
 		}
@@ -139,12 +139,13 @@
 			t.Fatalf("the first request after the loss: %+v", a)
 		}
 		if a := f.ask(asker, "/draft/2", "second", nil); !a.ended || a.took >= ackPatience+300*time.Millisecond {
-			t.Errorf("the second request asked the silent box again: took %s", a.took)
+			t.Errorf("the second request asked the unresponsive box again: took %s", a.took)
 		}
 	})
 }
 
-// In a large fleet news of a change takes a while; the scheduler before knows who follows it.
+// In a large fleet a membership change takes a while to spread; the previous scheduler already knows its
+// successor.
 func TestAnOwnerBelievesASchedulerThatNamesTheNext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
@@ -157,22 +158,22 @@
 		}
 		g.fleet.moved(g.now(), "encode", next)
 		if got := g.schedulerOf("encode", nil); got != next {
-			t.Errorf("%s schedules, want %s as %s said", got, next, first)
+			t.Errorf("%s is the scheduler, want %s as %s said", got, next, first)
 		}
 		time.Sleep(hintLife)
 		if got := g.schedulerOf("encode", nil); got != first {
-			t.Errorf("the word of a scheduler counts for ever: %s", got)
+			t.Errorf("a scheduler's hint does not expire: %s", got)
 		}
 		g.fleet.moved(g.now(), "encode", next)
 		g.fleet.shun(g.now(), next)
 		if got := g.schedulerOf("encode", nil); got == next {
-			t.Error("a box that does not answer schedules")
+			t.Error("a box that does not answer is taken for the scheduler")
 		}
 	})
 }
 
-// After a loss of all boxes they come back one after the other, the seeds last. Whom a box asked before it was
-// there it asks again soon.
+// After a loss of all boxes they restart one after the other, the seeds last. A box soon asks seeds again
+// that had not started yet at its first attempt.
 func TestBoxesThatComeBackOneAfterTheOtherSoonKnowAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 0)
@@ -189,8 +190,8 @@
 	})
 }
 
-// The process of a scheduler ends with pieces at work. Its address refuses connections, so what waits there
-// goes to the next box at once, which hears of the results that still take up room.
+// The process of a scheduler ends while pieces run. Its address refuses connections, so waiting pieces go to
+// the next box at once, which learns of the results that still take up space.
 func TestAKilledSchedulerIsReplacedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
@@ -206,7 +207,7 @@
 				owner = name
 			}
 		}
-		f.box(owner).pools.get("model").fetch = mostFetch // so that results are held meanwhile
+		f.box(owner).pools.get("model").fetch = mostFetch // keeps results held meanwhile
 		go f.ask(owner, "/draft/x", "first", nil)
 		time.Sleep(400 * time.Millisecond)
 		var second answerOf
@@ -215,12 +216,12 @@
 		time.Sleep(50 * time.Millisecond)
 		f.kill(lost)
 		done.Wait()
-		// 50 ms, up to 200 ms to the next message, which finds nobody there, a call of 300 ms and two seconds of answer.
+		// 50 ms, up to 200 ms until the next message fails, a call of 300 ms and two seconds of answers.
 		if limit := 2600 * time.Millisecond; !second.ended || second.took > limit {
 			t.Errorf("the request took %s, want less than %s: %+v", second.took, limit, second)
 		}
 		if f.held != 2 {
-			t.Errorf("the next scheduler was told of %d results, want 2", f.held)
+			t.Errorf("the next scheduler learned of %d results, want 2", f.held)
 		}
 	})
 }
@@ -232,13 +233,13 @@
 		g := f.box("box0")
 		g.fleet.toldSilent(g.now(), "box1", "box2")
 		if !g.fleet.mayAsk(g.now(), "box1") {
-			t.Error("a box that was heard of a moment ago was passed over on another's word")
+			t.Error("a box that was heard from a moment ago is skipped after another's report")
 		}
 		f.setLost("box1", true)
 		time.Sleep(2 * heardLately)
 		g.fleet.toldSilent(g.now(), "box1", "box2")
 		if g.fleet.mayAsk(g.now(), "box1") {
-			t.Error("a box that is not heard of is asked though another found it silent")
+			t.Error("a box that is not heard from is asked though another reported it as unresponsive")
 		}
 	})
 }
--- a/src/gateway/scheduling_test.go
+++ b/src/gateway/scheduling_test.go
@@ -52,12 +52,12 @@
 		}
 		all.Wait()
 		if len(callers) != 1 || full != 0 || calls > 12 {
-			t.Errorf("%d boxes made %d calls for 20 pieces, %d at a server at work; want one box and shared calls", len(callers), calls, full)
+			t.Errorf("%d boxes made %d calls for 20 pieces, %d to a busy server; want one box and shared calls", len(callers), calls, full)
 		}
 	})
 }
 
-// The scheduler of a pool dies, or falls silent, with pieces in flight: the owners ask the next box.
+// The scheduler of a pool dies, or stops answering, with pieces in flight: the owners ask the next box.
 func TestASchedulerThatIsLostCostsAMomentAndNoRequest(t *testing.T) {
 	for _, how := range []string{"killed", "silent"} {
 		t.Run(how, func(t *testing.T) {
@@ -89,7 +89,7 @@
 	}
 }
 
-// Boxes that can't see each other each schedule for themselves; requests go on on both sides.
+// Boxes that can't reach each other schedule separately; requests are served on both sides.
 func TestACutOffBoxServesAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
@@ -119,7 +119,7 @@
 		time.Sleep(500 * time.Millisecond)
 		a := f.ask("box1", "/draft/x", "late", nil)
 		if a.refused == nil || a.refused.Code != code.CannotFinish || a.refused.DidRun() != code.RanNo || a.refused.RetryAfter < leastReturn || a.took > 10*time.Millisecond {
-			t.Errorf("with 240 pieces before three servers: %+v", a)
+			t.Errorf("with 240 pieces waiting for three servers: %+v", a)
 		}
 		all.Wait()
 		time.Sleep(2 * time.Second)
@@ -159,7 +159,7 @@
 		f.runPieces = func(ctx context.Context, box string, s catalog.Server, items []batch.Item) (batch.CallOutcome, []batch.ItemResult) {
 			mu.Lock()
 			if busy[s.ID] {
-				t.Errorf("%s called %s, which was at work", box, s.ID)
+				t.Errorf("%s called %s, which was busy", box, s.ID)
 			}
 			busy[s.ID] = true
 			at[box]++
@@ -193,8 +193,8 @@
 	})
 }
 
-// Boxes see a change of members at different moments. The next scheduler of a pool may get it before it
-// sees itself as the first; handing it back would send the pool in a circle.
+// Boxes see a membership change at different moments. The next scheduler of a pool may receive it before it
+// sees itself as first; handing the pool back would start a cycle.
 func TestAPoolThatWasHandedOverIsNotGivenBackAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
@@ -207,7 +207,7 @@
 			}
 		}
 		next.TakeBatch(batch.Message{From: first, Handover: &batch.Handover{Pool: "encode"}})
-		for n := range uint64(12) { // each fills all servers for 300 ms
+		for n := range uint64(12) { // each occupies all servers for 300 ms
 			next.TakeBatch(batch.Message{From: "box0", Submit: &batch.Submit{
 				ID: batch.JobID{Box: "box0", N: n}, Pool: "encode", Pieces: 12, DeadlineIn: time.Minute, DueIn: time.Second}})
 		}
@@ -220,17 +220,17 @@
 		}
 		time.Sleep(handoverKeeps / 2)
 		if waiting() == 0 {
-			t.Error("the pool was given back at once")
+			t.Error("the pool was handed back at once")
 		}
 		time.Sleep(handoverKeeps)
 		if waiting() == 0 {
-			t.Error("the pool was given back later")
+			t.Error("the pool was handed back later")
 		}
 		for _, b := range []string{"box0", "box1", "box2"} {
 			if got := f.box(b).schedulerOf("encode", nil); got != next.ID.Name {
-				t.Errorf("%s has %s schedule, want %s, which was given the pool", b, got, next.ID.Name)
+				t.Errorf("%s takes %s for the scheduler, want %s, which was given the pool", b, got, next.ID.Name)
 			}
 		}
-		time.Sleep(4 * time.Second) // the calls end
+		time.Sleep(4 * time.Second) // until the calls end
 	})
 }
--- a/src/gateway/silenced_test.go
+++ b/src/gateway/silenced_test.go
@@ -7,15 +7,11 @@
 	"time"
 )
 
-// The story. While the store said nothing to the three boxes that read it, the last box knew of a change after 1.85 to 2.0 s in fleets of
-// any size, just the two thirds of 3 s that the smallest bound allows. Order of events: the three readers' reads end without an
-// answer at one moment, a second after they began; each tells the other two, and asks nobody, since the others may have answers; their
-// words cross. A second later their next reads end, and now they ask the next boxes.
-//
-// Evidence: the boxes' lines: "store lost" at all three in the same millisecond, "others are asked to read the store" at their next failure
-// 1.15 s later.
-//
-// Cause: what a reader hears of the others was judged at its own next failure only; the words of readers that fail together cross.
+// The three readers' reads fail at the same moment when the store stops answering. Each reader told the other
+// two and asked no further box, since the others might have answers; these messages crossed and were
+// evaluated only at the next failed read, a second later. The last box then knew of a change after 1.85 to
+// 2.0 s, all of the two thirds that the smallest bound allows. Reports of the other readers must be evaluated
+// when they arrive.
 func TestReadersThatAreSilencedTogetherAskTheNextAtOnce(t *testing.T) {
 	for _, b := range budgets() {
 		for _, boxes := range []int{61, 295} {
@@ -27,9 +23,10 @@
 					b.change(f)
 					last := f.lastHolding(boxes, b.holds, 4*time.Second)
 					t.Logf("the last box knew after %s", last)
-					// The silence is noticed when the reads that it met end, and the next boxes' reads go round.
+					// The failure is noticed when the pending reads end; then the next boxes read and the
+					// change spreads.
 					if most := ReadSilence + 500*time.Millisecond; last > most {
-						t.Errorf("the last box knew after %s, want %s at most", last, most)
+						t.Errorf("the last box knew after %s, want at most %s", last, most)
 					}
 				})
 			})
--- a/src/gateway/source_test.go
+++ b/src/gateway/source_test.go
@@ -12,8 +12,9 @@
 	"github.com/stilemast/stilemast/src/catalog"
 )
 
-// One box has a prompt read elsewhere than at its home, which is full there. Another box sends the next such
-// request home, and names the server that keeps the prompt: it knows of it from the first box alone.
+// One box has a prompt processed away from its home server, which it takes for full. Another box sends the
+// next such request to the home server and names the server that holds the prompt in its cache, which it
+// knows from the first box alone.
 func TestABoxNamesTheServerThatReadAPromptForAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
@@ -47,10 +48,10 @@
 		time.Sleep(300 * time.Millisecond)
 		f.ask("box1", "/draft/x", "two", ask)
 		if len(calls) != 2 || calls[0].Server.ID == home.ID {
-			t.Fatalf("%d calls, the first at the full server", len(calls))
+			t.Fatalf("%d calls, the first to the full server", len(calls))
 		}
 		if calls[1].Server.ID != home.ID || calls[1].Source != calls[0].Server.Address {
-			t.Errorf("the second request went to %s and names %q, want %s and %q", calls[1].Server.ID, calls[1].Source, home.ID, calls[0].Server.Address)
+			t.Errorf("the second request went to %s with source %q, want %s and %q", calls[1].Server.ID, calls[1].Source, home.ID, calls[0].Server.Address)
 		}
 	})
 }
--- a/src/gateway/spreading_test.go
+++ b/src/gateway/spreading_test.go
@@ -12,16 +12,16 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// applyBound is the time within which an accepted configuration must be in force on every box.
+// applyBound is the time within which an accepted configuration must be in force at every box.
 const applyBound = 3 * time.Second
 
-// spreadTable plays the whole table of docs/CAPACITY.md and not its first rows only.
-var spreadTable = flag.Bool("spread.table", false, "play all sizes of fleets and configurations")
+// spreadTable runs the whole table of docs/CAPACITY.md and not only its first rows.
+var spreadTable = flag.Bool("spread.table", false, "run all sizes of fleets and configurations")
 
-// wantedBound is the time within which a change is wanted on all boxes of a calm fleet of any size.
+// spreadBound is the time within which a change reaches all boxes of a fleet of any size without faults.
 const wantedBound = 1500 * time.Millisecond
 
-// How long a change of 1,400 routes takes to all boxes, by the size of the fleet and of the configuration.
+// Measures how long a change of 1,400 routes takes to reach all boxes, by fleet size and configuration size.
 func TestAChangeReachesAllBoxesOfFleetsOfAnySize(t *testing.T) {
 	fleets, documents := []int{61}, []int{1400, 10000}
 	if *spreadTable {
@@ -34,7 +34,7 @@
 	}
 }
 
-// playSpread has a fleet hold all but the last 1,400 routes and publishes those.
+// runSpread starts a fleet that holds all but the last 1,400 routes and publishes those.
 func playSpread(t *testing.T, boxes, routes int) {
 	synctest.Test(t, func(t *testing.T) {
 		const change = 1400
@@ -57,17 +57,17 @@
 		f.publish(next)
 		last, missingAfter := f.arrivals(next.Version, 12*time.Second)
 		time.Sleep(2 * time.Second)
-		t.Logf("start %v (%d missing); change %v (%d missing), %d bytes a box", first, missing, last, missingAfter, (f.links.received()-before)/boxes)
+		t.Logf("start %v (%d missing); change %v (%d missing), %d bytes per box", first, missing, last, missingAfter, (f.links.received()-before)/boxes)
 		if last > wantedBound {
-			t.Errorf("the last of %d boxes after %v, want %v", boxes, last, wantedBound)
+			t.Errorf("the last of %d boxes took %v, want at most %v", boxes, last, wantedBound)
 		}
 	})
 }
 
-// bytesPerRoute is what one more route may cost each box on average: twice its size in a message.
+// maxBytesPerRoute is what one more route may cost each box on average: twice its size in a message.
 const bytesPerRoute = 240
 
-// A fleet of small boxes and a few large ones, as fleets are: one in ten has 200 Mbit/s, the others 10.
+// mixedLinks models a fleet of small boxes and a few large ones: one in ten has 200 Mbit/s, the others 10.
 func mixedLinks() *links {
 	return newLinks(func(box string) float64 {
 		var i int
@@ -78,7 +78,7 @@
 	})
 }
 
-// The configuration grows by 1,400 routes at a time. Each change is in force on all boxes in time, however
+// The configuration grows by 1,400 routes at a time. Each change is in force at all boxes in time, however
 // large the document has become, and costs bytes in proportion to the change.
 func TestAGrowingConfigurationReachesAllBoxesInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -94,26 +94,26 @@
 			next := withRoutes(f.catalog, routes)
 			f.publish(next)
 			last, missing := f.arrivals(next.Version, 12*time.Second)
-			time.Sleep(3 * time.Second) // transfers that are under way still load the links
+			time.Sleep(3 * time.Second) // until transfers under way are done
 			each := (f.links.received() - before) / boxes
-			t.Logf("%d routes: the last of %d boxes after %v, %d without it, %d bytes a box", len(next.Pipelines), boxes, last, missing, each)
+			t.Logf("%d routes: the last of %d boxes took %v, %d without it, %d bytes per box", len(next.Pipelines), boxes, last, missing, each)
 			if last > applyBound {
-				t.Errorf("%d routes: the last of %d boxes took %v, want %v at most; %d were without it", len(next.Pipelines), boxes, last, applyBound, missing)
+				t.Errorf("%d routes: the last of %d boxes took %v, want at most %v; %d were without it", len(next.Pipelines), boxes, last, applyBound, missing)
 			}
 			if each > bytesPerRoute*routes {
-				t.Errorf("%d routes: a change of %d cost %d bytes a box, want %d at most", len(next.Pipelines), routes, each, bytesPerRoute*routes)
+				t.Errorf("%d routes: a change of %d cost %d bytes per box, want at most %d", len(next.Pipelines), routes, each, bytesPerRoute*routes)
 			}
 			time.Sleep(3 * time.Second)
 		}
 	})
 }
 
-// A read of the store is limited by its progress and not by a time that a large document on a slow link
-// does not meet.
+// A read of the store is limited by its progress and not by a fixed time, which a large document on a slow
+// link would exceed.
 func TestALargeConfigurationIsReadOverASlowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newEmptyFleet(t)
-		f.links = newLinks(func(string) float64 { return 2 }) // a fifth of the smallest link: beside other traffic
+		f.links = newLinks(func(string) float64 { return 2 }) // a fifth of the smallest link, the rest is taken by other traffic
 		f.catalog = withRoutes(f.catalog, 5600)
 		f.start("box0")
 		if took, missing := f.arrivals(f.catalog.Version, 9*time.Second); missing > 0 {
@@ -127,7 +127,7 @@
 	})
 }
 
-// While the store turns most boxes away, a third of the boxes are killed and return with nothing.
+// While the store refuses most boxes, a third of the boxes are killed and restart without any state.
 func TestAChangeGoesRoundThoughMostAreTurnedAwayAndAThirdIsKilled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const boxes = 61
@@ -151,14 +151,15 @@
 			f.start(fmt.Sprint("box", i))
 		}
 		last, missing := f.arrivals(next.Version, 12*time.Second)
-		t.Logf("the last of %d boxes after %v", boxes, last)
-		if last > 2*applyBound { // the readers are lost, and 7 in 10 of those that follow are turned away
-			t.Errorf("the last box after %v, %d without it", last, missing)
+		t.Logf("the last of %d boxes took %v", boxes, last)
+		if last > 2*applyBound { // the readers are lost, and 7 in 10 of their successors are refused
+			t.Errorf("the last box took %v, %d without it", last, missing)
 		}
 	})
 }
 
-// Readers are boxes that can carry the document, in different failure domains; a few of all where none can.
+// Readers are boxes with enough capacity for the document, in different failure domains; where none has
+// enough, a few of all.
 func TestReadersCanCarryTheDocument(t *testing.T) {
 	for fleet := range 20 {
 		var all []contender
@@ -176,14 +177,14 @@
 		for _, name := range chosen {
 			domains[domain[name]] = true
 			if !large[name] {
-				t.Errorf("fleet %d: %s reads over a small link", fleet, name)
+				t.Errorf("fleet %d: %s reads over a slow link", fleet, name)
 			}
 		}
 		if len(chosen) != 3 || len(domains) != 3 {
 			t.Errorf("fleet %d: %v read, in %d failure domains, want three in three", fleet, chosen, len(domains))
 		}
 		if got := readersOf(all[1:5]); len(got) != 3 {
-			t.Errorf("%v read of four like boxes, want three", got)
+			t.Errorf("%v read of four equal boxes, want three", got)
 		}
 		if got := readersOf(all[1:3]); len(got) != 2 {
 			t.Errorf("%v read of two, want both", got)
@@ -191,7 +192,7 @@
 	}
 }
 
-// A box that asks names what it holds and is given the difference.
+// A box names the version that it holds when it pulls, and is sent the difference.
 func TestAChangeGoesAsADifference(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
@@ -204,13 +205,13 @@
 		part := g.give(held).Part
 		whole := g.give(&port.PullPublished{Document: port.DocumentConfig, Held: []string{"unknown"}})
 		if part == nil || part.Size > 2000 || whole.Base != "" || whole.Part.Size < 20*part.Size {
-			t.Errorf("ten routes more are given as %d bytes, the whole as %d", part.Size, whole.Part.Size)
+			t.Errorf("ten more routes are sent as %d bytes, the whole as %d", part.Size, whole.Part.Size)
 		}
 	})
 }
 
-// All boxes are lost and start anew, and the store turns all but the seeds away: each gets a long list of
-// servers and a large configuration from another.
+// All boxes restart at once and the store refuses all but the seeds: each box gets a long list of servers and
+// a large configuration from another box.
 func TestAFleetThatStartsAnewGetsItsDocumentsFromAFew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const boxes = 120
@@ -238,12 +239,12 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 		took := time.Since(began)
-		t.Logf("all ready after %v, %d bytes a box, %d whole lists", took, f.links.received()/boxes, f.lists)
+		t.Logf("all ready after %v, %d bytes per box, %d complete lists", took, f.links.received()/boxes, f.lists)
 		if took > 2*applyBound {
 			t.Errorf("all ready after %v", took)
 		}
 		if most := boxes + boxes/4; f.lists > most {
-			t.Errorf("%d whole lists were given to %d boxes, want %d at most", f.lists, boxes, most)
+			t.Errorf("%d complete lists were sent to %d boxes, want at most %d", f.lists, boxes, most)
 		}
 	})
 }
--- a/src/gateway/suspended_test.go
+++ b/src/gateway/suspended_test.go
@@ -11,17 +11,18 @@
 	"github.com/stilemast/stilemast/src/code"
 )
 
-// A box whose machine was suspended: timers have not moved, its clock has (package clock), and the world went on. The tests
-// move the box's clock at one instant, and change the world in the same.
+// These tests cover a box whose machine was suspended: timers have not advanced, but its clock has (package
+// clock), and the rest of the system went on. They move the box's clock and change the rest at the same
+// instant.
 
-// suspend lets a box's machine sleep for a time, as seen from the box.
+// suspend advances a box's clock as if its machine had been suspended for d.
 func (f *testFleet) suspend(name string, d time.Duration) {
 	before, _ := f.slept.Load(name)
 	slept, _ := before.(time.Duration)
 	f.slept.Store(name, slept+d)
 }
 
-// A server left while the box slept. What the box believed before is confirmed before anything is sent.
+// Servers left while the box was suspended. It confirms its state before it sends anything.
 func TestABoxThatSleptSendsNothingOnWhatItBelievedBefore(t *testing.T) {
 	for _, slept := range []time.Duration{2 * time.Second, 5 * time.Second, 20 * time.Second} {
 		t.Run(slept.String(), func(t *testing.T) {
@@ -39,7 +40,7 @@
 					return textReply(http.StatusOK, "ok"), nil
 				}
 				settle()
-				f.setLost("box2", true) // its connections are of no use for a moment after the sleep
+				f.setLost("box2", true) // its connections are dead for a moment after the suspension
 				f.turnAway(func(box string) bool { return box == "box2" })
 				f.remove("model0")
 				f.remove("model1")
@@ -58,14 +59,14 @@
 				f.turnAway(nil)
 				all.Wait()
 				if sent["model0"]+sent["model1"] > 0 {
-					t.Errorf("sent to %v: model0 and model1 left while the box slept", sent)
+					t.Errorf("sent to %v: model0 and model1 left during the suspension", sent)
 				}
 			})
 		})
 	}
 }
 
-// A caller's time passes while the box sleeps: its request ends at once when the box wakes.
+// A caller's deadline passes while the box is suspended: its request ends as soon as the box resumes.
 func TestARequestWhoseTimePassedInASleepEndsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
@@ -80,13 +81,13 @@
 		}()
 		a := f.ask("box2", "/stamp/x", "r", func(r *Request) { r.Pieces, r.Left = nil, 4*time.Second })
 		if a.took > 1300*time.Millisecond || a.refused == nil || a.refused.Code != code.DeadlinePassed {
-			t.Errorf("ended after %s with %v, want the end of its time just after the sleep at 1 s", a.took, a.refused)
+			t.Errorf("ended after %s with %v, want its deadline passed just after the suspension at 1 s", a.took, a.refused)
 		}
 	})
 }
 
-// A box wakes between the choice of a server and the first byte, or between two attempts: no server is given more time than
-// the caller has left, and none is asked when no time is left.
+// A box resumes between the selection of a server and the first byte, or between two attempts: no server is
+// given more time than the caller has left, and none is asked when no time is left.
 func TestNoServerIsGivenTimeThatASleepTook(t *testing.T) {
 	for _, slept := range []time.Duration{300 * time.Millisecond, 2 * time.Second, 5 * time.Second} {
 		t.Run(slept.String(), func(t *testing.T) {
@@ -94,7 +95,7 @@
 				f := newTestFleet(t, 4)
 				var mu sync.Mutex
 				calls := 0
-				var end time.Duration // of the caller's time, on the clock of the box
+				var end time.Duration // of the time given to the server, on the box's clock
 				began := time.Now()
 				f.send = func(_ context.Context, _ string, c *Call) (*Reply, error) {
 					mu.Lock()
--- a/src/gateway/urgency_test.go
+++ b/src/gateway/urgency_test.go
@@ -15,7 +15,7 @@
 	"github.com/stilemast/stilemast/src/catalog"
 )
 
-// callerClass is one kind of request of a play.
+// callerClass is one kind of request in a run.
 type callerClass struct {
 	name      string
 	priority  int
@@ -26,7 +26,7 @@
 	pieces    func(r *rand.Rand) []int
 }
 
-// classOutcome is what the callers of a class got, counted from their first try.
+// classOutcome counts the outcomes of a class, relative to the first try.
 type classOutcome struct{ asked, inTime, served, refused int }
 
 func (o classOutcome) share(n int) float64 { return float64(n) / float64(max(1, o.asked)) }
@@ -35,8 +35,9 @@
 	return classOutcome{o.asked + p.asked, o.inTime + p.inTime, o.served + p.served, o.refused + p.refused}
 }
 
-// urgencyClasses are three kinds of request before three pools: a short one of a single stage, one of a chain whose objective is long, and
-// one of the same chain whose objective is short, which is the more urgent of the two.
+// urgencyClasses returns three kinds of request for three pools: a short one with a single stage, one with a
+// chain of stages and a long objective, and one with the same chain and a short objective, which is the more
+// urgent of the two.
 func urgencyClasses() []callerClass {
 	light, heavy := 8_000, 3_000_000
 	chain := []catalog.Stage{{Pool: "fetch", ResultBytes: heavy}, {Pool: "fetch", ResultBytes: light}, {Pool: "rank", ResultBytes: 60_000, After: []int{1}}, {Pool: "join", ResultBytes: 6_000, After: []int{2}}}
@@ -53,7 +54,7 @@
 	}
 }
 
-// urgencyFleet is boxes before pools whose calls take as long as their pieces say.
+// urgencyFleet returns a fleet with pools whose calls take time in proportion to their pieces.
 func urgencyFleet(t *testing.T, boxes int, classes []callerClass) *testFleet {
 	f := newEmptyFleet(t)
 	limits := func(pool string, size int, item time.Duration, room float64) catalog.Pool {
@@ -96,8 +97,8 @@
 	return f
 }
 
-// playClasses has callers of all classes come for a while, those of one class more often in the seconds of a burst. Who is refused
-// comes back once, as it was told.
+// runClasses sends requests of all classes for a while, those of one class at a higher rate during a burst. A
+// refused caller retries once, after the time that it was told.
 func (f *testFleet) playClasses(boxes int, classes []callerClass, length time.Duration, burst classBurst, seed uint64) map[string]classOutcome {
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -123,11 +124,11 @@
 		})
 	}
 	all.Wait()
-	time.Sleep(2 * time.Second) // calls at work end
+	time.Sleep(2 * time.Second) // until running calls end
 	return out
 }
 
-// callOnceAgain sends one request and, when it is refused, once more at another box.
+// callWithRetry sends one request and, if it is refused, once more to another box.
 func (f *testFleet) callOnceAgain(c callerClass, pieces []int, box, boxes int, id string) (o classOutcome) {
 	began, left := time.Now(), c.left
 	o.asked = 1
@@ -135,7 +136,7 @@
 		a := f.ask(fmt.Sprint("box", box), "/"+c.name+"/x", fmt.Sprint(id, "-", try), func(r *Request) {
 			r.Left, r.Pieces, r.Body = left, append([]int(nil), pieces...), []byte(id)
 		})
-		first := time.Since(began) - 30*time.Millisecond // the events after the first
+		first := time.Since(began) - 30*time.Millisecond // minus the events after the first
 		left = c.left - time.Since(began)
 		switch {
 		case a.ended && a.status == http.StatusOK:
@@ -155,20 +156,20 @@
 	return o
 }
 
-// The shares by which a class may be served less than a less urgent one, at all and in time.
+// By how much the shares of a class that are served, and in time, may be below those of a less urgent one.
 const (
 	servedLess = 0.05
 	inTimeLess = 0.15
 )
 
-// classBurst has one class come more often for half of a play.
+// classBurst raises the rate of one class for half of a run.
 type classBurst struct {
 	class  string
 	factor float64
 }
 
-// A burst of requests with a long objective fills the pools of a chain that more urgent requests with a short one pass too. No class is
-// put behind one that is less urgent.
+// A burst of requests with a long objective fills the pools of a chain that more urgent requests with a short
+// objective use too. No class is served worse than a less urgent one.
 func TestNoClassIsPutBehindALessUrgentOne(t *testing.T) {
 	for _, boxes := range []int{6, 24} {
 		for _, burst := range []classBurst{{"", 1}, {"explain", 1.6}} {
@@ -177,7 +178,8 @@
 	}
 }
 
-// The same where the pools of the chain can't carry the burst: from explain x2.2 on 1,152 pieces a second come to one that makes 1,105.
+// The same where the pools of the chain can't carry the burst: from explain x2.2 on, 1,152 pieces per second
+// arrive at a pool that processes 1,105.
 func TestNoClassIsPutBehindALessUrgentOneInAnOverload(t *testing.T) {
 	for _, boxes := range []int{6, 24} {
 		for _, burst := range []classBurst{{"explain", 2.2}, {"explain", 3}, {"digest", 2.5}, {"notes", 4}} {
@@ -186,7 +188,8 @@
 	}
 }
 
-// checkUrgency adds up what callers of four plays got.
+// checkUrgency adds up the outcomes of four runs with different seeds and compares each class with the less
+// urgent ones.
 func checkUrgency(t *testing.T, boxes int, burst classBurst) {
 	t.Run(fmt.Sprintf("%d boxes, %s x%.1f", boxes, burst.class, burst.factor), func(t *testing.T) {
 		classes, sums := urgencyClasses(), map[string]classOutcome{}
@@ -204,7 +207,7 @@
 			for _, less := range classes[i+1:] {
 				p := sums[less.name]
 				if o.share(o.served) < p.share(p.served)-servedLess || o.share(o.inTime) < p.share(p.inTime)-inTimeLess {
-					t.Errorf("%s is put behind %s, which is less urgent", c.name, less.name)
+					t.Errorf("%s is served worse than %s, which is less urgent", c.name, less.name)
 				}
 			}
 		}
