--- a/src/gateway/absent_test.go
+++ b/src/gateway/absent_test.go
@@ -16,22 +16,22 @@
 )
 
 // absentResult is the outcome of a run in which listed servers are gone.
-type absentPlay struct {
+type absentResult struct {
 	answered, refused int
-	tries             map[string]int // attempts on servers that are gone, by id
+	attempts          map[string]int // attempts on servers that are gone, by id
 	sends             int            // the most servers that one request was sent to
 }
 
 // runWithAbsentServers sends 60 requests while the list of twelve servers still names servers that are gone.
 // limit is the number of servers that a request may be sent to.
-func absentServers(t *testing.T, limit int, gone func(id string) bool, absent func() (*Reply, error)) absentPlay {
+func runWithAbsentServers(t *testing.T, limit int, gone func(id string) bool, absent func() (*Reply, error)) absentResult {
 	f := newTestFleet(t, 1)
 	f.catalog.Pipelines[1].Attempts = limit
 	for i := 3; i < 12; i++ {
 		f.servers = append(f.servers, catalog.Server{ID: fmt.Sprint("model", i), Pool: "model", Domain: "d", Slots: 64})
 	}
 	var mu sync.Mutex
-	out, sends := absentPlay{tries: map[string]int{}}, map[string]int{}
+	out, sends := absentResult{attempts: map[string]int{}}, map[string]int{}
 	f.send = func(ctx context.Context, _ string, c *Call) (*Reply, error) {
 		if !gone(c.Server.ID) {
 			wait(ctx, 20*time.Millisecond)
@@ -41,7 +41,7 @@
 		reply, err := absent()
 		mu.Lock()
 		defer mu.Unlock()
-		out.tries[c.Server.ID]++
+		out.attempts[c.Server.ID]++
 		if err == nil {
 			sends[c.Request.ID]++
 			out.sends = max(out.sends, sends[c.Request.ID])
@@ -65,7 +65,7 @@
 
 // allButOneGone returns a predicate under which the first eleven servers tried are gone and the twelfth is
 // alive.
-func allButTheLastTried() func(id string) bool {
+func allButOneGone() func(id string) bool {
 	tried := map[string]bool{}
 	return func(id string) bool {
 		if len(tried) < 11 {
@@ -76,13 +76,13 @@
 }
 
 // Further predicates for which servers are gone.
-func twoThirds(id string) bool { return catalog.Hash(id)%3 != 0 }
-func everyOne(string) bool     { return true }
+func twoThirdsGone(id string) bool { return catalog.Hash(id)%3 != 0 }
+func allGone(string) bool          { return true }
 
 // totalTries returns the number of attempts on servers that are gone.
-func (p absentPlay) tried() int {
+func (p absentResult) totalTries() int {
 	n := 0
-	for _, k := range p.tries {
+	for _, k := range p.attempts {
 		n += k
 	}
 	return n
@@ -91,19 +91,19 @@
 // All servers but one have crashed and their addresses refuse connections. Nothing is sent and a refused
 // connection costs one round trip, so a request moves on to the next server, eleven times here, and a server
 // that refused is skipped for a while.
-func TestServersWithoutAProcessCostNoRequest(t *testing.T) {
+func TestRefusedConnectionsFailNoRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := absentServers(t, 1, allButTheLastTried(), func() (*Reply, error) {
+		p := runWithAbsentServers(t, 1, allButOneGone(), func() (*Reply, error) {
 			return nil, &exchange.NotSent{Cause: fmt.Errorf("dial: %w", syscall.ECONNREFUSED)}
 		})
-		if p.answered != 60 || p.refused != 0 || p.tried() > 60 {
+		if p.answered != 60 || p.refused != 0 || p.totalTries() > 60 {
 			t.Errorf("%+v: want 60 answered and at most 60 attempts on the eleven servers that are gone", p)
 		}
 	})
 }
 
 // wrongServer replies as a server that has taken over the address of another one.
-func replaced() (*Reply, error) {
+func wrongServer() (*Reply, error) {
 	r := textReply(http.StatusMisdirectedRequest, "")
 	r.NotRun, r.Moved = true, true
 	return r, nil
@@ -111,16 +111,16 @@
 
 // The address of a stopped server now belongs to another server, which runs nothing and says so. Each stopped
 // server costs one attempt, and a refused caller learns that nothing ran and when to retry.
-func TestServersWhoseAddressAnotherHasAreTriedOnce(t *testing.T) {
+func TestStoppedServerWithReusedAddressIsTriedOnce(t *testing.T) {
 	for limit := 1; limit <= 2; limit++ {
 		synctest.Test(t, func(t *testing.T) {
-			p := absentServers(t, limit, twoThirds, replaced)
-			for id, n := range p.tries {
+			p := runWithAbsentServers(t, limit, twoThirdsGone, wrongServer)
+			for id, n := range p.attempts {
 				if n > 1 {
 					t.Errorf("limit %d: %s was tried %d times", limit, id, n)
 				}
 			}
-			if p.answered+p.refused != 60 || p.refused > p.tried()/limit {
+			if p.answered+p.refused != 60 || p.refused > p.totalTries()/limit {
 				t.Errorf("limit %d: %+v", limit, p)
 			}
 		})
@@ -129,10 +129,10 @@
 
 // A request that met another server at the chosen address counts as sent: where every server is gone, it is
 // sent to exactly as many servers as the pipeline allows and then refused.
-func TestARequestIsSentToNoMoreServersThanItsLimit(t *testing.T) {
+func TestWrongServerCountsAsAttempt(t *testing.T) {
 	for limit := 1; limit <= 3; limit++ {
 		synctest.Test(t, func(t *testing.T) {
-			if p := absentServers(t, limit, everyOne, replaced); p.sends != limit || p.refused != 60 {
+			if p := runWithAbsentServers(t, limit, allGone, wrongServer); p.sends != limit || p.refused != 60 {
 				t.Errorf("limit %d: %+v", limit, p)
 			}
 		})
--- a/src/gateway/attempts_test.go
+++ b/src/gateway/attempts_test.go
@@ -12,7 +12,7 @@
 	"github.com/stilemast/stilemast/src/exchange"
 )
 
-func TestAMuteServerIsLeftForARequestThatMayBeRepeated(t *testing.T) {
+func TestRepeatableRequestLeavesUnresponsiveServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
 		var first string
@@ -31,7 +31,7 @@
 	})
 }
 
-func TestNothingSentIsTriedElsewhereAndThenRefused(t *testing.T) {
+func TestUnsentRequestTriesAllServersBeforeRefusal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
 		tried := map[string]bool{}
@@ -47,7 +47,7 @@
 	})
 }
 
-func TestTheDeadlineIsTheShorterOfCallerAndPipeline(t *testing.T) {
+func TestDeadlineIsShorterOfCallerAndPipeline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
 		f.send = func(ctx context.Context, _ string, c *Call) (*Reply, error) {
@@ -65,7 +65,7 @@
 }
 
 // A deadline that no server can meet says nothing about a single server: none is put into backoff for it.
-func TestDeadlinesThatNobodyKeepsRestNoServer(t *testing.T) {
+func TestUnmeetableDeadlineBacksOffNoServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
 		f.send = func(ctx context.Context, _ string, c *Call) (*Reply, error) {
@@ -87,7 +87,7 @@
 	})
 }
 
-func TestOnceIsSentOnceThoughMoreAttemptsAreAllowed(t *testing.T) {
+func TestOncePipelineIsSentOnlyOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
 		sent := 0
--- a/src/gateway/budgets_test.go
+++ b/src/gateway/budgets_test.go
@@ -11,22 +11,22 @@
 )
 
 // propagationBound is one of the users' bounds on how soon all boxes act on a change.
-type budget struct {
+type propagationBound struct {
 	name   string
-	bounds map[int]time.Duration // by number of boxes, as users of sites of about that size ask; a size twice as large has the same bound
+	bySize map[int]time.Duration // by number of boxes, as users of sites of about that size ask; a size twice as large has the same bound
 	change func(f *testFleet)
 	// stale reports whether a box still acts as before the change.
-	holds func(g *Gateway) bool
+	stale func(g *Gateway) bool
 }
 
 // propagationBounds returns the bounds that depend on how soon all boxes know of a change. Propagation may
 // use two thirds of each; the rest is left to connections, slow machines and slow links, which virtual time
 // does not model.
-func budgets() []budget {
+func propagationBounds() []propagationBound {
 	uses := func(g *Gateway) bool { return g.mayUse("model1") }
 	soon := map[int]time.Duration{6: 2 * time.Second, 61: 3 * time.Second, 295: 4 * time.Second, 985: 5 * time.Second}
 	later := map[int]time.Duration{6: 5 * time.Second, 61: 5 * time.Second, 295: 5 * time.Second, 985: 5 * time.Second}
-	return []budget{
+	return []propagationBound{
 		{"a server leaves, its entry is marked as draining", soon, func(f *testFleet) {
 			list := slices.Clone(f.servers)
 			list[slices.IndexFunc(list, func(s catalog.Server) bool { return s.ID == "model1" })].Draining = true
@@ -51,28 +51,28 @@
 func (f *testFleet) setServers(list []catalog.Server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.list(list)
+	f.listLocked(list)
 }
 
 // disturbance is a fault that occurs together with a change.
-type budgetTrouble struct {
-	name string
-	do   func(f *testFleet, readers []string)
+type disturbance struct {
+	name  string
+	apply func(f *testFleet, readers []string)
 }
 
 var (
-	quiet      = budgetTrouble{"quiet", func(*testFleet, []string) {}}
-	readerDies = budgetTrouble{"a reader dies", func(f *testFleet, readers []string) { f.kill(readers[0]) }}
-	turnedAway = budgetTrouble{"the store refuses the readers", func(f *testFleet, readers []string) {
-		f.turnAway(func(box string) bool { return slices.Contains(readers, box) })
+	noDisturbance  = disturbance{"quiet", func(*testFleet, []string) {}}
+	readerDies     = disturbance{"a reader dies", func(f *testFleet, readers []string) { f.kill(readers[0]) }}
+	readersRefused = disturbance{"the store refuses the readers", func(f *testFleet, readers []string) {
+		f.refuseReads(func(box string) bool { return slices.Contains(readers, box) })
 		time.Sleep(500 * time.Millisecond)
 	}}
-	heardNothing = budgetTrouble{"the store does not answer the readers", func(f *testFleet, readers []string) {
+	readersUnanswered = disturbance{"the store does not answer the readers", func(f *testFleet, readers []string) {
 		f.silence(func(box string) bool { return slices.Contains(readers, box) })
 		time.Sleep(500 * time.Millisecond)
 	}}
-	mostTurnedAway = budgetTrouble{"the store refuses the readers and half of all others", func(f *testFleet, readers []string) {
-		f.turnAway(func(box string) bool { return slices.Contains(readers, box) || catalog.Hash(box)%2 == 0 })
+	mostRefused = disturbance{"the store refuses the readers and half of all others", func(f *testFleet, readers []string) {
+		f.refuseReads(func(box string) bool { return slices.Contains(readers, box) || catalog.Hash(box)%2 == 0 })
 		time.Sleep(3 * time.Second)
 	}}
 )
@@ -81,52 +81,52 @@
 func (f *testFleet) silence(unheard func(box string) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.silent = unheard
+	f.storeSilent = unheard
 }
 
 // The last box knows within two thirds of each bound: without a fault, when a reader dies at the moment of
 // the change and, in a small fleet, when the store has refused the three readers since half a second before
 // the change.
-func TestBudgetsOfBounds(t *testing.T) {
-	for _, b := range budgets() {
-		for _, trouble := range []budgetTrouble{quiet, readerDies} {
-			b.play(t, trouble, 6)
-			b.play(t, trouble, 61)
+func TestChangePropagationBounds(t *testing.T) {
+	for _, b := range propagationBounds() {
+		for _, trouble := range []disturbance{noDisturbance, readerDies} {
+			b.run(t, trouble, 6)
+			b.run(t, trouble, 61)
 		}
-		b.play(t, turnedAway, 6)
+		b.run(t, readersRefused, 6)
 	}
-	for _, b := range budgets()[:3] {
-		b.play(t, readerDies, 295)
+	for _, b := range propagationBounds()[:3] {
+		b.run(t, readerDies, 295)
 	}
 }
 
 // The same in larger fleets while the three readers are refused or unanswered, and also while half of the
 // other boxes are refused.
-func TestBudgetsOfBoundsWithoutReadersInLargeFleets(t *testing.T) {
-	for _, b := range budgets() {
-		b.play(t, turnedAway, 61)
-		b.play(t, turnedAway, 295)
-		b.play(t, heardNothing, 61)
-		b.play(t, mostTurnedAway, 61)
+func TestChangePropagationWithoutReaders(t *testing.T) {
+	for _, b := range propagationBounds() {
+		b.run(t, readersRefused, 61)
+		b.run(t, readersRefused, 295)
+		b.run(t, readersUnanswered, 61)
+		b.run(t, mostRefused, 61)
 		if *spreadTable {
-			b.play(t, heardNothing, 295)
-			b.play(t, mostTurnedAway, 295)
-			b.play(t, turnedAway, 985)
-			b.play(t, heardNothing, 985)
+			b.run(t, readersUnanswered, 295)
+			b.run(t, mostRefused, 295)
+			b.run(t, readersRefused, 985)
+			b.run(t, readersUnanswered, 985)
 		}
 	}
 }
 
-func (b *budget) play(t *testing.T, trouble budgetTrouble, boxes int) {
-	bound := b.bounds[boxes]
+func (b *propagationBound) run(t *testing.T, trouble disturbance, boxes int) {
+	bound := b.bySize[boxes]
 	t.Run(fmt.Sprintf("%s, %s, %d boxes", b.name, trouble.name, boxes), func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newTestFleet(t, boxes)
 			time.Sleep(6 * time.Second)
-			readers := f.readersOf()
-			trouble.do(f, readers)
+			readers := f.storeReaders()
+			trouble.apply(f, readers)
 			b.change(f)
-			last := f.lastHolding(boxes, b.holds, bound+time.Second)
+			last := f.lastStale(boxes, b.stale, bound+time.Second)
 			t.Logf("the last box knew after %s of %s", last, bound)
 			if most := bound * 2 / 3; last > most {
 				t.Errorf("the last box knew after %s, want %s at most", last, most)
@@ -137,7 +137,7 @@
 
 // lastStale returns when, during a period, a box last acted as before a change. Boxes that were killed don't
 // count.
-func (f *testFleet) lastHolding(boxes int, holds func(*Gateway) bool, watch time.Duration) time.Duration {
+func (f *testFleet) lastStale(boxes int, holds func(*Gateway) bool, watch time.Duration) time.Duration {
 	last := time.Duration(0)
 	for began := time.Now(); time.Since(began) < watch; time.Sleep(50 * time.Millisecond) {
 		for i := range boxes {
--- a/src/gateway/claim_test.go
+++ b/src/gateway/claim_test.go
@@ -14,7 +14,7 @@
 )
 
 // countCallers counts the calls to the stage servers by box, from now on.
-func (f *testFleet) callers() func() map[string]int {
+func (f *testFleet) countCallers() func() map[string]int {
 	var mu sync.Mutex
 	at := map[string]int{}
 	run := f.runPieces
@@ -41,10 +41,10 @@
 
 // A pool stays with the box that holds it: the seeds' term does not end by the clock, and boxes that join do
 // not take the pool even if they come first by hash.
-func TestAPoolStaysWithItsSchedulerWhenBoxesJoin(t *testing.T) {
+func TestPoolKeepsSchedulerWhenBoxesJoin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
-		f.streams(1)
+		f.serveStreams(1)
 		time.Sleep(500 * time.Millisecond) // the seeds schedule
 		if a := f.ask("box2", "/draft/x", "first", nil); !a.ended {
 			t.Fatalf("%+v", a)
@@ -56,7 +56,7 @@
 		for i := 4; i < 16; i++ {
 			f.start(fmt.Sprint("box", i))
 		}
-		callers := f.callers()
+		callers := f.countCallers()
 		for i := range 24 {
 			if a := f.ask(fmt.Sprint("box", i%16), "/draft/x", fmt.Sprint("r", i), nil); !a.ended {
 				t.Fatalf("r%d: %+v", i, a)
@@ -70,10 +70,10 @@
 }
 
 // A new box that every other box would select by hash learns of the claim before it gets a job.
-func TestAllAgreeOnTheClaimant(t *testing.T) {
+func TestAllBoxesAgreeOnClaimant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 12)
-		f.streams(1)
+		f.serveStreams(1)
 		time.Sleep(settledAfter + time.Second)
 		if a := f.ask("box3", "/draft/x", "first", nil); !a.ended {
 			t.Fatalf("%+v", a)
@@ -86,7 +86,7 @@
 				rest = append(rest, n)
 			}
 		}
-		callers := f.callers()
+		callers := f.countCallers()
 		var all sync.WaitGroup
 		for i, n := range rest {
 			all.Go(func() {
@@ -115,10 +115,10 @@
 
 // Two boxes that claimed one pool independently converge as soon as they hear of each other: one hands it
 // over.
-func TestOfTwoClaimantsOneHandsOver(t *testing.T) {
+func TestConflictingClaimsConverge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
-		f.streams(1)
+		f.serveStreams(1)
 		time.Sleep(settledAfter + time.Second)
 		for _, n := range boxNames(4)[:2] {
 			f.box(n).fleet.claim("encode")
@@ -144,7 +144,7 @@
 }
 
 // In a large fleet a single report that a scheduler does not answer may come of a lost message; it takes two.
-func TestInALargeFleetASchedulerIsSilentOnTheWordOfTwo(t *testing.T) {
+func TestLargeFleetNeedsTwoReportsOfUnresponsiveScheduler(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, complaintsFrom+2)
 		time.Sleep(5 * time.Second)
--- a/src/gateway/clock_test.go
+++ b/src/gateway/clock_test.go
@@ -19,7 +19,7 @@
 	return n
 }
 
-func TestABoxThatStartsAgainUnderAClockThatWasSetBackIsKnown(t *testing.T) {
+func TestBoxRestartedWithEarlierClockIsKnown(t *testing.T) {
 	for _, boxes := range []int{6, 61} {
 		for _, down := range []time.Duration{100 * time.Millisecond, 10 * time.Second} {
 			t.Run(fmt.Sprint(boxes, " boxes, down for ", down), func(t *testing.T) {
--- a/src/gateway/confined_test.go
+++ b/src/gateway/confined_test.go
@@ -38,11 +38,11 @@
 	for i, d := range []string{"w1", "w2", "c1", "c2", "nowhere"} {
 		f.servers = append(f.servers, catalog.Server{ID: fmt.Sprint("piece", i), Pool: "encode", Domain: d, Slots: 1}, catalog.Server{ID: fmt.Sprint("model", i), Pool: "model", Domain: d, Slots: 64})
 	}
-	f.catalog = s.bounded(1, bounds)
+	f.catalog = s.catalogWith(1, bounds)
 	f.callPieces = func(ctx context.Context, _ string, c PieceCall) PieceReply {
-		s.note(c.Server)
+		s.record(c.Server)
 		wait(ctx, 100*time.Millisecond)
-		return PieceReply{Outcome: batch.CallDone, Results: piecesOf(c.Server, c.Items)}
+		return PieceReply{Outcome: batch.CallDone, Results: resultsOf(c.Server, c.Items)}
 	}
 	f.send = s.send
 	for i := range 6 {
@@ -52,7 +52,7 @@
 	return s
 }
 
-func (s *twoRegions) bounded(version uint64, bounds func(*catalog.Catalog)) *catalog.Catalog {
+func (s *twoRegions) catalogWith(version uint64, bounds func(*catalog.Catalog)) *catalog.Catalog {
 	c := testCatalog(version)
 	if bounds != nil {
 		bounds(c)
@@ -60,7 +60,7 @@
 	return c
 }
 
-func (s *twoRegions) note(v catalog.Server) {
+func (s *twoRegions) record(v catalog.Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sent[v.Domain]++
@@ -72,7 +72,7 @@
 	if err := c.Start(); err != nil {
 		return nil, &exchange.NotSent{Cause: err}
 	}
-	s.note(c.Server)
+	s.record(c.Server)
 	s.mu.Lock()
 	turnedAway := !s.tried[c.Request.ID] && catalog.Hash(c.Request.ID)%3 == 0
 	s.tried[c.Request.ID] = true
@@ -114,7 +114,7 @@
 }
 
 // sentOutside returns how much was sent outside some failure domains, and resets the record.
-func (s *twoRegions) outside(inside ...string) int {
+func (s *twoRegions) sentOutside(inside ...string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
@@ -131,7 +131,7 @@
 
 // Requests, their retries and the pieces of their stages are sent only inside the boundaries of their
 // pipeline and workspace; callers are refused at once where no server stands inside them.
-func TestRequestsAreSentInsideTheirBoundaries(t *testing.T) {
+func TestRequestsStayInsideBoundaries(t *testing.T) {
 	bind := func(pipeline, workspace *catalog.Boundary) func(*catalog.Catalog) {
 		return func(c *catalog.Catalog) {
 			for i := range c.Pipelines {
@@ -160,7 +160,7 @@
 				for _, path := range []string{"/draft/x", "/stamp/x", "/look/x"} {
 					time.Sleep(s.f.box("box0").Settings.RetryWindow) // for a full retry budget
 					answered, nowhere := s.serve(path, 60)
-					if out := s.outside(c.inside...); out > 0 {
+					if out := s.sentOutside(c.inside...); out > 0 {
 						t.Errorf("%s: %d were sent outside the boundary", path, out)
 					}
 					if c.inside != nil && answered != 60 || c.inside == nil && nowhere != 60 {
@@ -177,7 +177,7 @@
 
 // A boundary that comes into force applies to later requests and to those under way but not yet sent: a
 // request whose server was selected before goes to one inside the boundary.
-func TestABoundaryBindsWhatIsNotYetSent(t *testing.T) {
+func TestNewBoundaryAppliesToUnsentRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTwoRegions(t, nil)
 		chosen, opened := 0, make(chan struct{})
@@ -189,15 +189,15 @@
 			if err := c.Start(); err != nil {
 				return nil, &exchange.NotSent{Cause: err}
 			}
-			s.note(c.Server)
+			s.record(c.Server)
 			return textReply(http.StatusOK, "ok"), nil
 		}
 		time.AfterFunc(100*time.Millisecond, func() {
-			s.f.publish(s.bounded(2, func(c *catalog.Catalog) { c.Workspaces[0].Boundary = regions("central") }))
+			s.f.publish(s.catalogWith(2, func(c *catalog.Catalog) { c.Workspaces[0].Boundary = regions("central") }))
 		})
 		time.AfterFunc(1500*time.Millisecond, func() { close(opened) })
 		answered, _ := s.serve("/stamp/x", 60)
-		if out := s.outside("c1", "c2"); out > 0 || answered != 60 || chosen <= 60 {
+		if out := s.sentOutside("c1", "c2"); out > 0 || answered != 60 || chosen <= 60 {
 			t.Errorf("of 60 requests %d were answered, after %d selections; %d were sent outside", answered, chosen, out)
 		}
 	})
@@ -205,11 +205,11 @@
 
 // A box of a release that does not know boundaries passes configurations on without them. They are rejected,
 // and the receiving box reads the store itself.
-func TestAConfigurationWithoutItsBoundariesIsNotTaken(t *testing.T) {
+func TestConfigurationStrippedOfBoundariesIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 9)
 		settle()
-		readers := f.readersOf()
+		readers := f.storeReaders()
 		name := "box0"
 		for i := 1; name == readers[0] || name == readers[1] || name == readers[2]; i++ {
 			name = fmt.Sprint("box", i)
@@ -217,7 +217,7 @@
 		next := testCatalog(2)
 		next.Workspaces[0].Boundary = regions("west")
 		asked := 0
-		f.listen(name, func(_ string, _ port.Question, a *port.Answer) error {
+		f.intercept(name, func(_ string, _ port.Question, a *port.Answer) error {
 			if a.Publish == nil || a.Publish.Part == nil {
 				return nil
 			}
--- a/src/gateway/costs_test.go
+++ b/src/gateway/costs_test.go
@@ -40,7 +40,7 @@
 // difference, at one whose list has changed since, at a reader of the store and at one that passes the change
 // on. Copying lists allocated 9.9 MB among 10,000 servers, 16 times what it did among 600; differences
 // allocate 1.1 to 5.6 kB at both sizes.
-func TestAChangeOfOneServerCostsNoMoreInALargerList(t *testing.T) {
+func TestServerChangeCostIsIndependentOfListSize(t *testing.T) {
 	changed := func(i int) catalog.Server {
 		return catalog.Server{ID: "i-00000007", Pool: "model", Address: "10.0.0.7:80", Domain: "d3", Slots: 65 + i}
 	}
@@ -96,15 +96,15 @@
 
 // maxBytesPerServer bounds what a box keeps for each server that it knows: the shared entry and a place in
 // each of four maps.
-const boxBytes = 700
+const maxBytesPerServer = 700
 
 // What a box keeps of a list grows with the list and not with the number of its changes.
-func TestAListIsKeptOnce(t *testing.T) {
+func TestListMemoryIsIndependentOfHistory(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	g := benchGateway(t, manyServers, 0)
-	for i := range 2 * historySeen {
+	for i := range 2 * manyChanges {
 		d := catalog.Difference{Put: []catalog.Server{{ID: fmt.Sprintf("i-%08x", i), Pool: "model", Domain: "d0", Slots: 65}}}
 		g.takeDifference(&port.Published{AsOf: uint64(100 + i), Base: g.published.list.Digest(), Digest: g.published.list.DigestAfter(d), Since: &d}, "peer")
 	}
@@ -112,19 +112,19 @@
 	runtime.ReadMemStats(&after)
 	each := float64(after.HeapAlloc-before.HeapAlloc) / float64(g.published.list.Len())
 	t.Logf("%.0f bytes a server", each)
-	if each > boxBytes {
-		t.Errorf("a box keeps %.0f bytes per server, want at most %d", each, boxBytes)
+	if each > maxBytesPerServer {
+		t.Errorf("a box keeps %.0f bytes per server, want at most %d", each, maxBytesPerServer)
 	}
 	runtime.KeepAlive(g)
 }
 
 // manyChanges is more changes than a box remembers.
-const historySeen = 100
+const manyChanges = 100
 
 // A box with stable membership recomputes schedulers and readers a few times a minute and not with each tick;
 // a membership change, and the end of a period that the choice depends on, take effect within a tenth of a
 // second.
-func TestTheRosterIsWorkedOutWhenSomethingChanges(t *testing.T) {
+func TestRosterIsRebuiltOnlyOnChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 30)
 		time.Sleep(settledAfter + cohortSpread)
@@ -168,7 +168,7 @@
 }
 
 // A claim changes no member's state. It takes effect at all boxes soon all the same.
-func TestAClaimCountsThoughNoMemberComesOrGoes(t *testing.T) {
+func TestClaimAppliesWithoutMembershipChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const boxes = 24
 		f := newTestFleet(t, boxes)
--- a/src/gateway/crashing_builds_test.go
+++ b/src/gateway/crashing_builds_test.go
@@ -14,7 +14,7 @@
 
 // Mixed releases: boxes of an earlier release send no content keys in their jobs. Server crashes during such
 // jobs count against no content; counted as one content, all of them were refused after the third crash.
-func TestJobsThatNameNoContentAreNotBarred(t *testing.T) {
+func TestJobsWithoutContentKeyAreNotBarred(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newCrashSite(t, 6, "encode")
 		s.f.alterBatch = func(from string, m *batch.Message) {
@@ -36,9 +36,9 @@
 			time.Sleep(30 * time.Millisecond)
 		}
 		all.Wait()
-		t.Logf("%d servers crashed; %d answered, %d not", s.ended, others.answered, others.unserved)
-		if s.ended < 3 {
-			t.Fatalf("%d servers crashed: the load was too low", s.ended)
+		t.Logf("%d servers crashed; %d answered, %d not", s.crashed, others.answered, others.unserved)
+		if s.crashed < 3 {
+			t.Fatalf("%d servers crashed: the load was too low", s.crashed)
 		}
 		if others.unserved > 15 {
 			t.Errorf("%d of 500 requests of boxes that send no content keys were not answered, want at most 15", others.unserved)
--- a/src/gateway/crashing_test.go
+++ b/src/gateway/crashing_test.go
@@ -30,32 +30,32 @@
 // crashSite is a fleet with servers that crash when they run a request whose id begins with "bad". A crashed
 // server refuses connections for some time and then restarts.
 type crashSite struct {
-	f      *testFleet
-	at     string        // the pool whose servers crash
-	dark   bool          // a crashed server does not answer connections; its entry is removed after three heartbeats
-	newID  bool          // a restarted server has a new id, and its old entry is removed
-	downAt time.Duration // from the start of a request to the crash
-	downs  time.Duration // how long a crashed server refuses connections
+	f           *testFleet
+	pool        string        // the pool whose servers crash
+	unreachable bool          // a crashed server does not answer connections; its entry is removed after three heartbeats
+	newID       bool          // a restarted server has a new id, and its old entry is removed
+	crashDelay  time.Duration // from the start of a request to the crash
+	downtime    time.Duration // how long a crashed server refuses connections
 
-	mu     sync.Mutex
-	lives  map[string]chan struct{} // of running servers; closed when they crash
-	ended  int
-	third  time.Time // when the third server crashed
-	late   int       // sends of the crashing content later than knownWithin after that
-	sends  int
-	births int
+	mu         sync.Mutex
+	processes  map[string]chan struct{} // of running servers; closed when they crash
+	crashed    int
+	thirdCrash time.Time // when the third server crashed
+	late       int       // sends of the crashing content later than knownWithin after that
+	sends      int
+	restarts   int
 }
 
 // Bounds that users ask for: knownWithin is how long after the third crash the content may still be sent, and
 // maxLateSends how often it may be sent after that.
 const (
-	knownWithin = 3 * time.Second
-	lateSends   = 3
+	knownWithin  = 3 * time.Second
+	maxLateSends = 3
 )
 
 func newCrashSite(t *testing.T, boxes int, at string) *crashSite {
 	f := newTestFleet(t, boxes)
-	s := &crashSite{f: f, at: at, downAt: 40 * time.Millisecond, downs: 3 * time.Second, lives: map[string]chan struct{}{}}
+	s := &crashSite{f: f, pool: at, crashDelay: 40 * time.Millisecond, downtime: 3 * time.Second, processes: map[string]chan struct{}{}}
 	var servers []catalog.Server
 	for i := range 24 {
 		servers = append(servers, catalog.Server{ID: fmt.Sprint("model", i), Address: fmt.Sprint("model", i), Pool: "model", Domain: "d", Slots: 64, Incarnation: 1})
@@ -64,7 +64,7 @@
 		servers = append(servers, catalog.Server{ID: fmt.Sprint("piece", i), Address: fmt.Sprint("piece", i), Pool: "encode", Domain: "d", Slots: 1, Incarnation: 1})
 	}
 	for _, v := range servers {
-		s.lives[v.ID] = make(chan struct{})
+		s.processes[v.ID] = make(chan struct{})
 	}
 	f.setStore(true, servers)
 	f.send, f.runPieces, f.probe = s.send, s.runPieces, s.probe
@@ -73,74 +73,74 @@
 
 // process returns a channel that is closed when the running process of a server ends; it is nil while none
 // runs.
-func (s *crashSite) life(id string) chan struct{} {
+func (s *crashSite) process(id string) chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lives[id]
+	return s.processes[id]
 }
 
 // crash ends the given process of a server, once, and schedules its restart.
-func (s *crashSite) end(id string, life chan struct{}) {
+func (s *crashSite) crash(id string, life chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lives[id] != life {
+	if s.processes[id] != life {
 		return
 	}
 	close(life)
-	delete(s.lives, id)
-	if s.ended++; s.ended == 3 {
-		s.third = time.Now()
+	delete(s.processes, id)
+	if s.crashed++; s.crashed == 3 {
+		s.thirdCrash = time.Now()
 	}
-	if s.dark {
+	if s.unreachable {
 		time.AfterFunc(3600*time.Millisecond, func() { s.f.remove(id) })
 		return
 	}
-	time.AfterFunc(s.downs, func() { s.begin(id) })
+	time.AfterFunc(s.downtime, func() { s.restart(id) })
 }
 
 // restart starts a server again.
-func (s *crashSite) begin(id string) {
+func (s *crashSite) restart(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.newID {
-		s.lives[id] = make(chan struct{})
+		s.processes[id] = make(chan struct{})
 		s.f.restart(id)
 		return
 	}
-	s.births++
-	born := fmt.Sprint("born", s.births)
-	s.lives[born] = make(chan struct{})
+	s.restarts++
+	born := fmt.Sprint("born", s.restarts)
+	s.processes[born] = make(chan struct{})
 	s.f.mu.Lock()
 	defer s.f.mu.Unlock()
 	list := slices.Clone(s.f.servers)
 	i := slices.IndexFunc(list, func(v catalog.Server) bool { return v.ID == id })
 	list[i].ID, list[i].Address = born, born
-	s.f.list(list)
+	s.f.listLocked(list)
 }
 
 // crashSoon crashes a server after crashDelay if the request is one that crashes servers of this pool.
-func (s *crashSite) strike(request, pool, id string, life chan struct{}) {
-	if !strings.HasPrefix(request, "bad") || pool != s.at {
+func (s *crashSite) crashSoon(request, pool, id string, life chan struct{}) {
+	if !strings.HasPrefix(request, "bad") || pool != s.pool {
 		return
 	}
 	s.mu.Lock()
 	s.sends++
-	if !s.third.IsZero() && time.Since(s.third) > knownWithin {
+	if !s.thirdCrash.IsZero() && time.Since(s.thirdCrash) > knownWithin {
 		s.late++
 	}
 	s.mu.Unlock()
-	time.AfterFunc(s.downAt, func() { s.end(id, life) })
+	time.AfterFunc(s.crashDelay, func() { s.crash(id, life) })
 }
 
 func (s *crashSite) send(ctx context.Context, _ string, c *Call) (*Reply, error) {
-	life := s.life(c.Server.ID)
+	life := s.process(c.Server.ID)
 	if life == nil {
-		return nil, &exchange.NotSent{Cause: s.unreached(ctx)}
+		return nil, &exchange.NotSent{Cause: s.connectError(ctx)}
 	}
 	if err := c.Start(); err != nil {
 		return nil, &exchange.NotSent{Cause: err}
 	}
-	s.strike(c.Request.ID, "model", c.Server.ID, life)
+	s.crashSoon(c.Request.ID, "model", c.Server.ID, life)
 	select {
 	case <-life:
 		return nil, errBroken
@@ -149,22 +149,22 @@
 	case <-time.After(100 * time.Millisecond):
 	}
 	if strings.HasPrefix(c.Request.Path, "/draft/") {
-		return events(ctx, 1, 2, time.Millisecond, io.EOF), nil
+		return eventStream(ctx, 1, 2, time.Millisecond, io.EOF), nil
 	}
 	return textReply(http.StatusOK, "ok"), nil
 }
 
 // probe answers a connection attempt to a server, whose address is its id.
 func (s *crashSite) probe(address string) error {
-	if s.life(address) == nil {
-		return s.unreached(s.f.ctx)
+	if s.process(address) == nil {
+		return s.connectError(s.f.ctx)
 	}
 	return nil
 }
 
 // connectError is the error of a connection to a crashed server.
-func (s *crashSite) unreached(ctx context.Context) error {
-	if !s.dark {
+func (s *crashSite) connectError(ctx context.Context) error {
+	if !s.unreachable {
 		return syscall.ECONNREFUSED
 	}
 	sleep(ctx, 300*time.Millisecond)
@@ -172,7 +172,7 @@
 }
 
 func (s *crashSite) runPieces(ctx context.Context, _ string, v catalog.Server, items []batch.Item) (batch.CallOutcome, []batch.ItemResult) {
-	life := s.life(v.ID)
+	life := s.process(v.ID)
 	if life == nil {
 		return batch.CallAbsent, nil
 	}
@@ -180,7 +180,7 @@
 	for _, it := range items {
 		if !struck[it.Request] {
 			struck[it.Request] = true
-			s.strike(it.Request, "encode", v.ID, life)
+			s.crashSoon(it.Request, "encode", v.ID, life)
 		}
 	}
 	select {
@@ -190,7 +190,7 @@
 		return batch.CallBroken, nil
 	case <-time.After(300 * time.Millisecond):
 	}
-	return batch.CallDone, piecesOf(v, items)
+	return batch.CallDone, resultsOf(v, items)
 }
 
 // tally counts the outcomes of callers.
@@ -199,7 +199,7 @@
 	answered, unserved int
 }
 
-func (y *tally) add(a answerOf) {
+func (y *tally) add(a callResult) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	if a.ended {
@@ -210,7 +210,7 @@
 }
 
 // askAs sends a request with the given body.
-func (s *crashSite) askAs(box, path, id, body string) answerOf {
+func (s *crashSite) askAs(box, path, id, body string) callResult {
 	return s.f.ask(box, path, id, func(r *Request) {
 		r.Body = []byte(body)
 		if r.Pieces = nil; strings.HasPrefix(path, "/draft/") {
@@ -221,7 +221,7 @@
 
 // run sends harmless requests, each with a body of its own, to all boxes, and one crashing content again and
 // again to one box after the other.
-func (s *crashSite) play(path string, boxes int, pace, length time.Duration) (others *tally, last answerOf) {
+func (s *crashSite) run(path string, boxes int, pace, length time.Duration) (others *tally, last callResult) {
 	others = &tally{}
 	between := 15 * time.Millisecond
 	if strings.HasPrefix(path, "/draft/") {
@@ -249,7 +249,7 @@
 	return others, last
 }
 
-func TestARequestThatCrashesServersIsNotSentOn(t *testing.T) {
+func TestCrashingRequestIsNotSentOn(t *testing.T) {
 	cases := []struct {
 		name, path, at string
 		newID          bool
@@ -268,13 +268,13 @@
 					s := newCrashSite(t, boxes, c.at)
 					s.newID = c.newID
 					settle()
-					others, last := s.play(c.path, boxes, 300*time.Millisecond, 20*time.Second)
-					t.Logf("%d servers crashed, %d sends, %d of them late; others: %d answered, %d not", s.ended, s.sends, s.late, others.answered, others.unserved)
-					if s.late > lateSends {
-						t.Errorf("sent %d times later than %s after the third crash, want at most %d", s.late, knownWithin, lateSends)
+					others, last := s.run(c.path, boxes, 300*time.Millisecond, 20*time.Second)
+					t.Logf("%d servers crashed, %d sends, %d of them late; others: %d answered, %d not", s.crashed, s.sends, s.late, others.answered, others.unserved)
+					if s.late > maxLateSends {
+						t.Errorf("sent %d times later than %s after the third crash, want at most %d", s.late, knownWithin, maxLateSends)
 					}
-					if s.ended > 8 {
-						t.Errorf("%d servers crashed, want at most 8", s.ended)
+					if s.crashed > 8 {
+						t.Errorf("%d servers crashed, want at most 8", s.crashed)
 					}
 					if others.unserved > c.unserved {
 						t.Errorf("%d harmless requests of %d had no answer, want at most %d", others.unserved, others.answered+others.unserved, c.unserved)
@@ -291,7 +291,7 @@
 
 // Half of a pool fails at once, three times, while the same harmless request runs on all its servers. The
 // request is not taken for the cause, and no caller is refused.
-func TestAGoodRequestIsNotShutOutWhenHalfAPoolIsLost(t *testing.T) {
+func TestHarmlessRequestIsNotBarredWhenHalfAPoolFails(t *testing.T) {
 	for _, boxes := range []int{6, 61} {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -304,8 +304,8 @@
 						time.Sleep(5 * time.Second)
 						for i := range 12 {
 							id := fmt.Sprint("model", i)
-							if life := s.life(id); life != nil {
-								s.end(id, life)
+							if life := s.process(id); life != nil {
+								s.crash(id, life)
 							}
 						}
 					}
@@ -325,13 +325,13 @@
 }
 
 // A box that starts after the content was identified knows it before it serves such a request.
-func TestABoxThatStartsLaterSendsNoRequestThatCrashesServers(t *testing.T) {
+func TestLateStartingBoxKnowsCrashingRequests(t *testing.T) {
 	for _, boxes := range []int{6, 61} {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newCrashSite(t, boxes, "model")
 				settle()
-				s.play("/look/x", boxes, 300*time.Millisecond, 6*time.Second)
+				s.run("/look/x", boxes, 300*time.Millisecond, 6*time.Second)
 				before := s.sends
 				for i := range 4 {
 					name := fmt.Sprint("box", i+1)
@@ -353,7 +353,7 @@
 }
 
 // The same content arrives at several boxes at the same moment, repeatedly.
-func TestARequestThatComesAtSeveralBoxesAtOnceIsNotSentOn(t *testing.T) {
+func TestConcurrentCrashingRequestsAreNotSentOn(t *testing.T) {
 	for _, boxes := range []int{6, 61} {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -367,8 +367,8 @@
 					time.Sleep(2 * time.Second)
 				}
 				all.Wait()
-				if s.late > 0 || s.ended > 5 {
-					t.Errorf("%d servers crashed, %d sends were late", s.ended, s.late)
+				if s.late > 0 || s.crashed > 5 {
+					t.Errorf("%d servers crashed, %d sends were late", s.crashed, s.late)
 				}
 				time.Sleep(5 * time.Second)
 			})
@@ -378,17 +378,17 @@
 
 // Crashed servers do not refuse connections, as when a whole machine is lost: only the list of servers shows
 // the crash.
-func TestARequestThatTakesMachinesWithItIsNotSentOn(t *testing.T) {
+func TestRequestThatTakesDownMachinesIsNotSentOn(t *testing.T) {
 	for _, pace := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second} {
 		t.Run(pace.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newCrashSite(t, 6, "model")
-				s.dark = true
+				s.unreachable = true
 				settle()
-				_, last := s.play("/stamp/x", 6, pace, 30*time.Second)
-				t.Logf("%d servers crashed, %d sends, %d late", s.ended, s.sends, s.late)
-				if s.late > 0 || s.ended > 8 {
-					t.Errorf("%d servers crashed, want at most 8; sent %d times later than %s after the third crash", s.ended, s.late, knownWithin)
+				_, last := s.run("/stamp/x", 6, pace, 30*time.Second)
+				t.Logf("%d servers crashed, %d sends, %d late", s.crashed, s.sends, s.late)
+				if s.late > 0 || s.crashed > 8 {
+					t.Errorf("%d servers crashed, want at most 8; sent %d times later than %s after the third crash", s.crashed, s.late, knownWithin)
 				}
 				if last.refused == nil || last.refused.Code != code.CrashesServers {
 					t.Errorf("the last try got %v", last.refused)
@@ -402,7 +402,7 @@
 // A thousand requests fail at one moment with half of their pool while one content crashes servers beside
 // them. The notes about a thousand suspects that boxes exchange stay small, and the crashing content is found
 // among them.
-func TestAThousandSuspectsCostLittleAndHideNobody(t *testing.T) {
+func TestManySuspectsAreCheapAndHideNoCrash(t *testing.T) {
 	for _, boxes := range []int{6, 61} {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -417,12 +417,12 @@
 				}
 				time.Sleep(50 * time.Millisecond)
 				for i := range 12 {
-					if id := fmt.Sprint("model", i); s.life(id) != nil {
-						s.end(id, s.life(id))
+					if id := fmt.Sprint("model", i); s.process(id) != nil {
+						s.crash(id, s.process(id))
 					}
 				}
 				s.mu.Lock()
-				s.ended, s.third = 0, time.Time{} // from here on only crashes by the content are counted
+				s.crashed, s.thirdCrash = 0, time.Time{} // from here on only crashes by the content are counted
 				s.mu.Unlock()
 				for i := range 60 {
 					all.Go(func() { s.askAs(fmt.Sprint("box", i*7%boxes), "/stamp/x", fmt.Sprint("bad", i), "the same") })
@@ -430,7 +430,7 @@
 				}
 				all.Wait()
 				perBox := s.f.noteBytes() / boxes / 12
-				t.Logf("%d servers crashed, %d sends, %d late; %d others unserved; %d bytes of notes per second and box", s.ended, s.sends, s.late, others.unserved, perBox)
+				t.Logf("%d servers crashed, %d sends, %d late; %d others unserved; %d bytes of notes per second and box", s.crashed, s.sends, s.late, others.unserved, perBox)
 				if s.late > 0 {
 					t.Errorf("%d sends were late", s.late)
 				}
@@ -444,7 +444,7 @@
 }
 
 // The boxes that count the crashes of a content are lost without notice as it begins to arrive.
-func TestARequestThatCrashesServersIsNotSentOnWhenWhoCountsIsLost(t *testing.T) {
+func TestCrashingRequestIsNotSentOnWhenCountersAreLost(t *testing.T) {
 	for _, boxes := range []int{6, 61} {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -462,8 +462,8 @@
 					}
 					time.Sleep(300 * time.Millisecond)
 				}
-				t.Logf("%d servers crashed, %d sends, %d late", s.ended, s.sends, s.late)
-				if s.late > lateSends {
+				t.Logf("%d servers crashed, %d sends, %d late", s.crashed, s.sends, s.late)
+				if s.late > maxLateSends {
 					t.Errorf("sent %d times later than %s after the third crash", s.late, knownWithin)
 				}
 				time.Sleep(5 * time.Second)
--- a/src/gateway/evacuation_test.go
+++ b/src/gateway/evacuation_test.go
@@ -13,7 +13,7 @@
 )
 
 // spreadOverDomains places the fleet's servers in two failure domains alternately.
-func (f *testFleet) domains() {
+func (f *testFleet) spreadOverDomains() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	list := append([]catalog.Server(nil), f.servers...)
@@ -28,16 +28,16 @@
 func (f *testFleet) evacuate(domains, restored []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.catalog, f.restored = f.catalog.WithEvacuated(domains), restored
+	f.catalog, f.lifted = f.catalog.WithEvacuated(domains), restored
 	f.rev++
 }
 
 // While a failure domain is evacuated its servers get neither requests nor pieces from any box, and the
 // version of the configuration stays; once the evacuation is lifted they do again.
-func TestAnEvacuatedFailureDomainGetsNothing(t *testing.T) {
+func TestEvacuatedFailureDomainGetsNoWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 5)
-		f.streams(1)
+		f.serveStreams(1)
 		var mu sync.Mutex
 		at := map[string]int{}
 		note := func(s catalog.Server) {
@@ -55,7 +55,7 @@
 			return run(ctx, box, s, items)
 		}
 		settle()
-		f.domains()
+		f.spreadOverDomains()
 		serve := func() map[string]int {
 			mu.Lock()
 			clear(at)
@@ -95,7 +95,7 @@
 	})
 }
 
-func TestAChangeOfTheOperator(t *testing.T) {
+func TestApplyCatalogChange(t *testing.T) {
 	before := testCatalog(4).WithEvacuated([]string{"b", "a"})
 	for _, c := range []struct {
 		name   string
@@ -118,7 +118,7 @@
 
 // The cold period of a server runs from when its entry first said so, also for a box that receives the entry
 // again.
-func TestAColdServerIsColdOnce(t *testing.T) {
+func TestColdPeriodIsNotRestarted(t *testing.T) {
 	now := time.Unix(1000, 0)
 	first := &catalog.Server{ID: "s", Cold: 3 * time.Second}
 	warm(now, nil, first)
--- a/src/gateway/fleet_test.go
+++ b/src/gateway/fleet_test.go
@@ -27,37 +27,37 @@
 // testFleet runs several gateways in one process in virtual time. Messages take a millisecond; the store and
 // the backend servers are functions.
 type testFleet struct {
-	t         *testing.T
-	ctx       context.Context
-	mu        sync.Mutex
-	boxes     map[string]*Gateway // by address
-	lost      map[string]bool     // addresses that neither send nor receive messages
-	side      map[string]int      // side of a network partition, by address
-	stop      map[string]context.CancelFunc
-	storeOK   bool
-	rev       uint64
-	era       catalog.Era // of the store; incremented with each restore from a copy
-	catalog   *catalog.Catalog
-	servers   []catalog.Server
-	reads     map[string]int                                                    // store calls, by box
-	refuses   bool                                                              // whether the address of a killed box refuses connections, as when only its process has ended
-	slept     sync.Map                                                          // box name to the time.Duration for which its machine was suspended
-	notes     int                                                               // bytes of notes between boxes about contents that may crash servers
-	held      int                                                               // results reported to schedulers as held
-	removed   map[string]uint64                                                 // revision at which an entry was removed, by server
-	restored  []string                                                          // failure domains whose evacuation was lifted
-	lists     int                                                               // complete lists of servers sent from box to box
-	turnsAway func(box string) bool                                             // whether the store answers a box with an error; nil: never
-	silent    func(box string) bool                                             // whether the store leaves a box without an answer; nil: never
-	hear      map[string]func(to string, q port.Question, a *port.Answer) error // called with each answer, by the asker's address
-	watch     func(box string) Watcher                                          // nil: none
-	clockBack time.Duration                                                     // how far the clock is set back from which a starting box takes its incarnation
-	earlier   func(box string) bool                                             // whether a box reads the store as a release without eras does; nil: never
-	regions   catalog.Regions                                                   // nil: none is known
-	links     *links                                                            // network links of the boxes; nil: unlimited
+	t             *testing.T
+	ctx           context.Context
+	mu            sync.Mutex
+	boxes         map[string]*Gateway // by address
+	lost          map[string]bool     // addresses that neither send nor receive messages
+	side          map[string]int      // side of a network partition, by address
+	stop          map[string]context.CancelFunc
+	storeOK       bool
+	rev           uint64
+	era           catalog.Era // of the store; incremented with each restore from a copy
+	catalog       *catalog.Catalog
+	servers       []catalog.Server
+	reads         map[string]int                                                    // store calls, by box
+	refusesConns  bool                                                              // whether the address of a killed box refuses connections, as when only its process has ended
+	suspendedFor  sync.Map                                                          // box name to the time.Duration for which its machine was suspended
+	noteSize      int                                                               // bytes of notes between boxes about contents that may crash servers
+	heldReported  int                                                               // results reported to schedulers as held
+	removed       map[string]uint64                                                 // revision at which an entry was removed, by server
+	lifted        []string                                                          // failure domains whose evacuation was lifted
+	completeLists int                                                               // complete lists of servers sent from box to box
+	storeRefuses  func(box string) bool                                             // whether the store answers a box with an error; nil: never
+	storeSilent   func(box string) bool                                             // whether the store leaves a box without an answer; nil: never
+	onAnswer      map[string]func(to string, q port.Question, a *port.Answer) error // called with each answer, by the asker's address
+	watcher       func(box string) Watcher                                          // nil: none
+	clockBack     time.Duration                                                     // how far the clock is set back from which a starting box takes its incarnation
+	oldRelease    func(box string) bool                                             // whether a box reads the store as a release without eras does; nil: never
+	regions       catalog.Regions                                                   // nil: none is known
+	links         *links                                                            // network links of the boxes; nil: unlimited
 
 	runPieces  func(ctx context.Context, box string, s catalog.Server, items []batch.Item) (batch.CallOutcome, []batch.ItemResult)
-	alter      func(to string, b *core.Beat)                                 // modifies a heartbeat in transit; nil: none
+	alterBeat  func(to string, b *core.Beat)                                 // modifies a heartbeat in transit; nil: none
 	alterBatch func(from string, m *batch.Message)                           // modifies a batch message in transit; nil: none
 	callPieces func(ctx context.Context, box string, c PieceCall) PieceReply // replaces runPieces where replies carry more than results; nil: runPieces
 	freePieces func(box string, s catalog.Server) pushback.Word              // nil: an empty answer
@@ -79,7 +79,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	f := &testFleet{
 		t: t, ctx: ctx, boxes: map[string]*Gateway{}, lost: map[string]bool{}, stop: map[string]context.CancelFunc{},
-		hear: map[string]func(string, port.Question, *port.Answer) error{}, storeOK: true, rev: 1, era: 1, catalog: testCatalog(1), reads: map[string]int{},
+		onAnswer: map[string]func(string, port.Question, *port.Answer) error{}, storeOK: true, rev: 1, era: 1, catalog: testCatalog(1), reads: map[string]int{},
 	}
 	for i := range 3 {
 		f.servers = append(f.servers,
@@ -90,7 +90,7 @@
 		if !wait(ctx, 300*time.Millisecond) {
 			return batch.CallBroken, nil
 		}
-		return batch.CallDone, piecesOf(s, items)
+		return batch.CallDone, resultsOf(s, items)
 	}
 	f.send = func(_ context.Context, _ string, c *Call) (*Reply, error) { return textReply(http.StatusOK, "ok"), nil }
 	t.Cleanup(func() {
@@ -115,7 +115,7 @@
 	}
 }
 
-func piecesOf(s catalog.Server, items []batch.Item) []batch.ItemResult {
+func resultsOf(s catalog.Server, items []batch.Item) []batch.ItemResult {
 	out := make([]batch.ItemResult, len(items))
 	for i, it := range items {
 		out[i] = batch.ItemResult{Handle: fmt.Sprintf("%s/%s/%d", s.ID, it.Request, it.Piece)}
@@ -172,14 +172,14 @@
 		Store: f.store(name),
 		Peers: f.peers(address),
 		Clock: func() time.Time {
-			slept, _ := f.slept.Load(name)
+			slept, _ := f.suspendedFor.Load(name)
 			d, _ := slept.(time.Duration)
 			return time.Now().Add(d)
 		},
 	}
 	g.Settings.Regions = f.regions
-	if f.watch != nil {
-		g.Watch = f.watch(name)
+	if f.watcher != nil {
+		g.Watch = f.watcher(name)
 	}
 	if f.links != nil {
 		g.Settings.Capacity = f.links.capacity(name)
@@ -204,7 +204,7 @@
 }
 
 // partition separates some boxes from the others; without names it heals the partition.
-func (f *testFleet) part(names ...string) {
+func (f *testFleet) partition(names ...string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.side = map[string]int{}
@@ -220,17 +220,17 @@
 }
 
 // refusesConnections reports whether an address refuses connections because no process listens there.
-func (f *testFleet) refusal(address string) bool {
+func (f *testFleet) refusesConnections(address string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.refuses && f.lost[address]
+	return f.refusesConns && f.lost[address]
 }
 
-func (f *testFleet) count(m batch.Message) {
+func (f *testFleet) countHeld(m batch.Message) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m.Held != nil {
-		f.held += len(m.Held.Results)
+		f.heldReported += len(m.Held.Results)
 	}
 }
 
@@ -245,13 +245,13 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.notes += len(raw)
+	f.noteSize += len(raw)
 }
 
 func (f *testFleet) noteBytes() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.notes
+	return f.noteSize
 }
 
 // reach returns the box at an address, or nil if a message can't get there.
@@ -271,7 +271,7 @@
 			if g != nil && wait(f.ctx, time.Millisecond) {
 				deliver(g)
 			}
-			if g == nil && f.refusal(to) {
+			if g == nil && f.refusesConnections(to) {
 				f.box(strings.TrimSuffix(from, ":1")).TakeRefusal(to)
 			}
 		}()
@@ -279,13 +279,13 @@
 	return port.Peers{
 		Beat: func(to string, b core.Beat) {
 			f.countNotes(b.Suspects)
-			if f.alter != nil {
-				f.alter(to, &b)
+			if f.alterBeat != nil {
+				f.alterBeat(to, &b)
 			}
 			later(to, func(g *Gateway) { g.TakeBeat(b) })
 		},
 		Batch: func(to string, m batch.Message) {
-			f.count(m)
+			f.countHeld(m)
 			if f.alterBatch != nil {
 				f.alterBatch(from, &m)
 			}
@@ -309,11 +309,11 @@
 			}
 			if a.Publish != nil && len(a.Publish.Servers) > 0 {
 				f.mu.Lock()
-				f.lists++
+				f.completeLists++
 				f.mu.Unlock()
 			}
 			f.mu.Lock()
-			hear := f.hear[from]
+			hear := f.onAnswer[from]
 			f.mu.Unlock()
 			if hear != nil {
 				if err := hear(to, q, &a); err != nil {
@@ -331,8 +331,8 @@
 	begin := func(ctx context.Context) error {
 		f.mu.Lock()
 		f.reads[box]++
-		ok := f.storeOK && (f.turnsAway == nil || !f.turnsAway(box))
-		silent := f.silent != nil && f.silent(box)
+		ok := f.storeOK && (f.storeRefuses == nil || !f.storeRefuses(box))
+		silent := f.storeSilent != nil && f.storeSilent(box)
 		f.mu.Unlock()
 		if silent {
 			sleep(ctx, ReadSilence)
@@ -396,7 +396,7 @@
 			if err := f.links.carryCatalog(ctx, addressOf(box), c); err != nil {
 				return CatalogChange{}, 0, err
 			}
-			return CatalogChange{Catalog: c, Evacuated: c.Evacuated, Restored: f.restored}, rev, nil
+			return CatalogChange{Catalog: c, Evacuated: c.Evacuated, Restored: f.lifted}, rev, nil
 		},
 		WatchServers: func(ctx context.Context, after catalog.Revision, d time.Duration) ([]ServerChange, catalog.Revision, error) {
 			if err := begin(ctx); err != nil {
@@ -409,8 +409,8 @@
 			return append(f.removals(after.Number(), rev.Number()), putsOf(list)...), rev, nil
 		},
 	}
-	if f.earlier != nil && f.earlier(box) {
-		return f.bare(out)
+	if f.oldRelease != nil && f.oldRelease(box) {
+		return f.withoutEras(out)
 	}
 	return out
 }
@@ -451,7 +451,7 @@
 }
 
 // callResult is the outcome of one call.
-type answerOf struct {
+type callResult struct {
 	refused *code.Error
 	status  int
 	body    string
@@ -467,12 +467,12 @@
 }
 
 // ask serves one request at a box.
-func (f *testFleet) ask(name, path, id string, change func(*Request)) answerOf {
+func (f *testFleet) ask(name, path, id string, change func(*Request)) callResult {
 	r := &Request{ID: id, Method: http.MethodPost, Target: path, Host: "h", Path: path, Header: http.Header{}, Token: "token", Left: 10 * time.Second, Pieces: []int{2}, PieceKey: "k"}
 	if change != nil {
 		change(r)
 	}
-	var a answerOf
+	var a callResult
 	began := time.Now()
 	f.box(name).Serve(f.ctx, r, &Caller{
 		Refuse: func(e *code.Error) { a.refused = e },
@@ -488,7 +488,7 @@
 
 // eventStream replies with a stream of events with a pause before each, followed by an error or the end of
 // the stream.
-func events(ctx context.Context, from, to int, pause time.Duration, end error) *Reply {
+func eventStream(ctx context.Context, from, to int, pause time.Duration, end error) *Reply {
 	next := from
 	return &Reply{Status: http.StatusOK, Header: http.Header{}, Events: true, Signed: true, Close: func(bool) {},
 		Read: func(b []byte) (int, error) {
@@ -505,9 +505,9 @@
 }
 
 // serveStreams has every server answer with a complete stream of n events.
-func (f *testFleet) streams(n int) {
+func (f *testFleet) serveStreams(n int) {
 	f.send = func(ctx context.Context, _ string, _ *Call) (*Reply, error) {
-		return events(ctx, 1, n, time.Millisecond, io.EOF), nil
+		return eventStream(ctx, 1, n, time.Millisecond, io.EOF), nil
 	}
 }
 
--- a/src/gateway/gateway_test.go
+++ b/src/gateway/gateway_test.go
@@ -11,7 +11,7 @@
 // settle waits until the boxes of a new fleet know each other.
 func settle() { time.Sleep(3 * time.Second) }
 
-func TestABoxKnowsItsPeersAndFewRead(t *testing.T) {
+func TestAllPeersAreKnownAndThreeReadStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 9)
 		settle()
@@ -44,7 +44,7 @@
 	})
 }
 
-func TestAChangeIsInForceEverywhereWithinASecond(t *testing.T) {
+func TestChangeAppliesEverywhereWithinOneSecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 9)
 		settle()
@@ -59,7 +59,7 @@
 }
 
 // In a fleet too large for one box to notify all others, a change still spreads within a few hops.
-func TestAChangeGoesRoundALargeFleet(t *testing.T) {
+func TestChangeReachesLargeFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 40)
 		time.Sleep(8 * time.Second)
@@ -77,7 +77,7 @@
 	})
 }
 
-func TestAFreshFleetServesBesideASilentStoreOnlyWhatItKnows(t *testing.T) {
+func TestNewBoxWithoutStoreServesWhatPeersKnow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
 		settle()
@@ -110,7 +110,7 @@
 }
 
 // A process that was paused confirms its state before it serves: a token may have been revoked meanwhile.
-func TestAPausedBoxConfirmsFirst(t *testing.T) {
+func TestPausedBoxConfirmsStateBeforeServing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
 		settle()
--- a/src/gateway/inputs_test.go
+++ b/src/gateway/inputs_test.go
@@ -14,12 +14,12 @@
 
 // A request's inputs are freed at the stage servers once the engine has fetched them, not at the first
 // output.
-func TestInputsAreGivenUpWhenTheEngineHasFetchedThem(t *testing.T) {
+func TestInputsAreFreedOnceFetched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 2)
 		f.send = func(ctx context.Context, _ string, _ *Call) (*Reply, error) {
 			wait(ctx, time.Second) // prefill
-			return events(ctx, 1, 1, time.Millisecond, io.EOF), nil
+			return eventStream(ctx, 1, 1, time.Millisecond, io.EOF), nil
 		}
 		settle()
 		var freed atomic.Int64
@@ -37,7 +37,7 @@
 	})
 }
 
-func TestTheTimeToFetchInputsIsLearned(t *testing.T) {
+func TestInputFetchTimeAdapts(t *testing.T) {
 	p := &pool{}
 	if d := p.fetchTime(); d != leastFetch {
 		t.Fatalf("%s at first", d)
--- a/src/gateway/known_test.go
+++ b/src/gateway/known_test.go
@@ -12,17 +12,17 @@
 
 // startWithCallers starts eight boxes at once while callers retry, with a store that answers only after a
 // while. It returns what the callers of the first half second got.
-func returnOfAll(t *testing.T, storeAfter time.Duration) []answerOf {
+func startWithCallers(t *testing.T, storeAfter time.Duration) []callResult {
 	f := newEmptyFleet(t)
-	f.streams(1)
+	f.serveStreams(1)
 	began := time.Now()
-	f.turnsAway = func(string) bool { return time.Since(began) < storeAfter }
+	f.storeRefuses = func(string) bool { return time.Since(began) < storeAfter }
 	for i := range 8 {
 		f.start(fmt.Sprint("box", i))
 	}
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	var out []answerOf
+	var out []callResult
 	for i := range 24 {
 		all.Go(func() {
 			a := f.ask(fmt.Sprint("box", i%8), "/draft/x", fmt.Sprint("r", i), func(r *Request) { r.Pieces = []int{0} })
@@ -37,9 +37,9 @@
 }
 
 // A configuration that arrives within a third of a second of the boxes' start costs no caller its request.
-func TestCallersWaitForADocumentThatIsComing(t *testing.T) {
+func TestCallersWaitForFirstConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for _, a := range returnOfAll(t, 250*time.Millisecond) {
+		for _, a := range startWithCallers(t, 250*time.Millisecond) {
 			if !a.ended || a.took > knownWait+100*time.Millisecond {
 				t.Errorf("a caller at the start got %+v", a)
 			}
@@ -48,9 +48,9 @@
 }
 
 // Without a configuration callers are refused after a bounded time and told when to retry.
-func TestCallersDoNotWaitForADocumentThatStaysAway(t *testing.T) {
+func TestCallersAreRefusedWithoutConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for _, a := range returnOfAll(t, 5*time.Second) {
+		for _, a := range startWithCallers(t, 5*time.Second) {
 			if a.refused == nil || a.refused.Code != code.NotReady || a.refused.DidRun() != code.RanNo || a.refused.RetryAfter == 0 || a.took > knownWait+2*knownPace {
 				t.Errorf("a caller without a configuration got %+v", a)
 			}
@@ -59,10 +59,10 @@
 }
 
 // A caller with a short deadline waits a fifth of it.
-func TestACallerWithLittleTimeWaitsLess(t *testing.T) {
+func TestShortDeadlineShortensWaitForConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newEmptyFleet(t)
-		f.turnsAway = func(string) bool { return true }
+		f.storeRefuses = func(string) bool { return true }
 		f.start("box0")
 		a := f.ask("box0", "/look/x", "r", func(r *Request) { r.Left = time.Second })
 		if a.refused == nil || a.refused.Code != code.NotReady || a.took > 220*time.Millisecond {
--- a/src/gateway/late_test.go
+++ b/src/gateway/late_test.go
@@ -11,10 +11,10 @@
 
 // A burst of 6 s of the servers' work arrives at once, from callers that wait 10 s. Half miss their
 // objective, but a late answer is better than none: all are answered as soon as the servers can.
-func TestABurstIsWorkedOffWithinTheCallersTime(t *testing.T) {
+func TestBurstIsServedWithinCallersDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
-		f.streams(1)
+		f.serveStreams(1)
 		settle()
 		for i := range 3 {
 			f.box(fmt.Sprint("box", i)).Settings.Admission = false
--- a/src/gateway/leaving_test.go
+++ b/src/gateway/leaving_test.go
@@ -23,7 +23,7 @@
 // the store's, and a server is checked again before the first byte.
 
 // boxesUsing lists the boxes that would still use a server.
-func (f *testFleet) users(id string, boxes int) []string {
+func (f *testFleet) boxesUsing(id string, boxes int) []string {
 	var out []string
 	for i := range boxes {
 		name := fmt.Sprint("box", i)
@@ -38,7 +38,7 @@
 func (f *testFleet) lastUse(id string, boxes int, watch time.Duration) time.Duration {
 	last := time.Duration(0)
 	for began := time.Now(); time.Since(began) < watch; time.Sleep(10 * time.Millisecond) {
-		if len(f.users(id, boxes)) > 0 {
+		if len(f.boxesUsing(id, boxes)) > 0 {
 			last = time.Since(began)
 		}
 	}
@@ -46,14 +46,14 @@
 }
 
 // refuseReads sets which boxes the store refuses; nil refuses none.
-func (f *testFleet) turnAway(refused func(box string) bool) {
+func (f *testFleet) refuseReads(refused func(box string) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.turnsAway = refused
+	f.storeRefuses = refused
 }
 
 // storeReaders returns the boxes that read the store on behalf of the others.
-func (f *testFleet) readersOf() []string { return f.box("box0").fleet.readers(time.Now()) }
+func (f *testFleet) storeReaders() []string { return f.box("box0").fleet.readers(time.Now()) }
 
 // heldRevision returns the store revision of the list that a box holds.
 func (f *testFleet) heldRevision(box string) uint64 {
@@ -63,9 +63,9 @@
 
 // dropBound is how long after a server's removal the last box may use it where some box can read the store. A
 // leaving server may get requests for at least 2 s, of which connecting takes up to 0.7 s.
-const stopsWithin = time.Second
+const dropBound = time.Second
 
-func TestAServerThatIsGoneIsDroppedWhereverTheStoreRefusesSomeBoxes(t *testing.T) {
+func TestRemovedServerIsDroppedWhileStoreRefusesReads(t *testing.T) {
 	everyone := func(string) bool { return true }
 	cases := []struct {
 		name    string
@@ -88,28 +88,28 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := newTestFleet(t, c.boxes)
 				time.Sleep(5 * time.Second)
-				readers := f.readersOf()
+				readers := f.storeReaders()
 				refused := func(box string) bool { return slices.Contains(readers, box) }
 				if c.refused != nil {
 					refused = c.refused(f)
 				}
-				f.turnAway(refused)
+				f.refuseReads(refused)
 				time.Sleep(c.before)
 				f.remove("model1")
 				go func() {
 					for range c.again + 1 {
 						time.Sleep(c.after)
-						f.turnAway(nil)
+						f.refuseReads(nil)
 						time.Sleep(time.Second)
 						if c.again > 0 {
-							f.turnAway(refused)
+							f.refuseReads(refused)
 							time.Sleep(c.before)
 						}
 					}
-					f.turnAway(nil)
+					f.refuseReads(nil)
 				}()
-				if last := f.lastUse("model1", c.boxes, 14*time.Second); last > stopsWithin {
-					t.Errorf("a box used the server for %s after its removal, want %s at most", last, stopsWithin)
+				if last := f.lastUse("model1", c.boxes, 14*time.Second); last > dropBound {
+					t.Errorf("a box used the server for %s after its removal, want %s at most", last, dropBound)
 				}
 			})
 		})
@@ -117,14 +117,14 @@
 }
 
 // A box that was cut off comes back with an old list. What the others know of removed servers stays.
-func TestABoxThatWasAwayBringsNoServerBack(t *testing.T) {
+func TestReturningBoxDoesNotReviveRemovedServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 6)
 		time.Sleep(5 * time.Second)
-		away := f.readersOf()[0]
+		away := f.storeReaders()[0]
 		others := slices.DeleteFunc([]string{"box0", "box1", "box2", "box3", "box4", "box5"}, func(b string) bool { return b == away })
 		f.setLost(away, true)
-		f.turnAway(func(box string) bool { return box == away })
+		f.refuseReads(func(box string) bool { return box == away })
 		time.Sleep(time.Second)
 		f.remove("model1")
 		leaving := slices.Clone(f.servers)
@@ -133,17 +133,17 @@
 		time.Sleep(5 * time.Second)
 		f.remove("model2")
 		time.Sleep(time.Second)
-		f.turnAway(func(string) bool { return true })
+		f.refuseReads(func(string) bool { return true })
 		time.Sleep(1100 * time.Millisecond) // until open watches have ended
 		f.remove("piece2")
-		f.turnAway(func(box string) bool { return box != away }) // only the returning box reads this change
+		f.refuseReads(func(box string) bool { return box != away }) // only the returning box reads this change
 		for f.heldRevision(away) < f.rev {
 			time.Sleep(10 * time.Millisecond)
 		}
 		f.setLost(away, false)
 		for i := range 400 {
 			if i == 100 {
-				f.turnAway(nil)
+				f.refuseReads(nil)
 			}
 			time.Sleep(10 * time.Millisecond)
 			for _, id := range []string{"model1", "model2"} {
@@ -159,7 +159,7 @@
 
 // A server leaves while a request that selected it waits for its connection. The server is checked again
 // before the first byte, and another one gets the request.
-func TestAServerThatLeftAfterItWasChosenIsSentNothing(t *testing.T) {
+func TestServerRemovedAfterSelectionGetsNoRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
 		var mu sync.Mutex
--- a/src/gateway/limits_fleet_test.go
+++ b/src/gateway/limits_fleet_test.go
@@ -8,35 +8,35 @@
 )
 
 // Faults and changes that affect the box that grants a server's permits, in the middle of a run.
-func TestAServersLimitIsKeptWhileTheFleetChanges(t *testing.T) {
+func TestServerLimitHoldsWhileFleetChanges(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		befall func(s *wordSite, coordinator string, boxes int)
+		befall func(s *pushbackSite, coordinator string, boxes int)
 	}{
-		{"the coordinator is killed", func(s *wordSite, coordinator string, _ int) { s.lose(coordinator, true) }},
-		{"the coordinator is killed and starts again", func(s *wordSite, coordinator string, _ int) {
+		{"the coordinator is killed", func(s *pushbackSite, coordinator string, _ int) { s.lose(coordinator, true) }},
+		{"the coordinator is killed and starts again", func(s *pushbackSite, coordinator string, _ int) {
 			s.lose(coordinator, true)
 			time.Sleep(time.Second)
 			s.f.start(coordinator)
 			s.up(coordinator)
 		}},
-		{"the coordinator is frozen for 5 s", func(s *wordSite, coordinator string, _ int) {
+		{"the coordinator is frozen for 5 s", func(s *pushbackSite, coordinator string, _ int) {
 			s.lose(coordinator, false)
 			time.Sleep(5 * time.Second)
 			s.f.setLost(coordinator, false)
 			s.up(coordinator)
 		}},
-		{"the coordinator is cut off with its callers for 5 s", func(s *wordSite, coordinator string, _ int) {
+		{"the coordinator is cut off with its callers for 5 s", func(s *pushbackSite, coordinator string, _ int) {
 			s.f.setLost(coordinator, true)
 			time.Sleep(5 * time.Second)
 			s.f.setLost(coordinator, false)
 		}},
-		{"the coordinator stops as planned", func(s *wordSite, coordinator string, _ int) {
+		{"the coordinator stops as planned", func(s *pushbackSite, coordinator string, _ int) {
 			s.f.box(coordinator).Drain()
 			time.Sleep(2 * time.Second)
 			s.lose(coordinator, true)
 		}},
-		{"all boxes stop as planned in turn", func(s *wordSite, _ string, boxes int) {
+		{"all boxes stop as planned in turn", func(s *pushbackSite, _ string, boxes int) {
 			for i := range boxes {
 				box := fmt.Sprint("box", i)
 				s.f.box(box).Drain()
@@ -48,19 +48,19 @@
 				time.Sleep(400 * time.Millisecond)
 			}
 		}},
-		{"as many boxes join", func(s *wordSite, _ string, boxes int) {
+		{"as many boxes join", func(s *pushbackSite, _ string, boxes int) {
 			for i := range boxes {
 				s.f.start(fmt.Sprint("new", i))
 			}
 		}},
-		{"half of the boxes are cut off with their callers for 5 s", func(s *wordSite, _ string, boxes int) {
+		{"half of the boxes are cut off with their callers for 5 s", func(s *pushbackSite, _ string, boxes int) {
 			var half []string
 			for i := range boxes / 2 {
 				half = append(half, fmt.Sprint("box", i))
 			}
-			s.f.part(half...)
+			s.f.partition(half...)
 			time.Sleep(5 * time.Second)
-			s.f.part()
+			s.f.partition()
 		}},
 	} {
 		for _, pool := range []struct {
@@ -74,14 +74,14 @@
 				}
 				t.Run(fmt.Sprint(boxes, " boxes, ", pool.name, ": ", c.name), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
-						s := newWordSite(t, boxes)
+						s := newPushbackSite(t, boxes)
 						s.nameLimit(pool.name, 5, pool.limit)
 						go func() {
 							time.Sleep(4 * time.Second)
 							c.befall(s, s.coordinator(pool.name), boxes)
 						}()
-						h := s.play(pool.path, boxes, pool.between, 14*time.Second)
-						t.Logf("%d answered, %d refused, %d refused twice, %d without an answer", h.answered, h.refused, h.lost, h.unserved)
+						h := s.run(pool.path, boxes, pool.between, 14*time.Second)
+						t.Logf("%d answered, %d refused, %d refused twice, %d without an answer", h.answered, h.refused, h.refusedTwice, h.unserved)
 						s.checkLimits(t, pool.limit, time.Now())
 					})
 				})
@@ -91,7 +91,7 @@
 }
 
 // coordinator returns the box that grants the permits of the first server of a pool.
-func (s *wordSite) coordinator(pool string) string {
+func (s *pushbackSite) coordinator(pool string) string {
 	name := "model"
 	if pool == "piece" {
 		name = "encode"
@@ -100,7 +100,7 @@
 }
 
 // lose disconnects a box from its callers and from the other boxes, and ends it if killed is set.
-func (s *wordSite) lose(box string, killed bool) {
+func (s *pushbackSite) lose(box string, killed bool) {
 	s.mu.Lock()
 	if s.down == nil {
 		s.down = map[string]bool{}
@@ -115,7 +115,7 @@
 }
 
 // up lets a box get callers again.
-func (s *wordSite) up(box string) {
+func (s *pushbackSite) up(box string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.down, box)
--- a/src/gateway/limits_site_test.go
+++ b/src/gateway/limits_site_test.go
@@ -7,9 +7,9 @@
 
 // limitRecord counts what reaches servers that announce a limit of requests per second for all boxes
 // together. The owner's lock guards it.
-type limitLedger struct {
+type limitRecord struct {
 	perSecond map[string]float64 // by server; absent for servers without a limit
-	named     map[string]time.Time
+	since     map[string]time.Time
 	heard     map[[2]string]time.Time // when a box first got an answer with the limit, by box and server
 	sends     map[string][]limitSend
 	excused   map[string]bool // boxes that were killed, frozen or partitioned
@@ -25,18 +25,18 @@
 // least limitKnownAfter before. A server of whose limit less than minLimitUse is used while callers want more
 // is left idle.
 const (
-	limitBegins = 3 * time.Second
-	limitWindow = 4 * time.Second
-	limitHeard  = 500 * time.Millisecond
-	limitFactor = 1.5
-	limitSlack  = 5
-	limitUsed   = 0.5
+	limitGrace      = 3 * time.Second
+	limitWindow     = 4 * time.Second
+	limitKnownAfter = 500 * time.Millisecond
+	limitFactor     = 1.5
+	limitSlack      = 5
+	minLimitUse     = 0.5
 )
 
 // set has servers announce a limit from now on; 0 ends it.
-func (l *limitLedger) name(now time.Time, perSecond float64, servers ...string) {
+func (l *limitRecord) set(now time.Time, perSecond float64, servers ...string) {
 	if l.perSecond == nil {
-		l.perSecond, l.named, l.heard, l.sends = map[string]float64{}, map[string]time.Time{}, map[[2]string]time.Time{}, map[string][]limitSend{}
+		l.perSecond, l.since, l.heard, l.sends = map[string]float64{}, map[string]time.Time{}, map[[2]string]time.Time{}, map[string][]limitSend{}
 		l.excused = map[string]bool{}
 	}
 	for _, id := range servers {
@@ -45,23 +45,23 @@
 			continue
 		}
 		l.perSecond[id] = perSecond
-		if l.named[id].IsZero() {
-			l.named[id] = now
+		if l.since[id].IsZero() {
+			l.since[id] = now
 		}
 	}
 }
 
 // arrives records a request and returns the limit that its answer carries.
-func (l *limitLedger) arrives(now time.Time, box, server string) float64 {
+func (l *limitRecord) arrives(now time.Time, box, server string) float64 {
 	limit := l.perSecond[server]
 	if limit > 0 {
 		at, heard := l.heard[[2]string{box, server}]
-		l.sends[server] = append(l.sends[server], limitSend{at: now, counted: heard && now.Sub(at) >= limitHeard && !l.excused[box]})
+		l.sends[server] = append(l.sends[server], limitSend{at: now, counted: heard && now.Sub(at) >= limitKnownAfter && !l.excused[box]})
 	}
 	return limit
 }
 
-func (l *limitLedger) hears(now time.Time, box, server string) {
+func (l *limitRecord) hears(now time.Time, box, server string) {
 	key := [2]string{box, server}
 	if _, ok := l.heard[key]; !ok {
 		l.heard[key] = now
@@ -70,10 +70,10 @@
 
 // most returns the largest number of requests that one server got in any window: of those that count by the
 // users' bound, or of all.
-func (l *limitLedger) most(all bool) int {
+func (l *limitRecord) most(all bool) int {
 	most := 0
 	for server, list := range l.sends {
-		from := l.named[server].Add(limitBegins)
+		from := l.since[server].Add(limitGrace)
 		list = slices.DeleteFunc(slices.Clone(list), func(s limitSend) bool { return !all && !s.counted || s.at.Before(from) })
 		for i, first := 0, 0; i < len(list); i++ {
 			for list[i].at.Sub(list[first].at) >= limitWindow {
@@ -86,10 +86,10 @@
 }
 
 // used returns the fraction of its limit that was used at the least used server, from when the bound applies.
-func (l *limitLedger) used(until time.Time) float64 {
+func (l *limitRecord) used(until time.Time) float64 {
 	least := 1.0
 	for server, limit := range l.perSecond {
-		from, n := l.named[server].Add(limitBegins), 0
+		from, n := l.since[server].Add(limitGrace), 0
 		for _, s := range l.sends[server] {
 			if !s.at.Before(from) && s.at.Before(until) {
 				n++
@@ -100,6 +100,6 @@
 	return least
 }
 
-func limitAllows(perSecond float64) int {
+func maxRequests(perSecond float64) int {
 	return int(limitFactor*perSecond*limitWindow.Seconds()) + limitSlack
 }
--- a/src/gateway/limits_urgency_test.go
+++ b/src/gateway/limits_urgency_test.go
@@ -10,11 +10,11 @@
 
 // Where all servers announce a limit and callers want three times as much, urgent requests are served before
 // less urgent ones.
-func TestTheUrgentGetTheFewPermits(t *testing.T) {
+func TestScarcePermitsGoToUrgentRequests(t *testing.T) {
 	for _, boxes := range []int{6, 61} {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newWordSite(t, boxes)
+				s := newPushbackSite(t, boxes)
 				c := testCatalog(2)
 				for _, p := range c.Pipelines {
 					if p.Name == "look" {
@@ -32,7 +32,7 @@
 				for i := range 720 { // 60 per second, of which 20 can be served
 					path := []string{"/look/x", "/peek/x", "/peek/x"}[i%3]
 					all.Go(func() {
-						a := s.askAs(i%boxes, path, fmt.Sprint("r", i), callerTime)
+						a := s.askAs(i%boxes, path, fmt.Sprint("r", i), callerTimeout)
 						mu.Lock()
 						defer mu.Unlock()
 						asked[path]++
--- a/src/gateway/limits_words_test.go
+++ b/src/gateway/limits_words_test.go
@@ -19,7 +19,7 @@
 
 // limitFleetSizes returns the fleet sizes of the users; the largest is run on demand only, as it takes a
 // minute.
-func limitSizes() []int {
+func limitFleetSizes() []int {
 	if *limitTable {
 		return []int{6, 61, 295, 985}
 	}
@@ -29,18 +29,18 @@
 // In a fleet of any size one server of five, or all of them, announce a limit: the server is neither overrun,
 // by boxes that know of the limit or not, nor left idle, and the questions to its coordinator stay in
 // proportion to the requests.
-func TestLimitsInFleetsOfAnySize(t *testing.T) {
+func TestServerLimitsInFleetsOfAnySize(t *testing.T) {
 	for _, c := range []limitCase{limitCases[0], limitCases[3], limitCases[5], limitCases[8]} {
-		for _, boxes := range limitSizes() {
+		for _, boxes := range limitFleetSizes() {
 			t.Run(fmt.Sprint(boxes, " boxes: ", c.name), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					s := newWordSite(t, boxes)
+					s := newPushbackSite(t, boxes)
 					asked := s.countQuestions()
-					s.nameLimit(c.pool, c.naming, c.perSecond)
-					h := s.play(c.path, boxes, c.between, limitPlays)
+					s.nameLimit(c.pool, c.limiting, c.perSecond)
+					h := s.run(c.path, boxes, c.between, limitRunTime)
 					s.checkLimits(t, c.perSecond, time.Now())
 					perRequest := float64(asked()) / float64(h.answered+2*h.refused)
-					t.Logf("%d answered, %d refused, %d refused twice, %d late, %.2f questions per request", h.answered, h.refused, h.lost, h.slow, perRequest)
+					t.Logf("%d answered, %d refused, %d refused twice, %d late, %.2f questions per request", h.answered, h.refused, h.refusedTwice, h.slow, perRequest)
 					if perRequest > permitsAsked {
 						t.Errorf("%.2f questions per request, want at most %d", perRequest, permitsAsked)
 					}
@@ -51,10 +51,10 @@
 }
 
 // countQuestions counts the permit questions between boxes from now on.
-func (s *wordSite) countQuestions() func() int {
+func (s *pushbackSite) countQuestions() func() int {
 	n := 0
 	for _, box := range s.f.names() {
-		s.f.hear[addressOf(box)] = func(_ string, q port.Question, _ *port.Answer) error {
+		s.f.onAnswer[addressOf(box)] = func(_ string, q port.Question, _ *port.Answer) error {
 			if q.Permits != nil {
 				s.mu.Lock()
 				n++
@@ -82,17 +82,17 @@
 
 // When one box learns of a limit, of its decrease and of its end, all boxes know within twice the time after
 // which a box that got it itself is held to it.
-func TestTheWordOfALimitGoesRound(t *testing.T) {
-	for _, boxes := range limitSizes() {
+func TestLimitChangeReachesAllBoxes(t *testing.T) {
+	for _, boxes := range limitFleetSizes() {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newWordSite(t, boxes)
+				s := newPushbackSite(t, boxes)
 				server := s.f.servers[1] // model0
 				for _, step := range []struct {
 					name   string
 					says   float64
 					within time.Duration
-				}{{"named", 4, 2 * limitHeard}, {"falls", 1, 2 * limitHeard}, {"ends", 0, 2 * limitHeard}} {
+				}{{"named", 4, 2 * limitKnownAfter}, {"falls", 1, 2 * limitKnownAfter}, {"ends", 0, 2 * limitKnownAfter}} {
 					time.Sleep(2 * time.Second)
 					began := time.Now()
 					s.f.box("box0").hear(server, pushback.Word{Limit: step.says}, "a request", began)
@@ -122,19 +122,19 @@
 
 // Boxes of an earlier release ignore limits and grant no permits. The others skip them as coordinators and
 // report such a server to them as full, so that they use servers with free capacity.
-func TestLimitsBesideBoxesThatKnowNone(t *testing.T) {
+func TestServerLimitsInMixedReleases(t *testing.T) {
 	for _, boxes := range []int{6, 61} {
 		for _, c := range []limitCase{limitCases[0], limitCases[1]} {
 			t.Run(fmt.Sprint(boxes, " boxes: ", c.name), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					s := newWordSite(t, boxes)
+					s := newPushbackSite(t, boxes)
 					first := s.coordinator(c.pool) // of the server with the limit, if it were of this release
 					old := func(box string) bool {
 						return box == first || strings.HasSuffix(box, "1") || strings.HasSuffix(box, "3")
 					}
-					s.hearsNoLimits(old)
-					s.nameLimit(c.pool, c.naming, c.perSecond)
-					h := s.play(c.path, boxes, c.between, limitPlays)
+					s.ignoreLimits(old)
+					s.nameLimit(c.pool, c.limiting, c.perSecond)
+					h := s.run(c.path, boxes, c.between, limitRunTime)
 					s.checkLimits(t, c.perSecond, time.Now())
 					if h.answered < 1500 {
 						t.Errorf("%d of 1,500 answered", h.answered)
@@ -146,8 +146,8 @@
 }
 
 // ignoreLimits makes some boxes behave as those of an earlier release.
-func (s *wordSite) hearsNoLimits(old func(box string) bool) {
-	s.f.alter = func(to string, b *core.Beat) {
+func (s *pushbackSite) ignoreLimits(old func(box string) bool) {
+	s.f.alterBeat = func(to string, b *core.Beat) {
 		if !old(strings.TrimSuffix(to, ":1")) {
 			return
 		}
@@ -167,7 +167,7 @@
 		return r, err
 	}
 	for _, box := range s.f.names() {
-		s.f.hear[addressOf(box)] = func(to string, q port.Question, a *port.Answer) error {
+		s.f.onAnswer[addressOf(box)] = func(to string, q port.Question, a *port.Answer) error {
 			if q.Permits != nil && old(strings.TrimSuffix(to, ":1")) {
 				a.Permits = nil
 			}
@@ -177,14 +177,14 @@
 }
 
 // Servers that end their limit get their load back in steps, twice as much with each second, up to all of it.
-func TestAServerIsNotOverrunWhenItsLimitEnds(t *testing.T) {
+func TestLoadRampsUpWhenLimitEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newWordSite(t, 6)
+		s := newPushbackSite(t, 6)
 		s.nameLimit("model", 5, 4)
 		go func() {
 			time.Sleep(4 * time.Second)
 			s.mu.Lock()
-			s.limits.name(time.Now(), 0, "model0", "model1", "model2", "model3", "model4")
+			s.limits.set(time.Now(), 0, "model0", "model1", "model2", "model3", "model4")
 			s.mu.Unlock()
 		}()
 		arrived := make([]int, 13)
@@ -198,7 +198,7 @@
 			s.mu.Unlock()
 			return send(ctx, box, c)
 		}
-		h := s.play("/look/x", 6, 8*time.Millisecond, limitPlays)
+		h := s.run("/look/x", 6, 8*time.Millisecond, limitRunTime)
 		t.Logf("arrivals by second: %v; %d answered, %d refused", arrived, h.answered, h.refused)
 		const all = 5 * 4 // requests a second by the limit
 		for i := 4; i < 10; i++ {
@@ -213,7 +213,7 @@
 }
 
 // A limit that changes with each answer, or is invalid, takes no server out of use.
-func TestLimitsThatChangeWithEachAnswer(t *testing.T) {
+func TestErraticServerLimits(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		says  func(i int) float64
@@ -227,7 +227,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newWordSite(t, 6)
+				s := newPushbackSite(t, 6)
 				n := 0
 				send := s.f.send
 				s.f.send = func(ctx context.Context, box string, call *Call) (*Reply, error) {
@@ -246,8 +246,8 @@
 					}
 					return r, err
 				}
-				h := s.play("/look/x", 6, 8*time.Millisecond, 6*time.Second)
-				t.Logf("%d answered, %d refused, %d refused twice, the slowest after %s", h.answered, h.refused, h.lost, h.slowest)
+				h := s.run("/look/x", 6, 8*time.Millisecond, 6*time.Second)
+				t.Logf("%d answered, %d refused, %d refused twice, the slowest after %s", h.answered, h.refused, h.refusedTwice, h.slowest)
 				if h.unserved > 0 || float64(h.answered) < c.least*float64(h.answered+h.refused) {
 					t.Errorf("%d answered, %d refused, %d without an answer", h.answered, h.refused, h.unserved)
 				}
--- a/src/gateway/links_test.go
+++ b/src/gateway/links_test.go
@@ -17,12 +17,12 @@
 
 // Parameters of the link model.
 const (
-	linkChunk    = 16 << 10               // bytes that a flow has in flight, as with a small window
-	connectLimit = 200 * time.Millisecond // connect timeout (peer.connectWait)
-	storeName    = "store"
-	storeRate    = 1000 // Mbit/s
-	storeFactor  = 2.2  // size of a catalog in the store's answer relative to that between boxes: 1.05 MB to 0.486 MB for 4,249 pipelines
-	bytesPerMbit = 1e6 / 8
+	linkChunk      = 16 << 10               // bytes that a flow has in flight, as with a small window
+	connectTimeout = 200 * time.Millisecond // connect timeout (peer.connectWait)
+	storeName      = "store"
+	storeRate      = 1000 // Mbit/s
+	storeFactor    = 2.2  // size of a catalog in the store's answer relative to that between boxes: 1.05 MB to 0.486 MB for 4,249 pipelines
+	bytesPerMbit   = 1e6 / 8
 )
 
 var errConnect = errors.New("the connection did not open in time")
@@ -55,22 +55,22 @@
 }
 
 // enqueue puts bytes into both queues and returns when they will have arrived.
-func (l *links) pass(from, to string, n int) time.Time {
+func (l *links) enqueue(from, to string, n int) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	took := func(address string) time.Duration {
 		return time.Duration(float64(n) / l.rateOf(address) * float64(time.Second))
 	}
-	sent := later(now, l.out[from]).Add(took(from))
-	arrived := later(now.Add(took(to)), l.in[to].Add(took(to)))
-	arrived = later(arrived, sent)
+	sent := latest(now, l.out[from]).Add(took(from))
+	arrived := latest(now.Add(took(to)), l.in[to].Add(took(to)))
+	arrived = latest(arrived, sent)
 	l.out[from], l.in[to] = sent, arrived
 	l.bytes[to] += n
 	return arrived
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
@@ -80,7 +80,7 @@
 // carry sends bytes chunk by chunk; what was sent before the context ended has used the links.
 func (l *links) carry(ctx context.Context, from, to string, n int) error {
 	for sent := 0; sent < n; sent += linkChunk {
-		arrived := l.pass(from, to, min(linkChunk, n-sent))
+		arrived := l.enqueue(from, to, min(linkChunk, n-sent))
 		if !wait(ctx, time.Until(arrived)) {
 			return &port.Interrupted{Got: sent, Want: n, Cause: ctx.Err()}
 		}
@@ -94,9 +94,9 @@
 		return nil
 	}
 	const packet = 60
-	ctx, cancel := context.WithTimeout(ctx, connectLimit)
+	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
-	if !wait(ctx, time.Until(l.pass(from, to, packet))) || !wait(ctx, time.Until(l.pass(to, from, packet))) {
+	if !wait(ctx, time.Until(l.enqueue(from, to, packet))) || !wait(ctx, time.Until(l.enqueue(to, from, packet))) {
 		return errConnect
 	}
 	return nil
--- a/src/gateway/outage_test.go
+++ b/src/gateway/outage_test.go
@@ -18,11 +18,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.storeOK = ok
-	f.list(servers)
+	f.listLocked(servers)
 }
 
 // listLocked sets the servers that the store lists. f.mu is held.
-func (f *testFleet) list(servers []catalog.Server) {
+func (f *testFleet) listLocked(servers []catalog.Server) {
 	f.rev++
 	if f.removed == nil {
 		f.removed = map[string]uint64{}
@@ -40,7 +40,7 @@
 func (f *testFleet) remove(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.list(slices.DeleteFunc(slices.Clone(f.servers), func(s catalog.Server) bool { return s.ID == id }))
+	f.listLocked(slices.DeleteFunc(slices.Clone(f.servers), func(s catalog.Server) bool { return s.ID == id }))
 }
 
 // outage makes the store unavailable for a while, after which it lists only the first servers. It returns all
@@ -56,7 +56,7 @@
 
 // Entries lapse while the store is unavailable; a running server writes its entry again within about two
 // seconds of the store's return. Until then such servers are used, after that they are dropped.
-func TestServersWhoseEntriesLapsedInAnOutageAreUsedUntilTheyCouldBeBack(t *testing.T) {
+func TestServersWithLapsedEntriesStayUsableAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
 		all := f.outage(1)
@@ -81,7 +81,7 @@
 
 // The end of the grace period changes the list while the store's revision stays: the boxes that do not read
 // the store must learn of it all the same.
-func TestBoxesThatDoNotReadDropLapsedServersToo(t *testing.T) {
+func TestNonReadersDropLapsedServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 6)
 		all := f.outage(2)
@@ -96,7 +96,7 @@
 
 // A box that has read that a server is leaving sends it nothing more, also while the store is unavailable,
 // and no box brings the server back with an older list.
-func TestALeavingServerGetsNothingInAnOutageOfTheStore(t *testing.T) {
+func TestLeavingServerGetsNothingDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
 		var mu sync.Mutex
@@ -129,7 +129,7 @@
 }
 
 // A store outage fails no request that needs no token, whether it may be repeated or not.
-func TestPublicRequestsAreServedThroughAnOutageOfTheStore(t *testing.T) {
+func TestPublicRequestsAreServedDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
 		c := testCatalog(2)
--- a/src/gateway/pacing_test.go
+++ b/src/gateway/pacing_test.go
@@ -26,13 +26,13 @@
 
 // stageStarts runs one request and returns when each stage's first piece was sent, relative to the start of
 // the request.
-func begunStages(t *testing.T, c *catalog.Catalog) map[int]time.Duration {
+func stageStarts(t *testing.T, c *catalog.Catalog) map[int]time.Duration {
 	t.Helper()
 	out := map[int]time.Duration{}
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
 		f.publish(c)
-		f.streams(1)
+		f.serveStreams(1)
 		settle()
 		var mu sync.Mutex
 		inner, began := f.runPieces, time.Now()
@@ -54,15 +54,15 @@
 	return out
 }
 
-func TestLargeResultsAreMadeWhenTheirPartnersAre(t *testing.T) {
-	began := begunStages(t, pacedCatalog(largeResults))
+func TestLargeResultsWaitForParallelStages(t *testing.T) {
+	began := stageStarts(t, pacedCatalog(largeResults))
 	if began[0] < began[2] || began[0] > began[3]+partnerPace {
 		t.Errorf("the stage with large results started after %s, the stages of the parallel chain after %s, %s and %s", began[0], began[1], began[2], began[3])
 	}
 }
 
-func TestSmallResultsAreMadeAtOnce(t *testing.T) {
-	if began := begunStages(t, pacedCatalog(10)); began[0] > began[1] {
+func TestSmallResultsStartImmediately(t *testing.T) {
+	if began := stageStarts(t, pacedCatalog(10)); began[0] > began[1] {
 		t.Errorf("the stage with small results waited until %s", began[0])
 	}
 }
--- a/src/gateway/published_test.go
+++ b/src/gateway/published_test.go
@@ -15,7 +15,7 @@
 )
 
 // addServers adds servers to the list, one change after another.
-func (f *testFleet) changeServers(n int) {
+func (f *testFleet) addServers(n int) {
 	for i := range n {
 		f.mu.Lock()
 		f.servers = append(f.servers, catalog.Server{ID: fmt.Sprint("more", i), Pool: "model", Domain: "d", Slots: 64})
@@ -25,11 +25,11 @@
 	}
 }
 
-func TestAllBoxesFollowAListThatChangesOften(t *testing.T) {
+func TestAllBoxesFollowFrequentListChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 8)
 		time.Sleep(3 * time.Second)
-		f.changeServers(40)
+		f.addServers(40)
 		time.Sleep(time.Second)
 		want := f.box("box0").published.list.Digest()
 		for i := range 8 {
@@ -44,13 +44,13 @@
 	})
 }
 
-func TestABoxIsToldTheDifferenceToTheListThatItHolds(t *testing.T) {
+func TestPullReturnsDifferenceToHeldList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
 		time.Sleep(2 * time.Second)
 		g := f.box("box0")
 		held := g.published.question(port.DocumentServers)
-		f.changeServers(3)
+		f.addServers(3)
 		time.Sleep(time.Second)
 		d := g.TakeQuestion(t.Context(), port.Question{Publish: held}).Publish
 		if d.Since == nil || len(d.Since.Put) != 3 || len(d.Servers) != 0 {
@@ -68,7 +68,7 @@
 }
 
 // The list changed between the request for a difference and its arrival: the difference must not be applied.
-func TestADifferenceToAnotherListIsNotTaken(t *testing.T) {
+func TestDifferenceToAnotherListIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
 		time.Sleep(2 * time.Second)
@@ -84,15 +84,15 @@
 }
 
 // Boxes follow different readers, which see a frequently changing list in different states.
-func TestAListThatChangesOftenIsToldByDifferences(t *testing.T) {
+func TestFrequentListChangesTravelAsDifferences(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const boxes = 24
 		f := newTestFleet(t, boxes)
 		time.Sleep(6 * time.Second)
-		before := f.lists
-		f.changeServers(100)
+		before := f.completeLists
+		f.addServers(100)
 		time.Sleep(2 * time.Second)
-		if n := f.lists - before; n > boxes/4 {
+		if n := f.completeLists - before; n > boxes/4 {
 			t.Errorf("%d complete lists were sent between boxes", n)
 		}
 		for i := range boxes {
@@ -104,7 +104,7 @@
 }
 
 // The box has followed another reader since it held the list that the difference is based on.
-func TestADifferenceToAnEarlierListIsTaken(t *testing.T) {
+func TestDifferenceToEarlierListIsApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
 		time.Sleep(2 * time.Second)
@@ -130,7 +130,7 @@
 
 // Lists arrive from the store and from peers concurrently. Whichever is applied last, the pools must end up
 // with the servers of the newest.
-func TestTheNewestListWinsInThePools(t *testing.T) {
+func TestPoolsEndWithNewestList(t *testing.T) {
 	for range 40 {
 		g := &Gateway{ID: core.BoxID{Name: "self", Incarnation: 1}, Peers: port.Peers{Beat: func(string, core.Beat) {}}}
 		g.Init()
@@ -152,7 +152,7 @@
 }
 
 // A configuration that can't be decoded changes nothing; the evacuations that were read with it still apply.
-func TestAnUnreadableConfigurationKeepsTheOneBefore(t *testing.T) {
+func TestUnreadableConfigurationKeepsPrevious(t *testing.T) {
 	before := testCatalog(5).WithEvacuated([]string{"north"})
 	c := CatalogChange{Evacuated: []string{"south"}, Unreadable: &Unreadable{Revision: 9, Cause: errStore}}
 	after := c.whole(before)
--- a/src/gateway/pulling_test.go
+++ b/src/gateway/pulling_test.go
@@ -15,15 +15,15 @@
 )
 
 // intercept passes the answers that a box gets from others to a function, which may modify or reject them.
-func (f *testFleet) listen(name string, hear func(to string, q port.Question, a *port.Answer) error) {
+func (f *testFleet) intercept(name string, hear func(to string, q port.Question, a *port.Answer) error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.hear[addressOf(name)] = hear
+	f.onAnswer[addressOf(name)] = hear
 }
 
 // A new box fetches a document in several parts. The box that serves them ends midway: another one serves the
 // missing parts, and none is sent twice.
-func TestWhatCameOfADocumentIsKeptWhenItsGiverEnds(t *testing.T) {
+func TestTransferResumesFromAnotherBox(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
 		time.Sleep(2 * time.Second)
@@ -34,7 +34,7 @@
 		f.mu.Unlock()
 		var offsets []int
 		var givers []string
-		f.listen("fresh", func(to string, q port.Question, a *port.Answer) error {
+		f.intercept("fresh", func(to string, q port.Question, a *port.Answer) error {
 			if a.Publish == nil || a.Publish.Part == nil {
 				return nil
 			}
@@ -63,7 +63,7 @@
 
 // A difference to another document, damaged bytes and parts out of order change nothing, and the whole
 // document is requested.
-func TestDamagedPartsAreNotTaken(t *testing.T) {
+func TestDamagedPartsAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 2)
 		time.Sleep(2 * time.Second)
@@ -115,7 +115,7 @@
 }
 
 // A box whose link is fully committed names other holders of the document, and the asker goes there.
-func TestABusyBoxNamesAnother(t *testing.T) {
+func TestBusyBoxNamesOtherHolders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newEmptyFleet(t)
 		f.links = newLinks(func(string) float64 { return 10 })
@@ -165,14 +165,14 @@
 
 // A holder that accepts connections and then does not answer delays a change by the time limit of one part at
 // most.
-func TestASilentHolderIsLeft(t *testing.T) {
+func TestUnresponsiveHolderIsAbandoned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const boxes = 12
 		f := newTestFleet(t, boxes)
 		time.Sleep(3 * time.Second)
 		silent := map[string]bool{addressOf("box3"): true, addressOf("box7"): true}
 		for i := range boxes {
-			f.listen(fmt.Sprint("box", i), func(to string, q port.Question, a *port.Answer) error {
+			f.intercept(fmt.Sprint("box", i), func(to string, q port.Question, a *port.Answer) error {
 				if silent[to] && q.Publish != nil {
 					wait(f.ctx, partTime) // uses the fleet's context, so that no goroutine outlives the test
 					return context.DeadlineExceeded
--- a/src/gateway/pushback_site_test.go
+++ b/src/gateway/pushback_site_test.go
@@ -19,41 +19,41 @@
 
 // pushbackSite is a fleet with servers that say in their answers that they are leaving, want rest or limit
 // their requests.
-type wordSite struct {
+type pushbackSite struct {
 	f *testFleet
 
-	mu      sync.Mutex
-	leaving map[string]bool
-	shedsTo map[string]time.Time // until when a server refuses what arrives
-	restFor time.Duration        // the rest that such a server asks for
-	sentAt  map[string]time.Time // by request id
-	told    map[[2]string]time.Time
-	asked   map[[2]string][]*askedRest // by box and server
-	askedAt map[string]time.Time       // when a box was last asked for rest
-	lateAt  map[string]int             // late, by box
-	late    int                        // requests sent later than allowed after the box was notified
-	arrived int
-	frees   int // calls to free results that reached a server after it had told the box that it is leaving
-	limits  limitLedger
-	down    map[string]bool // boxes without callers
+	mu           sync.Mutex
+	leaving      map[string]bool
+	shedUntil    map[string]time.Time // until when a server refuses what arrives
+	restFor      time.Duration        // the rest that such a server asks for
+	sentAt       map[string]time.Time // by request id
+	leavingHeard map[[2]string]time.Time
+	rests        map[[2]string][]*restPeriod // by box and server
+	restAskedAt  map[string]time.Time        // when a box was last asked for rest
+	lateByBox    map[string]int              // late, by box
+	late         int                         // requests sent later than allowed after the box was notified
+	arrived      int
+	lateFrees    int // calls to free results that reached a server after it had told the box that it is leaving
+	limits       limitRecord
+	down         map[string]bool // boxes without callers
 }
 
 // restPeriod is one answer that asked for rest.
-type askedRest struct {
+type restPeriod struct {
 	from, until time.Time // between these at most maxRestArrivals requests may arrive
-	n           int
+	arrived     int
 }
 
 // The users' bounds. A box sends a server nothing that a caller sent later than leavingGrace after the
 // server's notice. During a requested rest, except for the first restGrace of it, at most maxRestArrivals
 // requests may arrive.
 const (
-	leavesWithin = 2 * time.Second
-	restBegins   = 500 * time.Millisecond
-	restAllowed  = 2
+	leavingGrace    = 2 * time.Second
+	restGrace       = 500 * time.Millisecond
+	maxRestArrivals = 2
 )
 
-func newWordSite(t *testing.T, boxes int) *wordSite {
+func newPushbackSite(t *testing.T, boxes int) *pushbackSite {
 	f := newEmptyFleet(t)
 	f.servers = nil
 	for i := range 5 {
@@ -61,9 +61,9 @@
 			catalog.Server{ID: fmt.Sprint("piece", i), Pool: "encode", Domain: "d", Slots: 1, Incarnation: 1},
 			catalog.Server{ID: fmt.Sprint("model", i), Pool: "model", Domain: "d", Slots: 64, Incarnation: 1})
 	}
-	s := &wordSite{
-		f: f, leaving: map[string]bool{}, shedsTo: map[string]time.Time{}, restFor: 3 * time.Second, sentAt: map[string]time.Time{},
-		told: map[[2]string]time.Time{}, asked: map[[2]string][]*askedRest{}, askedAt: map[string]time.Time{}, lateAt: map[string]int{},
+	s := &pushbackSite{
+		f: f, leaving: map[string]bool{}, shedUntil: map[string]time.Time{}, restFor: 3 * time.Second, sentAt: map[string]time.Time{},
+		leavingHeard: map[[2]string]time.Time{}, rests: map[[2]string][]*restPeriod{}, restAskedAt: map[string]time.Time{}, lateByBox: map[string]int{},
 	}
 	f.send, f.callPieces, f.freePieces = s.send, s.runPieces, s.free
 	for i := range boxes {
@@ -75,29 +75,29 @@
 
 // arrives records a message that reached a server and returns what its answer says, and whether the message
 // is refused.
-func (s *wordSite) arrives(box, server string, requests ...string) (pushback.Word, bool) {
+func (s *pushbackSite) arrives(box, server string, requests ...string) (pushback.Word, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now, key := time.Now(), [2]string{box, server}
 	s.arrived++
-	at, knows := s.told[key]
+	at, knows := s.leavingHeard[key]
 	for _, r := range requests {
-		if knows && s.sentAt[r].Sub(at) > leavesWithin {
+		if knows && s.sentAt[r].Sub(at) > leavingGrace {
 			s.late++
-			s.lateAt[box]++
+			s.lateByBox[box]++
 			break
 		}
 	}
-	if knows && len(requests) == 0 && now.Sub(at) > leavesWithin {
-		s.frees++
+	if knows && len(requests) == 0 && now.Sub(at) > leavingGrace {
+		s.lateFrees++
 	}
-	for _, r := range s.asked[key] {
+	for _, r := range s.rests[key] {
 		if now.After(r.from) && now.Before(r.until) {
-			r.n++
+			r.arrived++
 		}
 	}
 	w := pushback.Word{Leaving: s.leaving[server], Limit: s.limits.arrives(now, box, server)}
-	shed := now.Before(s.shedsTo[server])
+	shed := now.Before(s.shedUntil[server])
 	if shed {
 		w.Rest = s.restFor
 	}
@@ -105,23 +105,23 @@
 }
 
 // hears records an answer that a box got.
-func (s *wordSite) hears(box, server string, w pushback.Word) {
+func (s *pushbackSite) hears(box, server string, w pushback.Word) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now, key := time.Now(), [2]string{box, server}
-	if _, known := s.told[key]; w.Leaving && !known {
-		s.told[key] = now
+	if _, known := s.leavingHeard[key]; w.Leaving && !known {
+		s.leavingHeard[key] = now
 	}
 	if w.Limit > 0 {
 		s.limits.hears(now, box, server)
 	}
 	if w.Rest > 0 {
-		s.askedAt[box] = now
-		s.asked[key] = append(s.asked[key], &askedRest{from: now.Add(restBegins), until: now.Add(w.Rest)})
+		s.restAskedAt[box] = now
+		s.rests[key] = append(s.rests[key], &restPeriod{from: now.Add(restGrace), until: now.Add(w.Rest)})
 	}
 }
 
-func (s *wordSite) send(ctx context.Context, box string, c *Call) (*Reply, error) {
+func (s *pushbackSite) send(ctx context.Context, box string, c *Call) (*Reply, error) {
 	if err := c.Start(); err != nil {
 		return nil, &exchange.NotSent{Cause: err}
 	}
@@ -136,7 +136,7 @@
 		r.NotRun, r.Signed, r.Said = true, false, w
 		return r, nil
 	case strings.HasPrefix(c.Request.Path, "/draft/"):
-		r := events(ctx, 1, 2, time.Millisecond, io.EOF)
+		r := eventStream(ctx, 1, 2, time.Millisecond, io.EOF)
 		r.Said = w
 		return r, nil
 	}
@@ -145,7 +145,7 @@
 	return r, nil
 }
 
-func (s *wordSite) runPieces(ctx context.Context, box string, c PieceCall) PieceReply {
+func (s *pushbackSite) runPieces(ctx context.Context, box string, c PieceCall) PieceReply {
 	var requests []string
 	for _, it := range c.Items {
 		requests = append(requests, it.Request)
@@ -162,10 +162,10 @@
 	if shed {
 		return PieceReply{Outcome: batch.CallFull, Said: w}
 	}
-	return PieceReply{Outcome: batch.CallDone, Results: piecesOf(c.Server, c.Items), Said: w}
+	return PieceReply{Outcome: batch.CallDone, Results: resultsOf(c.Server, c.Items), Said: w}
 }
 
-func (s *wordSite) free(box string, v catalog.Server) pushback.Word {
+func (s *pushbackSite) free(box string, v catalog.Server) pushback.Word {
 	w, _ := s.arrives(box, v.ID)
 	w.Rest = 0
 	s.hears(box, v.ID, w)
@@ -173,7 +173,7 @@
 }
 
 // leave has the first n servers of a pool leave.
-func (s *wordSite) leave(pool string, n int) {
+func (s *pushbackSite) leave(pool string, n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range n {
@@ -181,67 +181,67 @@
 	}
 }
 
-func (s *wordSite) shed(pool string, n int, length time.Duration) {
+func (s *pushbackSite) shed(pool string, n int, length time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range n {
-		s.shedsTo[fmt.Sprint(pool, i)] = time.Now().Add(length)
+		s.shedUntil[fmt.Sprint(pool, i)] = time.Now().Add(length)
 	}
 }
 
 // callerTimeout is how long a caller waits, all its tries together. It retries once, after the time that it
 // was told or a third of what it has left, as the users' callers do.
-const callerTime = 10 * time.Second
+const callerTimeout = 10 * time.Second
 
 // callerTotals are the outcomes of the callers of a run.
-type heard struct {
+type callerTotals struct {
 	answered, refused int
 	slow              int           // refusals later than a quarter of the objective of the pipeline with stages
 	slowest           time.Duration // the longest time to a refusal, from the request's arrival or from the last rest request to the box, which may have caused it
-	noTime            int           // refusals without a retry time
+	noRetryTime       int           // refusals without a retry time
 	unserved          int           // neither
-	later             int           // refused of those sent after the first second
-	lost              int           // refused again when retried at another box
+	refusedLater      int           // refused of those sent after the first second
+	refusedTwice      int           // refused again when retried at another box
 }
 
 // run sends requests to all boxes in turn.
-func (s *wordSite) play(path string, boxes int, between, length time.Duration) heard {
+func (s *pushbackSite) run(path string, boxes int, between, length time.Duration) callerTotals {
 	var mu sync.Mutex
 	var all sync.WaitGroup
-	var out heard
+	var out callerTotals
 	began := time.Now()
 	for i := range int(length / between) {
 		sent := time.Since(began)
 		all.Go(func() {
-			a := s.askAs(i%boxes, path, fmt.Sprint("r", i), callerTime)
+			a := s.askAs(i%boxes, path, fmt.Sprint("r", i), callerTimeout)
 			mu.Lock()
 			defer mu.Unlock()
 			if a.refused != nil {
 				all.Go(func() {
-					left := callerTime - a.took
+					left := callerTimeout - a.took
 					pause := min(a.refused.RetryAfter, left/3)
 					time.Sleep(pause)
 					if b := s.askAs((i+boxes/2)%boxes, path, fmt.Sprint("again", i), left-pause); !b.ended {
 						mu.Lock()
-						out.lost++
+						out.refusedTwice++
 						mu.Unlock()
 					}
 				})
 			}
 			if a.refused != nil && sent > time.Second {
-				out.later++
+				out.refusedLater++
 			}
 			switch {
 			case a.ended:
 				out.answered++
 			case a.refused != nil && a.refused.DidRun() == code.RanNo:
 				out.refused++
-				out.slowest = max(out.slowest, min(a.took, s.sinceAsked(i%boxes)))
+				out.slowest = max(out.slowest, min(a.took, s.sinceRestAsked(i%boxes)))
 				if a.took > 750*time.Millisecond {
 					out.slow++
 				}
 				if a.refused.RetryAfter <= 0 {
-					out.noTime++
+					out.noRetryTime++
 				}
 			default:
 				out.unserved++
@@ -254,14 +254,14 @@
 }
 
 // sinceRestAsked returns how long ago a server last asked a box for rest.
-func (s *wordSite) sinceAsked(box int) time.Duration {
+func (s *pushbackSite) sinceRestAsked(box int) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Since(s.askedAt[fmt.Sprint("box", box)])
+	return time.Since(s.restAskedAt[fmt.Sprint("box", box)])
 }
 
 // askAs sends one request to a box, or to the next one that has callers.
-func (s *wordSite) askAs(box int, path, id string, left time.Duration) answerOf {
+func (s *pushbackSite) askAs(box int, path, id string, left time.Duration) callResult {
 	s.mu.Lock()
 	s.sentAt[id] = time.Now()
 	for s.down[fmt.Sprint("box", box)] {
@@ -277,13 +277,13 @@
 }
 
 // brokenRests returns in how many rests more requests arrived than allowed, and how many were asked for.
-func (s *wordSite) restsOver() (over, rests int) {
+func (s *pushbackSite) brokenRests() (over, rests int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, list := range s.asked {
+	for _, list := range s.rests {
 		for _, r := range list {
 			rests++
-			if r.n > restAllowed {
+			if r.arrived > maxRestArrivals {
 				over++
 			}
 		}
--- a/src/gateway/pushback_test.go
+++ b/src/gateway/pushback_test.go
@@ -21,7 +21,7 @@
 // times within nine seconds. Boxes passed those answers on to callers and relied on the store's list and
 // their own failure counts alone.
 
-func TestAServerThatSaysItLeavesGetsNothingMore(t *testing.T) {
+func TestLeavingServerGetsNoMoreRequests(t *testing.T) {
 	cases := []struct {
 		name, path, pool string
 		leaving          int
@@ -39,7 +39,7 @@
 		for _, boxes := range []int{6, 61} {
 			t.Run(fmt.Sprint(boxes, " boxes: ", c.name), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					s := newWordSite(t, boxes)
+					s := newPushbackSite(t, boxes)
 					if !c.written {
 						s.f.setStore(false, s.f.servers)
 					}
@@ -54,16 +54,16 @@
 							}
 						}
 					}()
-					h := s.play(c.path, boxes, c.between, 8*time.Second)
-					t.Logf("%d arrivals, %d late, %d late calls to free results; %d answered, %d refused, %d without an answer", s.arrived, s.late, s.frees, h.answered, h.refused, h.unserved)
-					if s.late > 0 || s.frees > 0 {
-						t.Errorf("%d requests and %d calls to free results reached a server more than %s after it had said that it is leaving", s.late, s.frees, leavesWithin)
+					h := s.run(c.path, boxes, c.between, 8*time.Second)
+					t.Logf("%d arrivals, %d late, %d late calls to free results; %d answered, %d refused, %d without an answer", s.arrived, s.late, s.lateFrees, h.answered, h.refused, h.unserved)
+					if s.late > 0 || s.lateFrees > 0 {
+						t.Errorf("%d requests and %d calls to free results reached a server more than %s after it had said that it is leaving", s.late, s.lateFrees, leavingGrace)
 					}
 					if h.unserved > 0 || c.leaving < 5 && h.refused > 0 {
 						t.Errorf("%d refused and %d without an answer of %d, though other servers were available", h.refused, h.unserved, h.answered+h.refused+h.unserved)
 					}
-					if h.slowest > 100*time.Millisecond || h.noTime > 0 {
-						t.Errorf("a refusal took %s, %d had no retry time", h.slowest, h.noTime)
+					if h.slowest > 100*time.Millisecond || h.noRetryTime > 0 {
+						t.Errorf("a refusal took %s, %d had no retry time", h.slowest, h.noRetryTime)
 					}
 				})
 			})
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestAServerThatAsksForRestHasIt(t *testing.T) {
+func TestRequestedRestIsKept(t *testing.T) {
 	cases := []struct {
 		name, path, pool string
 		shedding         int
@@ -88,26 +88,26 @@
 		for _, boxes := range []int{6, 61} {
 			t.Run(fmt.Sprint(boxes, " boxes: ", c.name), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					s := newWordSite(t, boxes)
+					s := newPushbackSite(t, boxes)
 					s.shed(c.pool, c.shedding, 7*time.Second)
-					h := s.play(c.path, boxes, c.between, 10*time.Second)
-					over, rests := s.restsOver()
+					h := s.run(c.path, boxes, c.between, 10*time.Second)
+					over, rests := s.brokenRests()
 					t.Logf("%d arrivals, %d rests asked for, %d not kept; %d answered, %d refused (the slowest after %s, %d after the first second, %d again when they retried), %d without an answer",
-						s.arrived, rests, over, h.answered, h.refused, h.slowest, h.later, h.lost, h.unserved)
+						s.arrived, rests, over, h.answered, h.refused, h.slowest, h.refusedLater, h.refusedTwice, h.unserved)
 					if over > 0 {
-						t.Errorf("in %d of %d rests more than %d requests arrived", over, rests, restAllowed)
+						t.Errorf("in %d of %d rests more than %d requests arrived", over, rests, maxRestArrivals)
 					}
 					// A box without earlier requests may not retry one: its share of the common budget is 50
 					// retries divided by 61.
-					if most := (h.answered + h.refused) / 100; c.shedding < 5 && (boxes == 6 && h.refused > most || h.later > most || h.lost > most) {
-						t.Errorf("%d refused, %d of them after the first second, %d refused twice, though two servers were available, want at most %d", h.refused, h.later, h.lost, most)
+					if most := (h.answered + h.refused) / 100; c.shedding < 5 && (boxes == 6 && h.refused > most || h.refusedLater > most || h.refusedTwice > most) {
+						t.Errorf("%d refused, %d of them after the first second, %d refused twice, though two servers were available, want at most %d", h.refused, h.refusedLater, h.refusedTwice, most)
 					}
-					if h.unserved > 0 || h.noTime > 0 {
-						t.Errorf("%d without an answer, %d refused without a retry time", h.unserved, h.noTime)
+					if h.unserved > 0 || h.noRetryTime > 0 {
+						t.Errorf("%d without an answer, %d refused without a retry time", h.unserved, h.noRetryTime)
 					}
 					// Callers wait for 10 s, three times as long as a rest: nearly all can be served.
-					if most := (h.answered + h.refused) / 20; c.path == "/look/x" && boxes == 6 && h.lost > most {
-						t.Errorf("%d callers were not served, want at most %d", h.lost, most)
+					if most := (h.answered + h.refused) / 20; c.path == "/look/x" && boxes == 6 && h.refusedTwice > most {
+						t.Errorf("%d callers were not served, want at most %d", h.refusedTwice, most)
 					}
 					if c.path == "/look/x" && h.slowest > 100*time.Millisecond {
 						t.Errorf("a refusal took %s", h.slowest)
@@ -120,33 +120,33 @@
 
 // When one box learns that a server is leaving, all boxes know within the time in which it may still get
 // requests, while the store does not answer.
-func TestTheWordOfALeavingServerGoesRound(t *testing.T) {
+func TestLeavingNoticeReachesAllBoxes(t *testing.T) {
 	for _, boxes := range []int{6, 61, 295} {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newWordSite(t, boxes)
+				s := newPushbackSite(t, boxes)
 				s.f.setStore(false, s.f.servers)
 				s.leave("model", 5)
-				go s.play("/stamp/x", 1, 10*time.Millisecond, 40*time.Millisecond) // at one box only
+				go s.run("/stamp/x", 1, 10*time.Millisecond, 40*time.Millisecond) // at one box only
 				last := time.Duration(0)
 				for began := time.Now(); time.Since(began) < 3*time.Second; time.Sleep(5 * time.Millisecond) {
 					for _, id := range []string{"model0", "model1", "model2", "model3", "model4"} {
 						s.mu.Lock()
-						told, said := s.told[[2]string{"box0", id}]
+						told, said := s.leavingHeard[[2]string{"box0", id}]
 						s.mu.Unlock()
-						if said && len(s.f.users(id, boxes)) > 0 {
+						if said && len(s.f.boxesUsing(id, boxes)) > 0 {
 							last = max(last, time.Since(told))
 						}
 					}
 				}
 				s.mu.Lock()
-				said := len(s.told)
+				said := len(s.leavingHeard)
 				s.mu.Unlock()
 				if said != 4 {
 					t.Fatalf("%d of 4 servers told one box that they are leaving", said)
 				}
 				t.Logf("the last box knew %s after the notice", last)
-				if bound := leavesWithin * 2 / 3; last > bound {
+				if bound := leavingGrace * 2 / 3; last > bound {
 					t.Errorf("the last box knew %s after the notice, want at most %s", last, bound)
 				}
 			})
@@ -156,7 +156,7 @@
 
 // While a request waits for its connection, another request's answer says that the server is leaving or wants
 // rest. The server is checked again before the first byte, and another one gets the request.
-func TestAWordThatComesBetweenChoiceAndFirstByte(t *testing.T) {
+func TestNoticeBetweenSelectionAndFirstByte(t *testing.T) {
 	for _, word := range []pushback.Word{{Leaving: true}, {Rest: 3 * time.Second}} {
 		t.Run(fmt.Sprintf("%+v", word), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -187,7 +187,7 @@
 
 // A rest ends while the machine is suspended, by a clock that counts the suspension; the knowledge that a
 // server is leaving stays.
-func TestARestPassesWhileTheMachineSleeps(t *testing.T) {
+func TestRestExpiresDuringSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
 		settle()
@@ -198,7 +198,7 @@
 		if !g.restsUntil(&rests).After(g.now()) || g.mayUse("model0") {
 			t.Fatal("the notices had no effect")
 		}
-		f.slept.Store("box2", 4*time.Second)
+		f.suspendedFor.Store("box2", 4*time.Second)
 		if g.restsUntil(&rests).After(g.now()) {
 			t.Error("the rest outlasts a longer suspension")
 		}
@@ -211,7 +211,7 @@
 
 // Results are not freed at a server that is leaving or wants rest, also when it says so after the scheduler
 // has decided to free them.
-func TestResultsAreNotGivenUpAtAServerThatWantsNothing(t *testing.T) {
+func TestResultsAreNotFreedAtLeavingOrRestingServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
 		settle()
@@ -234,13 +234,13 @@
 
 // Mixed releases: a box of an earlier release ignores notices, both in answers and from other boxes, but
 // knows loads. The others report a leaving server to it as full, so that it uses servers with free capacity.
-func TestABoxThatHearsNoWordsGoesElsewhere(t *testing.T) {
+func TestOldReleaseSeesLeavingServerAsFull(t *testing.T) {
 	for _, boxes := range []int{6, 61} {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newWordSite(t, boxes)
+				s := newPushbackSite(t, boxes)
 				old := func(box string) bool { return strings.HasSuffix(box, "1") || strings.HasSuffix(box, "3") }
-				s.f.alter = func(to string, b *core.Beat) {
+				s.f.alterBeat = func(to string, b *core.Beat) {
 					if old(strings.TrimSuffix(to, ":1")) {
 						b.Leavings = nil
 					}
@@ -255,10 +255,10 @@
 				}
 				s.f.setStore(false, s.f.servers)
 				s.leave("model", 1)
-				h := s.play("/look/x", boxes, 4*time.Millisecond, 8*time.Second)
+				h := s.run("/look/x", boxes, 4*time.Millisecond, 8*time.Second)
 				late := map[bool]int{}
 				s.mu.Lock()
-				for box, n := range s.lateAt {
+				for box, n := range s.lateByBox {
 					late[old(box)] += n
 				}
 				s.mu.Unlock()
--- a/src/gateway/relay_test.go
+++ b/src/gateway/relay_test.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-func TestAStreamThatFallsSilentGoesOnElsewhere(t *testing.T) {
+func TestSilentStreamResumesElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
 		sent := 0
 		f.send = func(ctx context.Context, _ string, c *Call) (*Reply, error) {
 			if sent++; sent == 1 {
-				r := events(ctx, 1, 3, time.Millisecond, nil)
+				r := eventStream(ctx, 1, 3, time.Millisecond, nil)
 				read := r.Read
 				r.Read = func(b []byte) (int, error) {
 					n, err := read(b)
@@ -31,7 +31,7 @@
 			if c.LastEvent != "3" || len(c.Inputs) == 0 {
 				t.Errorf("resumed after %q with inputs %v", c.LastEvent, c.Inputs)
 			}
-			return events(ctx, 2, 5, time.Millisecond, io.EOF), nil // repeats two events
+			return eventStream(ctx, 2, 5, time.Millisecond, io.EOF), nil // repeats two events
 		}
 		settle()
 		a := f.ask("box0", "/draft/x", "r", nil)
@@ -45,11 +45,11 @@
 	})
 }
 
-func TestAStreamBrokenForGoodIsCut(t *testing.T) {
+func TestUnresumableStreamIsCut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
 		f.send = func(ctx context.Context, _ string, c *Call) (*Reply, error) {
-			return events(ctx, 1, 2, time.Millisecond, errBroken), nil
+			return eventStream(ctx, 1, 2, time.Millisecond, errBroken), nil
 		}
 		settle()
 		if a := f.ask("box0", "/draft/x", "r", nil); !a.cut || a.ended {
--- a/src/gateway/restarts_test.go
+++ b/src/gateway/restarts_test.go
@@ -24,12 +24,12 @@
 			list[i].Incarnation += 1000
 		}
 	}
-	f.list(list)
+	f.listLocked(list)
 }
 
 // useTwoStages publishes a pipeline with two stages in the same pool, the second of which reads the first
 // one's results.
-func (f *testFleet) twoStages() {
+func (f *testFleet) useTwoStages() {
 	c := testCatalog(2)
 	c.Pipelines[0].Stages = []catalog.Stage{{Pool: "encode", ResultBytes: 10}, {Pool: "encode", After: []int{0}, ResultBytes: 10}}
 	f.publish(c)
@@ -37,11 +37,11 @@
 
 // Stage results on a server that restarts are computed again as soon as the restart is known, and nobody asks
 // the new process for them.
-func TestResultsAtAServerThatStartsAgainAreMadeAgainBeforeAnyoneAsksForThem(t *testing.T) {
+func TestResultsLostInRestartAreRecomputedEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
-		f.streams(2)
-		f.twoStages()
+		f.serveStreams(2)
+		f.useTwoStages()
 		var mu sync.Mutex
 		holder, made := "", map[int]int{}
 		f.runPieces = func(ctx context.Context, _ string, s catalog.Server, items []batch.Item) (batch.CallOutcome, []batch.ItemResult) {
@@ -59,7 +59,7 @@
 				return batch.CallBroken, nil
 			}
 			wait(ctx, 50*time.Millisecond)
-			return batch.CallDone, piecesOf(s, items)
+			return batch.CallDone, resultsOf(s, items)
 		}
 		settle()
 		a := f.ask("box2", "/draft/x", "r", func(r *Request) { r.Pieces = []int{1, 1} })
@@ -78,7 +78,7 @@
 
 // A request that may have run before a server's restart is never resent because the restarted server knows
 // nothing of it.
-func TestARequestThatMayHaveRunInAnEarlierLifeIsNotSentAgain(t *testing.T) {
+func TestPossiblyExecutedRequestIsNotResentAfterRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
 		var mu sync.Mutex
@@ -101,7 +101,7 @@
 
 // Held results are found by the server's id, whatever pool its entry names: the entry may have been invalid
 // in between.
-func TestResultsAreFoundByTheServerThatHeldThem(t *testing.T) {
+func TestLostResultsAreFoundByServerID(t *testing.T) {
 	h := &holdings{}
 	h.init(nil)
 	r := &results{freed: make([]bool, 2), onLoss: func() {}}
--- a/src/gateway/restored_beliefs_test.go
+++ b/src/gateway/restored_beliefs_test.go
@@ -11,27 +11,27 @@
 )
 
 // rewriteDelay is how long after the store's return the lost changes are written again.
-const wroteAgain = 4 * time.Second
+const rewriteDelay = 4 * time.Second
 
-func TestAServerThatLeftIsNotUsedWhenARestoredStoreListsItAgain(t *testing.T) {
-	fleetOf(t, func(t *testing.T, f *testFleet, boxes int) {
-		c := f.copyStore()
+func TestRestoreDoesNotReviveRemovedServer(t *testing.T) {
+	forEachFleetSize(t, func(t *testing.T, f *testFleet, boxes int) {
+		c := f.snapshotStore()
 		f.drain("model1")
-		f.strike("model2")
+		f.deleteEntry("model2")
 		time.Sleep(1200 * time.Millisecond)
-		if users := append(f.users("model1", boxes), f.users("model2", boxes)...); len(users) > 0 {
+		if users := append(f.boxesUsing("model1", boxes), f.boxesUsing("model2", boxes)...); len(users) > 0 {
 			t.Fatalf("before the restore %v use a server that had left", users)
 		}
 		f.restore(c, 500*time.Millisecond)
-		fresh := f.startFresh()
+		fresh := f.restartSeed()
 		for began, again := time.Now(), false; time.Since(began) < 12*time.Second; time.Sleep(10 * time.Millisecond) {
-			if time.Since(began) > wroteAgain && !again {
+			if time.Since(began) > rewriteDelay && !again {
 				f.drain("model1")
-				f.strike("model2")
+				f.deleteEntry("model2")
 				again = true
 			}
 			for _, id := range []string{"model1", "model2"} {
-				if users := f.users(id, boxes); len(users) > 0 && (time.Since(began) > freshKnows || !slices.Equal(users, []string{fresh})) {
+				if users := f.boxesUsing(id, boxes); len(users) > 0 && (time.Since(began) > newBoxBound || !slices.Equal(users, []string{fresh})) {
 					t.Fatalf("%s after the store's return %v use %s, which had left; %s has started since", time.Since(began), users, id, fresh)
 				}
 			}
@@ -40,38 +40,38 @@
 }
 
 // newBoxBound is how long after its start a box must know what the others do.
-const freshKnows = time.Second
+const newBoxBound = time.Second
 
 // restartSeed restarts a seed and returns its name. Seeds read the store themselves right after their start.
-func (f *testFleet) startFresh() string {
+func (f *testFleet) restartSeed() string {
 	f.kill("box0")
 	f.start("box0")
 	return "box0"
 }
 
-func TestAServerThatLeftAndLivesIsUsedAgainOnceItsEntryOutlastsALease(t *testing.T) {
-	fleetOf(t, func(t *testing.T, f *testFleet, boxes int) {
-		c := f.copyStore()
-		f.strike("model2") // its entry lapsed; the write that renewed it is among the lost changes
+func TestRelistedServerIsUsedAfterOneLease(t *testing.T) {
+	forEachFleetSize(t, func(t *testing.T, f *testFleet, boxes int) {
+		c := f.snapshotStore()
+		f.deleteEntry("model2") // its entry lapsed; the write that renewed it is among the lost changes
 		time.Sleep(time.Second)
 		f.restore(c, 500*time.Millisecond)
 		time.Sleep(10 * time.Second)
-		if users := f.users("model2", boxes); len(users) != boxes {
+		if users := f.boxesUsing("model2", boxes); len(users) != boxes {
 			t.Errorf("%d of %d boxes use a server whose entry has stood for 10 s since the restore", len(users), boxes)
 		}
 	})
 }
 
-func TestAServerThatARestoredStoreLacksIsUsedUntilItCouldBeBack(t *testing.T) {
+func TestServerMissingFromRestoredStoreStaysUsable(t *testing.T) {
 	for _, again := range []bool{true, false} {
 		t.Run(fmt.Sprint("written again: ", again), func(t *testing.T) {
-			fleetOf(t, func(t *testing.T, f *testFleet, boxes int) {
-				c := f.copyStore()
+			forEachFleetSize(t, func(t *testing.T, f *testFleet, boxes int) {
+				c := f.snapshotStore()
 				f.join("model9", "model")
 				time.Sleep(time.Second)
 				f.restore(c, 500*time.Millisecond)
 				for began := time.Now(); time.Since(began) < 1500*time.Millisecond; time.Sleep(10 * time.Millisecond) {
-					if users := f.users("model9", boxes); len(users) != boxes {
+					if users := f.boxesUsing("model9", boxes); len(users) != boxes {
 						t.Fatalf("%s after the store's return %d of %d boxes use a server that had joined", time.Since(began), len(users), boxes)
 					}
 				}
@@ -83,7 +83,7 @@
 				if again {
 					want = boxes
 				}
-				if users := f.users("model9", boxes); len(users) != want {
+				if users := f.boxesUsing("model9", boxes); len(users) != want {
 					t.Errorf("%d of %d boxes use it later, want %d", len(users), boxes, want)
 				}
 			})
@@ -91,17 +91,17 @@
 	}
 }
 
-func TestAnEvacuationThatARestoredStoreLacksStaysUntilTheOperatorTakesItBack(t *testing.T) {
-	fleetOf(t, func(t *testing.T, f *testFleet, boxes int) {
-		c := f.copyStore()
+func TestEvacuationSurvivesRestore(t *testing.T) {
+	forEachFleetSize(t, func(t *testing.T, f *testFleet, boxes int) {
+		c := f.snapshotStore()
 		f.evacuate([]string{"d"}, nil)
 		time.Sleep(2 * time.Second)
 		f.restore(c, 500*time.Millisecond)
 		for _, after := range []time.Duration{0, 4 * time.Second} {
 			time.Sleep(after)
-			fresh := f.startFresh()
+			fresh := f.restartSeed()
 			for began := time.Now(); time.Since(began) < 4*time.Second; time.Sleep(50 * time.Millisecond) {
-				if users := f.users("model1", boxes); len(users) > 0 && (time.Since(began) > freshKnows || !slices.Equal(users, []string{fresh})) {
+				if users := f.boxesUsing("model1", boxes); len(users) > 0 && (time.Since(began) > newBoxBound || !slices.Equal(users, []string{fresh})) {
 					t.Fatalf("%s after %s has started %v use servers of an evacuated failure domain", time.Since(began), fresh, users)
 				}
 			}
@@ -110,30 +110,30 @@
 		time.Sleep(2 * time.Second)
 		f.evacuate(nil, []string{"d"})
 		time.Sleep(2 * time.Second)
-		if users := f.users("model1", boxes); len(users) != boxes {
+		if users := f.boxesUsing("model1", boxes); len(users) != boxes {
 			t.Errorf("%d of %d boxes use a failure domain whose evacuation was lifted", len(users), boxes)
 		}
 	})
 }
 
-func TestAnEvacuationThatIsWrittenAndTakenBackAtOnceAfterARestoreIsOver(t *testing.T) {
-	fleetOf(t, func(t *testing.T, f *testFleet, boxes int) {
-		c := f.copyStore()
+func TestEvacuationLiftedRightAfterRestoreEnds(t *testing.T) {
+	forEachFleetSize(t, func(t *testing.T, f *testFleet, boxes int) {
+		c := f.snapshotStore()
 		f.evacuate([]string{"d"}, nil)
 		time.Sleep(2 * time.Second)
 		f.restore(c, 500*time.Millisecond)
 		time.Sleep(3 * time.Second)
-		f.written(1)
+		f.skipRevisions(1)
 		f.evacuate(nil, []string{"d"}) // watchers see both as one change
 		time.Sleep(2 * time.Second)
-		if users := f.users("model1", boxes); len(users) != boxes {
+		if users := f.boxesUsing("model1", boxes); len(users) != boxes {
 			t.Errorf("%d of %d boxes use a failure domain whose evacuation was lifted", len(users), boxes)
 		}
 	})
 }
 
 // versionRange returns the lowest and the highest version of the configuration that boxes hold.
-func (f *testFleet) versions(boxes int) (least, most uint64) {
+func (f *testFleet) versionRange(boxes int) (least, most uint64) {
 	for i := range boxes {
 		v := f.box(fmt.Sprint("box", i)).Version()
 		if i == 0 || v < least {
@@ -144,16 +144,16 @@
 	return least, most
 }
 
-func TestNoConfigurationGoesBackWhenTheStoreIsRestored(t *testing.T) {
-	fleetOf(t, func(t *testing.T, f *testFleet, boxes int) {
-		c := f.copyStore()
+func TestConfigurationDoesNotRevertOnRestore(t *testing.T) {
+	forEachFleetSize(t, func(t *testing.T, f *testFleet, boxes int) {
+		c := f.snapshotStore()
 		f.publish(testCatalog(2))
 		f.publish(testCatalog(3))
 		time.Sleep(2 * time.Second)
 		f.restore(c, 500*time.Millisecond)
-		fresh := f.startFresh()
+		fresh := f.restartSeed()
 		for began := time.Now(); time.Since(began) < 3*time.Second; time.Sleep(10 * time.Millisecond) {
-			if least, _ := f.versions(boxes); least < 3 && time.Since(began) > freshKnows {
+			if least, _ := f.versionRange(boxes); least < 3 && time.Since(began) > newBoxBound {
 				t.Fatalf("%s after the store's return a box holds version %d, 3 was in force; the restarted box holds %d", time.Since(began), least, f.box(fresh).Version())
 			}
 		}
@@ -161,42 +161,42 @@
 		time.Sleep(time.Second)
 		f.publish(testCatalog(4))
 		time.Sleep(2 * time.Second)
-		if least, most := f.versions(boxes); least != 4 || most != 4 {
+		if least, most := f.versionRange(boxes); least != 4 || most != 4 {
 			t.Errorf("boxes hold versions %d to %d two seconds after 4 was accepted", least, most)
 		}
 	})
 }
 
-func TestAnEvacuationIsKeptWhileARestoredStoreHasAnOlderConfiguration(t *testing.T) {
-	fleetOf(t, func(t *testing.T, f *testFleet, boxes int) {
-		c := f.copyStore()
+func TestEvacuationAppliesWithOlderRestoredConfiguration(t *testing.T) {
+	forEachFleetSize(t, func(t *testing.T, f *testFleet, boxes int) {
+		c := f.snapshotStore()
 		f.publish(testCatalog(2))
 		time.Sleep(2 * time.Second)
 		f.restore(c, 500*time.Millisecond)
 		time.Sleep(2 * time.Second)
 		f.evacuate([]string{"d"}, nil)
 		time.Sleep(2 * time.Second)
-		if users := f.users("model1", boxes); len(users) > 0 {
+		if users := f.boxesUsing("model1", boxes); len(users) > 0 {
 			t.Errorf("%d of %d boxes use an evacuated failure domain", len(users), boxes)
 		}
-		if least, _ := f.versions(boxes); least != 2 {
+		if least, _ := f.versionRange(boxes); least != 2 {
 			t.Errorf("a box holds version %d, 2 was in force", least)
 		}
 	})
 }
 
-func TestRestoreUponRestore(t *testing.T) {
+func TestConsecutiveRestores(t *testing.T) {
 	for _, older := range []bool{false, true} {
 		t.Run(fmt.Sprint("the second copy is older: ", older), func(t *testing.T) {
-			fleetOf(t, func(t *testing.T, f *testFleet, boxes int) {
-				first := f.copyStore()
-				f.written(10)
-				second := f.copyStore()
+			forEachFleetSize(t, func(t *testing.T, f *testFleet, boxes int) {
+				first := f.snapshotStore()
+				f.skipRevisions(10)
+				second := f.snapshotStore()
 				if older {
 					first, second = second, first
 				}
 				f.drain("model1")
-				f.strike("model2")
+				f.deleteEntry("model2")
 				f.join("model9", "model")
 				f.publish(testCatalog(2))
 				time.Sleep(2 * time.Second)
@@ -206,7 +206,7 @@
 				check := func(ids ...string) {
 					t.Helper()
 					for _, id := range ids {
-						if users := f.users(id, boxes); len(users) > 0 {
+						if users := f.boxesUsing(id, boxes); len(users) > 0 {
 							t.Fatalf("%v use %s, which has left", users, id)
 						}
 					}
@@ -216,54 +216,54 @@
 					time.Sleep(10 * time.Millisecond)
 				}
 				f.drain("model1")
-				f.strike("model2")
+				f.deleteEntry("model2")
 				f.join("model9", "model")
 				f.publish(testCatalog(2))
 				for range 600 {
 					check("model1", "model2")
 					time.Sleep(10 * time.Millisecond)
 				}
-				if users := f.users("model9", boxes); len(users) != boxes {
+				if users := f.boxesUsing("model9", boxes); len(users) != boxes {
 					t.Errorf("%d of %d boxes use the server that had joined", len(users), boxes)
 				}
 				f.drain("model9")
-				time.Sleep(stopsWithin)
+				time.Sleep(dropBound)
 				check("model1", "model2", "model9")
 			})
 		})
 	}
 }
 
-func TestABoxThatWasCutOffDuringARestoreBringsNothingBack(t *testing.T) {
+func TestBoxCutOffDuringRestoreRevivesNothing(t *testing.T) {
 	away := map[string]func(f *testFleet, box string, away bool){
 		"cut off": func(f *testFleet, box string, away bool) {
 			f.setLost(box, away)
 			if away {
-				f.turnAway(func(b string) bool { return b == box })
+				f.refuseReads(func(b string) bool { return b == box })
 			} else {
-				f.turnAway(nil)
+				f.refuseReads(nil)
 			}
 		},
 		"cut off from boxes only": func(f *testFleet, box string, away bool) { f.setLost(box, away) },
 	}
 	for name, away := range away {
 		t.Run(name, func(t *testing.T) {
-			fleetOf(t, func(t *testing.T, f *testFleet, boxes int) {
-				box := f.readersOf()[0]
-				c := f.copyStore()
-				f.written(40)
+			forEachFleetSize(t, func(t *testing.T, f *testFleet, boxes int) {
+				box := f.storeReaders()[0]
+				c := f.snapshotStore()
+				f.skipRevisions(40)
 				time.Sleep(2 * time.Second)
 				away(f, box, true)
 				f.restore(c, 500*time.Millisecond)
 				time.Sleep(3 * time.Second)
 				f.drain("model1")
-				f.strike("model2")
-				time.Sleep(stopsWithin)
+				f.deleteEntry("model2")
+				time.Sleep(dropBound)
 				away(f, box, false)
 				for began := time.Now(); time.Since(began) < 5*time.Second; time.Sleep(10 * time.Millisecond) {
 					for _, id := range []string{"model1", "model2"} {
-						users := f.users(id, boxes)
-						if len(users) > 0 && (time.Since(began) > stopsWithin || !slices.Equal(users, []string{box})) {
+						users := f.boxesUsing(id, boxes)
+						if len(users) > 0 && (time.Since(began) > dropBound || !slices.Equal(users, []string{box})) {
 							t.Fatalf("%s after the box returned %v use %s, which had left", time.Since(began), users, id)
 						}
 					}
@@ -273,9 +273,9 @@
 	}
 }
 
-func TestCallersOfAFleetWhoseStoreIsRestoredAreAnswered(t *testing.T) {
-	fleetOf(t, func(t *testing.T, f *testFleet, boxes int) {
-		f.domains()
+func TestCallersAreServedDuringRestore(t *testing.T) {
+	forEachFleetSize(t, func(t *testing.T, f *testFleet, boxes int) {
+		f.spreadOverDomains()
 		var mu sync.Mutex
 		reached := map[string]int{}
 		f.send = func(_ context.Context, _ string, c *Call) (*Reply, error) {
@@ -287,7 +287,7 @@
 			reached[c.Server.ID]++
 			return textReply(http.StatusOK, "ok"), nil
 		}
-		c := f.copyStore()
+		c := f.snapshotStore()
 		f.join("model9", "model")
 		f.drain("model1")
 		time.Sleep(2 * time.Second)
--- a/src/gateway/restored_mixed_test.go
+++ b/src/gateway/restored_mixed_test.go
@@ -18,9 +18,9 @@
 // are dropped on the way to and from them, and they read the store's plain revision numbers.
 func newMixedFleet(t *testing.T, boxes int, earlier func(box string) bool) *testFleet {
 	f := newEmptyFleet(t)
-	f.earlier = earlier
+	f.oldRelease = earlier
 	boxAt := func(address string) string { return strings.TrimSuffix(address, ":1") }
-	f.alter = func(to string, b *core.Beat) {
+	f.alterBeat = func(to string, b *core.Beat) {
 		if earlier(boxAt(to)) || earlier(b.From.ID.Name) {
 			b.Era, b.Settled, b.Closures, b.Doubts, b.Config.Content, b.List.Content = 0, false, nil, nil, 0, 0
 			b.Config.Reader, b.List.Reader = 0, 0
@@ -28,7 +28,7 @@
 	}
 	for i := range boxes {
 		box := fmt.Sprint("box", i)
-		f.hear[addressOf(box)] = func(to string, _ port.Question, a *port.Answer) error {
+		f.onAnswer[addressOf(box)] = func(to string, _ port.Question, a *port.Answer) error {
 			if a.Publish != nil && (earlier(box) || earlier(boxAt(to))) {
 				a.Publish.Era = 0
 			}
@@ -43,7 +43,7 @@
 }
 
 // withoutEras wraps the store as a release without eras reads it.
-func (f *testFleet) bare(s Store) Store {
+func (f *testFleet) withoutEras(s Store) Store {
 	number := func(r catalog.Revision) catalog.Revision { return catalog.RevisionTold(r.Number(), 0) }
 	after := func(r catalog.Revision) catalog.Revision {
 		f.mu.Lock()
@@ -83,14 +83,14 @@
 
 // runMixedReleases has a server leave in a fleet of which some boxes are of an earlier release, before or
 // after a restore.
-func playMix(t *testing.T, boxes int, restored bool, earlier func(i int) bool) {
+func runMixedReleases(t *testing.T, boxes int, restored bool, earlier func(i int) bool) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newMixedFleet(t, boxes, func(box string) bool {
 			i, err := strconv.Atoi(strings.TrimPrefix(box, "box"))
 			return err == nil && earlier(i)
 		})
-		c := f.copyStore()
-		f.written(40)
+		c := f.snapshotStore()
+		f.skipRevisions(40)
 		f.publish(testCatalog(2))
 		time.Sleep(2 * time.Second)
 		if restored {
@@ -100,31 +100,31 @@
 		f.drain("model1")
 		last := f.lastUse("model1", boxes, 8*time.Second)
 		t.Logf("%d boxes: last use after %s", boxes, last)
-		if want := leavingKnown(boxes); last > want {
+		if want := leavingBound(boxes); last > want {
 			t.Errorf("a box used the server for %s after it had left, want %s at most", last, want)
 		}
 	})
 }
 
-func TestAServerThatLeavesIsDroppedInTheMiddleOfAnUpgrade(t *testing.T) {
+func TestLeavingServerIsDroppedDuringUpgrade(t *testing.T) {
 	mixes := map[string]func(i int) bool{
 		"one box of five is of an earlier release": func(i int) bool { return i%5 == 4 },
 		"one box of five is of this release":       func(i int) bool { return i%5 != 4 },
 	}
 	for name, earlier := range mixes {
 		for _, restored := range []bool{false, true} {
-			for _, boxes := range restoreSizes() {
-				t.Run(fmt.Sprint(name, ", restored: ", restored, ", ", boxes, " boxes"), func(t *testing.T) { playMix(t, boxes, restored, earlier) })
+			for _, boxes := range restoreFleetSizes() {
+				t.Run(fmt.Sprint(name, ", restored: ", restored, ", ", boxes, " boxes"), func(t *testing.T) { runMixedReleases(t, boxes, restored, earlier) })
 			}
 		}
 	}
 }
 
-func TestAServerThatLeavesIsDroppedWhereOneBoxOnlyKnowsEras(t *testing.T) {
+func TestLeavingServerIsDroppedWithOneEraAwareBox(t *testing.T) {
 	for _, restored := range []bool{false, true} {
-		for _, boxes := range restoreSizes() {
+		for _, boxes := range restoreFleetSizes() {
 			t.Run(fmt.Sprint("restored: ", restored, ", ", boxes, " boxes"), func(t *testing.T) {
-				playMix(t, boxes, restored, func(i int) bool { return i < boxes-1 })
+				runMixedReleases(t, boxes, restored, func(i int) bool { return i < boxes-1 })
 			})
 		}
 	}
--- a/src/gateway/restored_test.go
+++ b/src/gateway/restored_test.go
@@ -18,7 +18,7 @@
 var restoreTable = flag.Bool("restore.table", false, "run restores of the store in fleets of 295 and 985 boxes too")
 
 // restoreFleetSizes returns the fleet sizes in which restores are run.
-func restoreSizes() []int {
+func restoreFleetSizes() []int {
 	if *restoreTable {
 		return []int{6, 61, 295, 985}
 	}
@@ -26,21 +26,21 @@
 }
 
 // storeSnapshot is the store's content at one moment.
-type storeCopy struct {
+type storeSnapshot struct {
 	rev     uint64
 	catalog *catalog.Catalog
 	servers []catalog.Server
 	removed map[string]uint64
 }
 
-func (f *testFleet) copyStore() storeCopy {
+func (f *testFleet) snapshotStore() storeSnapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return storeCopy{f.rev, f.catalog, slices.Clone(f.servers), f.removed}
+	return storeSnapshot{f.rev, f.catalog, slices.Clone(f.servers), f.removed}
 }
 
 // restore makes the store unavailable for a moment and then restores it from a snapshot.
-func (f *testFleet) restore(c storeCopy, away time.Duration) {
+func (f *testFleet) restore(c storeSnapshot, away time.Duration) {
 	f.mu.Lock()
 	f.storeOK = false
 	f.era++
@@ -52,7 +52,7 @@
 }
 
 // skipRevisions advances the store's revision by changes without effect.
-func (f *testFleet) written(n uint64) {
+func (f *testFleet) skipRevisions(n uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.rev += n
@@ -76,7 +76,7 @@
 }
 
 // deleteEntry removes a server's entry.
-func (f *testFleet) strike(id string) {
+func (f *testFleet) deleteEntry(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.rev++
@@ -96,8 +96,8 @@
 }
 
 // forEachFleetSize runs a test in fleets of all sizes.
-func fleetOf(t *testing.T, play func(t *testing.T, f *testFleet, boxes int)) {
-	for _, boxes := range restoreSizes() {
+func forEachFleetSize(t *testing.T, play func(t *testing.T, f *testFleet, boxes int)) {
+	for _, boxes := range restoreFleetSizes() {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newTestFleet(t, boxes)
@@ -108,25 +108,25 @@
 	}
 }
 
-func TestAServerThatLeavesAfterTheStoreWasRestoredIsDropped(t *testing.T) {
+func TestServerLeavingAfterRestoreIsDropped(t *testing.T) {
 	leave := map[string]func(f *testFleet){
 		"says that it leaves":  func(f *testFleet) { f.drain("model1") },
-		"its entry is removed": func(f *testFleet) { f.strike("model1") },
+		"its entry is removed": func(f *testFleet) { f.deleteEntry("model1") },
 	}
 	for what, leave := range leave {
 		for _, lost := range []uint64{3, 40} {
 			t.Run(fmt.Sprint(what, ", ", lost, " changes lost"), func(t *testing.T) {
-				fleetOf(t, func(t *testing.T, f *testFleet, boxes int) {
-					c := f.copyStore()
-					f.written(lost)
+				forEachFleetSize(t, func(t *testing.T, f *testFleet, boxes int) {
+					c := f.snapshotStore()
+					f.skipRevisions(lost)
 					f.publish(testCatalog(2))
 					time.Sleep(3 * time.Second)
 					f.restore(c, 500*time.Millisecond)
 					f.publish(testCatalog(2))
 					time.Sleep(3 * time.Second)
 					leave(f)
-					if last := f.lastUse("model1", boxes, 8*time.Second); last > stopsWithin {
-						t.Errorf("a box used the server for %s after it had left, want %s at most", last, stopsWithin)
+					if last := f.lastUse("model1", boxes, 8*time.Second); last > dropBound {
+						t.Errorf("a box used the server for %s after it had left, want %s at most", last, dropBound)
 					}
 				})
 			})
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestAReaderTakesWhatItDidNotTakeBefore(t *testing.T) {
+func TestReaderAcceptsPreviouslySkippedList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
 		settle()
@@ -148,12 +148,12 @@
 	})
 }
 
-func TestARestoreIsCountedOnceByEachBox(t *testing.T) {
+func TestRestoreIsCountedOncePerBox(t *testing.T) {
 	for _, boxes := range []int{6, 61} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newEmptyFleet(t)
 			counted := make([]atomic.Int32, boxes)
-			f.watch = func(box string) Watcher {
+			f.watcher = func(box string) Watcher {
 				i, _ := strconv.Atoi(strings.TrimPrefix(box, "box"))
 				return Watcher{Restored: func() { counted[i].Add(1) }}
 			}
@@ -162,8 +162,8 @@
 			}
 			settle()
 			for n := int32(1); n <= 2; n++ {
-				c := f.copyStore()
-				f.written(40)
+				c := f.snapshotStore()
+				f.skipRevisions(40)
 				time.Sleep(2 * time.Second)
 				f.restore(c, 500*time.Millisecond)
 				time.Sleep(4 * time.Second)
@@ -179,7 +179,7 @@
 
 // leavingBound is the time within which all boxes know of a leaving server while the store's readers fail:
 // two thirds of the time in which such a server may still get requests, which is longer in larger fleets.
-func leavingKnown(boxes int) time.Duration {
+func leavingBound(boxes int) time.Duration {
 	bound := 2 * time.Second
 	for _, size := range []int{60, 200, 600} {
 		if boxes >= size {
@@ -193,8 +193,8 @@
 // uses it.
 func (f *testFleet) leaveAfterRestore(boxes int, trouble func()) {
 	f.t.Helper()
-	before := f.copyStore()
-	f.written(40)
+	before := f.snapshotStore()
+	f.skipRevisions(40)
 	time.Sleep(2 * time.Second)
 	trouble()
 	var lost []string
@@ -210,26 +210,26 @@
 	f.drain("model1")
 	last := time.Duration(0)
 	for began := time.Now(); time.Since(began) < 8*time.Second; time.Sleep(10 * time.Millisecond) {
-		users := slices.DeleteFunc(f.users("model1", boxes), func(box string) bool { return slices.Contains(lost, addressOf(box)) })
+		users := slices.DeleteFunc(f.boxesUsing("model1", boxes), func(box string) bool { return slices.Contains(lost, addressOf(box)) })
 		if len(users) > 0 {
 			last = time.Since(began)
 		}
 	}
 	f.t.Logf("%d boxes: last use after %s", boxes, last)
-	if want := leavingKnown(boxes); last > want {
+	if want := leavingBound(boxes); last > want {
 		f.t.Errorf("a box used the server for %s after it had left, want %s at most", last, want)
 	}
 }
 
-func TestAServerThatLeavesAfterARestoreIsDroppedWithoutTheReaders(t *testing.T) {
+func TestServerLeavingAfterRestoreIsDroppedWithoutReaders(t *testing.T) {
 	troubles := map[string]func(f *testFleet, readers []string){
 		"the store refuses them": func(f *testFleet, readers []string) {
-			f.turnAway(func(box string) bool { return slices.Contains(readers, box) })
+			f.refuseReads(func(box string) bool { return slices.Contains(readers, box) })
 		},
 		"the store does not answer them": func(f *testFleet, readers []string) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.silent = func(box string) bool { return slices.Contains(readers, box) }
+			f.storeSilent = func(box string) bool { return slices.Contains(readers, box) }
 		},
 		"they are lost": func(f *testFleet, readers []string) {
 			for _, box := range readers {
@@ -237,22 +237,22 @@
 			}
 		},
 		"the store refuses seven boxes of ten": func(f *testFleet, _ []string) {
-			f.turnAway(func(box string) bool { return catalog.Hash("turned away", box)%10 < 7 })
+			f.refuseReads(func(box string) bool { return catalog.Hash("turned away", box)%10 < 7 })
 		},
 	}
 	for name, trouble := range troubles {
 		t.Run(name, func(t *testing.T) {
-			fleetOf(t, func(t *testing.T, f *testFleet, boxes int) {
+			forEachFleetSize(t, func(t *testing.T, f *testFleet, boxes int) {
 				f.t = t
-				f.leaveAfterRestore(boxes, func() { trouble(f, f.readersOf()) })
+				f.leaveAfterRestore(boxes, func() { trouble(f, f.storeReaders()) })
 			})
 		})
 	}
 }
 
-func TestAServerThatLeavesAfterARestoreIsDroppedWhereOneBoxReads(t *testing.T) {
-	fleetOf(t, func(t *testing.T, f *testFleet, boxes int) {
+func TestServerLeavingAfterRestoreIsDroppedWithOneReader(t *testing.T) {
+	forEachFleetSize(t, func(t *testing.T, f *testFleet, boxes int) {
 		last := fmt.Sprint("box", boxes-1)
-		f.leaveAfterRestore(boxes, func() { f.turnAway(func(box string) bool { return box != last }) })
+		f.leaveAfterRestore(boxes, func() { f.refuseReads(func(box string) bool { return box != last }) })
 	})
 }
--- a/src/gateway/roster_test.go
+++ b/src/gateway/roster_test.go
@@ -16,7 +16,7 @@
 	"github.com/stilemast/stilemast/src/core"
 )
 
-func TestOnlySettledBoxesScheduleUnlessAllHaveJustStarted(t *testing.T) {
+func TestOnlySettledBoxesScheduleExceptAtFleetStart(t *testing.T) {
 	old, young := time.Minute, 5*time.Second
 	for _, c := range []struct {
 		name string
@@ -41,10 +41,10 @@
 
 // After a restart of the whole fleet each box knows only itself at first. Pieces must still go to one box, or
 // each box sends calls of its own to the same servers.
-func TestAfterALossOfAllBoxesOneSchedulesEachPool(t *testing.T) {
+func TestOneSchedulerPerPoolAfterFullRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 12)
-		f.streams(2)
+		f.serveStreams(2)
 		time.Sleep(4 * time.Second)
 		var names []string
 		for i := range 12 {
@@ -87,7 +87,7 @@
 	return firstByHash(pool, boxes, nil, "")
 }
 
-func TestABoxThatComesBackLeavesItsPoolsWhereTheyAre(t *testing.T) {
+func TestRestartedBoxLeavesPoolsUntilSettled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
 		time.Sleep(settledAfter + time.Second)
@@ -117,10 +117,10 @@
 	})
 }
 
-func TestASchedulerThatWasSilentIsNotAskedByTheNextRequest(t *testing.T) {
+func TestUnresponsiveSchedulerIsSkippedByNextRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
-		f.streams(2)
+		f.serveStreams(2)
 		time.Sleep(4 * time.Second)
 		var calls atomic.Int64
 		run := f.runPieces
@@ -146,7 +146,7 @@
 
 // In a large fleet a membership change takes a while to spread; the previous scheduler already knows its
 // successor.
-func TestAnOwnerBelievesASchedulerThatNamesTheNext(t *testing.T) {
+func TestOwnerFollowsSchedulerHint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
 		time.Sleep(5 * time.Second)
@@ -174,7 +174,7 @@
 
 // After a loss of all boxes they restart one after the other, the seeds last. A box soon asks seeds again
 // that had not started yet at its first attempt.
-func TestBoxesThatComeBackOneAfterTheOtherSoonKnowAll(t *testing.T) {
+func TestStaggeredRestartConverges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 0)
 		for i := range 6 {
@@ -192,12 +192,12 @@
 
 // The process of a scheduler ends while pieces run. Its address refuses connections, so waiting pieces go to
 // the next box at once, which learns of the results that still take up space.
-func TestAKilledSchedulerIsReplacedAtOnce(t *testing.T) {
+func TestKilledSchedulerIsReplacedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
-		f.refuses = true
+		f.refusesConns = true
 		f.send = func(ctx context.Context, _ string, _ *Call) (*Reply, error) {
-			return events(ctx, 1, 1, time.Second, io.EOF), nil // results are held for a second
+			return eventStream(ctx, 1, 1, time.Second, io.EOF), nil // results are held for a second
 		}
 		settle()
 		lost := f.box("box0").schedulerOf("encode", nil)
@@ -210,7 +210,7 @@
 		f.box(owner).pools.get("model").fetch = mostFetch // keeps results held meanwhile
 		go f.ask(owner, "/draft/x", "first", nil)
 		time.Sleep(400 * time.Millisecond)
-		var second answerOf
+		var second callResult
 		var done sync.WaitGroup
 		done.Go(func() { second = f.ask(owner, "/draft/x", "second", nil) })
 		time.Sleep(50 * time.Millisecond)
@@ -220,13 +220,13 @@
 		if limit := 2600 * time.Millisecond; !second.ended || second.took > limit {
 			t.Errorf("the request took %s, want less than %s: %+v", second.took, limit, second)
 		}
-		if f.held != 2 {
-			t.Errorf("the next scheduler learned of %d results, want 2", f.held)
+		if f.heldReported != 2 {
+			t.Errorf("the next scheduler learned of %d results, want 2", f.heldReported)
 		}
 	})
 }
 
-func TestAnotherBoxesWordThatASchedulerIsSilentCountsUnlessItWasHeardOf(t *testing.T) {
+func TestReportOfUnresponsiveSchedulerCountsUnlessHeardFrom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
 		settle()
--- a/src/gateway/scheduling_test.go
+++ b/src/gateway/scheduling_test.go
@@ -38,7 +38,7 @@
 			}()
 			return inner(ctx, box, s, items)
 		}
-		f.streams(2)
+		f.serveStreams(2)
 		settle()
 		var all sync.WaitGroup
 		for i := range 20 {
@@ -58,12 +58,12 @@
 }
 
 // The scheduler of a pool dies, or stops answering, with pieces in flight: the owners ask the next box.
-func TestASchedulerThatIsLostCostsAMomentAndNoRequest(t *testing.T) {
+func TestLostSchedulerFailsNoRequest(t *testing.T) {
 	for _, how := range []string{"killed", "silent"} {
 		t.Run(how, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newTestFleet(t, 5)
-				f.streams(2)
+				f.serveStreams(2)
 				settle()
 				lost := f.box("box0").schedulerOf("encode", nil)
 				var all sync.WaitGroup
@@ -90,10 +90,10 @@
 }
 
 // Boxes that can't reach each other schedule separately; requests are served on both sides.
-func TestACutOffBoxServesAlone(t *testing.T) {
+func TestPartitionedBoxServesAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
-		f.streams(1)
+		f.serveStreams(1)
 		settle()
 		f.setLost("box2", true)
 		time.Sleep(time.Second)
@@ -105,10 +105,10 @@
 	})
 }
 
-func TestABacklogIsRefusedAtOnceWithATimeToComeBack(t *testing.T) {
+func TestBacklogIsRefusedWithRetryTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
-		f.streams(1)
+		f.serveStreams(1)
 		settle()
 		var all sync.WaitGroup
 		for i := range 60 {
@@ -129,7 +129,7 @@
 	})
 }
 
-func TestResultsThatAreGoneAreMadeAgainOnce(t *testing.T) {
+func TestMissingResultsAreRecomputedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
 		sent := 0
@@ -139,7 +139,7 @@
 				r.NotRun, r.Missing = true, true
 				return r, nil
 			}
-			return events(ctx, 1, 1, time.Millisecond, io.EOF), nil
+			return eventStream(ctx, 1, 1, time.Millisecond, io.EOF), nil
 		}
 		settle()
 		if a := f.ask("box0", "/draft/x", "r", nil); !a.ended || sent != 2 {
@@ -148,10 +148,10 @@
 	})
 }
 
-func TestALeavingBoxGivesItsPoolsToAnother(t *testing.T) {
+func TestLeavingBoxHandsOverPools(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
-		f.streams(1)
+		f.serveStreams(1)
 		var mu sync.Mutex
 		at := map[string]int{}
 		busy := map[string]bool{}
@@ -195,7 +195,7 @@
 
 // Boxes see a membership change at different moments. The next scheduler of a pool may receive it before it
 // sees itself as first; handing the pool back would start a cycle.
-func TestAPoolThatWasHandedOverIsNotGivenBackAtOnce(t *testing.T) {
+func TestHandedOverPoolIsNotHandedBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
 		time.Sleep(settledAfter + time.Second)
--- a/src/gateway/silenced_test.go
+++ b/src/gateway/silenced_test.go
@@ -12,16 +12,16 @@
 // evaluated only at the next failed read, a second later. The last box then knew of a change after 1.85 to
 // 2.0 s, all of the two thirds that the smallest bound allows. Reports of the other readers must be evaluated
 // when they arrive.
-func TestReadersThatAreSilencedTogetherAskTheNextAtOnce(t *testing.T) {
-	for _, b := range budgets() {
+func TestReadersFailingTogetherAskNextImmediately(t *testing.T) {
+	for _, b := range propagationBounds() {
 		for _, boxes := range []int{61, 295} {
 			t.Run(fmt.Sprint(b.name, ", ", boxes, " boxes"), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					f := newTestFleet(t, boxes)
 					time.Sleep(6 * time.Second)
-					heardNothing.do(f, f.readersOf())
+					readersUnanswered.apply(f, f.storeReaders())
 					b.change(f)
-					last := f.lastHolding(boxes, b.holds, 4*time.Second)
+					last := f.lastStale(boxes, b.stale, 4*time.Second)
 					t.Logf("the last box knew after %s", last)
 					// The failure is noticed when the pending reads end; then the next boxes read and the
 					// change spreads.
--- a/src/gateway/source_test.go
+++ b/src/gateway/source_test.go
@@ -15,7 +15,7 @@
 // One box has a prompt processed away from its home server, which it takes for full. Another box sends the
 // next such request to the home server and names the server that holds the prompt in its cache, which it
 // knows from the first box alone.
-func TestABoxNamesTheServerThatReadAPromptForAnother(t *testing.T) {
+func TestPromptSourceIsKnownToOtherBoxes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
 		var mu sync.Mutex
@@ -24,7 +24,7 @@
 			mu.Lock()
 			calls = append(calls, c)
 			mu.Unlock()
-			return events(ctx, 1, 1, time.Millisecond, io.EOF), nil
+			return eventStream(ctx, 1, 1, time.Millisecond, io.EOF), nil
 		}
 		addressed := append([]catalog.Server(nil), f.servers...)
 		for i := range addressed {
--- a/src/gateway/spreading_test.go
+++ b/src/gateway/spreading_test.go
@@ -19,23 +19,23 @@
 var spreadTable = flag.Bool("spread.table", false, "run all sizes of fleets and configurations")
 
 // spreadBound is the time within which a change reaches all boxes of a fleet of any size without faults.
-const wantedBound = 1500 * time.Millisecond
+const spreadBound = 1500 * time.Millisecond
 
 // Measures how long a change of 1,400 routes takes to reach all boxes, by fleet size and configuration size.
-func TestAChangeReachesAllBoxesOfFleetsOfAnySize(t *testing.T) {
+func TestChangeReachesFleetsOfAnySize(t *testing.T) {
 	fleets, documents := []int{61}, []int{1400, 10000}
 	if *spreadTable {
 		fleets, documents = []int{61, 295, 420, 1000}, []int{1400, 5600, 10000}
 	}
 	for _, boxes := range fleets {
 		for _, routes := range documents {
-			t.Run(fmt.Sprintf("boxes=%d/routes=%d", boxes, routes), func(t *testing.T) { playSpread(t, boxes, routes) })
+			t.Run(fmt.Sprintf("boxes=%d/routes=%d", boxes, routes), func(t *testing.T) { runSpread(t, boxes, routes) })
 		}
 	}
 }
 
 // runSpread starts a fleet that holds all but the last 1,400 routes and publishes those.
-func playSpread(t *testing.T, boxes, routes int) {
+func runSpread(t *testing.T, boxes, routes int) {
 	synctest.Test(t, func(t *testing.T) {
 		const change = 1400
 		f := newEmptyFleet(t)
@@ -58,14 +58,14 @@
 		last, missingAfter := f.arrivals(next.Version, 12*time.Second)
 		time.Sleep(2 * time.Second)
 		t.Logf("start %v (%d missing); change %v (%d missing), %d bytes per box", first, missing, last, missingAfter, (f.links.received()-before)/boxes)
-		if last > wantedBound {
-			t.Errorf("the last of %d boxes took %v, want at most %v", boxes, last, wantedBound)
+		if last > spreadBound {
+			t.Errorf("the last of %d boxes took %v, want at most %v", boxes, last, spreadBound)
 		}
 	})
 }
 
 // maxBytesPerRoute is what one more route may cost each box on average: twice its size in a message.
-const bytesPerRoute = 240
+const maxBytesPerRoute = 240
 
 // mixedLinks models a fleet of small boxes and a few large ones: one in ten has 200 Mbit/s, the others 10.
 func mixedLinks() *links {
@@ -80,7 +80,7 @@
 
 // The configuration grows by 1,400 routes at a time. Each change is in force at all boxes in time, however
 // large the document has become, and costs bytes in proportion to the change.
-func TestAGrowingConfigurationReachesAllBoxesInTime(t *testing.T) {
+func TestGrowingConfigurationReachesAllBoxes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const boxes, routes = 61, 1400
 		f := newEmptyFleet(t)
@@ -100,8 +100,8 @@
 			if last > applyBound {
 				t.Errorf("%d routes: the last of %d boxes took %v, want at most %v; %d were without it", len(next.Pipelines), boxes, last, applyBound, missing)
 			}
-			if each > bytesPerRoute*routes {
-				t.Errorf("%d routes: a change of %d cost %d bytes per box, want at most %d", len(next.Pipelines), routes, each, bytesPerRoute*routes)
+			if each > maxBytesPerRoute*routes {
+				t.Errorf("%d routes: a change of %d cost %d bytes per box, want at most %d", len(next.Pipelines), routes, each, maxBytesPerRoute*routes)
 			}
 			time.Sleep(3 * time.Second)
 		}
@@ -110,7 +110,7 @@
 
 // A read of the store is limited by its progress and not by a fixed time, which a large document on a slow
 // link would exceed.
-func TestALargeConfigurationIsReadOverASlowLink(t *testing.T) {
+func TestLargeConfigurationIsReadOverSlowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newEmptyFleet(t)
 		f.links = newLinks(func(string) float64 { return 2 }) // a fifth of the smallest link, the rest is taken by other traffic
@@ -128,7 +128,7 @@
 }
 
 // While the store refuses most boxes, a third of the boxes are killed and restart without any state.
-func TestAChangeGoesRoundThoughMostAreTurnedAwayAndAThirdIsKilled(t *testing.T) {
+func TestChangeSpreadsDuringStoreRefusalsAndRestarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const boxes = 61
 		f := newEmptyFleet(t)
@@ -139,7 +139,7 @@
 		}
 		time.Sleep(8 * time.Second)
 		f.mu.Lock()
-		f.turnsAway = func(box string) bool { return catalog.Hash(box)%10 < 7 }
+		f.storeRefuses = func(box string) bool { return catalog.Hash(box)%10 < 7 }
 		f.mu.Unlock()
 		for i := 0; i < boxes; i += 3 {
 			f.kill(fmt.Sprint("box", i))
@@ -160,7 +160,7 @@
 
 // Readers are boxes with enough capacity for the document, in different failure domains; where none has
 // enough, a few of all.
-func TestReadersCanCarryTheDocument(t *testing.T) {
+func TestReadersHaveCapacityForDocument(t *testing.T) {
 	for fleet := range 20 {
 		var all []contender
 		large, domain := map[string]bool{}, map[string]string{}
@@ -193,7 +193,7 @@
 }
 
 // A box names the version that it holds when it pulls, and is sent the difference.
-func TestAChangeGoesAsADifference(t *testing.T) {
+func TestConfigurationChangeTravelsAsDifference(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
 		f.publish(withRoutes(f.catalog, 5000))
@@ -212,7 +212,7 @@
 
 // All boxes restart at once and the store refuses all but the seeds: each box gets a long list of servers and
 // a large configuration from another box.
-func TestAFleetThatStartsAnewGetsItsDocumentsFromAFew(t *testing.T) {
+func TestFleetRestartWithFewStoreReaders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const boxes = 120
 		f := newEmptyFleet(t)
@@ -221,7 +221,7 @@
 		for i := range 600 {
 			f.servers = append(f.servers, catalog.Server{ID: fmt.Sprintf("i-%08x", catalog.Hash(fmt.Sprint(i))>>32), Pool: "model", Address: fmt.Sprintf("10.2.64.%d:8181", i), Domain: "d", Slots: 64})
 		}
-		f.turnsAway = func(box string) bool { return box != "box0" && box != "box1" }
+		f.storeRefuses = func(box string) bool { return box != "box0" && box != "box1" }
 		for i := range boxes {
 			f.start(fmt.Sprint("box", i))
 		}
@@ -239,12 +239,12 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 		took := time.Since(began)
-		t.Logf("all ready after %v, %d bytes per box, %d complete lists", took, f.links.received()/boxes, f.lists)
+		t.Logf("all ready after %v, %d bytes per box, %d complete lists", took, f.links.received()/boxes, f.completeLists)
 		if took > 2*applyBound {
 			t.Errorf("all ready after %v", took)
 		}
-		if most := boxes + boxes/4; f.lists > most {
-			t.Errorf("%d complete lists were sent to %d boxes, want at most %d", f.lists, boxes, most)
+		if most := boxes + boxes/4; f.completeLists > most {
+			t.Errorf("%d complete lists were sent to %d boxes, want at most %d", f.completeLists, boxes, most)
 		}
 	})
 }
--- a/src/gateway/suspended_test.go
+++ b/src/gateway/suspended_test.go
@@ -17,13 +17,13 @@
 
 // suspend advances a box's clock as if its machine had been suspended for d.
 func (f *testFleet) suspend(name string, d time.Duration) {
-	before, _ := f.slept.Load(name)
+	before, _ := f.suspendedFor.Load(name)
 	slept, _ := before.(time.Duration)
-	f.slept.Store(name, slept+d)
+	f.suspendedFor.Store(name, slept+d)
 }
 
 // Servers left while the box was suspended. It confirms its state before it sends anything.
-func TestABoxThatSleptSendsNothingOnWhatItBelievedBefore(t *testing.T) {
+func TestResumedBoxConfirmsStateBeforeSending(t *testing.T) {
 	for _, slept := range []time.Duration{2 * time.Second, 5 * time.Second, 20 * time.Second} {
 		t.Run(slept.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -41,7 +41,7 @@
 				}
 				settle()
 				f.setLost("box2", true) // its connections are dead for a moment after the suspension
-				f.turnAway(func(box string) bool { return box == "box2" })
+				f.refuseReads(func(box string) bool { return box == "box2" })
 				f.remove("model0")
 				f.remove("model1")
 				f.suspend("box2", slept)
@@ -56,7 +56,7 @@
 				}
 				time.Sleep(300 * time.Millisecond)
 				f.setLost("box2", false)
-				f.turnAway(nil)
+				f.refuseReads(nil)
 				all.Wait()
 				if sent["model0"]+sent["model1"] > 0 {
 					t.Errorf("sent to %v: model0 and model1 left during the suspension", sent)
@@ -67,7 +67,7 @@
 }
 
 // A caller's deadline passes while the box is suspended: its request ends as soon as the box resumes.
-func TestARequestWhoseTimePassedInASleepEndsAtOnce(t *testing.T) {
+func TestDeadlinePassedDuringSuspensionEndsRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
 		f.send = func(ctx context.Context, _ string, _ *Call) (*Reply, error) {
@@ -88,7 +88,7 @@
 
 // A box resumes between the selection of a server and the first byte, or between two attempts: no server is
 // given more time than the caller has left, and none is asked when no time is left.
-func TestNoServerIsGivenTimeThatASleepTook(t *testing.T) {
+func TestSuspensionReducesTimeGivenToServers(t *testing.T) {
 	for _, slept := range []time.Duration{300 * time.Millisecond, 2 * time.Second, 5 * time.Second} {
 		t.Run(slept.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/src/gateway/urgency_test.go
+++ b/src/gateway/urgency_test.go
@@ -82,13 +82,13 @@
 		if !wait(ctx, 150*time.Millisecond+time.Duration(len(list))*items[s.Pool]) {
 			return batch.CallBroken, nil
 		}
-		return batch.CallDone, piecesOf(s, list)
+		return batch.CallDone, resultsOf(s, list)
 	}
 	f.send = func(ctx context.Context, _ string, _ *Call) (*Reply, error) {
 		if !wait(ctx, 100*time.Millisecond) {
 			return nil, ctx.Err()
 		}
-		return events(ctx, 1, 3, 10*time.Millisecond, io.EOF), nil
+		return eventStream(ctx, 1, 3, 10*time.Millisecond, io.EOF), nil
 	}
 	for i := range boxes {
 		f.start(fmt.Sprint("box", i))
@@ -99,7 +99,7 @@
 
 // runClasses sends requests of all classes for a while, those of one class at a higher rate during a burst. A
 // refused caller retries once, after the time that it was told.
-func (f *testFleet) playClasses(boxes int, classes []callerClass, length time.Duration, burst classBurst, seed uint64) map[string]classOutcome {
+func (f *testFleet) runClasses(boxes int, classes []callerClass, length time.Duration, burst classBurst, seed uint64) map[string]classOutcome {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	out := map[string]classOutcome{}
@@ -110,7 +110,7 @@
 			for i := 0; time.Since(began) < length; i++ {
 				pieces, box := c.pieces(r), r.IntN(boxes)
 				all.Go(func() {
-					o := f.callOnceAgain(c, pieces, box, boxes, fmt.Sprintf("%s-%d", c.name, i))
+					o := f.callWithRetry(c, pieces, box, boxes, fmt.Sprintf("%s-%d", c.name, i))
 					mu.Lock()
 					defer mu.Unlock()
 					out[c.name] = out[c.name].plus(o)
@@ -129,7 +129,7 @@
 }
 
 // callWithRetry sends one request and, if it is refused, once more to another box.
-func (f *testFleet) callOnceAgain(c callerClass, pieces []int, box, boxes int, id string) (o classOutcome) {
+func (f *testFleet) callWithRetry(c callerClass, pieces []int, box, boxes int, id string) (o classOutcome) {
 	began, left := time.Now(), c.left
 	o.asked = 1
 	for try := range 2 {
@@ -158,8 +158,8 @@
 
 // By how much the shares of a class that are served, and in time, may be below those of a less urgent one.
 const (
-	servedLess = 0.05
-	inTimeLess = 0.15
+	maxServedGap = 0.05
+	maxInTimeGap = 0.15
 )
 
 // classBurst raises the rate of one class for half of a run.
@@ -170,7 +170,7 @@
 
 // A burst of requests with a long objective fills the pools of a chain that more urgent requests with a short
 // objective use too. No class is served worse than a less urgent one.
-func TestNoClassIsPutBehindALessUrgentOne(t *testing.T) {
+func TestNoPriorityInversion(t *testing.T) {
 	for _, boxes := range []int{6, 24} {
 		for _, burst := range []classBurst{{"", 1}, {"explain", 1.6}} {
 			checkUrgency(t, boxes, burst)
@@ -180,7 +180,7 @@
 
 // The same where the pools of the chain can't carry the burst: from explain x2.2 on, 1,152 pieces per second
 // arrive at a pool that processes 1,105.
-func TestNoClassIsPutBehindALessUrgentOneInAnOverload(t *testing.T) {
+func TestNoPriorityInversionUnderOverload(t *testing.T) {
 	for _, boxes := range []int{6, 24} {
 		for _, burst := range []classBurst{{"explain", 2.2}, {"explain", 3}, {"digest", 2.5}, {"notes", 4}} {
 			checkUrgency(t, boxes, burst)
@@ -196,7 +196,7 @@
 		for seed := range uint64(4) {
 			synctest.Test(t, func(t *testing.T) {
 				f := urgencyFleet(t, boxes, classes)
-				for name, o := range f.playClasses(boxes, classes, 12*time.Second, burst, seed) {
+				for name, o := range f.runClasses(boxes, classes, 12*time.Second, burst, seed) {
 					sums[name] = sums[name].plus(o)
 				}
 			})
@@ -206,7 +206,7 @@
 			t.Logf("%-8s asked %d, in time %.3f, served %.3f, refused %.3f", c.name, o.asked, o.share(o.inTime), o.share(o.served), o.share(o.refused))
 			for _, less := range classes[i+1:] {
 				p := sums[less.name]
-				if o.share(o.served) < p.share(p.served)-servedLess || o.share(o.inTime) < p.share(p.inTime)-inTimeLess {
+				if o.share(o.served) < p.share(p.served)-maxServedGap || o.share(o.inTime) < p.share(p.inTime)-maxInTimeGap {
 					t.Errorf("%s is served worse than %s, which is less urgent", c.name, less.name)
 				}
 			}
