--- a/src/gateway/leaving_test.go
+++ b/src/gateway/leaving_test.go
@@ -61,8 +61,8 @@
 	return held.Number()
 }
 
-// dropBound is how long after a server's removal the last box may use it where some box can read the store. A
-// leaving server may get requests for at least 2 s, of which connecting takes up to 0.7 s.
+// dropBound is how long after a server's removal the last box may use it where some box can read the store.
+// The tightest bound for requests to a leaving server is 2 s, of which connecting takes up to 0.7 s.
 const dropBound = time.Second
 
 func TestRemovedServerIsDroppedWhileStoreRefusesReads(t *testing.T) {
--- a/src/gateway/limits_site_test.go
+++ b/src/gateway/limits_record_test.go
@@ -22,8 +22,8 @@
 
 // The users' bounds. From limitGrace after a server first announced its limit, it gets in each limitWindow at
 // most limitFactor times what the limit allows plus limitSlack requests, from boxes that got the limit at
-// least limitKnownAfter before. A server of whose limit less than minLimitUse is used while callers want more
-// is left idle.
+// least limitKnownAfter before. A server counts as idle if less than minLimitUse of its limit is used while
+// callers want more.
 const (
 	limitGrace      = 3 * time.Second
 	limitWindow     = 4 * time.Second
--- a/src/gateway/pushback_site_test.go
+++ b/src/gateway/pushback_site_test.go
@@ -189,8 +189,8 @@
 	}
 }
 
-// callerTimeout is how long a caller waits, all its tries together. It retries once, after the time that it
-// was told or a third of what it has left, as the users' callers do.
+// callerTimeout is how long a caller waits, all its tries together. A refused caller retries once, after the
+// time that it was told but at most a third of what it has left, as the users' callers do.
 const callerTimeout = 10 * time.Second
 
 // callerTotals are the outcomes of the callers of a run.
--- a/src/gateway/urgency_test.go
+++ b/src/gateway/urgency_test.go
@@ -98,7 +98,7 @@
 }
 
 // runClasses sends requests of all classes for a while, those of one class at a higher rate during a burst. A
-// refused caller retries once, after the time that it was told.
+// refused caller retries once, after the time that it was told but at most a third of what it has left.
 func (f *testFleet) runClasses(boxes int, classes []callerClass, length time.Duration, burst classBurst, seed uint64) map[string]classOutcome {
 	var mu sync.Mutex
 	var all sync.WaitGroup
