--- a/src/gateway/crashing_mixed_test.go
+++ b/src/gateway/crashing_mixed_test.go
@@ -30,9 +30,9 @@
 		var all sync.WaitGroup
 		for i := range 500 {
 			box := fmt.Sprint("box", 1+i%2*2) // the boxes of the earlier release
-			all.Go(func() { others.add(s.askAs(box, "/draft/x", fmt.Sprint("good", i), fmt.Sprint("body", i))) })
+			all.Go(func() { others.add(s.askWithBody(box, "/draft/x", fmt.Sprint("good", i), fmt.Sprint("body", i))) })
 			if i%10 == 0 {
-				all.Go(func() { s.askAs("box0", "/draft/x", fmt.Sprint("bad", i), "the same") })
+				all.Go(func() { s.askWithBody("box0", "/draft/x", fmt.Sprint("bad", i), "the same") })
 			}
 			time.Sleep(30 * time.Millisecond)
 		}
--- a/src/gateway/crashing_test.go
+++ b/src/gateway/crashing_test.go
@@ -210,8 +210,8 @@
 	y.unserved++
 }
 
-// askAs sends a request with the given body.
-func (s *crashSite) askAs(box, path, id, body string) callResult {
+// askWithBody sends a request with the given body.
+func (s *crashSite) askWithBody(box, path, id, body string) callResult {
 	return s.f.ask(box, path, id, func(r *Request) {
 		r.Body = []byte(body)
 		if r.Pieces = nil; strings.HasPrefix(path, "/draft/") {
@@ -232,14 +232,14 @@
 	all.Go(func() {
 		for i := range int(length / between) {
 			all.Go(func() {
-				others.add(s.askAs(fmt.Sprint("box", i%boxes), path, fmt.Sprint("good", i), fmt.Sprint("body", i)))
+				others.add(s.askWithBody(fmt.Sprint("box", i%boxes), path, fmt.Sprint("good", i), fmt.Sprint("body", i)))
 			})
 			time.Sleep(between)
 		}
 	})
 	for i := range int(length / pace) {
 		all.Go(func() {
-			a := s.askAs(fmt.Sprint("box", i*7%boxes), path, fmt.Sprint("bad", i), "the same")
+			a := s.askWithBody(fmt.Sprint("box", i*7%boxes), path, fmt.Sprint("bad", i), "the same")
 			s.mu.Lock()
 			last = a
 			s.mu.Unlock()
@@ -312,7 +312,7 @@
 					}
 				})
 				for i := range 2500 {
-					all.Go(func() { others.add(s.askAs(fmt.Sprint("box", i%boxes), "/look/x", fmt.Sprint("r", i), "the same")) })
+					all.Go(func() { others.add(s.askWithBody(fmt.Sprint("box", i%boxes), "/look/x", fmt.Sprint("r", i), "the same")) })
 					time.Sleep(8 * time.Millisecond)
 				}
 				all.Wait()
@@ -340,7 +340,7 @@
 					time.Sleep(time.Second)
 					s.f.start(name)
 					for range 20 {
-						s.askAs(name, "/look/x", "bad", "the same")
+						s.askWithBody(name, "/look/x", "bad", "the same")
 						time.Sleep(100 * time.Millisecond)
 					}
 				}
@@ -363,7 +363,7 @@
 				var all sync.WaitGroup
 				for i := range 10 {
 					for b := range 5 {
-						all.Go(func() { s.askAs(fmt.Sprint("box", b), "/stamp/x", fmt.Sprint("bad", i, "-", b), "the same") })
+						all.Go(func() { s.askWithBody(fmt.Sprint("box", b), "/stamp/x", fmt.Sprint("bad", i, "-", b), "the same") })
 					}
 					time.Sleep(2 * time.Second)
 				}
@@ -413,7 +413,7 @@
 				others := &tally{}
 				for i := range 2000 {
 					all.Go(func() {
-						others.add(s.askAs(fmt.Sprint("box", i%boxes), "/stamp/x", fmt.Sprint("good", i), fmt.Sprint("body", i)))
+						others.add(s.askWithBody(fmt.Sprint("box", i%boxes), "/stamp/x", fmt.Sprint("good", i), fmt.Sprint("body", i)))
 					})
 				}
 				time.Sleep(50 * time.Millisecond)
@@ -426,7 +426,7 @@
 				s.crashed, s.thirdCrash = 0, time.Time{} // from here on only crashes by the content are counted
 				s.mu.Unlock()
 				for i := range 60 {
-					all.Go(func() { s.askAs(fmt.Sprint("box", i*7%boxes), "/stamp/x", fmt.Sprint("bad", i), "the same") })
+					all.Go(func() { s.askWithBody(fmt.Sprint("box", i*7%boxes), "/stamp/x", fmt.Sprint("bad", i), "the same") })
 					time.Sleep(200 * time.Millisecond)
 				}
 				all.Wait()
@@ -459,7 +459,7 @@
 				for i := range 60 {
 					box := fmt.Sprint("box", i*7%boxes)
 					if !slices.Contains(lost, box) {
-						go s.askAs(box, "/stamp/x", fmt.Sprint("bad", i), "the same")
+						go s.askWithBody(box, "/stamp/x", fmt.Sprint("bad", i), "the same")
 					}
 					time.Sleep(300 * time.Millisecond)
 				}
--- a/src/gateway/limits_urgency_test.go
+++ b/src/gateway/limits_urgency_test.go
@@ -32,7 +32,7 @@
 				for i := range 720 { // 60 per second, of which 20 can be served
 					path := []string{"/look/x", "/peek/x", "/peek/x"}[i%3]
 					all.Go(func() {
-						a := s.askAs(i%boxes, path, fmt.Sprint("r", i), callerTimeout)
+						a := s.askAvailable(i%boxes, path, fmt.Sprint("r", i), callerTimeout)
 						mu.Lock()
 						defer mu.Unlock()
 						asked[path]++
--- a/src/gateway/pushback_site_test.go
+++ b/src/gateway/pushback_site_test.go
@@ -213,7 +213,7 @@
 	for i := range int(length / between) {
 		sent := time.Since(began)
 		all.Go(func() {
-			a := s.askAs(i%boxes, path, fmt.Sprint("r", i), callerTimeout)
+			a := s.askAvailable(i%boxes, path, fmt.Sprint("r", i), callerTimeout)
 			mu.Lock()
 			defer mu.Unlock()
 			if a.refused != nil {
@@ -221,7 +221,7 @@
 					left := callerTimeout - a.took
 					pause := min(a.refused.RetryAfter, left/3)
 					time.Sleep(pause)
-					if b := s.askAs((i+boxes/2)%boxes, path, fmt.Sprint("again", i), left-pause); !b.ended {
+					if b := s.askAvailable((i+boxes/2)%boxes, path, fmt.Sprint("again", i), left-pause); !b.ended {
 						mu.Lock()
 						out.refusedTwice++
 						mu.Unlock()
@@ -260,8 +260,8 @@
 	return time.Since(s.restAskedAt[fmt.Sprint("box", box)])
 }
 
-// askAs sends one request to a box, or to the next one that has callers.
-func (s *pushbackSite) askAs(box int, path, id string, left time.Duration) callResult {
+// askAvailable sends one request to a box, or to the next one that has callers.
+func (s *pushbackSite) askAvailable(box int, path, id string, left time.Duration) callResult {
 	s.mu.Lock()
 	s.sentAt[id] = time.Now()
 	for s.down[fmt.Sprint("box", box)] {
