--- a/src/gateway/crashing_test.go
+++ b/src/gateway/crashing_test.go
@@ -312,7 +312,9 @@
 					}
 				})
 				for i := range 2500 {
-					all.Go(func() { others.add(s.askWithBody(fmt.Sprint("box", i%boxes), "/look/x", fmt.Sprint("r", i), "the same")) })
+					all.Go(func() {
+						others.add(s.askWithBody(fmt.Sprint("box", i%boxes), "/look/x", fmt.Sprint("r", i), "the same"))
+					})
 					time.Sleep(8 * time.Millisecond)
 				}
 				all.Wait()
