--- a/src/batch/confined.go
+++ b/src/batch/confined.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// endNowhere fails the jobs that no listed server is allowed to run, instead of letting them wait for their deadlines.
-func (s *Scheduler) endNowhere(now time.Time, out *Actions) {
+// endUnplaceable fails the jobs that no listed server is allowed to run, instead of letting them wait for their deadlines.
+func (s *Scheduler) endUnplaceable(now time.Time, out *Actions) {
 	for _, t := range s.jobs {
 		if t.Within != nil && t.running == 0 && !s.standsWithin(t) {
 			s.end(now, t, Message{Failed: &Failed{ID: t.ID, Reason: Nowhere}}, out)
--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -62,7 +62,7 @@
 		return out
 	}
 	s.endBarred(now, &out)
-	s.endNowhere(now, &out)
+	s.endUnplaceable(now, &out)
 	s.endResting(now, &out)
 	s.endCrowded(now, &out)
 	free := s.free(now)
