--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -177,7 +177,7 @@
 // fitsDomain reports whether a server may take a job given where its inputs are. A job waits for a limited time for
 // the domain of its inputs, provided a healthy server is there.
 func (s *Scheduler) fitsDomain(now time.Time, t *job, v *serverState) bool {
-	wait := foreignAfter
+	wait := leaveDomainAfter
 	if t.Due.Sub(now) > s.pool.Batch.CallTime+foreignSlack {
 		wait = foreignAfterSlack
 	}
--- a/src/batch/forming_test.go
+++ b/src/batch/forming_test.go
@@ -28,13 +28,13 @@
 	if a := s.Submit(start, near, ""); len(a.Calls) != 0 {
 		t.Fatal("work left the domain of its inputs at once")
 	}
-	if a := s.Tick(start.Add(foreignAfter)); len(a.Calls) != 0 {
+	if a := s.Tick(start.Add(leaveDomainAfter)); len(a.Calls) != 0 {
 		t.Fatal("work left its domain though it is not due for long")
 	}
 	hurried := testJob("b", 1, 1)
 	hurried.InputDomain, hurried.CrossBytes, hurried.Due = "d0", smallCross, start.Add(800*time.Millisecond)
 	s.Submit(start, hurried, "")
-	a := s.Tick(start.Add(foreignAfter))
+	a := s.Tick(start.Add(leaveDomainAfter))
 	if len(a.Calls) != 1 || a.Calls[0].Server.Domain != "d1" || a.Calls[0].Items[0].Request != "b-1" {
 		t.Fatal("work that is due soon waited for its domain")
 	}
@@ -62,7 +62,7 @@
 		near.InputDomain, near.CrossBytes = "d0", smallCross
 		s.Submit(start, near, "")
 	}
-	if a := s.Tick(start.Add(foreignAfter)); len(a.Calls) != 0 {
+	if a := s.Tick(start.Add(leaveDomainAfter)); len(a.Calls) != 0 {
 		t.Fatal("work that is not due for long left the domain of its inputs because much of it waits")
 	}
 }
