--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -1,5 +1,5 @@
-// Package balance picks the backend server of a request: by the work that all boxes have there, by
-// what it keeps of the request's prompt, by where it lies, and by how it answered lately.
+// Package balance chooses the backend server for a request by the load that all boxes have there, the parts of the
+// request's prompt that it has cached, its failure domain and the outcomes of its recent requests.
 package balance
 
 import (
@@ -9,27 +9,27 @@
 	"github.com/stilemast/stilemast/src/catalog"
 )
 
-// Wish describes a request to be placed.
+// Wish describes the request for which to choose a server.
 type Wish struct {
-	Parts       []Part          // of the prompt, in order; the last is its own
-	Domain      string          // where its inputs lie, "" for none
-	InputBytes  float64         // size of the inputs
-	Exclude     map[string]bool // servers tried already
-	LeastLoaded bool            // the server with the fewest requests; prompts and places come second
-	Makers      map[string]int  // servers by domain that make its large inputs; nil when it has none
+	Parts       []Part          // parts of the prompt, in order; the last is not shared with other requests
+	Domain      string          // failure domain of its inputs, "" for none
+	InputBytes  float64         // size of its inputs
+	Exclude     map[string]bool // ids of servers already tried
+	LeastLoaded bool            // prefer the server with the fewest requests; prompt cache and domain come second
+	Makers      map[string]int  // number of servers in each domain that produce its large inputs; nil if it has none
 
-	Within *catalog.Confines // where it may run; nil for anywhere
+	Within *catalog.Confines // failure domains that it may run in; nil for any
 
-	Only      string // the one server where a permit is reserved for it, "" for none
-	Unlimited bool   // servers that limit their requests come last
+	Only      string // id of the only server to choose, where a permit is reserved for it; "" for any
+	Unlimited bool   // prefer servers without a request limit
 }
 
-// barred says whether a request may not be given to a server, whatever its load.
+// barred reports whether the request excludes a server, whatever the server's load.
 func (w *Wish) barred(v *server) bool {
 	return w.Exclude[v.ID] || !w.Within.Allow(v.Domain) || w.Only != "" && w.Only != v.ID
 }
 
-// Tokens counts the prompt's tokens.
+// Tokens returns the number of tokens in the prompt.
 func (w *Wish) Tokens() int {
 	n := 0
 	for _, p := range w.Parts {
@@ -38,72 +38,73 @@
 	return n
 }
 
-// Load is what one box has at a server.
+// Load is the load at a server.
 type Load struct {
 	Requests int
-	Tokens   int // of prompts that are still to be read
+	Tokens   int // prompt tokens that have not been processed
 }
 
-// Note is another box's word on its load at a server, which is named by the hash of its id.
+// Note is the load that a box reports for a server, which is identified by the hash of its id.
 type Note struct {
 	Server uint64
 	Load   Load
-	Rests  bool // the server failed there
+	Rests  bool // the box has paused the server after failures
 }
 
-// word is what one box told of this pool, and when.
+// word is the last report of a box on this pool.
 type word struct {
 	at    time.Time
 	notes []Note
 }
 
+// server is a server of the pool as seen by this box.
 type server struct {
-	*catalog.Server        // shared with the list, must not be changed
-	hash            uint64 // of the id
-	own             Load
-	peers           Load    // what other boxes told of lately, together
-	broken          int     // broken exchanges in a row
-	share           float64 // of failures, moving
-	rests           int     // times it was rested without a success between
-	until           time.Time
-	probing         bool
-	pace            float64   // measured time over the pool's, moving
-	seenAt          time.Time // when this box last had an exchange with it
+	*catalog.Server           // shared with the catalog, must not be modified
+	hash            uint64    // of the id
+	own             Load      // of this box
+	peers           Load      // sum of other boxes' current reports
+	broken          int       // consecutive broken exchanges
+	share           float64   // moving average of the failure rate
+	rests           int       // pauses since the last success
+	until           time.Time // end of the current pause
+	probing         bool      // a request has been sent to see whether it has recovered
+	pace            float64   // moving average of measured over expected time
+	seenAt          time.Time // end of this box's last exchange with it
 }
 
-// Pool picks among the servers of one pool. It is pure: time comes in. Not safe for concurrent use.
+// Pool chooses among the servers of one pool. It does no I/O and reads no clock. It is not safe for concurrent use.
 type Pool struct {
 	Box    string
 	Domain string // of this box
-	// RestsUntil is until when a server wants nothing from this box, by its own word; nil knows of none.
+	// RestsUntil returns until when a server wants no requests from this box, as it said itself; nil if none pauses.
 	RestsUntil func(*catalog.Server) time.Time
-	// Limits says whether a server limits its requests; nil knows of none.
+	// Limits reports whether a server limits its request rate; nil if none does.
 	Limits func(*catalog.Server) bool
-	Boxes  int // that there are, this one among them; 0 when only those heard of count
+	Boxes  int // number of boxes including this one; 0 to count only those that send reports
 
-	words   map[string]word    // of other boxes, by name
-	names   map[uint64]*server // by the hash of their ids
-	busy    map[string]*server // that this box has requests at
-	resting map[string]*server // that rest, or rested a moment ago
-	scale   float64            // by which the loads that were told stand for all
+	words   map[string]word    // reports of other boxes, by name
+	names   map[uint64]*server // servers by the hash of their ids
+	busy    map[string]*server // servers with requests of this box
+	resting map[string]*server // servers that are paused or were until recently
+	scale   float64            // factor from the reported loads to those of all boxes
 	servers map[string]*server
-	domains map[string]int                  // servers by failure domain
-	kept    map[uint64]map[uint64]time.Time // hash of a prompt part to those of servers that read it, and when
-	fresh   []freshRead                     // of which other boxes are still told
-	picks   uint64
+	domains map[string]int                  // number of servers by failure domain
+	kept    map[uint64]map[uint64]time.Time // by hash of a prompt part and of a server: when the server processed the part
+	fresh   []freshRead                     // recent reads to report to other boxes
+	picks   uint64                          // number of choices made
 	asked   popularity
-	share   float64   // of failures in the whole pool, moving
-	doubtAt time.Time // when this box last found a server gone or turning requests away
-	salt    uint64    // of this box, for choices among servers that cost the same
+	share   float64   // moving average of the failure rate of the whole pool
+	doubtAt time.Time // when this box last found a server absent or rejecting requests
+	salt    uint64    // specific to this box, for choices among servers of the same cost
 	ranks   []uint64  // scratch space
 }
 
-// NewPool knows no server yet.
+// NewPool returns a pool without servers for a box in a failure domain.
 func NewPool(box, domain string) *Pool {
 	return &Pool{Box: box, Domain: domain, salt: catalog.Hash(box), words: map[string]word{}, names: map[uint64]*server{}, busy: map[string]*server{}, resting: map[string]*server{}, servers: map[string]*server{}, domains: map[string]int{}, kept: map[uint64]map[uint64]time.Time{}, asked: newPopularity()}
 }
 
-// Configure takes all servers that are listed and take new work.
+// Configure sets the complete list of servers that take new work.
 func (p *Pool) Configure(list []*catalog.Server) {
 	seen := make(map[string]bool, len(list))
 	for _, v := range list {
@@ -118,7 +119,7 @@
 	p.Change(list, gone)
 }
 
-// Change takes servers that take new work now, or are listed otherwise, and those that take none any more.
+// Change adds or updates servers that take new work (put) and removes those that no longer do (gone).
 func (p *Pool) Change(put []*catalog.Server, gone []string) {
 	for _, v := range put {
 		st := p.servers[v.ID]
@@ -144,7 +145,7 @@
 	}
 }
 
-// drop forgets a server.
+// drop removes a server.
 func (p *Pool) drop(v *server) {
 	delete(p.servers, v.ID)
 	delete(p.names, v.hash)
@@ -153,7 +154,7 @@
 	p.domains[v.Domain]--
 }
 
-// forgetIncarnation drops all that was believed of a server which has started again: loads, failures, what it keeps of prompts.
+// forgetIncarnation drops the state of a server's previous incarnation: loads, failures and cached prompt parts.
 func (p *Pool) forgetIncarnation(v *server) {
 	delete(p.busy, v.ID)
 	delete(p.resting, v.ID)
@@ -167,18 +168,18 @@
 	}
 }
 
-// Current says whether a server as it was chosen is the one that is listed now: an exchange with an earlier life says
-// nothing of it.
+// Current reports whether the incarnation of s is the one listed now. An exchange with an earlier incarnation says
+// nothing about the current one.
 func (p *Pool) Current(s catalog.Server) bool {
 	v := p.servers[s.ID]
 	return v != nil && v.Incarnation == s.Incarnation
 }
 
-// Size counts the servers.
+// Size returns the number of servers.
 func (p *Pool) Size() int { return len(p.servers) }
 
-// load sums what all boxes have at a server. In a large fleet few tell in time; the others are taken to
-// have as much as they.
+// load estimates the load of all boxes at a server. In a large fleet only some boxes have reported recently; the others
+// are assumed to have the same load on average.
 func (p *Pool) load(v *server) Load {
 	return Load{
 		Requests: v.own.Requests + int(p.scale*float64(v.peers.Requests)),
@@ -186,7 +187,7 @@
 	}
 }
 
-// unheard drops words that are too old and gives by how much the boxes heard of lately stand for all.
+// unheard drops expired reports and returns the factor by which to scale the remaining ones to all boxes.
 func (p *Pool) unheard(now time.Time) float64 {
 	for box, w := range p.words {
 		if now.Sub(w.at) >= noteLife {
@@ -200,7 +201,7 @@
 	return float64(p.Boxes-1) / float64(n)
 }
 
-// forgetWord takes what a box told out of the sums.
+// forgetWord removes a box's report and subtracts it from the sums.
 func (p *Pool) forgetWord(box string) {
 	for _, n := range p.words[box].notes {
 		if v := p.names[n.Server]; v != nil {
@@ -211,8 +212,8 @@
 	delete(p.words, box)
 }
 
-// Hear takes all that another box tells of its loads; servers of other pools are passed over, and a
-// server that is not named has nothing of that box. The work grows with the notes, not the servers.
+// Hear replaces the load report of another box. Servers of other pools are ignored, and servers that aren't named have
+// no load from that box. The cost is proportional to the number of notes, not of servers.
 func (p *Pool) Hear(now time.Time, box string, notes []Note) {
 	p.forgetWord(box)
 	w := word{at: now}
@@ -231,7 +232,7 @@
 	p.words[box] = w
 }
 
-// Own gives this box's load at each server where it has any.
+// Own returns this box's load at each server where it has any.
 func (p *Pool) Own() map[string]Load {
 	out := make(map[string]Load, len(p.busy))
 	for id, v := range p.busy {
@@ -240,7 +241,7 @@
 	return out
 }
 
-// Busy says how many requests all boxes have in the pool and how many places it has.
+// Busy returns the requests of all boxes in the pool and the number of its slots.
 func (p *Pool) Busy(now time.Time) (requests, places int) {
 	p.scale = p.unheard(now)
 	for _, v := range p.servers {
@@ -250,8 +251,8 @@
 	return requests, places
 }
 
-// Pick chooses a server and counts the request there; Ended must follow. The second result names
-// why the choice fell so, for logs.
+// Pick chooses a server and adds the request to its load; the caller must call Ended when the request ends. The second
+// result is the reason for the choice, for logs.
 func (p *Pool) Pick(now time.Time, w *Wish) (catalog.Server, string, bool) {
 	var best *server
 	bestCost, why := 0.0, ""
@@ -295,13 +296,13 @@
 	return *best.Server, why, true
 }
 
-// wantsRest says whether a server asked for rest. It is kept even where no other server is left: just when all ask for
-// it, a box that asks the one it knows best sent 2,080 of 2,500 requests into rests (TestAServerThatAsksForRestHasIt).
+// wantsRest reports whether a server has asked for no requests now. That is respected even if no other server is left:
+// when boxes still used the best server while all asked for it, 2,080 of 2,500 requests were sent during such pauses.
 func (p *Pool) wantsRest(now time.Time, v *server) bool {
 	return p.RestsUntil != nil && now.Before(p.RestsUntil(v.Server))
 }
 
-// Awake says whether some server that a request may still be given to wants no rest.
+// Awake reports whether some server that the request doesn't exclude accepts requests now.
 func (p *Pool) Awake(now time.Time, w *Wish) bool {
 	if p.RestsUntil == nil {
 		return true
@@ -314,20 +315,20 @@
 	return false
 }
 
-// Rests says whether a server wants rest.
+// Rests reports whether a server has asked for no requests now.
 func (p *Pool) Rests(now time.Time, id string) bool {
 	v := p.servers[id]
 	return v != nil && p.wantsRest(now, v)
 }
 
-// RestEnds is when the first of the servers that want rest, of those where a request may run, can be asked; false when none of
-// them does.
+// RestEnds returns when the first pausing server in the request's domains accepts requests again, or false if none
+// pauses.
 func (p *Pool) RestEnds(now time.Time, w *Wish) (time.Time, bool) {
 	_, first, ok := p.FirstToWake(now, w)
 	return first, ok
 }
 
-// FirstToWake is the server of which RestEnds tells.
+// FirstToWake returns the pausing server that accepts requests again first, and when (see RestEnds).
 func (p *Pool) FirstToWake(now time.Time, w *Wish) (catalog.Server, time.Time, bool) {
 	var first time.Time
 	var server *catalog.Server
@@ -349,12 +350,12 @@
 	return *server, first, true
 }
 
-// jitter spreads requests over servers that cost the same.
+// jitter spreads requests over servers of the same cost.
 func (p *Pool) jitter(v *server) float64 {
 	return jitterMs * float64(mix(p.salt+p.picks, v.hash)%1024) / 1024
 }
 
-// cost estimates in milliseconds how much later the request would be answered at a server.
+// cost estimates by how many milliseconds a request would be delayed at a server.
 func (p *Pool) cost(now time.Time, v *server, w *Wish, kept keptParts, home string) float64 {
 	l := p.load(v)
 	slots := float64(max(1, v.Slots))
@@ -388,7 +389,7 @@
 	return cost
 }
 
-// Domains counts the servers of each failure domain that has some.
+// Domains returns the number of servers in each failure domain that has some.
 func (p *Pool) Domains() map[string]int {
 	out := make(map[string]int, len(p.domains))
 	for d, n := range p.domains {
--- a/src/balance/constants.go
+++ b/src/balance/constants.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// Tunables of the choice.
+// Parameters of the choice.
 const (
-	noteLife        = 1500 * time.Millisecond // a peer's note on its load counts this long
-	keptLife        = 10 * time.Second        // a prompt part read this long ago may be kept still
-	keptMost        = 4096                    // prompt parts remembered of one pool
-	tokensPerMs     = 50.0                    // prompt tokens that an engine reads in a millisecond, about
-	runningPenalty  = 3.0                     // ms that each running request adds
-	jitterMs        = 1.0                     // by which servers of the same cost are told apart
+	noteLife        = 1500 * time.Millisecond // lifetime of another box's load report
+	keptLife        = 10 * time.Second        // time for which a processed prompt part is assumed to be cached
+	keptMost        = 4096                    // prompt parts remembered for one pool
+	tokensPerMs     = 50.0                    // prompt tokens that an engine processes per millisecond, roughly
+	runningPenalty  = 3.0                     // ms for each running request, at a server of 64 slots
+	jitterMs        = 1.0                     // largest random ms added to the cost
 	farPenalty      = 8.0                     // ms for a server in another failure domain than the box
-	againPerToken   = 0.12                    // ms that reading a shared token again weighs, beside the time that it takes
-	bytesPerMs      = 27000.0                 // bytes of results from another domain that weigh as much as a ms
-	leastCopied     = 512                     // shared tokens for which a copy from another server is worth its set-up
-	tellReads       = 450 * time.Millisecond  // for which a read is told to other boxes: two rounds of news
-	leastMakers     = 0.05                    // that a domain without makers counts as, so that it has homes where it is the only one
-	popularitySpare = 2.0                     // servers for a popular prompt part, over its share of all tokens
-	popularityLife  = 5 * time.Second         // over which that share is measured
-	askLife         = 10 * time.Second        // that another box's counts of what is asked for are used: a box of a fleet of 300 hears of half of the others in that time
-	askNotes        = 16                      // parts that one message tells of; a box of such a fleet is asked for some ten in popularityLife
-	failurePause    = 600 * time.Millisecond  // after repeated failures; doubled with each further one
-	maxDoublings    = 4
-	replacedPause   = 10 * time.Second // of a server whose address another has: longer than the list of servers lags
-	goneDoubt       = 3 * time.Second  // that servers without a sign of life are doubted after one was found gone: the list drops a silent server after three of its heartbeats
-	doubtPenalty    = 150.0            // ms that a doubted server costs: as much as reading a prompt of 7,500 tokens
-	hardFailures    = 2                // broken exchanges in a row before a server rests
-	failureLearning = 0.15             // weight of a new outcome in a server's share of failures
-	greyShare       = 0.3              // share of failures above the pool's at which a server rests
-	paceLearning    = 0.2
+	againPerToken   = 0.12                    // ms for processing a shared token again, in addition to the time it takes
+	bytesPerMs      = 27000.0                 // input bytes from another domain that cost one ms
+	leastCopied     = 512                     // fewest shared tokens that are worth copying from another server
+	tellReads       = 450 * time.Millisecond  // time for which a read is reported to other boxes: two gossip rounds
+	leastMakers     = 0.05                    // minimum weight of a domain without makers, so that it can have homes if it is the only one
+	popularitySpare = 2.0                     // a popular prompt part gets this times its share of all tokens as its share of the servers
+	popularityLife  = 5 * time.Second         // decay time of the token counts
+	askLife         = 10 * time.Second        // lifetime of another box's token counts; in a fleet of 300 a box hears from half of the others in that time
+	askNotes        = 16                      // prompt parts in one message; a box of such a fleet gets requests for about ten in popularityLife
+	failurePause    = 600 * time.Millisecond  // after repeated failures; doubled with each further pause
+	maxDoublings    = 4                       // of failurePause
+	replacedPause   = 10 * time.Second        // for a server whose address another server has taken: longer than the list of servers lags
+	goneDoubt       = 3 * time.Second         // time for which unused servers are doubted after one was found absent; the list drops a silent server after three heartbeats
+	doubtPenalty    = 150.0                   // ms for a doubted server: the time to process 7,500 prompt tokens
+	hardFailures    = 2                       // consecutive broken exchanges after which a server is paused
+	failureLearning = 0.15                    // weight of a new outcome in the failure rate
+	greyShare       = 0.3                     // failure rate above the pool's at which a server is paused
+	paceLearning    = 0.2                     // weight of a new sample in the pace of a server
 
-	leastLoadedPenalty = 30.0 // ms that each request costs beyond that where few are to be at risk: a prompt of 1,500 tokens weighs as much
-	limitedPenalty     = 1e4  // ms that a server which limits its requests costs a request that got no permit there: any other is taken before
-	slowRatio          = 2.5
+	leastLoadedPenalty = 30.0 // further ms for each running request if the least loaded server is wanted: the time to process 1,500 tokens
+	limitedPenalty     = 1e4  // ms for a rate-limited server for requests without a permit there: more than any other cost
+	slowRatio          = 2.5  // pace from which a server counts as slow
 )
--- a/src/balance/health.go
+++ b/src/balance/health.go
@@ -4,6 +4,7 @@
 	"time"
 )
 
+// usable reports whether a server is neither paused nor being probed after a pause.
 func (v *server) usable(now time.Time) bool {
 	if now.Before(v.until) {
 		return false
@@ -11,19 +12,20 @@
 	return v.rests == 0 || !v.probing
 }
 
-// doubtful says whether a server may be gone or turn requests away: others were found to a moment ago, and nobody is known to
-// have work there nor had an answer from it since. A server that is gone looks idle, and would be everyone's next choice: without
-// this 18 of 20 requests met a crashed server first where a third had crashed, with it 2 at most (TestAfterOneServer...).
+// doubtful reports whether a server may be absent or rejecting requests: another server was found so recently, and no box
+// is known to have requests at this one or to have had an answer since. An absent server looks idle and would be chosen
+// first: without this check, with a third of the servers crashed, 18 of 20 requests were first sent to a crashed server,
+// with it at most 2.
 func (p *Pool) doubtful(now time.Time, v *server, l Load) bool {
 	return now.Sub(p.doubtAt) < goneDoubt && l.Requests == 0 && now.Sub(v.seenAt) >= goneDoubt
 }
 
-// cold says whether a server bears little, since it has just started.
+// cold reports whether a server has just started and can take only little load.
 func (v *server) cold(now time.Time) bool { return now.Before(v.ColdUntil) }
 
-// fewCold says whether cold servers can be passed over: fewer than half are. A cold server that looks
-// idle would get the next request of every box at once, and falls over; where most are cold, requests
-// spread over them.
+// fewCold reports whether fewer than half of the servers are cold, so that cold servers can be skipped. An idle cold
+// server would otherwise get the next request of every box at once and be overloaded. If most are cold, requests spread
+// over them.
 func (p *Pool) fewCold(now time.Time) bool {
 	n := 0
 	for _, v := range p.servers {
@@ -34,7 +36,7 @@
 	return 2*n < len(p.servers)
 }
 
-// Outcome says how an exchange with a server ended.
+// Outcome is the outcome of an exchange with a server.
 type Outcome uint8
 
 // String names the outcome for logs.
@@ -60,7 +62,7 @@
 	return "unknown"
 }
 
-// Ended takes the end of a request's exchange. It says whether the server now rests.
+// Ended records the end of a request's exchange with a server. It reports whether the server was paused.
 func (p *Pool) Ended(now time.Time, id string, w *Wish, o Outcome) bool {
 	v := p.servers[id]
 	if v == nil {
@@ -78,9 +80,9 @@
 	if o != Absent && o != Replaced {
 		v.seenAt = now
 	}
-	if o == AsksRest { // it is not ill: its own time for its rest counts, in place of our guess
+	if o == AsksRest { // not a failure: the pause that the server asked for applies instead of ours
 		v.probing = false
-		p.doubtAt = now // of 2,500 requests 2 are refused where 3 of 5 servers turn all away, 23 without (TestAServerThatAsksForRestHasIt)
+		p.doubtAt = now // with 3 of 5 servers rejecting all requests, 2 of 2,500 were refused, 23 without this
 		return false
 	}
 	bad := 0.0
@@ -116,6 +118,7 @@
 	return false
 }
 
+// rest pauses a server, longer with each pause since the last success.
 func (p *Pool) rest(now time.Time, v *server) {
 	v.until = now.Add(failurePause << min(v.rests, maxDoublings))
 	p.resting[v.ID] = v
@@ -124,7 +127,7 @@
 	v.share = min(v.share, p.share+greyShare/2)
 }
 
-// Resting lists the servers that get no work now.
+// Resting returns the ids of the servers that are paused after failures.
 func (p *Pool) Resting(now time.Time) []string {
 	var out []string
 	for id, v := range p.resting {
@@ -137,7 +140,7 @@
 	return out
 }
 
-// Pace takes the time a server took for a request against the time that was expected of it.
+// Pace records the time that a server took for a request and the time that was expected.
 func (p *Pool) Pace(id string, took, expected time.Duration) {
 	v := p.servers[id]
 	if v == nil || expected <= 0 {
@@ -146,14 +149,14 @@
 	v.pace += paceLearning * (float64(took)/float64(expected) - v.pace)
 }
 
-// The outcomes.
+// Outcomes of an exchange.
 const (
-	Good     Outcome = iota + 1 // an answer that was no failure
-	Failed                      // a failure that the server stated
-	Full                        // the server took nothing
-	Broken                      // no connection, no answer, or one that makes no sense
+	Good     Outcome = iota + 1 // a response that is not a failure
+	Failed                      // a failure response from the server
+	Full                        // the server rejected the request for lack of capacity
+	Broken                      // no connection, no response or an invalid one
 	Absent                      // no process listens at its address
-	Replaced                    // another server has its address
-	AsksRest                    // the server took nothing and said for how long it wants nothing
-	Dropped                     // given up for reasons of ours; says nothing of the server
+	Replaced                    // another server answers at its address
+	AsksRest                    // the server rejected the request and said for how long to send none
+	Dropped                     // cancelled by this box; says nothing about the server
 )
--- a/src/balance/popularity.go
+++ b/src/balance/popularity.go
@@ -9,31 +9,31 @@
 	"github.com/stilemast/stilemast/src/catalog"
 )
 
-// popularity measures which part of all prompt tokens is asked under each first prompt part.
+// popularity measures the share of all prompt tokens that belongs to each first prompt part.
 //
-// Idea. Each box counts what it is asked for, decaying, and tells others its counts; the shares are those
-// of the sum over all boxes heard of lately. In a large fleet a box is asked for so little that its own
-// counts say nothing: of ten requests each looks like a tenth of all.
+// Each box keeps decaying counts of its own requests and reports them to the others; the shares are those of the sum over
+// all boxes that reported recently. In a large fleet a box gets too few requests for its own counts to be meaningful: of
+// ten requests each would look like a tenth of all.
 //
-// Cost. askNotes parts a message; the memory of as many for each box heard of in askLife.
+// A message has up to askNotes parts, and as many are stored for each box heard from in askLife.
 type popularity struct {
-	own     map[uint64]float64 // tokens by the hash of the first part
-	total   float64
-	decayed time.Time
+	own     map[uint64]float64 // tokens by hash of the first part
+	total   float64            // tokens of all requests of this box
+	decayed time.Time          // when the counts last decayed
 
 	reports map[string]askReport // of other boxes
-	told    map[uint64]float64   // sums of the reports
-	toldAll float64
+	told    map[uint64]float64   // sums of the reports, by hash of the first part
+	toldAll float64              // sum of the reports' totals
 }
 
-// askReport is what another box told of its counts.
+// askReport is another box's report of its counts.
 type askReport struct {
 	at    time.Time
 	total float64
 	parts []Asked
 }
 
-// Asked says how many tokens were asked for lately under a first prompt part, named by its hash.
+// Asked is the recent number of prompt tokens of requests with a certain first part, identified by its hash.
 type Asked struct {
 	Part   uint64
 	Tokens uint32
@@ -43,7 +43,7 @@
 	return popularity{own: map[uint64]float64{}, reports: map[string]askReport{}, told: map[uint64]float64{}}
 }
 
-// note counts the tokens of a request under its first prompt part.
+// note adds the tokens of a request to its first prompt part.
 func (a *popularity) note(now time.Time, w *Wish) {
 	if len(w.Parts) == 0 {
 		return
@@ -76,7 +76,7 @@
 	}
 }
 
-// hear takes another box's counts in place of those that it told before.
+// hear replaces another box's report.
 func (a *popularity) hear(now time.Time, box string, total float64, parts []Asked) {
 	a.forget(box)
 	a.reports[box] = askReport{at: now, total: total, parts: parts}
@@ -100,7 +100,7 @@
 	}
 }
 
-// share is the part of all tokens that is asked for under a first prompt part.
+// share returns the share of all tokens that belongs to a first prompt part.
 func (a *popularity) share(part uint64) float64 {
 	all := a.total + a.toldAll
 	if all <= 0 {
@@ -109,7 +109,7 @@
 	return (a.own[part] + a.told[part]) / all
 }
 
-// Asked gives this box's counts for other boxes: all tokens, and those of the parts asked for most.
+// Asked returns this box's counts to report to other boxes: all tokens, and those of the most requested parts.
 func (p *Pool) Asked(now time.Time) (total float64, parts []Asked) {
 	p.asked.decay(now)
 	for part, n := range p.asked.own {
@@ -134,13 +134,13 @@
 	return 0
 }
 
-// HearAsked takes another box's counts.
+// HearAsked records another box's counts.
 func (p *Pool) HearAsked(now time.Time, box string, total float64, parts []Asked) {
 	p.asked.hear(now, box, total, parts)
 }
 
-// homes is how many servers should read a first prompt part: as many as its share of all tokens asks for,
-// rounded up to a power of two, so that boxes whose estimates differ a little agree.
+// homes returns how many servers should process a first prompt part, in proportion to its share of all tokens. The number
+// is rounded up to a power of two so that boxes with slightly different estimates agree.
 func (p *Pool) homes(first uint64) int {
 	n := int(math.Ceil(popularitySpare * p.asked.share(first) * float64(len(p.servers))))
 	if n > 1 {
--- a/src/balance/prompt.go
+++ b/src/balance/prompt.go
@@ -8,15 +8,16 @@
 	"github.com/stilemast/stilemast/src/catalog"
 )
 
-// Part is a piece of a prompt that requests may share.
+// Part is a section of a prompt that requests may share.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// keptParts is where the parts of one prompt were read, looked up once for the choice among many servers.
+// keptParts holds, for each part of one prompt, the servers that processed it (by hash of their ids) and when.
 type keptParts []map[uint64]time.Time
 
+// keptParts looks up the parts of a prompt once for the choice among many servers.
 func (p *Pool) keptParts(w *Wish) keptParts {
 	out := make(keptParts, len(w.Parts))
 	for i, part := range w.Parts {
@@ -25,8 +26,8 @@
 	return out
 }
 
-// unread estimates the tokens of a prompt that a server does not keep, and how many of them are
-// shared with other requests. home is the server that the prompt's shared parts belong to.
+// unread estimates the tokens of a prompt that a server has not cached, and how many of them are shared with other
+// requests. home is the server assigned to the prompt's shared parts, which counts as having them.
 func (p *Pool) unread(now time.Time, v *server, w *Wish, kept keptParts, home string) (all, shared int) {
 	last := len(w.Parts) - 1
 	keeps := true
@@ -43,7 +44,7 @@
 	return all, shared
 }
 
-// wasRead says whether a server has read a part lately.
+// wasRead reports whether a server, given by hash, has processed a part within keptLife.
 func wasRead(now time.Time, servers map[uint64]time.Time, id uint64) bool {
 	if len(servers) == 0 {
 		return false
@@ -52,9 +53,9 @@
 	return ok && now.Sub(at) < keptLife
 }
 
-// home is the server where the shared parts of a prompt are best read, on which all boxes agree
-// without a message: the prompt's first part picks a few servers by rendezvous hash, as many as its
-// share of all tokens asks for, and the last shared part picks one of them.
+// home returns the server assigned to the shared parts of a prompt, "" for none. All boxes agree on it without
+// communication: rendezvous hashing of the first part selects several servers (see homes), and rendezvous hashing of the
+// last shared part selects one of them.
 func (p *Pool) home(w *Wish) string {
 	if len(w.Parts) < 2 || len(p.servers) == 0 {
 		return ""
@@ -73,8 +74,8 @@
 	return best
 }
 
-// weight is the part of homes that servers of a domain should have, over what they would have by their
-// number: as much as the domain has of the servers that make a request's large inputs.
+// weight returns the weight of a domain's servers in the choice of a home: the domain's share of the servers that produce
+// the request's large inputs, or 1 if it has none.
 func (p *Pool) weight(w *Wish, domain string) float64 {
 	makers := 0
 	for _, n := range w.Makers {
@@ -86,12 +87,13 @@
 	return (float64(w.Makers[domain]) + leastMakers) / float64(makers)
 }
 
-// exponential turns a hash into an exponentially distributed number, for rendezvous hashing by weight.
+// exponential maps a hash to an exponentially distributed number, for weighted rendezvous hashing.
 func exponential(hash uint64) float64 {
 	return -math.Log((float64(hash>>11) + 0.5) / (1 << 53))
 }
 
-// rankOf gives the rank of the n-th server by rendezvous hash with a key, of those inside the confines.
+// rankOf returns the n-th highest rendezvous hash for a key among the servers within the confines, 0 if there are no
+// more than n.
 func (p *Pool) rankOf(key uint64, n int, within *catalog.Confines) uint64 {
 	p.ranks = p.ranks[:0]
 	for _, v := range p.servers {
@@ -109,7 +111,7 @@
 	return p.ranks[len(p.ranks)-n]
 }
 
-// mix combines two hashes into one that spreads well.
+// mix combines two hashes into a uniformly distributed one.
 func mix(a, b uint64) uint64 {
 	x := a ^ b*0x9e3779b97f4a7c15
 	x ^= x >> 32
@@ -119,8 +121,8 @@
 	return x ^ x>>32
 }
 
-// HomeDomain is the failure domain of the server where a prompt's shared parts are best read, "" when
-// it has none. Work that makes large inputs for the request is best done there.
+// HomeDomain returns the failure domain of the home of a prompt (see home), "" if it has none. Large inputs of the
+// request are best produced there.
 func (p *Pool) HomeDomain(w *Wish) string {
 	if v := p.servers[p.home(w)]; v != nil {
 		return v.Domain
@@ -128,7 +130,7 @@
 	return ""
 }
 
-// Read notes that a server has read a prompt: its load shrinks and its parts are kept there.
+// Read records that a server has processed a prompt of this box: its load is reduced and the parts count as cached.
 func (p *Pool) Read(now time.Time, id string, w *Wish) {
 	v := p.servers[id]
 	if v == nil || len(w.Parts) == 0 {
@@ -138,7 +140,7 @@
 	p.Kept(now, id, w.Parts)
 }
 
-// Kept notes that a server keeps prompt parts, which it has read for this box.
+// Kept records that a server has cached prompt parts for this box, to be reported to other boxes.
 func (p *Pool) Kept(now time.Time, id string, parts []Part) {
 	server := catalog.Hash(id)
 	for i, part := range parts {
@@ -150,7 +152,7 @@
 	}
 }
 
-// HearReads takes what another box says of prompt parts that servers have read.
+// HearReads records prompt parts that servers have processed, as reported by another box.
 func (p *Pool) HearReads(now time.Time, reads []Read) {
 	for _, r := range reads {
 		if p.names[r.Server] != nil {
@@ -159,7 +161,7 @@
 	}
 }
 
-// FreshReads lists the reads of shared prompt parts of which other boxes should be told now.
+// FreshReads returns the recent reads of shared prompt parts to report to other boxes.
 func (p *Pool) FreshReads(now time.Time) []Read {
 	p.fresh = slices.DeleteFunc(p.fresh, func(r freshRead) bool { return now.Sub(r.at) > tellReads })
 	var out []Read
@@ -169,6 +171,7 @@
 	return out
 }
 
+// keeps records that a server processed a part, both given by hash.
 func (p *Pool) keeps(now time.Time, server, part uint64) {
 	m := p.kept[part]
 	if m == nil {
@@ -181,6 +184,7 @@
 	m[server] = now
 }
 
+// forgetKept drops expired entries, or all if there are still too many.
 func (p *Pool) forgetKept(now time.Time) {
 	for part, m := range p.kept {
 		for id, at := range m {
--- a/src/balance/source.go
+++ b/src/balance/source.go
@@ -6,7 +6,7 @@
 	"github.com/stilemast/stilemast/src/catalog"
 )
 
-// Read says that a server has read a shared prompt part; both are named by their hashes.
+// Read records that a server has processed a shared prompt part; both are identified by their hashes.
 type Read struct {
 	Part   uint64
 	Server uint64
@@ -17,9 +17,9 @@
 	at time.Time
 }
 
-// Source names a server from which another should copy the shared parts of a prompt, where copying takes
-// less than reading: the one that read them last, or their home. It gives false when the server keeps
-// them as far as this box knows, or when nobody is known to.
+// Source returns a server from which server id should copy the shared parts of a prompt: the one that processed them
+// last, or their home. It returns false if copying isn't worth it because id has them cached, as far as this box knows, or
+// if no suitable server is known.
 func (p *Pool) Source(now time.Time, id string, w *Wish) (catalog.Server, bool) {
 	v := p.servers[id]
 	if v == nil || len(w.Parts) < 2 {
@@ -49,10 +49,10 @@
 	return *best.Server, true
 }
 
-// limited says whether a server limits its requests: what others copy from it would come on top of them.
+// limited reports whether a server limits its request rate. Copies from it would count against the limit.
 func (p *Pool) limited(v *server) bool { return p.Limits != nil && p.Limits(v.Server) }
 
-// sound says whether a server answers and is not slow.
+// sound reports whether a server has no recent failure and is not slow.
 func (v *server) sound(now time.Time) bool {
 	return v.usable(now) && v.rests == 0 && v.broken == 0 && v.pace <= slowRatio
 }
