--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -190,7 +190,7 @@
 // unheard drops expired reports and returns the factor by which to scale the remaining ones to all boxes.
 func (p *Pool) unheard(now time.Time) float64 {
 	for box, w := range p.words {
-		if now.Sub(w.at) >= noteLife {
+		if now.Sub(w.at) >= reportLifetime {
 			p.forgetWord(box)
 		}
 	}
--- a/src/balance/balance_test.go
+++ b/src/balance/balance_test.go
@@ -78,7 +78,7 @@
 	if s := pick(t, p, w); s == home {
 		t.Errorf("%s got the request though ten seconds of reading wait there", home)
 	}
-	later := start.Add(2 * noteLife)
+	later := start.Add(2 * reportLifetime)
 	if s, _, _ := p.Pick(later, w); s.ID != home {
 		t.Errorf("a peer's old note kept the request from %s", home)
 	}
@@ -204,7 +204,7 @@
 		t.Errorf("%d requests at servers that are gone", n)
 	}
 	p.Hear(start, "b", note("s1", 4))
-	if n, _ := p.Busy(start.Add(noteLife)); n != 0 {
+	if n, _ := p.Busy(start.Add(reportLifetime)); n != 0 {
 		t.Errorf("%d requests by old words", n)
 	}
 }
