--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -178,7 +178,7 @@
 // the domain of its inputs, provided a healthy server is there.
 func (s *Scheduler) fitsDomain(now time.Time, t *job, v *serverState) bool {
 	wait := leaveDomainAfter
-	if t.Due.Sub(now) > s.pool.Batch.CallTime+foreignSlack {
+	if t.Due.Sub(now) > s.pool.Batch.CallTime+leaveDomainSlack {
 		wait = foreignAfterSlack
 	}
 	if t.InputDomain == "" || t.InputDomain == v.Domain || t.CrossBytes < smallCross || now.Sub(t.since) >= wait {
