--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -179,7 +179,7 @@
 func (s *Scheduler) fitsDomain(now time.Time, t *job, v *serverState) bool {
 	wait := leaveDomainAfter
 	if t.Due.Sub(now) > s.pool.Batch.CallTime+leaveDomainSlack {
-		wait = foreignAfterSlack
+		wait = leaveDomainAfterSlack
 	}
 	if t.InputDomain == "" || t.InputDomain == v.Domain || t.CrossBytes < smallCross || now.Sub(t.since) >= wait {
 		return true
--- a/src/batch/forming_test.go
+++ b/src/batch/forming_test.go
@@ -38,7 +38,7 @@
 	if len(a.Calls) != 1 || a.Calls[0].Server.Domain != "d1" || a.Calls[0].Items[0].Request != "b-1" {
 		t.Fatal("work that is due soon waited for its domain")
 	}
-	s.CallEnded(start.Add(foreignAfterSlack), a.Calls[0].N, CallDone, made(a.Calls[0]))
+	s.CallEnded(start.Add(leaveDomainAfterSlack), a.Calls[0].N, CallDone, made(a.Calls[0]))
 	if _, calls := s.Pending(); calls != 2 {
 		t.Fatal("work waited for its domain for ever")
 	}
