--- a/src/batch/constants.go
+++ b/src/batch/constants.go
@@ -8,7 +8,7 @@
 	leaveDomainAfter      = 160 * time.Millisecond  // wait after which a job may run outside the domain of its inputs
 	leaveDomainSlack      = 500 * time.Millisecond  // a job with this much time until due, beyond a call's time,
 	leaveDomainAfterSlack = 900 * time.Millisecond  // waits this long for the domain of its inputs
-	smallCross        = 200_000.0               // a job that reads fewer bytes from another domain doesn't wait for its own
+	smallCrossBytes        = 200_000.0               // a job that reads fewer bytes from another domain doesn't wait for its own
 	splitAfter        = 200 * time.Millisecond  // wait after which a job may be split across calls
 	roomPart          = 0.97                    // fraction of a server's result memory that is used
 	unknownLife       = time.Second             // decay time of the estimate of unknown results; the lifetime of results (4 s) gave worse results
--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -181,7 +181,7 @@
 	if t.Due.Sub(now) > s.pool.Batch.CallTime+leaveDomainSlack {
 		wait = leaveDomainAfterSlack
 	}
-	if t.InputDomain == "" || t.InputDomain == v.Domain || t.CrossBytes < smallCross || now.Sub(t.since) >= wait {
+	if t.InputDomain == "" || t.InputDomain == v.Domain || t.CrossBytes < smallCrossBytes || now.Sub(t.since) >= wait {
 		return true
 	}
 	for _, o := range s.servers {
--- a/src/batch/forming_test.go
+++ b/src/batch/forming_test.go
@@ -24,7 +24,7 @@
 	s := testScheduler(2)
 	s.Submit(start, testJob("x", 1, 1), "") // takes s0, of d0
 	near := testJob("a", 1, 1)
-	near.InputDomain, near.CrossBytes = "d0", smallCross
+	near.InputDomain, near.CrossBytes = "d0", smallCrossBytes
 	if a := s.Submit(start, near, ""); len(a.Calls) != 0 {
 		t.Fatal("work left the domain of its inputs at once")
 	}
@@ -32,7 +32,7 @@
 		t.Fatal("work left its domain though it is not due for long")
 	}
 	hurried := testJob("b", 1, 1)
-	hurried.InputDomain, hurried.CrossBytes, hurried.Due = "d0", smallCross, start.Add(800*time.Millisecond)
+	hurried.InputDomain, hurried.CrossBytes, hurried.Due = "d0", smallCrossBytes, start.Add(800*time.Millisecond)
 	s.Submit(start, hurried, "")
 	a := s.Tick(start.Add(leaveDomainAfter))
 	if len(a.Calls) != 1 || a.Calls[0].Server.Domain != "d1" || a.Calls[0].Items[0].Request != "b-1" {
@@ -48,7 +48,7 @@
 	s := testScheduler(2)
 	s.Submit(start, testJob("x", 1, 1), "") // takes s0, of d0
 	near := testJob("a", 1, 1)
-	near.InputDomain, near.CrossBytes = "d0", smallCross-1
+	near.InputDomain, near.CrossBytes = "d0", smallCrossBytes-1
 	if a := s.Submit(start, near, ""); len(a.Calls) != 1 || a.Calls[0].Server.Domain != "d1" {
 		t.Fatal("work whose inputs are small waited for their domain")
 	}
@@ -59,7 +59,7 @@
 	s.Submit(start, testJob("x", 1, 1), "") // takes s0, of d0
 	for n := range uint64(20) {
 		near := testJob("a", n, 2)
-		near.InputDomain, near.CrossBytes = "d0", smallCross
+		near.InputDomain, near.CrossBytes = "d0", smallCrossBytes
 		s.Submit(start, near, "")
 	}
 	if a := s.Tick(start.Add(leaveDomainAfter)); len(a.Calls) != 0 {
