--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -171,7 +171,7 @@
 
 // roomFor reports whether the results of a job's pending pieces fit in an empty server's result memory.
 func (s *Scheduler) roomFor(t *job) bool {
-	return float64(len(t.pending))*t.ResultBytes <= s.pool.Batch.RoomBytes*roomPart
+	return float64(len(t.pending))*t.ResultBytes <= s.pool.Batch.RoomBytes*usableRoomFraction
 }
 
 // fitsDomain reports whether a server may take a job given where its inputs are. A job waits for a limited time for
--- a/src/batch/room.go
+++ b/src/batch/room.go
@@ -4,7 +4,7 @@
 
 // room returns the estimated bytes of results that a server can still store.
 func (s *Scheduler) room(now time.Time, v *serverState) float64 {
-	return s.pool.Batch.RoomBytes*roomPart - v.used - s.unknown(now, v)
+	return s.pool.Batch.RoomBytes*usableRoomFraction - v.used - s.unknown(now, v)
 }
 
 // unknown estimates the bytes of results at a server that this scheduler has no handles for, because they belong to
