--- a/src/batch/room.go
+++ b/src/batch/room.go
@@ -10,11 +10,11 @@
 // unknown estimates the bytes of results at a server that this scheduler has no handles for, because they belong to
 // another scheduler. The estimate decays, since those results are freed or expire too.
 func (s *Scheduler) unknown(now time.Time, v *serverState) float64 {
-	left := unknownLife - now.Sub(v.unknownAt)
+	left := unknownDecay - now.Sub(v.unknownAt)
 	if v.unknown <= 0 || left <= 0 {
 		return 0
 	}
-	return v.unknown * float64(left) / float64(unknownLife)
+	return v.unknown * float64(left) / float64(unknownDecay)
 }
 
 // refusedRoom records that a server had no room for a result of the given bytes, so results that this scheduler doesn't
--- a/src/batch/room_test.go
+++ b/src/batch/room_test.go
@@ -38,7 +38,7 @@
 	if len(a.Calls) != 1 || len(a.Calls[0].Items) != 1 {
 		t.Fatalf("a quarter of the estimate's life later one large result may be tried, not all: %+v", a.Calls)
 	}
-	a = s.CallEnded(now.Add(unknownLife), a.Calls[0].N, CallDone, made(a.Calls[0]))
+	a = s.CallEnded(now.Add(unknownDecay), a.Calls[0].N, CallDone, made(a.Calls[0]))
 	if len(a.Calls) != 1 || len(a.Calls[0].Items) != 2 {
 		t.Fatalf("the rest was not tried when the estimate had faded: %+v", a.Calls)
 	}
