--- a/src/crasher/constants.go
+++ b/src/crasher/constants.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// Tunables of when a content is refused.
+// Parameters of when a content is refused.
 const (
-	// barFrom is how many lives of servers end under a content before it is refused: one end has many suspects, two may
-	// be chance, and the users' bound counts from the third.
+	// barFrom is the number of crashes from which a content is refused: one crash has many suspects, two may be
+	// coincidence, and more than three crashes by one content are not acceptable.
 	barFrom = 3
-	// AloneFrom is from which end on a content is run apart from others and not repeated by this box itself: the two
-	// ends have, but for chance, only the guilty content in common.
+	// AloneFrom is the number of crashes from which a content is run separately from others and not retried by this box:
+	// except by coincidence, two crashes have only the guilty content in common.
 	AloneFrom = 2
-	// barFirst is for how long a content is refused after the third end, doubled with each further one: longer than callers
-	// come again by themselves, shorter than it takes to mend a server and put it into service. A content that comes without
-	// end is tried at most three times in the first three and a half hours.
+	// barFirst is how long a content is refused after the third crash, doubled with each further one, up to barMost: longer
+	// than callers retry by themselves, shorter than it takes to fix and deploy a server. A content that is sent continually
+	// is tried at most three times in the first three and a half hours.
 	barFirst = 30 * time.Minute
 	barMost  = 24 * time.Hour
-	// suspectLife is how long fewer ends are remembered: a caller that comes again once a minute is found out.
+	// suspectLife is how long fewer crashes are remembered: enough to detect a caller that retries once a minute.
 	suspectLife = 10 * time.Minute
-	// goodHolds is for how long before and for ever after a good answer the ends of servers don't speak against a content.
-	// What crashes each server that runs it gets no good answer; a popular content has one within seconds, so that the loss of
-	// half a pool shuts it out nowhere (2,500 of 2,500 answered at 6 and 61 boxes, crashing_test.go of the gateway).
+	// goodHolds: crashes before a good response to a content, or up to this long after it, don't count against the content.
+	// A content that crashes every server never gets a good response. A popular content gets one within seconds, so that it
+	// isn't refused anywhere when half of a pool is lost (2,500 of 2,500 requests were answered with 6 and with 61 boxes).
 	goodHolds = 10 * time.Second
-	// proofWindow is within which time of a broken exchange its server must be found to have ended: three heartbeats of 1.2 s
-	// after which its entry goes, and what that takes to go round.
+	// proofWindow is the time after a broken exchange in which the crash of the server must be proven: three heartbeats of
+	// 1.2 s until its entry is removed, and the time to propagate that.
 	proofWindow = 6 * time.Second
 )
 
-// Limits of what is kept and told.
+// Limits of what is stored and reported.
 const (
-	endsKept    = 16              // of one content, the newest
-	entriesMost = 4096            // contents: two failure domains of the largest fleet seen, each server full; 0.8 MB
-	brokenMost  = 1024            // lives with broken exchanges whose end is not known
-	keysPerLife = 256             // broken exchanges of one life at this box
-	goodsMost   = 8192            // contents answered lately, in each of two halves; 0.5 MB each
-	goodsFor    = suspectLife / 2 // that a half is begun for: a good answer between two ends of servers is known when the second comes
+	endsKept    = 16              // latest crashes kept for one content
+	entriesMost = 4096            // contents kept: those running in two full failure domains of the largest fleet seen; 0.8 MB
+	brokenMost  = 1024            // incarnations kept with broken exchanges but without proof of a crash
+	keysPerLife = 256             // broken exchanges kept for one incarnation
+	goodsMost   = 8192            // contents with recent good responses in each of two generations; 0.5 MB each
+	goodsFor    = suspectLife / 2 // duration of a generation: a good response between two crashes is still known at the second
 
-	counters  = 2                      // boxes that add up what others saw of a content
-	freshFor  = 600 * time.Millisecond // that news are in every message: three rounds of a small fleet, one of heartbeats
-	newsMost  = 24                     // in one message, some 60 bytes each
-	repairs   = 4                      // further notes in a heartbeat, by turns, for boxes that missed the news
-	NotesMost = 64                     // that a message may have
+	counters  = 2                      // counter boxes of a content
+	freshFor  = 600 * time.Millisecond // time for which a change is in every message: three gossip rounds of a small fleet, one heartbeat
+	newsMost  = 24                     // changes in one message, about 60 bytes each
+	repairs   = 4                      // further notes in a heartbeat, in rotation, for boxes that missed a change
+	NotesMost = 64                     // notes accepted in one message
 )
--- a/src/crasher/content.go
+++ b/src/crasher/content.go
@@ -7,16 +7,16 @@
 	"io"
 )
 
-// Content names what a request asks, whatever the id of the try: requests of one workspace with the same method, host,
-// target and body have the same. The workspace is a part of it, so that no caller can have another's requests refused; on a
-// pipeline that needs no token all callers are one.
+// Content identifies the content of a request independently of the attempt: it is equal for requests of one workspace with
+// the same method, host, target and body. It includes the workspace so that no caller can get another's requests refused;
+// all callers of a pipeline that needs no token share one.
 type Content [16]byte
 
-// ContentOf makes the name of a request's content. The target is the path with its query.
+// ContentOf returns the identifier of a request's content. The target is the path with its query.
 func ContentOf(workspace, method, host, target string, body []byte) Content {
 	h := sha256.New()
 	for _, part := range []string{workspace, method, host, target} {
-		var size [4]byte // parts that are split elsewhere differ
+		var size [4]byte // length prefix: parts that are split differently must not collide
 		binary.BigEndian.PutUint32(size[:], uint32(len(part)))
 		h.Write(size[:])
 		_, _ = io.WriteString(h, part)
@@ -25,25 +25,25 @@
 	return Content(h.Sum(nil))
 }
 
-// String is the beginning of the name, for logs: enough to find the tries of one content.
+// String returns a prefix for logs, long enough to find the attempts of one content.
 func (c Content) String() string { return hex.EncodeToString(c[:4]) }
 
-// Key names a content at the pool where it is run: what crashes one pool's servers may be good work for another's.
+// Key identifies a content at a pool. Content that crashes the servers of one pool may be fine for another.
 type Key [16]byte
 
-// At is the key of a content at a pool.
+// At returns the key of a content at a pool.
 func (c Content) At(pool string) Key {
 	sum := sha256.Sum256(append(c[:], pool...))
 	return Key(sum[:])
 }
 
-// String is the beginning of the key, for logs.
+// String returns a prefix of the key, for logs.
 func (k Key) String() string { return hex.EncodeToString(k[:4]) }
 
-// Life names one life of a server: its id and the incarnation, so that one end that several boxes saw counts once.
+// Life identifies one incarnation of a server, so that a crash that several boxes observe counts once.
 type Life uint64
 
-// LifeOf names the life of a server by its id and its incarnation.
+// LifeOf returns the identifier of a server's incarnation.
 func LifeOf(server string, incarnation int64) Life {
 	sum := sha256.Sum256(binary.BigEndian.AppendUint64([]byte(server), uint64(incarnation)))
 	return Life(binary.BigEndian.Uint64(sum[:]))
--- a/src/crasher/note.go
+++ b/src/crasher/note.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// Note is what one box tells another of a content. Times travel as ages, since clocks differ.
+// Note is a box's report on a content. Times are sent as ages, since clocks differ.
 type Note struct {
 	Key  Key           `msgpack:"k"`
 	Ends []EndNote     `msgpack:"e"`
-	Good time.Duration `msgpack:"g,omitempty"` // age of the latest good answer, 0 when none is known
+	Good time.Duration `msgpack:"g,omitempty"` // age of the latest good response, 0 for none
 }
 
-// EndNote is the end of a server's life under a content.
+// EndNote reports a crash of a server while it ran a content.
 type EndNote struct {
 	Life Life          `msgpack:"l"`
 	Age  time.Duration `msgpack:"a"`
 }
 
-// News are the notes for all boxes that changed a moment ago, those with most against them first: of contents under which
-// two servers ended or more. What one end speaks against goes to two boxes only (Counters): of a failure of half a pool
-// with a thousand requests at work each box would hear a thousand times otherwise: 44 and 60 kB of notes a second and box at 6
-// and 61 boxes over 12 s, against 3.6 and 1.5 (TestAThousandSuspectsCostLittleAndHideNobody of the gateway, virtual time).
+// News returns the notes that changed within freshFor, for all boxes, those with the most crashes first. It includes only
+// contents with at least two crashes; those with one are reported to two counter boxes (see Counters). Otherwise, when
+// half a pool fails with a thousand running requests, each box would receive notes on all of them: 44 and 60 kB/s per box
+// with 6 and 61 boxes over 12 s, instead of 3.6 and 1.5 kB/s (simulated).
 func (r *Register) News(now time.Time) []Note {
 	if len(r.entries) == 0 {
 		return nil
@@ -34,7 +34,7 @@
 	return r.notes(now, keys[:min(len(keys), newsMost)])
 }
 
-// NotesOf are the notes of some contents.
+// NotesOf returns the notes on the given contents that are known.
 func (r *Register) NotesOf(now time.Time, keys []Key) []Note {
 	var known []Key
 	for _, k := range keys {
@@ -45,7 +45,7 @@
 	return r.notes(now, known)
 }
 
-// Notes are the news and, by turns, some of all that is known: for boxes that joined since or missed the news.
+// Notes returns the news and a rotating selection of the older notes, for boxes that joined later or missed the news.
 func (r *Register) Notes(now time.Time) []Note {
 	out := r.News(now)
 	keys := r.keys(func(e *entry) bool { return e.counted() >= AloneFrom && now.Sub(e.changed) >= freshFor })
@@ -60,8 +60,8 @@
 	return append(out, r.notes(now, turn)...)
 }
 
-// Counters names the boxes, out of those that take work, that add up the ends of servers under a content which other boxes
-// saw: two, of which one may be lost.
+// Counters returns the counter boxes of a content, chosen from boxes by rendezvous hashing: they add up the crashes that
+// all boxes observed. There are two so that one may be lost.
 func Counters(k Key, boxes []string) []string {
 	ranked := slices.SortedFunc(slices.Values(boxes), func(a, b string) int {
 		return cmp.Or(cmp.Compare(rank(k, b), rank(k, a)), cmp.Compare(a, b))
@@ -69,12 +69,13 @@
 	return ranked[:min(len(ranked), counters)]
 }
 
+// rank returns the rendezvous hash of a box for a key.
 func rank(k Key, box string) uint64 {
 	sum := sha256.Sum256(append(k[:], box...))
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// keys lists the contents for which a condition holds, those with the most ends first.
+// keys returns the contents for which a condition holds, those with the most crashes first.
 func (r *Register) keys(holds func(*entry) bool) []Key {
 	var out []Key
 	for k, e := range r.entries {
@@ -104,8 +105,8 @@
 	return out
 }
 
-// Hear takes the notes of another box. It gives the contents of which this box now thinks otherwise: that is news to
-// others.
+// Hear merges the notes of another box. It returns the contents whose verdict may have changed, which is news for other
+// boxes.
 func (r *Register) Hear(now time.Time, notes []Note) []Counted {
 	var out []Counted
 	for _, n := range notes[:min(len(notes), NotesMost)] {
@@ -116,7 +117,7 @@
 	return out
 }
 
-// hear takes one note; true when it told something new.
+// hear merges one note and reports whether it changed anything.
 func (r *Register) hear(now time.Time, n Note) bool {
 	changed := false
 	for _, x := range n.Ends[:min(len(n.Ends), endsKept)] {
--- a/src/crasher/recent.go
+++ b/src/crasher/recent.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// recent remembers the contents that had a good answer lately, in two halves of which the older is dropped as a whole.
+// recent holds the contents with recent good responses in two generations; the older one is dropped as a whole.
 type recent struct {
 	now, before map[Key]time.Time
-	since       time.Time // when the newer half was begun
+	since       time.Time // start of the newer generation
 }
 
-// add notes a good answer.
+// add records a good response to a content.
 func (r *recent) add(now time.Time, k Key) {
 	if r.now == nil || len(r.now) >= goodsMost {
 		r.turnOver(now)
@@ -16,7 +16,7 @@
 	r.now[k] = now
 }
 
-// at is when a content had its last good answer, if that was lately.
+// at returns the time of the last good response to a content, if it is recent.
 func (r *recent) at(k Key) (time.Time, bool) {
 	if at, ok := r.now[k]; ok {
 		return at, true
@@ -25,7 +25,7 @@
 	return at, ok
 }
 
-// sweep begins a new half when the newer one is old enough.
+// sweep starts a new generation when the newer one is older than goodsFor.
 func (r *recent) sweep(now time.Time) {
 	if now.Sub(r.since) >= goodsFor {
 		r.turnOver(now)
--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -1,15 +1,16 @@
-// Package crasher knows requests that crash the servers which run them. Its one door is Register: it takes what boxes see
-// (exchanges that broke, servers that ended, good answers) and judges a content before it is sent.
+// Package crasher identifies requests that crash the servers that run them. Register records what boxes observe (broken
+// exchanges, crashed servers, good responses) and gives a verdict on a content before it is sent.
 //
-// Idea. A broken exchange is no crash, and of a crash all that ran beside the guilty request are suspects. So what counts
-// is the end of a server's life, proven by a refused connection or by the list of servers, while a content ran there: each life
-// once, whoever saw it. The guilty content is the one that is there each time and never has a good answer; a good answer clears
-// a content at all boxes. From the second end on it is run apart from others, after the third it is refused for a time.
+// A broken exchange is not a crash, and every request running at a crashed server is a suspect. So a crash counts against a
+// content only if it is proven, by a refused connection or by the list of servers, and each incarnation counts once, however
+// many boxes report it. The guilty content is the one that is present at every crash and never gets a good response; a good
+// response clears a content at all boxes. From the second crash on a content is run separately from others, and after the
+// third it is refused for a time.
 //
-// Every box holds all that is known and tells the others what changed: what a box adds, lives and the latest good answer, only
-// grows, so that notes may come twice, late or in any order.
+// Boxes exchange their changes. The state, crashed incarnations and the latest good response, only grows, so notes can be
+// merged in any order, late or repeatedly.
 //
-// Pure: time comes in. Not safe for concurrent use.
+// The package does no I/O and reads no clock. A Register is not safe for concurrent use.
 package crasher
 
 import (
@@ -18,49 +19,50 @@
 	"time"
 )
 
-// Verdict says what speaks against a content at a pool.
+// Verdict describes the crashes attributed to a content at a pool and whether it is refused.
 type Verdict struct {
-	Ends   int           // lives of servers that ended under it and for which no good answer makes up
-	Seen   int           // the same, with those for which one does
-	Barred bool          // it is not to be sent
-	Left   time.Duration // until it may be tried again, when it is barred
+	Ends   int           // crashes that are not cleared by a good response
+	Seen   int           // all crashes, including cleared ones
+	Barred bool          // it must not be sent
+	Left   time.Duration // time until it may be tried again, if barred
 }
 
-// Register holds what one box knows of contents that may crash servers. The zero value is ready.
+// Register holds what one box knows about contents that may crash servers. The zero value is ready to use.
 type Register struct {
 	entries map[Key]*entry
-	broken  map[Life][]breakage
-	ended   map[Life]time.Time
+	broken  map[Life][]breakage // broken exchanges without proof of a crash
+	ended   map[Life]time.Time  // crashes, and when they were proven
 	goods   recent
-	turn    int // of the notes told again
+	turn    int // position in the rotation of Notes
 }
 
-// entry is a content with an end against it.
+// entry is a content with at least one crash.
 type entry struct {
-	ends    []end // by time
-	goodAt  time.Time
-	changed time.Time
+	ends    []end     // sorted by time
+	goodAt  time.Time // latest good response
+	changed time.Time // when other boxes last needed to be told
 }
 
-// end is the end of a server's life under a content.
+// end is the crash of a server while it ran a content.
 type end struct {
 	life Life
 	at   time.Time
 }
 
-// breakage is an exchange that broke, of which it is not known whether its server ended.
+// breakage is a broken exchange whose server is not known to have crashed.
 type breakage struct {
 	key Key
 	at  time.Time
 }
 
-// Counted is a content against which a server's end was counted.
+// Counted is a content that a crash was counted against, with its verdict.
 type Counted struct {
 	Key     Key
 	Verdict Verdict
 }
 
-// Broke takes that exchanges of contents with one life of a server broke. It gives those against which that counts already.
+// Broke records that exchanges of contents with an incarnation of a server broke. If the incarnation is known to have
+// crashed it counts the crash against the contents and returns them.
 func (r *Register) Broke(now time.Time, life Life, keys ...Key) []Counted {
 	if at, known := r.ended[life]; known && now.Sub(at) <= proofWindow {
 		return r.countAll(now, life, breakagesAt(now, keys))
@@ -77,6 +79,7 @@
 	return nil
 }
 
+// breakagesAt returns the breakages of contents at one time.
 func breakagesAt(now time.Time, keys []Key) []breakage {
 	out := make([]breakage, len(keys))
 	for i, k := range keys {
@@ -85,7 +88,7 @@
 	return out
 }
 
-// Ended takes that a life of a server has ended, other than as planned. It gives the contents against which that counts.
+// Ended records that an incarnation of a server has ended unplanned. It returns the contents that this counts against.
 func (r *Register) Ended(now time.Time, life Life) []Counted {
 	if r.ended == nil {
 		r.ended = map[Life]time.Time{}
@@ -98,6 +101,7 @@
 	return r.countAll(now, life, list)
 }
 
+// countAll counts a crash against the contents of recent breakages and returns them.
 func (r *Register) countAll(now time.Time, life Life, list []breakage) []Counted {
 	var out []Counted
 	for _, b := range list {
@@ -109,7 +113,7 @@
 	return out
 }
 
-// count adds an end to a content; false when it was known. Of two words on one life the earlier moment holds.
+// count adds a crash to a content and reports whether it is new. Of two times for one incarnation the earlier one is kept.
 func (r *Register) count(now time.Time, k Key, x end) bool {
 	e := r.get(now, k)
 	known := slices.IndexFunc(e.ends, func(o end) bool { return o.life == x.life })
@@ -131,7 +135,7 @@
 	return true
 }
 
-// get gives the entry of a content, made when there is none. A full table drops what has the least against it.
+// get returns the entry of a content, creating it if needed. If the table is full another entry is evicted.
 func (r *Register) get(now time.Time, k Key) *entry {
 	if r.entries == nil {
 		r.entries = map[Key]*entry{}
@@ -148,7 +152,7 @@
 	return e
 }
 
-// evict drops the content with the fewest ends, of those the one whose last end is longest ago.
+// evict removes the content with the fewest crashes, among equals the one with the oldest latest crash.
 func (r *Register) evict() {
 	var least Key
 	var worst *entry
@@ -160,7 +164,7 @@
 	delete(r.entries, least)
 }
 
-// Good takes that a content had a good answer.
+// Good records a good response to a content. It reports whether that cleared crashes.
 func (r *Register) Good(now time.Time, k Key) (cleared bool) {
 	r.goods.add(now, k)
 	e := r.entries[k]
@@ -175,7 +179,7 @@
 	return cleared
 }
 
-// Judge says what speaks against a content now.
+// Judge returns the current verdict on a content.
 func (r *Register) Judge(now time.Time, k Key) Verdict {
 	e := r.entries[k]
 	if e == nil {
@@ -189,10 +193,10 @@
 	return v
 }
 
-// Empty says whether nothing speaks against any content.
+// Empty reports whether no content has a crash.
 func (r *Register) Empty() bool { return len(r.entries) == 0 }
 
-// counted is how many ends no good answer makes up for.
+// counted returns the number of crashes that are not cleared by a good response.
 func (e *entry) counted() int {
 	from := e.goodAt.Add(goodHolds)
 	n := 0
@@ -204,6 +208,7 @@
 	return n
 }
 
+// last returns the time of the latest crash.
 func (e *entry) last() time.Time {
 	if len(e.ends) == 0 {
 		return e.goodAt
@@ -211,7 +216,7 @@
 	return e.ends[len(e.ends)-1].at
 }
 
-// barFor is how long a content with so many ends is refused after the last.
+// barFor returns how long a content with a number of crashes is refused after the last one.
 func barFor(ends int) time.Duration {
 	if ends < barFrom {
 		return 0
@@ -219,7 +224,7 @@
 	return min(barMost, barFirst<<min(ends-barFrom, endsKept))
 }
 
-// Sweep forgets what is over.
+// Sweep removes expired state.
 func (r *Register) Sweep(now time.Time) {
 	for k, e := range r.entries {
 		if now.Sub(e.last()) > max(suspectLife, 2*barFor(e.counted())) {
--- a/src/pushback/constants.go
+++ b/src/pushback/constants.go
@@ -3,36 +3,36 @@
 import "time"
 
 const (
-	// mostRest bounds the rest that a server gets at its word: longer than an overload lasts, so that a number without sense takes
-	// a server out for minutes and not for good.
+	// mostRest is the longest pause that a server can ask for. It is longer than an overload lasts, and keeps an absurd
+	// value from removing a server for good.
 	mostRest = 10 * time.Minute
-	// trialFor is for how long the answers of the requests that try a server after its rest are waited for before others may
-	// try: four times what a busy engine takes to the head of an answer.
+	// trialFor is how long to wait for a response to the requests that try a server after its pause before sending more:
+	// four times as long as a busy engine takes to send a response header.
 	trialFor = time.Second
-	// answerSoon is when a server that returns is to be judged again: a quick service answers by then.
+	// answerSoon is the delay before a returning server is checked again: a quick service has responded by then.
 	answerSoon = 20 * time.Millisecond
-	// returnMost is how many requests at once show that a server has returned: the slots of the largest engines seen. Without
-	// the steps to it a box sends all that waited when the rest ends.
+	// returnMost is the number of concurrent requests above which a returning server is no longer limited: the slots of the
+	// largest engines seen. Without the gradual increase a box would send all waiting requests when the pause ends.
 	returnMost = 64
-	// restKept is how long after its end a rest is remembered when nothing is sent to the server.
+	// restKept is how long a pause is kept after its end if nothing is sent to the server.
 	restKept = time.Minute
-	// departureKept is how long a word of a life that left is kept after the server was last listed: servers were seen to
-	// serve on for many seconds, and lists of other boxes lag by a second or two.
+	// departureKept is how long a departure is kept after the server was last listed: leaving servers were seen to serve
+	// for many more seconds, and the lists of other boxes lag by a second or two.
 	departureKept = time.Minute
-	// permitLife is for how long a permit is good after its begin: it covers a new connection and a pause of the scheduler of threads.
-	// What is used later than that would add to the permits of the window after it.
+	// permitLife is how long a permit is valid. It covers a new connection and a scheduling delay. A permit used later would
+	// add to those of the following window.
 	permitLife = 250 * time.Millisecond
-	// liftFor is for how long a limit rises after its end, twofold with each liftStep, until it is forgotten.
+	// liftFor is how long a limit still applies after its end, doubled with each liftStep.
 	liftFor  = 6 * time.Second
 	liftStep = time.Second
-	// wantsOver is the time over which the permits that a box uses are counted, for how many it asks for at once.
+	// wantsOver is the window in which used permits are counted, to decide how many to request at once.
 	wantsOver = 50 * time.Millisecond
-	// newsPart is the part of a limit under which a new one is told at once and not with the next heartbeat.
+	// newsPart is the fraction of a limit below which a new one is reported at once rather than with the next heartbeat.
 	newsPart = 0.8
-	// lifeMost bounds the lives, the rests and the limits that are remembered, some 100 bytes each: seven times the servers of the largest
-	// fleet that is built for.
+	// lifeMost bounds the departures, pauses and limits that are kept, about 100 bytes each: seven times the servers of the
+	// largest supported fleet.
 	lifeMost = 4096
-	// NotesMost bounds the leaving servers, and those with limits, that one message names, 20 to 40 bytes each: a tenth of the largest
-	// fleet's.
+	// NotesMost is the largest number of leaving servers, and of servers with limits, in one message, 20 to 40 bytes each:
+	// a tenth of the servers of the largest fleet.
 	NotesMost = 64
 )
--- a/src/pushback/limits.go
+++ b/src/pushback/limits.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// limit is what is known of the requests a second that one life of a server takes from all boxes together.
+// limit is the request rate that one incarnation of a server accepts from all boxes together.
 type limit struct {
 	incarnation int64
-	sequence    uint64  // rises with each change that some box heard
-	perSecond   float64 // that it named last
-	since       time.Time
-	heardAt     time.Time // when this box last heard that it is in force
-	endedAt     time.Time // when it was heard that the server names none any more; zero while it does
-	changedAt   time.Time // when this box last heard of a change
-	listedAt    time.Time // when its server was last listed
+	sequence    uint64    // increases with each change that a box observes
+	perSecond   float64   // last value given by the server
+	since       time.Time // when this box first learned of a limit
+	heardAt     time.Time // when this box last learned that it is in force
+	endedAt     time.Time // when the server was found to give no limit any more; zero while it does
+	changedAt   time.Time // when this box last learned of a change
+	listedAt    time.Time // when the server was last listed
 
 	permits []permit
-	next    time.Time // no free permit before, as the coordinator of the server said of the limit that holds
-	used    int       // permits since usedAt
-	usedAt  time.Time
+	next    time.Time // no permit is available before, according to the server's coordinator
+	used    int       // permits used since usedAt
+	usedAt  time.Time // start of the current wantsOver window
 }
 
 // permit is the right to send one request.
 type permit struct {
-	owner      string // the request that it was asked for, "" for any
+	owner      string // request that it was granted to, "" for any
 	from, till time.Time
 }
 
-// LimitNote is what boxes tell one another of a server's limit. Of two notes on one life that with the higher sequence is the later;
-// of two boxes that heard something else at one moment the lower limit counts.
+// LimitNote reports a server's limit to other boxes. Of two notes on one incarnation the one with the higher sequence
+// number wins; with equal sequence numbers the lower limit wins.
 type LimitNote struct {
 	Server    Server
 	Sequence  uint64
@@ -40,7 +40,7 @@
 	Ended     bool
 }
 
-// in says whether the limit is in force for a server's life.
+// in reports whether the limit is in force for a server's incarnation.
 func (l limit) in(now time.Time, s Server) bool {
 	if l.incarnation > 0 && s.Incarnation > l.incarnation {
 		return false
@@ -48,7 +48,8 @@
 	return l.endedAt.IsZero() || now.Sub(l.endedAt) < liftFor
 }
 
-// rate is the limit now. After its end it rises in steps, so that all who were kept away don't come back together.
+// rate returns the current rate. After the limit ends it increases in steps, so that held-back requests don't arrive all
+// at once.
 func (l limit) rate(now time.Time) float64 {
 	if l.endedAt.IsZero() {
 		return l.perSecond
@@ -56,9 +57,9 @@
 	return l.perSecond * math.Exp2(float64(now.Sub(l.endedAt)/liftStep))
 }
 
-// HearLimit takes the limit that an answer names, 0 when it names none. sent is when its request was sent: an answer to a request that
-// was sent before the limit was heard may have been made before it, and ends nothing. HearLimit says whether other boxes should hear
-// of it at once.
+// HearLimit records the limit given in a response, 0 if it gives none. sent is when the request was sent: a response to a
+// request sent before the limit was known may be older than the limit and doesn't end it. HearLimit reports whether other
+// boxes should be told at once.
 func (r *Register) HearLimit(now, sent time.Time, s Server, perSecond float64) bool {
 	l, known := r.limits[s.ID]
 	if known && l.incarnation > 0 && s.Incarnation > l.incarnation {
@@ -103,12 +104,12 @@
 	r.limits[id] = l
 }
 
-// HearNote takes what another box knows of a server's limit. It says whether it is news.
+// HearNote records another box's note on a server's limit. It reports whether the note changed anything.
 func (r *Register) HearNote(now time.Time, n LimitNote) bool {
 	l, known := r.limits[n.Server.ID]
 	switch {
 	case n.PerSecond < LeastLimit || n.PerSecond > MostLimit || n.Sequence == 0:
-		return false // no box of ours says that
+		return false // invalid
 	case known && n.Server.Incarnation < l.incarnation, !known && len(r.limits) >= lifeMost:
 		return false
 	case known && n.Server.Incarnation == l.incarnation && n.Sequence < l.sequence:
@@ -130,8 +131,8 @@
 	return true
 }
 
-// Limits lists what other boxes should know of servers' limits, NotesMost at most: half of them what changed last, the others in
-// turn, so that a box which missed a change hears of it later.
+// Limits returns at most NotesMost notes on servers' limits to send to other boxes: half of them the latest changes, the
+// others in rotation, so that a box that missed a change receives it later.
 func (r *Register) Limits() []LimitNote {
 	ids := slices.SortedFunc(maps.Keys(r.limits), func(a, b string) int {
 		return cmp.Or(r.limits[b].changedAt.Compare(r.limits[a].changedAt), cmp.Compare(a, b))
@@ -154,15 +155,15 @@
 	return LimitNote{Server: Server{ID: id, Incarnation: l.incarnation}, Sequence: l.sequence, PerSecond: l.perSecond, Ended: !l.endedAt.IsZero()}
 }
 
-// Limited is a server's limit in force.
+// Limited is a limit that is in force at a server.
 type Limited struct {
 	LimitNote
-	Rate  float64       // requests a second that all boxes together may send now
-	Known time.Duration // for how long this box has known of a limit
-	Wants int           // permits that it used lately, and one
+	Rate  float64       // requests per second that all boxes together may send now
+	Known time.Duration // time since this box first learned of the limit
+	Wants int           // permits to request: those used recently plus one
 }
 
-// LimitOf gives the limit that is in force at a server; false for none.
+// LimitOf returns the limit in force at a server, or false if there is none.
 func (r *Register) LimitOf(now time.Time, s Server) (Limited, bool) {
 	l, ok := r.limits[s.ID]
 	if !ok || !l.in(now, s) {
@@ -175,7 +176,8 @@
 	return out, true
 }
 
-// Granted takes permits that the coordinator of a server granted, the first of them to one request, and when it has the next.
+// Granted records permits granted by a server's coordinator. They are valid from begin after now, the first is reserved
+// for owner, and the coordinator has further ones after next.
 func (r *Register) Granted(now time.Time, id, owner string, permits int, begin, next time.Duration) {
 	l, ok := r.limits[id]
 	if !ok {
@@ -193,7 +195,7 @@
 	r.limits[id] = l
 }
 
-// GiveBack leaves the permit of a request that will not be sent to whoever needs it.
+// GiveBack makes the permit of a request that will not be sent available to any request.
 func (r *Register) GiveBack(id, owner string) {
 	for i, p := range r.limits[id].permits {
 		if p.owner == owner {
@@ -202,17 +204,18 @@
 	}
 }
 
-// HasPermit says whether a request may be sent to a server without asking its coordinator.
+// HasPermit reports whether a request may be sent to a server without asking its coordinator for a permit.
 func (r *Register) HasPermit(now time.Time, s Server, owner string) bool {
 	l, ok := r.limits[s.ID]
 	return !ok || !l.in(now, s) || slices.ContainsFunc(l.permits, func(p permit) bool { return p.open(now, owner) })
 }
 
+// open reports whether the permit can be used by a request now.
 func (p permit) open(now time.Time, owner string) bool {
 	return (p.owner == "" || p.owner == owner) && !now.Before(p.from) && now.Before(p.till)
 }
 
-// judgeLimit says whether a request may ask for a permit, or has one.
+// judgeLimit reports whether a permit is available or can be requested now.
 func (r *Register) judgeLimit(now time.Time, s Server) Verdict {
 	l, ok := r.limits[s.ID]
 	if !ok || !l.in(now, s) || !now.Before(l.next) || r.HasPermit(now, s, "") {
@@ -221,7 +224,7 @@
 	return Verdict{State: Full, Until: l.next}
 }
 
-// takePermit uses a permit of a request up just before its first byte.
+// takePermit consumes a permit just before the first byte of a request is sent.
 func (r *Register) takePermit(now time.Time, s Server, owner string) Verdict {
 	l, ok := r.limits[s.ID]
 	if !ok || !l.in(now, s) {
@@ -255,7 +258,7 @@
 	return b
 }
 
-// sweepLimits forgets limits that have ended, and those of servers that have not been listed for a while.
+// sweepLimits removes limits that have ended and those of servers that are no longer listed.
 func (r *Register) sweepLimits(now time.Time, listed func(id string) bool) {
 	for id, l := range r.limits {
 		if listed(id) {
@@ -268,7 +271,7 @@
 	}
 }
 
-// InForce lists the limits in force, by server.
+// InForce returns the limits in force, sorted by server id.
 func (r *Register) InForce(now time.Time) []Limited {
 	var out []Limited
 	for id := range r.limits {
--- a/src/pushback/register.go
+++ b/src/pushback/register.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// State is what a server's own words leave open for it.
+// State says whether requests may be sent to a server, according to its own responses.
 type State uint8
 
-// The states.
+// States of a server.
 const (
-	Open      State = iota // it may get requests
-	Leaving                // it gets no new work any more
-	Resting                // it wants nothing until a time
-	Returning              // its rest is over, and as many requests try it as may do so at once
-	Full                   // no permit is left of the requests a second that it takes from all boxes together
+	Open      State = iota // requests may be sent
+	Leaving                // the server takes no new work
+	Resting                // the server has asked for no requests until a certain time
+	Returning              // its pause is over, and as many requests as currently allowed are trying it
+	Full                   // no permit is available within its request limit
 )
 
 // String names the state for logs.
@@ -33,54 +33,56 @@
 	return "open"
 }
 
-// Verdict says whether a server may get a request. Until is when one that rests may be asked, when one that returns is to be
-// judged again, and when the next permit of one that is full is free.
+// Verdict says whether a request may be sent to a server. Until is the end of the pause of a Resting server, the time at
+// which to check a Returning one again, and the time of the next permit of a Full one.
 type Verdict struct {
 	State State
 	Until time.Time
 }
 
-// Open says whether the server may get a request.
+// Open reports whether a request may be sent to the server.
 func (v Verdict) Open() bool { return v.State == Open }
 
-// Register holds what servers said of themselves to one box. It is the only place that decides by it: the choice of a server asks
-// Judge, and the sender asks Begin just before the first byte.
+// Register holds what servers have said about themselves to one box, and decides by it: Judge is used when a server is
+// chosen, and Begin just before the first byte of a request is sent.
 //
-// Idea. A server's own word is stronger than any list of it. It is kept apart from the lists, so that none of them replaces it: no
-// entry that is written again, no whole read after an outage, no list of another box. That a server leaves holds for the life
-// that said it, at all boxes; its rest holds between it and this box alone, whichever life asked. Its limit of requests a second holds
-// for the life that named it and for all boxes together: a request needs a permit, which the coordinator of the server grants
-// (package quota).
+// A server's own statements take precedence over any list of servers. They are stored separately, so that a rewritten
+// entry, a full read after an outage or a list from another box doesn't replace them. A departure applies to the
+// incarnation that announced it, at all boxes. A pause applies to this box only, for any incarnation. A request limit
+// applies to the incarnation that set it and to all boxes together: each request needs a permit from the server's
+// coordinator (package quota).
 //
-// Pure: time comes in, on a clock that counts a machine's sleep. Not safe for concurrent use.
+// The register does no I/O. Times passed to it must come from a clock that advances while the machine is suspended. It is
+// not safe for concurrent use.
 type Register struct {
-	left   map[string]departure
+	left   map[string]departure // by server id, as are the others
 	rests  map[string]rest
 	limits map[string]limit
-	told   int // of limits, in turn
+	told   int // position in the rotation of Limits
 }
 
-// departure is a life that said that it leaves.
+// departure is an incarnation that announced that it takes no new work.
 type departure struct {
 	incarnation int64
 	listedAt    time.Time // when its server was last listed
 }
 
-// rest is the rest that a server asked for and, after its end, its return: one request tries it first, and with each answer twice
-// as many may follow at once.
+// rest is a pause that a server asked for and the gradual increase after it: one request tries the server first, and each
+// response doubles the number of requests allowed at once.
 type rest struct {
-	until  time.Time
-	window int       // requests that may go there at once
-	begun  int       // of them, since round
-	round  time.Time // when the last answer came, or the first of them went
+	until  time.Time // end of the pause
+	window int       // requests allowed at once after the pause
+	begun  int       // requests begun since round
+	round  time.Time // time of the last response, or of the first request begun
 }
 
-// free says whether one more request may go there after the rest.
+// free reports whether another request may be sent after the pause.
 func (p rest) free(now time.Time) bool {
 	return p.begun < p.window || now.Sub(p.round) >= trialFor
 }
 
-// HearLeaving takes that a life leaves, from itself or by way of another box. It says whether that is news.
+// HearLeaving records that a server's incarnation takes no new work, as announced by itself or reported by another box. It
+// reports whether that is new.
 func (r *Register) HearLeaving(now time.Time, s Server) bool {
 	d, known := r.left[s.ID]
 	if known && d.incarnation == 0 {
@@ -96,14 +98,14 @@
 	return true
 }
 
-// before says whether a server's life began after the one that left. Lives of which one does not say when it began are taken
-// for the same: a server that is passed over costs less than requests to one that leaves.
+// before reports whether the departed incarnation is earlier than that of s. If either is unknown (0) they count as the
+// same: skipping a server costs less than sending requests to one that is leaving.
 func (d departure) before(s Server) bool {
 	return d.incarnation > 0 && s.Incarnation > d.incarnation
 }
 
-// HearRest takes for how long a server wants nothing from this box, from now on. The latest end counts, so that an answer which
-// was overtaken shortens nothing. It gives the end and whether it is later than what was known.
+// HearRest records that a server wants no requests from this box for the given time. The latest end counts, so a delayed
+// response doesn't shorten a pause. It returns the end and whether it is later than the one known before.
 func (r *Register) HearRest(now time.Time, id string, length time.Duration) (until time.Time, later bool) {
 	until = now.Add(min(length, mostRest))
 	known, ok := r.rests[id]
@@ -120,7 +122,8 @@
 	return until, true
 }
 
-// Answered takes that a server answered without asking for rest: one that returns may get twice as many requests at once.
+// Answered records a response that asked for no pause. It doubles the number of concurrent requests allowed at a
+// returning server.
 func (r *Register) Answered(now time.Time, id string) {
 	p, ok := r.rests[id]
 	if !ok || now.Before(p.until) {
@@ -134,7 +137,7 @@
 	r.rests[id] = p
 }
 
-// Judge says whether a server may get a request now.
+// Judge returns whether a request may be sent to a server now.
 func (r *Register) Judge(now time.Time, s Server) Verdict {
 	if d, ok := r.left[s.ID]; ok && !d.before(s) {
 		return Verdict{State: Leaving}
@@ -151,8 +154,8 @@
 	return r.judgeLimit(now, s)
 }
 
-// Begin judges a server just before the first byte of a request goes there, and counts the request where it may go. owner names the
-// request for which a permit was asked.
+// Begin is Judge for the moment before the first byte of a request is sent. If the request may be sent it consumes a
+// permit and counts the request. owner identifies the request for which a permit was reserved.
 func (r *Register) Begin(now time.Time, s Server, owner string) Verdict {
 	v := r.Judge(now, s)
 	if v.Open() || v.State == Full {
@@ -171,13 +174,13 @@
 	return v
 }
 
-// Remembers says whether a server asked for rest and has not returned from it whole.
+// Remembers reports whether a server has asked for a pause and is not back to unlimited requests yet.
 func (r *Register) Remembers(id string) bool {
 	_, ok := r.rests[id]
 	return ok
 }
 
-// Departed lists lives that leave and are still listed as if they took work, which other boxes should be told, at most NotesMost.
+// Departed returns at most NotesMost leaving incarnations that are still listed as taking work, to report to other boxes.
 func (r *Register) Departed(works func(id string) bool) []Server {
 	var out []Server
 	for id, d := range r.left {
@@ -189,7 +192,7 @@
 	return out[:min(len(out), NotesMost)]
 }
 
-// Sweep forgets what is over: rests, limits, and words of servers that have not been listed for a while.
+// Sweep removes expired pauses and limits, and departures of servers that are no longer listed.
 func (r *Register) Sweep(now time.Time, listed func(id string) bool) {
 	for id, p := range r.rests {
 		if now.Sub(p.until) > restKept {
@@ -208,5 +211,5 @@
 	}
 }
 
-// Empty says whether nothing is known.
+// Empty reports whether the register holds nothing.
 func (r *Register) Empty() bool { return len(r.left) == 0 && len(r.rests) == 0 && len(r.limits) == 0 }
--- a/src/pushback/word.go
+++ b/src/pushback/word.go
@@ -1,6 +1,5 @@
-// Package pushback decides what backend servers' own answers allow. A server that leaves says so in its answers, and one
-// that turns a request away may say for how long it wants nothing more from this box. One in need names how many requests a
-// second it takes from all boxes together.
+// Package pushback applies the flow control that backend servers send in their responses. A server can announce that it
+// takes no new work, ask a box to send nothing for a time, and limit the requests per second from all boxes together.
 package pushback
 
 import (
@@ -11,24 +10,24 @@
 	"time"
 )
 
-// Word is what one answer says of its server, beside the answer itself. The zero value says nothing.
+// Word is the flow control information in one response. The zero value contains none.
 type Word struct {
-	Leaving bool          // the server takes no new work any more
-	Rest    time.Duration // for which it wants nothing from this box, 0 for none
-	Limit   float64       // requests a second that it takes from all boxes together, 0 for no limit named; see LimitOf
+	Leaving bool          // the server takes no new work
+	Rest    time.Duration // time for which it wants no requests from this box, 0 for none
+	Limit   float64       // requests per second from all boxes together, 0 if none is given; see LimitOf
 }
 
-// The limits that are taken from answers, in requests a second. A lower one would take a server out for good, as no request would
-// learn that it has ended.
+// Range of limits accepted from responses, in requests per second. With a lower one too few requests would be sent to
+// learn that the limit has ended.
 const (
 	LeastLimit = 0.1
 	MostLimit  = 1e5
 )
 
-// NoSense is the limit of an answer that names one which can't be read. It neither sets a limit nor ends one.
+// NoSense stands for a limit that can't be parsed. It neither sets a limit nor ends one.
 const NoSense = -1
 
-// LimitOf reads the limits that one answer names; of several the lowest counts. It gives 0 where the answer names none.
+// LimitOf parses the limits given in one response and returns the lowest, 0 if there is none, or NoSense.
 func LimitOf(values []string) float64 {
 	if len(values) == 0 {
 		return 0
@@ -47,8 +46,7 @@
 	return least
 }
 
-// Server is one life of a backend server. Of two incarnations the larger began later; 0 is a life that does not say when it
-// began.
+// Server is one incarnation of a backend server. A larger number is a later incarnation; 0 is an unknown one.
 type Server struct {
 	ID          string
 	Incarnation int64
--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -1,8 +1,9 @@
-// Package suspects keeps one box's register of contents that may crash servers (package crasher, which decides) and carries it
-// out: it finds out whether a server under which an exchange broke has ended, and tells the other boxes what they need to know.
+// Package suspects runs one box's register of contents that may crash servers (package crasher): it finds out whether a
+// server has crashed after a broken exchange, and exchanges reports with other boxes.
 //
-// One end of a server's life speaks against all that ran there, mostly innocents; it is told to two boxes that add such ends
-// up. What two ends or more speak against is told to all.
+// A crash counts against every content that was running at the server, most of them innocent. Contents with one crash are
+// reported only to two counter boxes, which add up the reports of all boxes; contents with two or more are reported to
+// all.
 package suspects
 
 import (
@@ -19,31 +20,31 @@
 	"github.com/stilemast/stilemast/src/crasher"
 )
 
-// Proof says what showed that a server's life has ended.
+// Proof is the evidence that an incarnation of a server has ended.
 type Proof string
 
-// The proofs.
+// Kinds of evidence.
 const (
 	Refused Proof = "connection refused" // no process listens at its address
-	Silent  Proof = "no connection"      // its address does not answer, alone of all
-	Listed  Proof = "list of servers"    // its entry went without a word before, or tells of another life
-	Report  Proof = "report"             // its own report tells of another life
+	Silent  Proof = "no connection"      // it is the only server whose address doesn't respond
+	Listed  Proof = "list of servers"    // its entry was removed without notice, or has another incarnation
+	Report  Proof = "report"             // its own report has another incarnation
 )
 
-// ErrAddsNothingUp is the answer of a box of an earlier release, which knows nothing of suspects.
-var ErrAddsNothingUp = errors.New("the box adds nothing up")
+// ErrAddsNothingUp is returned for a box of an earlier release that doesn't support suspect reports.
+var ErrAddsNothingUp = errors.New("the box does not support suspect reports")
 
-// Presence is what came of asking a server.
+// Presence is the result of probing a server.
 type Presence uint8
 
-// The presences.
+// Results of a probe.
 const (
-	Present  Presence = iota + 1 // a process is there
+	Present  Presence = iota + 1 // a process accepts connections
 	Absent                       // the connection was refused: no process listens
-	NoAnswer                     // nothing came
+	NoAnswer                     // no response, or another error
 )
 
-// PresenceOf says what the error of opening a connection tells of the process there.
+// PresenceOf returns the probe result for the error of opening a connection.
 func PresenceOf(err error) Presence {
 	switch {
 	case err == nil:
@@ -54,47 +55,47 @@
 	return NoAnswer
 }
 
-// Server is one life of a backend server.
+// Server is one incarnation of a backend server.
 type Server struct {
 	ID      string
 	Address string
 	Life    crasher.Life
 }
 
-// Tracker is the register of one box, under its lock. Set the exported fields before use.
+// Tracker is the register of one box. It is safe for concurrent use; set the exported fields before.
 type Tracker struct {
-	Self string
-	Now  func() time.Time // never steps
+	Self string           // name of this box
+	Now  func() time.Time // must be monotonic
 	Log  *slog.Logger
-	// Probe looks whether a server's process is there; nil asks nobody.
+	// Probe checks whether a server's process exists; nil disables probes.
 	Probe func(ctx context.Context, s Server) Presence
-	// Boxes lists those that take work, this one among them.
+	// Boxes returns the boxes that take work, including this one.
 	Boxes func() []string
-	// Ask tells another box what this one knows of some contents, and gives what that box knows of them.
+	// Ask sends another box this box's notes on some contents and returns that box's notes on them.
 	Ask func(ctx context.Context, box string, notes []crasher.Note) ([]crasher.Note, error)
-	// Announce has all boxes told what is new (News), those of a large fleet by way of others.
+	// Announce sends the latest changes (see Notes) to all boxes, in a large fleet through other boxes.
 	Announce func()
-	// Counted is told of ends that were counted against so many contents, for metrics; nil is passed over.
+	// Counted, if set, is called with the number of contents that a crash was counted against, for metrics.
 	Counted func(contents int)
 
 	mu       sync.Mutex
 	register crasher.Register
 	asking   map[crasher.Life]*asking
-	silent   map[crasher.Life]time.Time // servers whose addresses did not answer, and when last
-	telling  bool                       // a message to other boxes is due
-	news     bool                       // it goes to all
-	single   []crasher.Key              // contents with one end, which the boxes that add them up are told
-	any      atomic.Bool                // whether anything is known: most of the time nothing is
+	silent   map[crasher.Life]time.Time // servers that didn't respond, and when last
+	telling  bool                       // a report to other boxes is scheduled
+	news     bool                       // it includes changes for all boxes
+	single   []crasher.Key              // contents with one crash, to report to their counter boxes
+	any      atomic.Bool                // the register isn't empty; most of the time it is
 }
 
-// asking is a server under which exchanges broke and whose address is tried.
+// asking is a server that is being probed after broken exchanges.
 type asking struct {
 	server Server
 	tries  int
-	due    time.Time // of the next try; zero while one is at work
+	due    time.Time // time of the next probe; zero while one is running
 }
 
-// Judge says what speaks against a content at a pool.
+// Judge returns the crashes attributed to a content at a pool.
 func (u *Tracker) Judge(k crasher.Key) crasher.Verdict {
 	if !u.any.Load() {
 		return crasher.Verdict{}
@@ -104,7 +105,7 @@
 	return u.register.Judge(u.Now(), k)
 }
 
-// Broke takes that exchanges of contents with a server broke, and finds out whether it ended.
+// Broke records that exchanges of contents with a server broke, and probes whether the server has crashed.
 func (u *Tracker) Broke(s Server, keys ...crasher.Key) {
 	if len(keys) == 0 {
 		return
@@ -125,8 +126,8 @@
 	}
 }
 
-// ask tries the address of a server under which exchanges broke: a process that is gone refuses connections at once. The
-// list tells as much, but only when three heartbeats are missing, and by then a content could have ended several more.
+// ask probes a server: connections to a terminated process are refused at once. The list of servers shows the crash too,
+// but only after three missed heartbeats, and by then the content could have crashed several more servers.
 func (u *Tracker) ask(s Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTime)
 	p := u.Probe(ctx, s)
@@ -140,7 +141,7 @@
 	}
 }
 
-// asked notes what came of a try and says whether it was the last.
+// asked records the result of a probe and reports whether it was the last.
 func (u *Tracker) asked(s Server, p Presence) (last bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -164,8 +165,8 @@
 	return last
 }
 
-// onlySilent says whether a server's address is the only one that does not answer. Of several it may be this box that is cut
-// off, and their lives go on.
+// onlySilent reports whether no other server was unresponsive recently. If several are, this box may be disconnected and
+// the servers may be running.
 func (u *Tracker) onlySilent(s Server) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -177,7 +178,7 @@
 	return true
 }
 
-// askAgain tries the addresses whose next try is due.
+// askAgain probes the servers whose next probe is due.
 func (u *Tracker) askAgain() {
 	now := u.Now()
 	u.mu.Lock()
@@ -190,7 +191,7 @@
 	}
 }
 
-// Ended takes that a life of a server ended other than as planned.
+// Ended records that an incarnation of a server ended unplanned.
 func (u *Tracker) Ended(s Server, proof Proof) {
 	u.mu.Lock()
 	counted := u.register.Ended(u.Now(), s.Life)
@@ -198,7 +199,7 @@
 	u.counted(counted, s.ID, proof)
 }
 
-// Good takes that contents had a good answer.
+// Good records good responses to contents, which clear them.
 func (u *Tracker) Good(keys ...crasher.Key) {
 	u.mu.Lock()
 	var cleared []crasher.Counted
@@ -214,7 +215,7 @@
 	}
 }
 
-// counted logs what was counted against contents and tells the other boxes.
+// counted logs the contents that a crash was counted against and reports them to other boxes.
 func (u *Tracker) counted(list []crasher.Counted, server string, proof Proof) {
 	if len(list) == 0 {
 		return
@@ -231,8 +232,8 @@
 	u.tell(list)
 }
 
-// tell has other boxes told in a moment, all that changes until then together: every box of contents under which two servers
-// ended, the boxes that add them up of the others.
+// tell schedules a report of changed contents to other boxes, which collects all changes of tellAfter: contents with two
+// crashes or more go to all boxes, the others to their counter boxes.
 func (u *Tracker) tell(list []crasher.Counted) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -250,6 +251,7 @@
 	time.AfterFunc(tellAfter, u.tellNow)
 }
 
+// tellNow sends the scheduled report.
 func (u *Tracker) tellNow() {
 	u.mu.Lock()
 	news, single := u.news, u.single
@@ -261,9 +263,9 @@
 	u.tellCounters(single, map[string]bool{})
 }
 
-// tellCounters tells the boxes that add up the ends under contents what this one knows of them. A box that does not answer is
-// passed over for the next: of a fleet of 61 in which both have just been lost, 21 servers ended otherwise, with 8 late sends, and
-// 3 so (TestARequestThatCrashesServersIsNotSentOnWhenWhoCountsIsLost of the gateway).
+// tellCounters sends this box's notes on contents to their counter boxes. A box that doesn't respond is replaced by the next
+// one: in a fleet of 61 boxes that had just lost both counter boxes of a content, 3 servers crashed instead of 21, and 8
+// late sends were avoided.
 func (u *Tracker) tellCounters(keys []crasher.Key, silent map[string]bool) {
 	boxes := slices.DeleteFunc(slices.Clone(u.Boxes()), func(box string) bool { return silent[box] })
 	to := map[string][]crasher.Key{}
@@ -280,6 +282,7 @@
 	}
 }
 
+// tellCounter sends notes to one counter box and records the notes in its response.
 func (u *Tracker) tellCounter(box string, keys []crasher.Key, silent map[string]bool) {
 	u.mu.Lock()
 	notes := u.register.NotesOf(u.Now(), keys)
@@ -291,7 +294,7 @@
 		u.Hear(known, box)
 		return
 	}
-	u.Log.Warn("box that adds up the ends of servers does not answer", "peer", box, "contents", len(keys), "passed_over", len(silent), "cause", err.Error())
+	u.Log.Warn("counter box for server crashes does not respond", "peer", box, "contents", len(keys), "passed_over", len(silent), "cause", err.Error())
 	if len(silent) < silentMost {
 		next := maps.Clone(silent)
 		next[box] = true
@@ -299,7 +302,7 @@
 	}
 }
 
-// AddUp takes what another box saw of contents whose ends this one adds up, and gives what it knows of them.
+// AddUp records another box's notes on contents that this box is a counter of, and returns this box's notes on them.
 func (u *Tracker) AddUp(notes []crasher.Note, from string) []crasher.Note {
 	u.Hear(notes, from)
 	keys := make([]crasher.Key, 0, len(notes))
@@ -311,7 +314,7 @@
 	return u.register.NotesOf(u.Now(), keys)
 }
 
-// Hear takes what another box tells.
+// Hear records the notes of another box.
 func (u *Tracker) Hear(notes []crasher.Note, from string) {
 	if len(notes) == 0 {
 		return
@@ -323,18 +326,18 @@
 		return
 	}
 	u.any.Store(true)
-	var news []crasher.Counted // one end is no news: this box adds them up
+	var news []crasher.Counted // a first crash is not passed on: this box is the counter
 	for _, c := range changed {
 		if c.Verdict.Seen < crasher.AloneFrom {
 			continue
 		}
 		news = append(news, c)
-		u.Log.Info("content told of that may crash servers", "key", c.Key.String(), "ends", c.Verdict.Ends, "barred", c.Verdict.Barred, "from", from)
+		u.Log.Info("another box reported a content that may crash servers", "key", c.Key.String(), "ends", c.Verdict.Ends, "barred", c.Verdict.Barred, "from", from)
 	}
 	u.tell(news)
 }
 
-// Notes are what this box tells of suspects: in news only what changed a moment ago.
+// Notes returns the notes to send to other boxes; with news only the latest changes.
 func (u *Tracker) Notes(news bool) []crasher.Note {
 	if !u.any.Load() {
 		return nil
@@ -347,7 +350,7 @@
 	return u.register.Notes(u.Now())
 }
 
-// Tick tries the addresses whose next try is due, and forgets what is over.
+// Tick starts the probes that are due and removes expired state.
 func (u *Tracker) Tick() {
 	u.askAgain()
 	u.mu.Lock()
