--- a/src/batch/constants.go
+++ b/src/batch/constants.go
@@ -28,5 +28,5 @@
 	handoverSlack     = 300 * time.Millisecond  // added to twice the remaining time of a call that was handed over
 	limitedFrees      = 2 * time.Second         // shortest interval between freeing results at a rate-limited server: half of their usual lifetime
 	limitedFreePart   = 4.0                     // requests allowed by such a server's limit for each request that frees results
-	memory            = 5 * time.Second         // time for which the outcome of a job is kept
+	outcomeRetention            = 5 * time.Second         // time for which the outcome of a job is kept
 )
--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -269,7 +269,7 @@
 func (s *Scheduler) Tick(now time.Time) Actions {
 	var out Actions
 	for id, e := range s.ended {
-		if now.Sub(e.at) > memory {
+		if now.Sub(e.at) > outcomeRetention {
 			delete(s.ended, id)
 		}
 	}
@@ -279,7 +279,7 @@
 		}
 	}
 	for h, at := range s.early {
-		if now.Sub(at) > memory {
+		if now.Sub(at) > outcomeRetention {
 			delete(s.early, h)
 		}
 	}
