--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -76,7 +76,7 @@
 type Pool struct {
 	Box    string
 	Domain string // of this box
-	// RestsUntil returns until when a server wants no requests from this box, as it said itself; nil if none pauses.
+	// RestsUntil returns until when a server wants no requests from this box, as it said itself; nil if none rests.
 	RestsUntil func(*catalog.Server) time.Time
 	// Limits reports whether a server limits its request rate; nil if none does.
 	Limits func(*catalog.Server) bool
@@ -297,7 +297,7 @@
 }
 
 // wantsRest reports whether a server has asked for no requests now. That is respected even if no other server is left:
-// when boxes still used the best server while all asked for it, 2,080 of 2,500 requests were sent during such pauses.
+// when boxes still used the best server while all asked for it, 2,080 of 2,500 requests were sent to resting servers.
 func (p *Pool) wantsRest(now time.Time, v *server) bool {
 	return p.RestsUntil != nil && now.Before(p.RestsUntil(v.Server))
 }
@@ -321,14 +321,14 @@
 	return v != nil && p.wantsRest(now, v)
 }
 
-// RestEnds returns when the first pausing server in the request's domains accepts requests again, or false if none
-// pauses.
+// RestEnds returns when the first resting server in the request's domains accepts requests again, or false if none
+// rests.
 func (p *Pool) RestEnds(now time.Time, w *Wish) (time.Time, bool) {
 	_, first, ok := p.FirstToWake(now, w)
 	return first, ok
 }
 
-// FirstToWake returns the pausing server that accepts requests again first, and when (see RestEnds).
+// FirstToWake returns the resting server that accepts requests again first, and when (see RestEnds).
 func (p *Pool) FirstToWake(now time.Time, w *Wish) (catalog.Server, time.Time, bool) {
 	var first time.Time
 	var server *catalog.Server
--- a/src/balance/health.go
+++ b/src/balance/health.go
@@ -80,7 +80,7 @@
 	if o != Absent && o != Replaced {
 		v.seenAt = now
 	}
-	if o == AsksRest { // not a failure: the pause that the server asked for applies instead of ours
+	if o == AsksRest { // not a failure: the rest that the server asked for applies instead of a pause
 		v.probing = false
 		p.doubtAt = now // with 3 of 5 servers rejecting all requests, 2 of 2,500 were refused, 23 without this
 		return false
--- a/src/batch/resting.go
+++ b/src/batch/resting.go
@@ -3,7 +3,7 @@
 import "time"
 
 // restLeft returns for how long a server still wants no calls, as the server itself said. With an estimate of our own
-// instead, calls were sent during 172 of 172 such pauses.
+// instead, calls were sent during 172 of 172 such rests.
 func (s *Scheduler) restLeft(now time.Time, v *serverState) time.Duration {
 	if s.RestsUntil == nil {
 		return 0
--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -74,7 +74,7 @@
 	Self  string                            // name of this box
 	Judge func(crasher.Key) crasher.Verdict // returns the crashes attributed to a content; nil for none
 
-	// RestsUntil returns until when a server wants no calls, as it said itself; nil if no server pauses.
+	// RestsUntil returns until when a server wants no calls, as it said itself; nil if no server rests.
 	RestsUntil func(*catalog.Server) time.Time
 
 	// LimitOf returns a server's limit in requests per second, 0 for none; nil if no server has a limit.
--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -40,7 +40,7 @@
 type entry struct {
 	ends    []end     // sorted by time
 	goodAt  time.Time // latest good response
-	changed time.Time // when other boxes last needed to be told
+	changed time.Time // last change that other boxes must be told of
 }
 
 // end is the crash of a server while it ran a content.
--- a/src/pushback/constants.go
+++ b/src/pushback/constants.go
@@ -3,18 +3,18 @@
 import "time"
 
 const (
-	// mostRest is the longest pause that a server can ask for. It is longer than an overload lasts, and keeps an absurd
+	// mostRest is the longest rest that a server can ask for. It is longer than an overload lasts, and keeps an absurd
 	// value from removing a server for good.
 	mostRest = 10 * time.Minute
-	// trialFor is how long to wait for a response to the requests that try a server after its pause before sending more:
+	// trialFor is how long to wait for a response to the requests that try a server after its rest before sending more:
 	// four times as long as a busy engine takes to send a response header.
 	trialFor = time.Second
 	// answerSoon is the delay before a returning server is checked again: a quick service has responded by then.
 	answerSoon = 20 * time.Millisecond
 	// returnMost is the number of concurrent requests above which a returning server is no longer limited: the slots of the
-	// largest engines seen. Without the gradual increase a box would send all waiting requests when the pause ends.
+	// largest engines seen. Without the gradual increase a box would send all waiting requests when the rest ends.
 	returnMost = 64
-	// restKept is how long a pause is kept after its end if nothing is sent to the server.
+	// restKept is how long a rest is kept after its end if nothing is sent to the server.
 	restKept = time.Minute
 	// departureKept is how long a departure is kept after the server was last listed: leaving servers were seen to serve
 	// for many more seconds, and the lists of other boxes lag by a second or two.
@@ -29,7 +29,7 @@
 	wantsOver = 50 * time.Millisecond
 	// newsPart is the fraction of a limit below which a new one is reported at once rather than with the next heartbeat.
 	newsPart = 0.8
-	// lifeMost bounds the departures, pauses and limits that are kept, about 100 bytes each: seven times the servers of the
+	// lifeMost bounds the departures, rests and limits that are kept, about 100 bytes each: seven times the servers of the
 	// largest supported fleet.
 	lifeMost = 4096
 	// NotesMost is the largest number of leaving servers, and of servers with limits, in one message, 20 to 40 bytes each:
--- a/src/pushback/register.go
+++ b/src/pushback/register.go
@@ -14,7 +14,7 @@
 	Open      State = iota // requests may be sent
 	Leaving                // the server takes no new work
 	Resting                // the server has asked for no requests until a certain time
-	Returning              // its pause is over, and as many requests as currently allowed are trying it
+	Returning              // its rest is over, and as many requests as currently allowed are trying it
 	Full                   // no permit is available within its request limit
 )
 
@@ -33,7 +33,7 @@
 	return "open"
 }
 
-// Verdict says whether a request may be sent to a server. Until is the end of the pause of a Resting server, the time at
+// Verdict says whether a request may be sent to a server. Until is the end of the rest of a Resting server, the time at
 // which to check a Returning one again, and the time of the next permit of a Full one.
 type Verdict struct {
 	State State
@@ -48,7 +48,7 @@
 //
 // A server's own statements take precedence over any list of servers. They are stored separately, so that a rewritten
 // entry, a full read after an outage or a list from another box doesn't replace them. A departure applies to the
-// incarnation that announced it, at all boxes. A pause applies to this box only, for any incarnation. A request limit
+// incarnation that announced it, at all boxes. A rest applies to this box only, for any incarnation. A request limit
 // applies to the incarnation that set it and to all boxes together: each request needs a permit from the server's
 // coordinator (package quota).
 //
@@ -67,16 +67,16 @@
 	listedAt    time.Time // when its server was last listed
 }
 
-// rest is a pause that a server asked for and the gradual increase after it: one request tries the server first, and each
+// rest is a rest that a server asked for and the gradual increase after it: one request tries the server first, and each
 // response doubles the number of requests allowed at once.
 type rest struct {
-	until  time.Time // end of the pause
-	window int       // requests allowed at once after the pause
+	until  time.Time // end of the rest
+	window int       // requests allowed at once after the rest
 	begun  int       // requests begun since round
 	round  time.Time // time of the last response, or of the first request begun
 }
 
-// free reports whether another request may be sent after the pause.
+// free reports whether another request may be sent after the rest.
 func (p rest) free(now time.Time) bool {
 	return p.begun < p.window || now.Sub(p.round) >= trialFor
 }
@@ -105,7 +105,7 @@
 }
 
 // HearRest records that a server wants no requests from this box for the given time. The latest end counts, so a delayed
-// response doesn't shorten a pause. It returns the end and whether it is later than the one known before.
+// response doesn't shorten a rest. It returns the end and whether it is later than the one known before.
 func (r *Register) HearRest(now time.Time, id string, length time.Duration) (until time.Time, later bool) {
 	until = now.Add(min(length, mostRest))
 	known, ok := r.rests[id]
@@ -122,7 +122,7 @@
 	return until, true
 }
 
-// Answered records a response that asked for no pause. It doubles the number of concurrent requests allowed at a
+// Answered records a response that asked for no rest. It doubles the number of concurrent requests allowed at a
 // returning server.
 func (r *Register) Answered(now time.Time, id string) {
 	p, ok := r.rests[id]
@@ -174,7 +174,7 @@
 	return v
 }
 
-// Remembers reports whether a server has asked for a pause and is not back to unlimited requests yet.
+// Remembers reports whether a server has asked for a rest and is not back to unlimited requests yet.
 func (r *Register) Remembers(id string) bool {
 	_, ok := r.rests[id]
 	return ok
@@ -192,7 +192,7 @@
 	return out[:min(len(out), NotesMost)]
 }
 
-// Sweep removes expired pauses and limits, and departures of servers that are no longer listed.
+// Sweep removes expired rests and limits, and departures of servers that are no longer listed.
 func (r *Register) Sweep(now time.Time, listed func(id string) bool) {
 	for id, p := range r.rests {
 		if now.Sub(p.until) > restKept {
--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -210,7 +210,7 @@
 	}
 	u.mu.Unlock()
 	if len(cleared) > 0 {
-		u.Log.Info("contents cleared by good answers", "contents", len(cleared), "key", cleared[0].Key.String())
+		u.Log.Info("contents cleared by good responses", "contents", len(cleared), "key", cleared[0].Key.String())
 		u.tell(cleared)
 	}
 }
@@ -223,7 +223,7 @@
 	u.any.Store(true)
 	for i, c := range list {
 		if i < linesOfOneEnd {
-			u.Log.Warn("server ended under a request", "key", c.Key.String(), "server", server, "proof", string(proof), "ends", c.Verdict.Ends, "barred", c.Verdict.Barred, "suspects", len(list))
+			u.Log.Warn("server crashed while running a request", "key", c.Key.String(), "server", server, "proof", string(proof), "ends", c.Verdict.Ends, "barred", c.Verdict.Barred, "suspects", len(list))
 		}
 	}
 	if u.Counted != nil {
