--- a/src/batch/constants.go
+++ b/src/batch/constants.go
@@ -27,6 +27,6 @@
 	hopelessFill      = 0.4                     // fill of the smallest call assumed when estimating whether a job can still be in time
 	handoverSlack     = 300 * time.Millisecond  // added to twice the remaining time of a call that was handed over
 	limitedFreeInterval      = 2 * time.Second         // shortest interval between freeing results at a rate-limited server: half of their usual lifetime
-	limitedFreePart   = 4.0                     // requests allowed by such a server's limit for each request that frees results
+	requestsPerFree   = 4.0                     // requests allowed by such a server's limit for each request that frees results
 	outcomeRetention            = 5 * time.Second         // time for which the outcome of a job is kept
 )
--- a/src/batch/resting.go
+++ b/src/batch/resting.go
@@ -55,7 +55,7 @@
 // each request that frees results uses up a permit for a call.
 func (s *Scheduler) mayFree(now time.Time, v *serverState) bool {
 	l := s.limitOf(v)
-	return l == 0 || now.Sub(v.freedAt) >= max(limitedFreeInterval, time.Duration(limitedFreePart/l*float64(time.Second)))
+	return l == 0 || now.Sub(v.freedAt) >= max(limitedFreeInterval, time.Duration(requestsPerFree/l*float64(time.Second)))
 }
 
 // endCrowded fails jobs that can't be completed if all servers limit their requests, so that the pool's throughput is
