--- a/src/batch/pace.go
+++ b/src/batch/pace.go
@@ -31,7 +31,7 @@
 			s.pieces[t.Class] = min(3, max(0.1, f*(1+classLearning/float64(len(rc.jobs))*(measured/max(items, 1)-1))))
 		}
 	}
-	v.ratio += serverLearning * (r - v.ratio)
+	v.ratio += ratioWeight * (r - v.ratio)
 	if waiting, _ := s.Pending(); waiting >= s.pool.Batch.Size {
 		measured := float64(len(rc.jobs)) / took.Seconds()
 		if s.pace == 0 {
