--- a/src/batch/constants.go
+++ b/src/batch/constants.go
@@ -19,7 +19,7 @@
 	timeoutFactor     = 3.0                     // a call's timeout is this times its expected time,
 	timeoutFloor      = 500 * time.Millisecond  // plus this
 	ratioWeight    = 0.3                     // weight of a new sample in the moving average of a server's relative call time
-	paceLearning      = 0.1                     // the same for the throughput of one server while work waits
+	paceWeight      = 0.1                     // the same for the throughput of one server while work waits
 	classLearning     = 0.1                     // the same for the time per piece of a class
 	slowRatio         = 1.8                     // relative call time from which a server is used last
 	slowProbe         = 1500 * time.Millisecond // interval at which a slow server is tried again
--- a/src/batch/pace.go
+++ b/src/batch/pace.go
@@ -37,7 +37,7 @@
 		if s.pace == 0 {
 			s.pace = measured
 		}
-		s.pace += paceLearning * (measured - s.pace)
+		s.pace += paceWeight * (measured - s.pace)
 	}
 }
 
