--- a/src/batch/constants.go
+++ b/src/batch/constants.go
@@ -20,7 +20,7 @@
 	timeoutFloor      = 500 * time.Millisecond  // plus this
 	ratioWeight    = 0.3                     // weight of a new sample in the moving average of a server's relative call time
 	paceWeight      = 0.1                     // the same for the throughput of one server while work waits
-	classLearning     = 0.1                     // the same for the time per piece of a class
+	classWeight     = 0.1                     // the same for the time per piece of a class
 	slowRatio         = 1.8                     // relative call time from which a server is used last
 	slowProbe         = 1500 * time.Millisecond // interval at which a slow server is tried again
 	readTime          = 70 * time.Millisecond   // time for a call to read its inputs
--- a/src/batch/pace.go
+++ b/src/batch/pace.go
@@ -28,7 +28,7 @@
 		measured := max(0, float64(took)/v.ratio-float64(s.pool.Batch.CallTime))
 		for _, t := range rc.jobs {
 			f := float64(s.pieceTime(t.Class)) / float64(s.pool.Batch.ItemTime)
-			s.pieces[t.Class] = min(3, max(0.1, f*(1+classLearning/float64(len(rc.jobs))*(measured/max(items, 1)-1))))
+			s.pieces[t.Class] = min(3, max(0.1, f*(1+classWeight/float64(len(rc.jobs))*(measured/max(items, 1)-1))))
 		}
 	}
 	v.ratio += ratioWeight * (r - v.ratio)
