--- a/src/batch/confined_test.go
+++ b/src/batch/confined_test.go
@@ -7,9 +7,9 @@
 	"github.com/stilemast/stilemast/src/catalog"
 )
 
-// Pieces of a confined job go to servers inside only, whatever waits and wherever its inputs lie; a job that no server is left
-// for ends at once.
-func TestAConfinedJobIsMadeInside(t *testing.T) {
+// The pieces of a confined job run only in its domains, whatever else waits and wherever its inputs are. A job without an
+// allowed server fails at once.
+func TestConfinedJobRunsInsideItsDomains(t *testing.T) {
 	s := NewScheduler("a", testPool())
 	s.Configure(start, testPool(), pointers([]catalog.Server{{ID: "w", Domain: "west", Slots: 1}, {ID: "c", Domain: "central", Slots: 1}}))
 	var calls []Call
@@ -27,20 +27,20 @@
 		ended := calls
 		calls = nil
 		for _, c := range ended {
-			calls = append(calls, s.CallEnded(now, c.N, CallDone, made(c)).Calls...)
+			calls = append(calls, s.CallEnded(now, c.N, CallDone, successResults(c)).Calls...)
 		}
 		calls = append(calls, s.Tick(now).Calls...)
 	}
 	if len(s.jobs) > 0 {
-		t.Errorf("%d jobs were not made, though a server stands inside", len(s.jobs))
+		t.Errorf("%d jobs did not finish, though an allowed server exists", len(s.jobs))
 	}
 	j := testJob("a", 100, 1)
 	j.Within = &catalog.Confines{Domains: []string{"east"}}
 	a := s.Submit(start, j, "")
 	if last := a.Replies[len(a.Replies)-1].Message.Failed; last == nil || last.Reason != Nowhere || len(a.Calls) > 0 {
-		t.Errorf("a job for which no server stands inside: %+v", a)
+		t.Errorf("job without an allowed server: %+v", a)
 	}
 	if m := j.Submission(start).Job(start); m.Within == nil || !m.Within.Allow("east") || m.Within.Allow("west") {
-		t.Errorf("what was sent is confined to %v", m.Within)
+		t.Errorf("the submission is confined to %v", m.Within)
 	}
 }
--- a/src/batch/constants.go
+++ b/src/batch/constants.go
@@ -4,29 +4,29 @@
 
 // Parameters of the scheduler.
 const (
-	priorityStep      = 250 * time.Millisecond  // added to a job's due time for each step of its priority number
+	priorityStep          = 250 * time.Millisecond  // added to a job's due time for each step of its priority number
 	leaveDomainAfter      = 160 * time.Millisecond  // wait after which a job may run outside the domain of its inputs
 	leaveDomainSlack      = 500 * time.Millisecond  // a job with this much time until due, beyond a call's time,
 	leaveDomainAfterSlack = 900 * time.Millisecond  // waits this long for the domain of its inputs
-	smallCrossBytes        = 200_000.0               // a job that reads fewer bytes from another domain doesn't wait for its own
-	splitAfter        = 200 * time.Millisecond  // wait after which a job may be split across calls
-	usableRoomFraction          = 0.97                    // fraction of a server's result memory that is used
-	unknownDecay       = time.Second             // decay time of the estimate of unknown results; the lifetime of results (4 s) gave worse results
-	fullPause         = 60 * time.Millisecond   // after a server reported that it is full
-	failurePause      = 400 * time.Millisecond  // after a failed call; doubled with each further one
-	maxDoublings      = 4                       // of failurePause
-	pieceFailures     = 4                       // failed calls after which a job fails
-	timeoutFactor     = 3.0                     // a call's timeout is this times its expected time,
-	timeoutFloor      = 500 * time.Millisecond  // plus this
-	ratioWeight    = 0.3                     // weight of a new sample in the moving average of a server's relative call time
-	paceWeight      = 0.1                     // the same for the throughput of one server while work waits
-	classWeight     = 0.1                     // the same for the time per piece of a class
-	slowRatio         = 1.8                     // relative call time from which a server is used last
-	slowProbe         = 1500 * time.Millisecond // interval at which a slow server is tried again
-	readTime          = 70 * time.Millisecond   // time for a call to read its inputs
-	hopelessFill      = 0.4                     // fill of the smallest call assumed when estimating whether a job can still be in time
-	handoverSlack     = 300 * time.Millisecond  // added to twice the remaining time of a call that was handed over
-	limitedFreeInterval      = 2 * time.Second         // shortest interval between freeing results at a rate-limited server: half of their usual lifetime
-	requestsPerFree   = 4.0                     // requests allowed by such a server's limit for each request that frees results
-	outcomeRetention            = 5 * time.Second         // time for which the outcome of a job is kept
+	smallCrossBytes       = 200_000.0               // a job that reads fewer bytes from another domain doesn't wait for its own
+	splitAfter            = 200 * time.Millisecond  // wait after which a job may be split across calls
+	usableRoomFraction    = 0.97                    // fraction of a server's result memory that is used
+	unknownDecay          = time.Second             // decay time of the estimate of unknown results; the lifetime of results (4 s) gave worse results
+	fullPause             = 60 * time.Millisecond   // after a server reported that it is full
+	failurePause          = 400 * time.Millisecond  // after a failed call; doubled with each further one
+	maxDoublings          = 4                       // of failurePause
+	pieceFailures         = 4                       // failed calls after which a job fails
+	timeoutFactor         = 3.0                     // a call's timeout is this times its expected time,
+	timeoutFloor          = 500 * time.Millisecond  // plus this
+	ratioWeight           = 0.3                     // weight of a new sample in the moving average of a server's relative call time
+	paceWeight            = 0.1                     // the same for the throughput of one server while work waits
+	classWeight           = 0.1                     // the same for the time per piece of a class
+	slowRatio             = 1.8                     // relative call time from which a server is used last
+	slowProbe             = 1500 * time.Millisecond // interval at which a slow server is tried again
+	readTime              = 70 * time.Millisecond   // time for a call to read its inputs
+	hopelessFill          = 0.4                     // fill of the smallest call assumed when estimating whether a job can still be in time
+	handoverSlack         = 300 * time.Millisecond  // added to twice the remaining time of a call that was handed over
+	limitedFreeInterval   = 2 * time.Second         // shortest interval between freeing results at a rate-limited server: half of their usual lifetime
+	requestsPerFree       = 4.0                     // requests allowed by such a server's limit for each request that frees results
+	outcomeRetention      = 5 * time.Second         // time for which the outcome of a job is kept
 )
--- a/src/batch/forming_test.go
+++ b/src/batch/forming_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestUrgentFirstAndHopelessLast(t *testing.T) {
+func TestUrgentJobsFirstAndLateJobsLast(t *testing.T) {
 	s := testScheduler(1)
 	busy := s.Submit(start, testJob("x", 1, 8), "").Calls[0]
 	hopeless, later, soon := testJob("h", 1, 4), testJob("l", 1, 4), testJob("s", 1, 4)
@@ -14,65 +14,65 @@
 	for _, j := range []*Job{hopeless, later, soon} {
 		s.Submit(start, j, "")
 	}
-	c := s.CallEnded(start.Add(400*time.Millisecond), busy.N, CallDone, made(busy)).Calls[0]
+	c := s.CallEnded(start.Add(400*time.Millisecond), busy.N, CallDone, successResults(busy)).Calls[0]
 	if len(c.Items) != 8 || c.Items[0].Request != "s-1" || c.Items[4].Request != "l-1" {
 		t.Fatalf("wrong order: %+v", c.Items)
 	}
 }
 
-func TestWorkStaysNearItsInputsForAWhile(t *testing.T) {
+func TestJobWaitsForDomainOfItsInputs(t *testing.T) {
 	s := testScheduler(2)
-	s.Submit(start, testJob("x", 1, 1), "") // takes s0, of d0
+	s.Submit(start, testJob("x", 1, 1), "") // occupies s0, in d0
 	near := testJob("a", 1, 1)
 	near.InputDomain, near.CrossBytes = "d0", smallCrossBytes
 	if a := s.Submit(start, near, ""); len(a.Calls) != 0 {
-		t.Fatal("work left the domain of its inputs at once")
+		t.Fatal("a job left the domain of its inputs at once")
 	}
 	if a := s.Tick(start.Add(leaveDomainAfter)); len(a.Calls) != 0 {
-		t.Fatal("work left its domain though it is not due for long")
+		t.Fatal("a job left the domain of its inputs long before it is due")
 	}
 	hurried := testJob("b", 1, 1)
 	hurried.InputDomain, hurried.CrossBytes, hurried.Due = "d0", smallCrossBytes, start.Add(800*time.Millisecond)
 	s.Submit(start, hurried, "")
 	a := s.Tick(start.Add(leaveDomainAfter))
 	if len(a.Calls) != 1 || a.Calls[0].Server.Domain != "d1" || a.Calls[0].Items[0].Request != "b-1" {
-		t.Fatal("work that is due soon waited for its domain")
+		t.Fatal("a job that is due soon waited for the domain of its inputs")
 	}
-	s.CallEnded(start.Add(leaveDomainAfterSlack), a.Calls[0].N, CallDone, made(a.Calls[0]))
+	s.CallEnded(start.Add(leaveDomainAfterSlack), a.Calls[0].N, CallDone, successResults(a.Calls[0]))
 	if _, calls := s.Pending(); calls != 2 {
-		t.Fatal("work waited for its domain for ever")
+		t.Fatal("a job waited too long for the domain of its inputs")
 	}
 }
 
-func TestWorkWithSmallInputsGoesAnywhere(t *testing.T) {
+func TestJobWithSmallInputsRunsInAnyDomain(t *testing.T) {
 	s := testScheduler(2)
-	s.Submit(start, testJob("x", 1, 1), "") // takes s0, of d0
+	s.Submit(start, testJob("x", 1, 1), "") // occupies s0, in d0
 	near := testJob("a", 1, 1)
 	near.InputDomain, near.CrossBytes = "d0", smallCrossBytes-1
 	if a := s.Submit(start, near, ""); len(a.Calls) != 1 || a.Calls[0].Server.Domain != "d1" {
-		t.Fatal("work whose inputs are small waited for their domain")
+		t.Fatal("a job with small inputs waited for their domain")
 	}
 }
 
-func TestABacklogDoesNotDriveWorkWithTimeLeftOutOfItsDomain(t *testing.T) {
+func TestBacklogDoesNotMoveJobsOutOfTheirDomain(t *testing.T) {
 	s := testScheduler(2)
-	s.Submit(start, testJob("x", 1, 1), "") // takes s0, of d0
+	s.Submit(start, testJob("x", 1, 1), "") // occupies s0, in d0
 	for n := range uint64(20) {
 		near := testJob("a", n, 2)
 		near.InputDomain, near.CrossBytes = "d0", smallCrossBytes
 		s.Submit(start, near, "")
 	}
 	if a := s.Tick(start.Add(leaveDomainAfter)); len(a.Calls) != 0 {
-		t.Fatal("work that is not due for long left the domain of its inputs because much of it waits")
+		t.Fatal("a job left the domain of its inputs long before it is due because of a backlog")
 	}
 }
 
-// A call ends before the urgent job in it is due: what has time for all that waits is left for the next one.
-func TestACallEndsBeforeTheUrgentInItAreDue(t *testing.T) {
+// A call isn't filled up so much that its urgent job is late; jobs that can wait for everything queued go into the next call.
+func TestCallEndsBeforeItsUrgentJobIsDue(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		waiting int           // jobs of one piece besides
-		due     time.Duration // of theirs
+		waiting int           // other jobs, of one piece each
+		due     time.Duration // of the other jobs
 		want    int           // pieces in the call
 	}{
 		{"they have time", 6, 3 * time.Second, 4},
@@ -90,7 +90,7 @@
 			j.Due = now.Add(c.due)
 			s.Submit(start, j, "")
 		}
-		if got := s.CallEnded(now, busy.N, CallDone, made(busy)).Calls[0]; len(got.Items) != c.want || got.Items[0].Request != "urgent-1" {
+		if got := s.CallEnded(now, busy.N, CallDone, successResults(busy)).Calls[0]; len(got.Items) != c.want || got.Items[0].Request != "urgent-1" {
 			t.Errorf("%s: %d pieces in the call, want %d", c.name, len(got.Items), c.want)
 		}
 	}
--- a/src/batch/handover_test.go
+++ b/src/batch/handover_test.go
@@ -5,44 +5,43 @@
 	"time"
 )
 
-func TestHandoverMovesWaitingJobsAndTellsOfRoomAndCalls(t *testing.T) {
+func TestHandoverTransfersJobsResultsAndCalls(t *testing.T) {
 	s, next := testScheduler(1), testScheduler(1)
 	first := testJob("a", 1, 4)
 	first.ResultBytes = 240
 	c := s.Submit(start, first, "").Calls[0]
-	a := s.CallEnded(start.Add(300*time.Millisecond), c.N, CallDone, made(c))
+	a := s.CallEnded(start.Add(300*time.Millisecond), c.N, CallDone, successResults(c))
 	given := resultsOf(doneOf(a, "a"), 240)
 	s.Submit(start.Add(300*time.Millisecond), &Job{ID: JobID{Box: "b", N: 1}, Pool: "rerank", Pieces: 1, Deadline: start.Add(time.Minute), Due: start.Add(time.Second)}, "")
 	waiting := testJob("w", 1, 1)
 	s.Submit(start.Add(300*time.Millisecond), waiting, "")
 	h, out := s.HandOver(start.Add(310*time.Millisecond), "next")
 	if f := failedOf(out); f == nil || f.Reason != Moved || f.To != "next" || f.ID != waiting.ID {
-		t.Fatalf("the waiting job was not given back: %+v", out.Replies)
+		t.Fatalf("the waiting job was not returned to its owner: %+v", out.Replies)
 	}
 	if len(h.Held) != 4 || len(h.Busy) != 1 {
 		t.Fatalf("handed over %d results and %d calls, want 4 and 1", len(h.Held), len(h.Busy))
 	}
-	next.Free(start.Add(310*time.Millisecond), given[:1]) // overtakes the handover
+	next.Free(start.Add(310*time.Millisecond), given[:1]) // arrives before the handover
 	next.TakeOver(start.Add(311*time.Millisecond), h)
 	big := testJob("n", 1, 1)
 	big.ResultBytes, big.Deadline = 240, start.Add(time.Minute)
 	if a := next.Submit(start.Add(320*time.Millisecond), big, ""); len(a.Calls) != 0 {
-		t.Fatal("the next scheduler called a server that is at work")
+		t.Fatal("the next scheduler called a busy server")
 	}
 	if a := next.Tick(start.Add(2 * time.Second)); len(a.Calls) != 1 {
-		t.Fatal("room that was given up before the handover came is not used")
+		t.Fatal("room freed before the handover arrived is not used")
 	}
 	if a := s.Submit(start.Add(330*time.Millisecond), waiting, ""); len(a.Replies) == 0 || a.Replies[0].Message.Accept == nil {
-		t.Fatal("a job whose owner sees no other scheduler was sent away again")
+		t.Fatal("a resubmitted job was redirected again")
 	}
 }
 
-// A scheduler whose pool another box has is asked again when that box is not there: it must still know
-// what takes up room.
-func TestAHandoverIsToldOnceAndTheGiverGoesOnCounting(t *testing.T) {
+// If the next scheduler is unreachable owners come back to the previous one, which must still account for the results.
+func TestHandoverIsSentOnceAndStaysAccounted(t *testing.T) {
 	s := testScheduler(1)
-	c := s.Submit(start, sized("a", 1, 4, 240), "").Calls[0]
-	s.CallEnded(start.Add(300*time.Millisecond), c.N, CallDone, made(c))
+	c := s.Submit(start, jobOfSize("a", 1, 4, 240), "").Calls[0]
+	s.CallEnded(start.Add(300*time.Millisecond), c.N, CallDone, successResults(c))
 	if h, _ := s.HandOver(start.Add(310*time.Millisecond), "next"); len(h.Held) != 4 {
 		t.Fatalf("handed over %d results, want 4", len(h.Held))
 	}
@@ -50,54 +49,54 @@
 		t.Fatal("the same results were handed over twice")
 	}
 	if h, _ := s.HandOver(start.Add(390*time.Millisecond), "third"); len(h.Held) != 4 {
-		t.Fatal("a third scheduler was told nothing")
+		t.Fatal("nothing was handed over to a third scheduler")
 	}
-	big := sized("b", 1, 1, 240)
+	big := jobOfSize("b", 1, 1, 240)
 	big.Deadline = start.Add(time.Minute)
 	s.Submit(start.Add(400*time.Millisecond), big, "next")
 	if a := s.Submit(start.Add(410*time.Millisecond), big, ""); len(a.Calls) != 0 {
-		t.Fatal("room that was handed over counts as free, though the owner came back")
+		t.Fatal("room that was handed over counts as free")
 	}
 	s.TakeOver(start.Add(420*time.Millisecond), Handover{Pool: "rerank"})
 	if a := s.Tick(start.Add(430 * time.Millisecond)); len(a.Calls) != 1 {
-		t.Fatal("results that the other scheduler no longer knows of still take up room")
+		t.Fatal("results that the other scheduler no longer knows still count")
 	}
 }
 
-func TestResultsOfASchedulerThatIsGoneCountAndAreGivenUp(t *testing.T) {
+func TestResultsOfALostSchedulerAreCountedAndFreed(t *testing.T) {
 	s := testScheduler(1)
 	held := []HeldResult{{Server: "s0", Handle: "h1", Bytes: 480, Left: 3 * time.Second}, {Server: "s0", Handle: "h2", Bytes: 480, Left: 3 * time.Second}}
 	s.Hold(start, held)
-	s.Hold(start, held[:1]) // another message of the same owner
-	big := sized("b", 1, 1, 400)
+	s.Hold(start, held[:1]) // repeated by the same owner
+	big := jobOfSize("b", 1, 1, 400)
 	if a := s.Submit(start, big, ""); len(a.Calls) != 0 {
-		t.Fatal("room that an owner's results take up was used")
+		t.Fatal("the room of an owner's results was used")
 	}
 	s.Free(start.Add(time.Millisecond), held[:1])
 	a := s.Tick(start.Add(40 * time.Millisecond))
 	if len(a.Calls) != 1 || len(a.Calls[0].Free) != 1 || a.Calls[0].Free[0] != "h1" {
-		t.Fatalf("the room of a result that was given up is not used: %+v", a.Calls)
+		t.Fatalf("the room of a freed result is not used: %+v", a.Calls)
 	}
 	s.Free(start.Add(50*time.Millisecond), []HeldResult{{Server: "s0", Handle: "never heard of", Bytes: 1}})
 	if a := s.Tick(start.Add(80 * time.Millisecond)); len(a.Frees) != 1 || a.Frees[0].Handles[0] != "never heard of" {
-		t.Fatalf("the server was not told of a result that this scheduler never heard of: %+v", a.Frees)
+		t.Fatalf("an unknown result was not freed at the server: %+v", a.Frees)
 	}
 }
 
-// Two schedulers at the same servers: the second call waits there, while its inputs count as read.
-func TestAJobOfAPoolThatIsElsewhereIsSentOnAndTakenOnlyIfItComesBack(t *testing.T) {
+// With two schedulers using the same servers a second call would wait at a server while its inputs count as read.
+func TestJobIsRedirectedAndAcceptedIfResubmitted(t *testing.T) {
 	s := testScheduler(1)
 	j := testJob("a", 1, 1)
 	first := s.Submit(start, j, "next")
 	if f := failedOf(first); f == nil || f.Reason != Moved || f.To != "next" || len(first.Calls) != 0 {
-		t.Fatalf("the job was not sent on: %+v", first)
+		t.Fatalf("the job was not redirected: %+v", first)
 	}
 	again := s.Submit(start.Add(time.Millisecond), j, "next")
 	if failedOf(again) != nil || len(again.Calls) != 1 {
-		t.Fatalf("a job whose owner sees no other scheduler was not taken: %+v", again)
+		t.Fatalf("a resubmitted job was not accepted: %+v", again)
 	}
 	third := s.Submit(start.Add(2*time.Millisecond), j, "next")
 	if failedOf(third) != nil || len(third.Calls) != 0 || len(third.Replies) != 1 {
-		t.Errorf("asked for the job again: %+v", third)
+		t.Errorf("third submission of the job: %+v", third)
 	}
 }
--- a/src/batch/incarnation_test.go
+++ b/src/batch/incarnation_test.go
@@ -7,16 +7,16 @@
 	"github.com/stilemast/stilemast/src/catalog"
 )
 
-// startedAgain lists the servers with one of them in a new life.
-func startedAgain(n, which int) []catalog.Server {
+// restartedServers returns n servers of which one has a new incarnation.
+func restartedServers(n, which int) []catalog.Server {
 	out := testServers(n)
 	out[which].Incarnation = 20
 	return out
 }
 
-// A server that has started again holds nothing: the call at work there is made again at once, elsewhere, without counting
-// as a failure, and its late end says nothing.
-func TestACallAtAServerThatStartedAgainIsMadeAgainAtOnce(t *testing.T) {
+// A restarted server has lost its call: it is retried at once on another server without counting as a failure, and its late
+// end is ignored.
+func TestCallAtARestartedServerIsRetriedAtOnce(t *testing.T) {
 	s := testScheduler(2)
 	a := s.Submit(start, testJob("owner", 1, 8), "")
 	if len(a.Calls) != 1 {
@@ -25,33 +25,33 @@
 	first := a.Calls[0]
 	which := int(first.Server.ID[1] - '0')
 	now := start.Add(100 * time.Millisecond)
-	a = s.Configure(now, testPool(), pointers(startedAgain(2, which)))
+	a = s.Configure(now, testPool(), pointers(restartedServers(2, which)))
 	if len(a.Calls) != 1 || len(a.Calls[0].Items) != 8 {
-		t.Fatalf("after the new life %+v, want one call of all pieces", a.Calls)
+		t.Fatalf("after the restart %+v, want one call of all pieces", a.Calls)
 	}
 	second := a.Calls[0]
-	if late := s.CallEnded(now, first.N, CallDone, made(first)); len(late.Replies) > 0 {
-		t.Errorf("the call of the earlier life ended the job: %+v", late.Replies)
+	if late := s.CallEnded(now, first.N, CallDone, successResults(first)); len(late.Replies) > 0 {
+		t.Errorf("the call to the earlier incarnation ended the job: %+v", late.Replies)
 	}
-	if d := doneOf(s.CallEnded(now, second.N, CallDone, made(second)), "owner"); d == nil {
+	if d := doneOf(s.CallEnded(now, second.N, CallDone, successResults(second)), "owner"); d == nil {
 		t.Error("the job is not done")
 	}
 	if v := s.servers[first.Server.ID]; v.failures > 0 {
-		t.Errorf("the new life has %d failures of the earlier one", v.failures)
+		t.Errorf("the new incarnation has %d failures of the earlier one", v.failures)
 	}
 }
 
-// Results that lay there are made again before anybody asks for them, and take up no room any more.
-func TestResultsOfAnEarlierLifeAreMadeAgain(t *testing.T) {
+// Results lost in a restart are recomputed before anyone asks for them, and no longer use room.
+func TestResultsLostInARestartAreRecomputed(t *testing.T) {
 	s := testScheduler(1)
-	a := s.Submit(start, testJob("owner", 1, 12), "") // a call of 8, then one of 4
+	a := s.Submit(start, testJob("owner", 1, 12), "") // a call of 8 pieces, then one of 4
 	first := a.Calls[0]
-	a = s.CallEnded(start.Add(time.Second), first.N, CallDone, made(first))
+	a = s.CallEnded(start.Add(time.Second), first.N, CallDone, successResults(first))
 	second := a.Calls[0]
 	now := start.Add(1100 * time.Millisecond)
-	a = s.Configure(now, testPool(), pointers(startedAgain(1, 0)))
+	a = s.Configure(now, testPool(), pointers(restartedServers(1, 0)))
 	if s.servers["s0"].used > 8*10 || len(s.handles) > 0 {
-		t.Errorf("%v bytes and %d results count as held by a server that holds nothing", s.servers["s0"].used, len(s.handles))
+		t.Errorf("%v bytes and %d results count at a restarted server", s.servers["s0"].used, len(s.handles))
 	}
 	pieces := map[int]bool{}
 	for range 3 {
@@ -61,32 +61,32 @@
 		for _, it := range a.Calls[0].Items {
 			pieces[it.Piece] = true
 		}
-		a = s.CallEnded(now, a.Calls[0].N, CallDone, made(a.Calls[0]))
+		a = s.CallEnded(now, a.Calls[0].N, CallDone, successResults(a.Calls[0]))
 	}
 	if len(pieces) != 12 || doneOf(a, "owner") == nil {
-		t.Errorf("%d pieces were made again, want 12; call %d was at work", len(pieces), second.N)
+		t.Errorf("%d pieces were recomputed, want 12; call %d was running", len(pieces), second.N)
 	}
 }
 
-// Where a job's inputs were given up, since its pieces had read them, only the owner can make them again: it is told.
-func TestAJobWhoseInputsWereReadInAnEarlierLifeGoesBackToItsOwner(t *testing.T) {
+// If the inputs of a lost call are already freed the owner must have them produced again: the job fails with Gone.
+func TestRestartAfterInputsWereFreedFailsTheJob(t *testing.T) {
 	s := testScheduler(1)
 	j := testJob("owner", 1, 4)
 	j.Inputs = []string{"input"}
 	s.Submit(start, j, "")
 	now := start.Add(readTime)
 	s.Tick(now)
-	a := s.Configure(now.Add(time.Millisecond), testPool(), pointers(startedAgain(1, 0)))
+	a := s.Configure(now.Add(time.Millisecond), testPool(), pointers(restartedServers(1, 0)))
 	if len(a.Replies) != 1 || a.Replies[0].Message.Failed == nil || a.Replies[0].Message.Failed.Reason != Gone {
-		t.Errorf("the owner is told %+v, want that it is gone", a.Replies)
+		t.Errorf("the owner got %+v, want Gone", a.Replies)
 	}
 }
 
-// The same life under a changed entry keeps everything.
-func TestAChangedEntryOfTheSameLifeKeepsItsResults(t *testing.T) {
+// A changed entry of the same incarnation keeps its results.
+func TestChangedEntryOfSameIncarnationKeepsResults(t *testing.T) {
 	s := testScheduler(1)
 	a := s.Submit(start, testJob("owner", 1, 8), "")
-	s.CallEnded(start.Add(time.Second), a.Calls[0].N, CallDone, made(a.Calls[0]))
+	s.CallEnded(start.Add(time.Second), a.Calls[0].N, CallDone, successResults(a.Calls[0]))
 	list := testServers(1)
 	list[0].Slots = 2
 	s.Configure(start.Add(time.Second), testPool(), pointers(list))
@@ -95,20 +95,19 @@
 	}
 }
 
-// A call that was held back since its server takes no new work any more did not run: its pieces go to another server, as often
-// as it happens.
-func TestACallHeldBackCountsAsNoFailure(t *testing.T) {
+// A withheld call was not sent: its pieces are retried without counting failures, however often that happens.
+func TestWithheldCallIsNotAFailure(t *testing.T) {
 	s := testScheduler(1)
 	a := s.Submit(start, testJob("owner", 1, 8), "")
 	for range pieceFailures + 1 {
 		a = s.CallEnded(start, a.Calls[0].N, CallWithheld, nil)
 		if len(a.Replies) > 0 {
-			t.Fatalf("the owner is told %+v", a.Replies[0].Message)
+			t.Fatalf("the owner got %+v", a.Replies[0].Message)
 		}
 		start := start.Add(fullPause)
 		a = s.Tick(start)
 		if len(a.Calls) != 1 || len(a.Calls[0].Items) != 8 {
-			t.Fatalf("after it was held back: %+v", a.Calls)
+			t.Fatalf("after a withheld call: %+v", a.Calls)
 		}
 	}
 }
--- a/src/batch/limits_test.go
+++ b/src/batch/limits_test.go
@@ -7,15 +7,16 @@
 	"github.com/stilemast/stilemast/src/catalog"
 )
 
-// limitedScheduler schedules for servers that each take a call a second.
+// limitedScheduler returns a scheduler whose servers each accept one call per second.
 func limitedScheduler(servers int) *Scheduler {
 	s := testScheduler(servers)
 	s.LimitOf = func(*catalog.Server) float64 { return 1 }
 	return s
 }
 
-// A wait that is told knows what servers with limits take: two that take a call of 8 pieces a second need two seconds for 32.
-func TestAWaitKnowsLimits(t *testing.T) {
+// The estimated wait accounts for request limits: two servers that accept a call of 8 pieces per second need two seconds for
+// 32 pieces.
+func TestWaitAccountsForRequestLimits(t *testing.T) {
 	s := limitedScheduler(2)
 	s.RestsUntil = func(*catalog.Server) time.Time { return start.Add(time.Millisecond) }
 	for i := range 4 {
@@ -24,23 +25,23 @@
 		s.Submit(start, j, "")
 	}
 	if w := s.Waits(start).All; w < 1800*time.Millisecond || w > 2300*time.Millisecond {
-		t.Errorf("a piece waits %s behind 32 that two servers make in two seconds", w)
+		t.Errorf("wait of %s behind 32 pieces that two servers run in two seconds", w)
 	}
 	s.LimitOf = nil
 	if w := s.Waits(start).All; w > 900*time.Millisecond {
-		t.Errorf("a piece waits %s where no server has a limit", w)
+		t.Errorf("wait of %s though no server has a limit", w)
 	}
 }
 
-// Where all servers limit their calls, a job that its place can't bring in time ends at once while others fill the calls; where
-// one does not, it waits.
-func TestJobsEndWhereAllServersAreTooSlowForThem(t *testing.T) {
+// If all servers limit their calls, a job that can't be in time fails at once while others fill the calls. If one server has no
+// limit the job waits.
+func TestJobsFailEarlyIfLimitsMakeThemLate(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		one     bool // has no limit
+		one     bool // one server has no limit
 		due     time.Duration
 		ends    bool
-		waiting int // jobs of 8 pieces before it
+		waiting int // earlier jobs of 8 pieces
 	}{
 		{"in time", false, 4 * time.Second, false, 2},
 		{"too far back for its objective", false, 2 * time.Second, true, 6},
@@ -74,8 +75,8 @@
 	}
 }
 
-// Results are given up at a server with a limit many together, so that its calls keep their permits.
-func TestResultsAreGivenUpTogetherAtAServerWithALimit(t *testing.T) {
+// At a server with a limit many results are freed with one request, so that calls keep their permits.
+func TestResultsAreFreedInBulkAtALimitedServer(t *testing.T) {
 	s := limitedScheduler(1)
 	told := 0
 	for at := time.Duration(0); at < 10*time.Second; at += 40 * time.Millisecond {
@@ -84,6 +85,6 @@
 		told += len(s.Tick(now).Frees)
 	}
 	if told < 2 || told > 4 {
-		t.Errorf("a server that takes a call a second was told %d times in 10 s of results that are given up, want every 4 s", told)
+		t.Errorf("%d requests in 10 s free results at a server that accepts one call per second, want one every 4 s", told)
 	}
 }
--- a/src/batch/resting_test.go
+++ b/src/batch/resting_test.go
@@ -7,9 +7,8 @@
 	"github.com/stilemast/stilemast/src/catalog"
 )
 
-// Results at a server that wants rest are given up after it: the scheduler may count on their room only then, and knows of them
-// until it does.
-func TestResultsAreKeptWhileTheirServerRests(t *testing.T) {
+// Results at a resting server are freed after the rest, and stay queued until then.
+func TestResultsAreNotFreedWhileServerRests(t *testing.T) {
 	s := testScheduler(1)
 	until := start
 	s.RestsUntil = func(*catalog.Server) time.Time { return until }
@@ -21,15 +20,15 @@
 	s.Free(start, []HeldResult{{Handle: "h", Server: calls[0].Server.ID}})
 	until = start.Add(3 * time.Second)
 	if a := s.Tick(start.Add(time.Second)); len(a.Frees) > 0 {
-		t.Errorf("%d give-ups at a server that rests", len(a.Frees))
+		t.Errorf("%d requests free results at a resting server", len(a.Frees))
 	}
 	if a := s.Tick(until); len(a.Frees) != 1 {
-		t.Errorf("%d give-ups after the rest, want 1", len(a.Frees))
+		t.Errorf("%d requests free results after the rest, want 1", len(a.Frees))
 	}
 }
 
-// A wait that is told counts the rest of all servers, and a job that can't be done after it ends at once.
-func TestAWaitCountsTheRestOfAllServers(t *testing.T) {
+// If all servers rest, the estimated wait includes the rest, and a job that can't finish after it fails at once.
+func TestWaitIncludesRestOfAllServers(t *testing.T) {
 	s := testScheduler(2)
 	resting := map[string]time.Time{}
 	s.RestsUntil = func(v *catalog.Server) time.Time { return resting[v.ID] }
@@ -37,25 +36,25 @@
 		resting[id] = start.Add(3 * time.Second)
 	}
 	if w := s.Waits(start).All; w < 3*time.Second {
-		t.Errorf("a piece waits %s where all rest for 3s", w)
+		t.Errorf("wait of %s while all servers rest for 3s", w)
 	}
 	short, long := testJob("a", 1, 1), testJob("a", 2, 1)
 	short.Deadline, long.Deadline = start.Add(2*time.Second), start.Add(9*time.Second)
 	a := s.Submit(start, short, "")
 	if len(a.Calls) > 0 || len(a.Replies) != 2 || a.Replies[1].Message.Failed == nil || a.Replies[1].Message.Failed.Reason != Late {
-		t.Errorf("a job of 2s gets %+v where all rest for 3s, want its end at once", a)
+		t.Errorf("a job with 2s left gets %+v while all servers rest for 3s, want it to fail at once", a)
 	}
 	if a := s.Submit(start, long, ""); len(a.Calls) > 0 || len(a.Replies) != 1 {
-		t.Errorf("a job of 9s gets %+v, want that it waits", a)
+		t.Errorf("a job with 9s left gets %+v, want it to wait", a)
 	}
 	for id := range s.servers {
 		resting[id] = time.Time{}
 		break
 	}
 	if w := s.Waits(start).All; w > time.Second {
-		t.Errorf("a piece waits %s where one server is free", w)
+		t.Errorf("wait of %s though one server is free", w)
 	}
 	if a := s.Tick(start); len(a.Calls) != 1 {
-		t.Errorf("%d calls, want 1 at the server that is free", len(a.Calls))
+		t.Errorf("%d calls, want 1 at the free server", len(a.Calls))
 	}
 }
--- a/src/batch/scheduler_test.go
+++ b/src/batch/scheduler_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func made(c Call) []ItemResult {
+func successResults(c Call) []ItemResult {
 	out := make([]ItemResult, len(c.Items))
 	for i, it := range c.Items {
 		out[i] = ItemResult{Handle: fmt.Sprintf("%s/%s/%d", c.Server.ID, it.Request, it.Piece)}
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// resultsOf lists the results of a job as its owner tells of them.
+// resultsOf returns the results of a job as its owner reports them.
 func resultsOf(d *Done, bytes float64) []HeldResult {
 	var out []HeldResult
 	for i, h := range d.Handles {
@@ -77,7 +77,7 @@
 	return nil
 }
 
-func TestOneCallHoldsPiecesOfManyBoxes(t *testing.T) {
+func TestCallContainsPiecesOfSeveralBoxes(t *testing.T) {
 	s := testScheduler(1)
 	first := s.Submit(start, testJob("a", 1, 1), "")
 	if len(first.Calls) != 1 {
@@ -85,31 +85,31 @@
 	}
 	s.Submit(start, testJob("b", 1, 2), "")
 	s.Submit(start, testJob("c", 1, 3), "")
-	next := s.CallEnded(start.Add(260*time.Millisecond), first.Calls[0].N, CallDone, made(first.Calls[0]))
+	next := s.CallEnded(start.Add(260*time.Millisecond), first.Calls[0].N, CallDone, successResults(first.Calls[0]))
 	if doneOf(next, "a") == nil {
-		t.Fatal("the first job's owner heard nothing")
+		t.Fatal("the first job's owner got no result")
 	}
 	if len(next.Calls) != 1 || len(next.Calls[0].Items) != 5 {
 		t.Fatalf("the pieces of two boxes did not share the next call: %+v", next.Calls)
 	}
-	last := s.CallEnded(start.Add(600*time.Millisecond), next.Calls[0].N, CallDone, made(next.Calls[0]))
+	last := s.CallEnded(start.Add(600*time.Millisecond), next.Calls[0].N, CallDone, successResults(next.Calls[0]))
 	if d := doneOf(last, "c"); d == nil || len(d.Handles) != 3 || d.Handles[2] != "s0/c-1/2" {
 		t.Fatalf("wrong results for box c: %+v", d)
 	}
 }
 
-func TestAskedAgainAnEndedJobIsAnsweredFromMemory(t *testing.T) {
+func TestRepeatedSubmitOfEndedJobIsAnswered(t *testing.T) {
 	s := testScheduler(1)
 	j := testJob("a", 1, 1)
 	c := s.Submit(start, j, "").Calls[0]
-	s.CallEnded(start.Add(time.Second), c.N, CallDone, made(c))
+	s.CallEnded(start.Add(time.Second), c.N, CallDone, successResults(c))
 	again := s.Submit(start.Add(time.Second), j, "")
 	if doneOf(again, "a") == nil || len(again.Calls) != 0 {
-		t.Fatalf("an ended job was not answered from memory: %+v", again)
+		t.Fatalf("a repeated submission of an ended job was not answered: %+v", again)
 	}
 }
 
-func TestABrokenCallGoesToAnotherServerAndNotForEver(t *testing.T) {
+func TestBrokenCallIsRetriedElsewhereUpToALimit(t *testing.T) {
 	s := testScheduler(2)
 	now := start
 	a := s.Submit(now, testJob("a", 1, 1), "")
@@ -135,7 +135,7 @@
 	}
 }
 
-func TestAFullServerCountsAsNoFailure(t *testing.T) {
+func TestFullServerIsNotAFailure(t *testing.T) {
 	s := testScheduler(1)
 	now := start
 	a := s.Submit(now, testJob("a", 1, 1), "")
@@ -151,18 +151,18 @@
 	}
 }
 
-func TestAGoneInputIsTold(t *testing.T) {
+func TestLostInputIsReportedToOwner(t *testing.T) {
 	s := testScheduler(1)
 	j := testJob("a", 1, 1)
 	j.Inputs = []string{"x"}
 	c := s.Submit(start, j, "").Calls[0]
 	a := s.CallEnded(start.Add(time.Second), c.N, CallDone, []ItemResult{{Reason: ItemGone}})
 	if f := failedOf(a); f == nil || f.Reason != Gone {
-		t.Fatalf("the owner was not told to make the inputs again: %+v", a.Replies)
+		t.Fatalf("the owner was not told that an input is lost: %+v", a.Replies)
 	}
 }
 
-func TestReadingIsSaidWhenEveryPieceIsInACallThatHasBegun(t *testing.T) {
+func TestReadingIsSentOnceCallsHaveReadInputs(t *testing.T) {
 	said := func(a Actions) bool {
 		for _, r := range a.Replies {
 			if r.Message.Reading != nil {
@@ -176,11 +176,11 @@
 	j.Inputs = []string{"x"}
 	a := s.Submit(start, j, "")
 	if said(a) || said(s.Tick(start.Add(readTime/2))) {
-		t.Fatal("inputs were given up while the server might refuse the call")
+		t.Fatal("inputs were freed while the server might still refuse the call")
 	}
 	s.CallEnded(start.Add(readTime/2), a.Calls[0].N, CallFull, nil)
 	if said(s.Tick(start.Add(readTime))) {
-		t.Fatal("inputs were given up though the call was refused")
+		t.Fatal("inputs were freed though the call was refused")
 	}
 	next := s.Tick(start.Add(2 * readTime))
 	if len(next.Calls) != 1 || !said(s.Tick(start.Add(4*readTime))) {
@@ -188,11 +188,11 @@
 	}
 	b := s.CallEnded(start.Add(5*readTime), next.Calls[0].N, CallDone, []ItemResult{{Reason: ItemError}})
 	if f := failedOf(b); f == nil || f.Reason != Gone {
-		t.Fatal("a piece whose inputs were given up was tried again")
+		t.Fatal("a piece whose inputs were freed was retried")
 	}
 }
 
-func TestLateWorkIsDropped(t *testing.T) {
+func TestJobFailsAfterDeadline(t *testing.T) {
 	s := testScheduler(0)
 	s.Submit(start, testJob("a", 1, 1), "")
 	if f := failedOf(s.Tick(start.Add(5001 * time.Millisecond))); f == nil || f.Reason != Late {
@@ -200,38 +200,38 @@
 	}
 }
 
-func TestWithdrawnWorkFreesWhatWasMade(t *testing.T) {
+func TestWithdrawnJobFreesResults(t *testing.T) {
 	s := testScheduler(1)
 	j := testJob("a", 1, 1)
 	c := s.Submit(start, j, "").Calls[0]
 	s.Withdraw(start, j.ID)
-	s.CallEnded(start.Add(time.Second), c.N, CallDone, made(c))
+	s.CallEnded(start.Add(time.Second), c.N, CallDone, successResults(c))
 	a := s.Tick(start.Add(time.Second))
 	if len(a.Frees) != 1 || len(a.Frees[0].Handles) != 1 {
-		t.Fatalf("the result of withdrawn work was kept: %+v", a.Frees)
+		t.Fatalf("the result of a withdrawn job was not freed: %+v", a.Frees)
 	}
 }
 
-func TestWaitGrowsWithTheBacklog(t *testing.T) {
+func TestWaitGrowsWithBacklog(t *testing.T) {
 	s := testScheduler(2)
 	idle := s.Waits(start).All
 	for n := range uint64(20) {
 		s.Submit(start, testJob("a", n, 4), "")
 	}
 	if w := s.Waits(start).All; w <= idle+500*time.Millisecond {
-		t.Fatalf("80 pieces before two servers wait %s", w)
+		t.Fatalf("80 pieces queued at two servers wait %s", w)
 	}
 }
 
-// Whatever happens in whatever order: a server has one call at a time, no call is larger than allowed,
-// room is kept to, every job ends once, and a job's results are its own, whole and in order.
+// For random sequences of events: a server has one call at a time, no call exceeds the size limit, results fit in the
+// servers' room, every job ends at most once, and a job's results are complete, its own and in order.
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := testScheduler(3)
 		now := start
 		open := map[uint64]Call{}
 		busy := map[string]bool{}
-		lying := map[string]float64{} // bytes at servers, as a server counts them
+		lying := map[string]float64{} // bytes stored at each server, as the server counts them
 		handles := map[string]string{}
 		ends := map[JobID]int{}
 		jobs := map[JobID]*Job{}
@@ -293,7 +293,7 @@
 					delete(open, n)
 					delete(busy, c.Server.ID)
 					outcome := CallOutcome(rapid.IntRange(1, 3).Draw(rt, "outcome"))
-					results := made(c)
+					results := successResults(c)
 					if outcome != CallDone {
 						results = nil
 						lying[c.Server.ID] -= 100 * float64(len(c.Items))
@@ -316,7 +316,7 @@
 	})
 }
 
-// pointers are those to the servers of a list.
+// pointers returns pointers to the elements of a list.
 func pointers(list []catalog.Server) []*catalog.Server {
 	out := make([]*catalog.Server, len(list))
 	for i := range list {
--- a/src/batch/suspects_test.go
+++ b/src/batch/suspects_test.go
@@ -7,21 +7,21 @@
 	"github.com/stilemast/stilemast/src/crasher"
 )
 
-// contentJob is a job of one piece whose content is named by a number.
+// contentJob returns a job of one piece with a numbered content.
 func contentJob(n uint64, content byte) *Job {
 	j := testJob("box", n, 1)
 	j.Content = crasher.Key{content}
 	return j
 }
 
-// suspecting makes a scheduler that judges as a table says.
-func suspecting(servers int, ends map[byte]crasher.Verdict) *Scheduler {
+// schedulerWithVerdicts returns a scheduler with verdicts from a table.
+func schedulerWithVerdicts(servers int, ends map[byte]crasher.Verdict) *Scheduler {
 	s := testScheduler(servers)
 	s.Judge = func(k crasher.Key) crasher.Verdict { return ends[k[0]] }
 	return s
 }
 
-// contentsIn lists the contents of each call.
+// contentsIn returns the contents in each call.
 func contentsIn(calls []Call) [][]byte {
 	var out [][]byte
 	for _, c := range calls {
@@ -34,8 +34,8 @@
 	return out
 }
 
-// submitted submits jobs while all servers are held, and gives the calls that are then formed.
-func submitted(s *Scheduler, jobs ...*Job) []Call {
+// submitTogether submits jobs while no calls are formed, and returns the calls formed afterwards.
+func submitTogether(s *Scheduler, jobs ...*Job) []Call {
 	s.HoldUntil(start.Add(time.Millisecond))
 	for _, j := range jobs {
 		s.Submit(start, j, "")
@@ -43,11 +43,11 @@
 	return s.Tick(start.Add(2 * time.Millisecond)).Calls
 }
 
-func TestAContentWithTwoEndsSharesNoCall(t *testing.T) {
-	s := suspecting(4, map[byte]crasher.Verdict{9: {Ends: 2}, 8: {Ends: 1}})
-	calls := contentsIn(submitted(s, contentJob(1, 1), contentJob(2, 9), contentJob(3, 2), contentJob(4, 8)))
+func TestContentWithTwoCrashesSharesNoCall(t *testing.T) {
+	s := schedulerWithVerdicts(4, map[byte]crasher.Verdict{9: {Ends: 2}, 8: {Ends: 1}})
+	calls := contentsIn(submitTogether(s, contentJob(1, 1), contentJob(2, 9), contentJob(3, 2), contentJob(4, 8)))
 	if len(calls) != 2 {
-		t.Fatalf("%d calls: %v, want one of 9 and one of the others, of which one end is known at most", len(calls), calls)
+		t.Fatalf("%d calls: %v, want one of 9 and one of the others, which have at most one crash", len(calls), calls)
 	}
 	for _, in := range calls {
 		for _, c := range in {
@@ -58,9 +58,9 @@
 	}
 }
 
-func TestAContentWithTwoEndsIsInOneCallAloneAtATime(t *testing.T) {
-	s := suspecting(4, map[byte]crasher.Verdict{9: {Ends: 2}, 8: {Ends: 1}})
-	calls := submitted(s, contentJob(1, 9), contentJob(2, 9), contentJob(3, 8))
+func TestContentWithTwoCrashesIsInOneCallAtATime(t *testing.T) {
+	s := schedulerWithVerdicts(4, map[byte]crasher.Verdict{9: {Ends: 2}, 8: {Ends: 1}})
+	calls := submitTogether(s, contentJob(1, 9), contentJob(2, 9), contentJob(3, 8))
 	if got := contentsIn(calls); len(got) != 2 {
 		t.Fatalf("calls of %v, want one of 9 and one of 8", got)
 	}
@@ -71,10 +71,10 @@
 	}
 }
 
-func TestAContentThatIsBarredEndsItsJob(t *testing.T) {
+func TestBarredContentFailsItsJob(t *testing.T) {
 	ends := map[byte]crasher.Verdict{}
-	s := suspecting(1, ends)
-	if calls := submitted(s, contentJob(1, 9)); len(calls) != 1 {
+	s := schedulerWithVerdicts(1, ends)
+	if calls := submitTogether(s, contentJob(1, 9)); len(calls) != 1 {
 		t.Fatalf("%d calls", len(calls))
 	}
 	s.Submit(start, contentJob(2, 9), "")
