--- a/src/batch/constants.go
+++ b/src/batch/constants.go
@@ -15,7 +15,7 @@
 	fullPause             = 60 * time.Millisecond   // after a server reported that it is full
 	failurePause          = 400 * time.Millisecond  // after a failed call; doubled with each further one
 	maxDoublings          = 4                       // of failurePause
-	pieceFailures         = 4                       // failed calls after which a job fails
+	maxJobFailures         = 4                       // failed calls after which a job fails
 	timeoutFactor         = 3.0                     // a call's timeout is this times its expected time,
 	timeoutFloor          = 500 * time.Millisecond  // plus this
 	ratioWeight           = 0.3                     // weight of a new sample in the moving average of a server's relative call time
--- a/src/batch/ending.go
+++ b/src/batch/ending.go
@@ -65,7 +65,7 @@
 			counted[t] = true
 			t.failures++
 		}
-		if t.failures >= pieceFailures {
+		if t.failures >= maxJobFailures {
 			s.end(now, t, Message{Failed: &Failed{ID: t.ID, Reason: Errors}}, out)
 		}
 	}
@@ -128,7 +128,7 @@
 		return
 	}
 	t.pending = append(t.pending, piece)
-	if t.failures >= pieceFailures {
+	if t.failures >= maxJobFailures {
 		s.end(now, t, Message{Failed: &Failed{ID: t.ID, Reason: Errors}}, out)
 	}
 }
--- a/src/batch/incarnation_test.go
+++ b/src/batch/incarnation_test.go
@@ -99,7 +99,7 @@
 func TestWithheldCallIsNotAFailure(t *testing.T) {
 	s := testScheduler(1)
 	a := s.Submit(start, testJob("owner", 1, 8), "")
-	for range pieceFailures + 1 {
+	for range maxJobFailures + 1 {
 		a = s.CallEnded(start, a.Calls[0].N, CallWithheld, nil)
 		if len(a.Replies) > 0 {
 			t.Fatalf("the owner got %+v", a.Replies[0].Message)
--- a/src/batch/scheduler_test.go
+++ b/src/batch/scheduler_test.go
@@ -114,7 +114,7 @@
 	now := start
 	a := s.Submit(now, testJob("a", 1, 1), "")
 	seen := map[string]bool{}
-	for range pieceFailures {
+	for range maxJobFailures {
 		for len(a.Calls) == 0 {
 			now = now.Add(50 * time.Millisecond)
 			a = s.Tick(now)
@@ -131,7 +131,7 @@
 		t.Errorf("only %v was tried", seen)
 	}
 	if f := failedOf(a); f == nil || f.Reason != Errors {
-		t.Errorf("the job did not end after %d failures: %+v", pieceFailures, a.Replies)
+		t.Errorf("the job did not end after %d failures: %+v", maxJobFailures, a.Replies)
 	}
 }
 
@@ -139,7 +139,7 @@
 	s := testScheduler(1)
 	now := start
 	a := s.Submit(now, testJob("a", 1, 1), "")
-	for range 2 * pieceFailures {
+	for range 2 * maxJobFailures {
 		a = s.CallEnded(now, a.Calls[0].N, CallFull, nil)
 		if f := failedOf(a); f != nil {
 			t.Fatalf("failed with %s", f.Reason)
