--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -209,7 +209,7 @@
 // hopeless reports whether a job that isn't running can no longer be in time.
 func (s *Scheduler) hopeless(now time.Time, t *job) bool {
 	b := s.pool.Batch
-	call := b.CallTime + time.Duration(hopelessFill*float64(b.Size))*b.ItemTime
+	call := b.CallTime + time.Duration(minCallFill*float64(b.Size))*b.ItemTime
 	return t.running == 0 && now.Add(call).After(t.Due)
 }
 
