--- a/src/batch/ending.go
+++ b/src/batch/ending.go
@@ -25,7 +25,7 @@
 	if outcome == CallDone {
 		s.takeResults(now, rc, v, results, &out)
 	} else {
-		s.giveBack(now, rc, v, outcome, &out)
+		s.requeue(now, rc, v, outcome, &out)
 	}
 	if v != nil && !v.listed {
 		delete(s.servers, rc.server)
@@ -39,8 +39,8 @@
 // fails reports whether the outcome counts as a failure of the server and of the call's jobs.
 func (o CallOutcome) fails() bool { return o != CallFull && o != CallWithheld }
 
-// giveBack requeues the pieces of a call that produced nothing and pauses the server.
-func (s *Scheduler) giveBack(now time.Time, rc *runningCall, v *serverState, outcome CallOutcome, out *Actions) {
+// requeue requeues the pieces of a call that produced nothing and pauses the server.
+func (s *Scheduler) requeue(now time.Time, rc *runningCall, v *serverState, outcome CallOutcome, out *Actions) {
 	if v != nil {
 		v.used = max(0, v.used-rc.bytes)
 		if !outcome.fails() {
--- a/src/batch/incarnation.go
+++ b/src/batch/incarnation.go
@@ -25,7 +25,7 @@
 	if before != nil && before.call != 0 {
 		rc := s.calls[before.call]
 		delete(s.calls, before.call)
-		s.giveBack(now, rc, nil, CallWithheld, out)
+		s.requeue(now, rc, nil, CallWithheld, out)
 	}
 	for _, t := range s.sorted(now) {
 		s.makeAgain(now, t, v.ID, out)
