--- a/src/balance/balance_test.go
+++ b/src/balance/balance_test.go
@@ -33,7 +33,7 @@
 	return s.ID
 }
 
-func TestBoxesAgreeWhereASharedPromptBelongs(t *testing.T) {
+func TestBoxesAgreeOnHomeOfPrompt(t *testing.T) {
 	a, b := testPool("a", 9), testPool("b", 9)
 	b.Domain = "d2"
 	for i := range 30 {
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestAPopularFirstPartIsSpreadAndARareOneIsNot(t *testing.T) {
+func TestPopularPartIsSpreadAndRareOneIsNot(t *testing.T) {
 	p := testPool("a", 9)
 	popular, rare := map[string]bool{}, map[string]bool{}
 	for i := range 200 {
@@ -59,32 +59,32 @@
 		if i%20 == 0 {
 			r := &Wish{Parts: prompt("rare", fmt.Sprint("page", i), fmt.Sprint("mine", i))}
 			s := pick(t, p, r)
-			if i >= 100 { // by then it is known how rare the part is
+			if i >= 100 { // the popularity of the part is known by then
 				rare[s] = true
 			}
 			p.Ended(start, s, r, Good)
 		}
 	}
 	if len(popular) < 7 || len(rare) > 2 {
-		t.Errorf("a popular part lies at %d of 9 servers, a rare one at %d", len(popular), len(rare))
+		t.Errorf("a popular part is at %d of 9 servers, a rare one at %d", len(popular), len(rare))
 	}
 }
 
-func TestALoadedHomeIsPassedOver(t *testing.T) {
+func TestOverloadedHomeIsSkipped(t *testing.T) {
 	p := testPool("a", 9)
 	w := &Wish{Parts: prompt("x", "y", "z")}
 	home := pick(t, p, w)
 	p.Hear(start, "other", []Note{{Server: catalog.Hash(home), Load: Load{Requests: 64, Tokens: 500_000}}})
 	if s := pick(t, p, w); s == home {
-		t.Errorf("%s got the request though ten seconds of reading wait there", home)
+		t.Errorf("%s got the request with ten seconds of prompt processing queued there", home)
 	}
 	later := start.Add(2 * reportLifetime)
 	if s, _, _ := p.Pick(later, w); s.ID != home {
-		t.Errorf("a peer's old note kept the request from %s", home)
+		t.Errorf("an expired report kept the request from %s", home)
 	}
 }
 
-func TestBrokenServersRestAndAreTriedAgainGently(t *testing.T) {
+func TestBrokenServerIsPausedAndProbedOnce(t *testing.T) {
 	p := testPool("a", 2)
 	for range hardFailures {
 		p.Pick(start, &Wish{Exclude: map[string]bool{"s1": true}})
@@ -92,7 +92,7 @@
 	}
 	for range 20 {
 		if s := pick(t, p, &Wish{}); s == "s0" {
-			t.Fatal("a resting server got a request")
+			t.Fatal("a paused server got a request")
 		}
 	}
 	later := start.Add(2 * failurePause)
@@ -103,41 +103,41 @@
 		}
 	}
 	if tries != 1 {
-		t.Fatalf("%d requests went to a server that rested, want 1 until it answers", tries)
+		t.Fatalf("%d requests went to a server after its pause, want 1 until it responds", tries)
 	}
 	p.Ended(later, "s0", &Wish{}, Good)
 	if s, _, _ := p.Pick(later, &Wish{}); s.ID != "s0" {
-		t.Error("a server that answered again gets no work")
+		t.Error("a recovered server gets no requests")
 	}
 }
 
-func TestWhenAllRestTheLeastBadIsTried(t *testing.T) {
+func TestServerIsTriedIfAllArePaused(t *testing.T) {
 	p := testPool("a", 2)
 	p.Hear(start, "other", []Note{{Server: catalog.Hash("s0"), Rests: true}, {Server: catalog.Hash("s1"), Rests: true}})
 	if _, why, ok := p.Pick(start, &Wish{}); !ok || why != "all servers rest" {
-		t.Errorf("nothing was tried: %s", why)
+		t.Errorf("no server was tried: %s", why)
 	}
 }
 
-func TestFailuresThatAllServersShareRestNone(t *testing.T) {
+func TestCommonFailuresPauseNoServer(t *testing.T) {
 	p := testPool("a", 3)
 	p.Domain = "elsewhere"
 	for i := range 300 {
 		id := pick(t, p, &Wish{})
 		o := Good
 		if i%7 == 0 {
-			o = Failed // one in seven, wherever it runs
+			o = Failed // one in seven, at every server
 		}
 		p.Ended(start, id, &Wish{}, o)
 	}
 	if r := p.Resting(start); len(r) > 0 {
-		t.Errorf("%v rest for failures that all have", r)
+		t.Errorf("%v are paused for failures common to all", r)
 	}
 }
 
-func TestAGreyServerRests(t *testing.T) {
+func TestServerWithHighFailureRateIsPaused(t *testing.T) {
 	p := testPool("a", 3)
-	p.Domain = "elsewhere" // so that no server is nearer than another
+	p.Domain = "elsewhere" // so that no server is in this box's domain
 	for i := range 300 {
 		id := pick(t, p, &Wish{})
 		o := Good
@@ -145,11 +145,11 @@
 			o = Failed
 		}
 		if p.Ended(start, id, &Wish{}, o) && id != "s1" {
-			t.Fatalf("%s rests", id)
+			t.Fatalf("%s was paused", id)
 		}
 	}
 	if r := p.Resting(start); len(r) != 1 || r[0] != "s1" {
-		t.Errorf("resting: %v, want s1", r)
+		t.Errorf("paused: %v, want s1", r)
 	}
 }
 
@@ -160,56 +160,56 @@
 	}
 }
 
-func TestDroppedExchangesSayNothingOfAServer(t *testing.T) {
+func TestDroppedExchangesAreNotFailures(t *testing.T) {
 	p := testPool("a", 1)
 	for range 20 {
 		pick(t, p, &Wish{})
 		p.Ended(start, "s0", &Wish{}, Dropped)
 	}
 	if len(p.Resting(start)) > 0 {
-		t.Error("a server rests because callers left")
+		t.Error("a server was paused because callers cancelled")
 	}
 	if n, _ := p.Busy(start); n != 0 {
 		t.Errorf("%d requests are still counted", n)
 	}
 }
 
-func TestInALargeFleetTheHeardStandForAll(t *testing.T) {
+func TestLoadIsExtrapolatedInALargeFleet(t *testing.T) {
 	p := testPool("a", 2)
 	p.Boxes = 81
 	for i := range 8 {
 		p.Hear(start, fmt.Sprint("box", i), []Note{{Server: catalog.Hash("s0"), Load: Load{Requests: 1}}})
 	}
 	if n, _ := p.Busy(start); n != 80 {
-		t.Errorf("8 of 80 boxes have 8 requests; %d are expected in all, want 80", n)
+		t.Errorf("8 of 80 boxes report 8 requests; %d are estimated in total, want 80", n)
 	}
 	p.Boxes = 9
 	if n, _ := p.Busy(start); n != 8 {
-		t.Errorf("8 of 8 boxes have 8 requests; %d are expected", n)
+		t.Errorf("8 of 8 boxes report 8 requests; %d are estimated", n)
 	}
 }
 
-func TestABoxsNewWordTakesTheOldOnesPlace(t *testing.T) {
+func TestNewReportReplacesTheOldOne(t *testing.T) {
 	p := testPool("a", 2)
 	note := func(id string, n int) []Note { return []Note{{Server: catalog.Hash(id), Load: Load{Requests: n}}} }
 	p.Hear(start, "b", note("s0", 5))
 	p.Hear(start, "c", note("s0", 2))
 	p.Hear(start, "b", note("s1", 1))
 	if n, _ := p.Busy(start); n != 3 {
-		t.Errorf("%d requests, want 2 of c and 1 of b", n)
+		t.Errorf("%d requests, want 2 from c and 1 from b", n)
 	}
 	p.Configure(pointers([]catalog.Server{{ID: "s1", Slots: 64}}))
 	p.Hear(start, "b", note("s0", 9))
 	if n, _ := p.Busy(start); n != 0 {
-		t.Errorf("%d requests at servers that are gone", n)
+		t.Errorf("%d requests at removed servers", n)
 	}
 	p.Hear(start, "b", note("s1", 4))
 	if n, _ := p.Busy(start.Add(reportLifetime)); n != 0 {
-		t.Errorf("%d requests by old words", n)
+		t.Errorf("%d requests from expired reports", n)
 	}
 }
 
-// homesOf gives the homes of many prompts, by prompt and counted by domain.
+// homesOf returns the homes of 400 prompts, and their number by domain.
 func homesOf(p *Pool, makers map[string]int) (homes map[string]string, domains map[string]int) {
 	homes, domains = map[string]string{}, map[string]int{}
 	for i := range 400 {
@@ -221,24 +221,24 @@
 	return homes, domains
 }
 
-// Large inputs are best read where they can be made: as many prompts belong to a domain as it has makers.
-func TestHomesFollowTheMakersOfLargeInputs(t *testing.T) {
+// A domain gets prompts with large inputs in proportion to the number of its servers that produce them.
+func TestHomesFollowProducersOfLargeInputs(t *testing.T) {
 	p := testPool("a", 12)
 	p.asked.total = 1
-	for i := range 40 { // every first part is popular enough for all servers
+	for i := range 40 { // every first part is popular enough to have all servers as homes
 		p.asked.own[catalog.Hash(fmt.Sprint("common", i))] = 1
 	}
 	even, domains := homesOf(p, nil)
 	if n := domains["d0"]; n < 100 || n > 170 {
-		t.Errorf("without makers %v", domains)
+		t.Errorf("without producers: %v", domains)
 	}
 	two, domains := homesOf(p, map[string]int{"d0": 2, "d1": 1, "d2": 1})
 	if n := domains["d0"]; n < 170 || n > 230 {
-		t.Errorf("with half of the makers in d0: %v", domains)
+		t.Errorf("with half of the producers in d0: %v", domains)
 	}
 	_, domains = homesOf(p, map[string]int{"d0": 2, "d1": 1})
 	if n := domains["d2"]; n > 30 {
-		t.Errorf("without a maker in d2: %v", domains)
+		t.Errorf("without a producer in d2: %v", domains)
 	}
 	moved := 0
 	for book := range even {
@@ -247,20 +247,20 @@
 		}
 	}
 	if moved > 160 {
-		t.Errorf("%d of 400 homes moved though a sixth had to", moved)
+		t.Errorf("%d of 400 homes moved, a sixth had to", moved)
 	}
 }
 
-// In a large fleet a box is asked for so little that each part looks popular to it. What all boxes are
-// asked for tells which is, and boxes come to the same homes.
-func TestBoxesOfALargeFleetAgreeOnWhatIsPopular(t *testing.T) {
+// In a large fleet a box gets so few requests that each part looks popular to it. With the reports of other boxes all boxes
+// agree on the popular parts and their homes.
+func TestBoxesOfALargeFleetAgreeOnPopularity(t *testing.T) {
 	const boxes, parts = 120, 60
 	pools := make([]*Pool, boxes)
 	for i := range pools {
 		pools[i] = testPool(fmt.Sprint("box", i), 64)
 	}
 	ask := func(p *Pool, first string) { p.asked.note(start, &Wish{Parts: prompt(first, "book", "own")}) }
-	for i, p := range pools { // half of all is asked under one part
+	for i, p := range pools { // half of the requests have the same first part
 		for n := range 3 {
 			ask(p, "common")
 			ask(p, fmt.Sprint("rare", (3*i+n)%parts))
@@ -268,16 +268,16 @@
 	}
 	rare, common := catalog.Hash("rare0"), catalog.Hash("common")
 	if n := pools[0].homes(rare); n < 8 {
-		t.Errorf("a box by itself holds a rare part for worth %d homes: this test shows nothing", n)
+		t.Errorf("a rare part has %d homes before reports are exchanged: the test is ineffective", n)
 	}
 	for i, p := range pools {
-		for j := 1; j <= 40; j++ { // those that it heard of lately
+		for j := 1; j <= 40; j++ { // the boxes that reported recently
 			box := (i + 2*j) % boxes
 			total, told := pools[box].Asked(start)
 			p.HearAsked(start, fmt.Sprint("box", box), total, told)
 		}
 		if n := p.homes(common); n != 64 {
-			t.Errorf("box%d: %d homes of a part under which half is asked, want all 64", i, n)
+			t.Errorf("box%d: %d homes of the most popular part, want all 64", i, n)
 		}
 		if n := p.homes(rare); n > 4 {
 			t.Errorf("box%d: %d homes of a rare part", i, n)
@@ -286,13 +286,13 @@
 	p := pools[0]
 	p.asked.decay(start.Add(askLife + popularityLife))
 	if len(p.asked.reports) > 0 || p.asked.toldAll > 0 || len(p.asked.told) > 0 {
-		t.Errorf("old reports count still: %v", p.asked)
+		t.Errorf("expired reports are still counted: %v", p.asked)
 	}
 }
 
-// A server that has just started looks idle to every box at once; it gets nothing while it is cold, unless
-// most servers are.
-func TestColdServersAreSpared(t *testing.T) {
+// A server that has just started looks idle to every box at once. It gets no requests while it is cold, unless most servers
+// are.
+func TestColdServersAreSkipped(t *testing.T) {
 	p := testPool("a", 6)
 	cold := func(n int) {
 		var list []catalog.Server
@@ -323,18 +323,18 @@
 		t.Errorf("with two cold servers of six: %v", at)
 	}
 	if at := pickAll(start.Add(time.Second)); len(at) != 6 {
-		t.Errorf("when they are warm: %v", at)
+		t.Errorf("once they are warm: %v", at)
 	}
 	cold(4)
 	if at := pickAll(start); len(at) != 6 {
 		t.Errorf("with four of six cold: %v", at)
 	}
 	if _, _, ok := p.Pick(start, &Wish{Exclude: map[string]bool{"s4": true, "s5": true}}); !ok {
-		t.Error("a request finds no server though cold ones are left")
+		t.Error("no server was picked though cold ones are available")
 	}
 }
 
-// pointers are those to the servers of a list.
+// pointers returns pointers to the elements of a list.
 func pointers(list []catalog.Server) []*catalog.Server {
 	out := make([]*catalog.Server, len(list))
 	for i := range list {
--- a/src/balance/confined_test.go
+++ b/src/balance/confined_test.go
@@ -8,9 +8,9 @@
 	"github.com/stilemast/stilemast/src/catalog"
 )
 
-// A confined request is given to servers inside, also when they are busier, and has its home and its copies there; it does not count
-// servers outside as ones that it could go to.
-func TestAConfinedRequestStaysInside(t *testing.T) {
+// A confined request runs only at servers in its domains, even if they are busier, and has its home and copy sources there.
+// Servers outside don't count as available to it.
+func TestConfinedRequestStaysInItsDomains(t *testing.T) {
 	p := NewPool("box", "out")
 	var list []catalog.Server
 	for i := range 8 {
@@ -40,15 +40,15 @@
 	}
 	w := &Wish{Within: inside, Exclude: map[string]bool{}}
 	if _, _, ok := p.Pick(start, w); ok || p.Awake(start, w) {
-		t.Error("a server outside counts where all inside rest")
+		t.Error("a server outside counts as available while all inside rest")
 	}
 	if end, ok := p.RestEnds(start, w); !ok || !end.Equal(start.Add(time.Second)) {
 		t.Errorf("the rest ends at %v", end)
 	}
 }
 
-// Servers that take no new work any more are given none, and count in no failure domain.
-func TestAServerThatGoesIsForgotten(t *testing.T) {
+// Servers that no longer take new work are not chosen, and don't count in their failure domain.
+func TestRemovedServerIsForgotten(t *testing.T) {
 	p := NewPool("box", "d")
 	list := []catalog.Server{{ID: "a", Domain: "d", Slots: 4}, {ID: "b", Domain: "e", Slots: 4}}
 	p.Change(pointers(list), nil)
@@ -57,6 +57,6 @@
 		t.Errorf("%d servers are left, by failure domain %v", p.Size(), d)
 	}
 	if s, _, ok := p.Pick(start, &Wish{}); !ok || s.ID != "b" {
-		t.Errorf("%q is chosen", s.ID)
+		t.Errorf("%q was chosen", s.ID)
 	}
 }
--- a/src/balance/doubt_test.go
+++ b/src/balance/doubt_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// crashed plays a box before 30 servers of which every third has crashed while the list still names it. Other boxes tell
-// of their work at the living ones. It gives how many of 20 requests, 50 ms apart, met a crashed server first, and how
-// the requests that met none were spread.
-func crashed(t *testing.T) (met int, at map[string]int) {
+// runWithCrashedServers simulates a box with 30 servers of which every third has crashed but is still listed. Other boxes report their
+// load at the live ones. It returns how many of 20 requests, 50 ms apart, were sent to a crashed server, and the number of
+// the other requests at each server.
+func runWithCrashedServers(t *testing.T) (met int, at map[string]int) {
 	p := testPool("a", 30)
 	var notes []Note
 	gone := map[string]bool{}
@@ -39,27 +39,27 @@
 	return met, at
 }
 
-// Servers that crashed look idle. After one was found gone the others that look idle are doubted, and requests go where
-// work is known to be, so that no request meets one crashed server after the other.
-func TestAfterOneServerIsFoundGoneIdleOnesAreDoubted(t *testing.T) {
-	if met, at := crashed(t); met > 2 || len(at) < 5 {
-		t.Errorf("%d of 20 requests met a crashed server first; the others went to %v", met, at)
+// Crashed servers look idle. After one was found absent the other idle ones are doubted and requests go to servers known
+// to be working, so that requests are not sent to one crashed server after another.
+func TestIdleServersAreDoubtedAfterOneIsAbsent(t *testing.T) {
+	if met, at := runWithCrashedServers(t); met > 2 || len(at) < 5 {
+		t.Errorf("%d of 20 requests were sent to a crashed server; the others went to %v", met, at)
 	}
 }
 
-// The doubt ends by itself, and an exchange ends it for one server: idle servers get work again.
-func TestADoubtEnds(t *testing.T) {
+// A doubt expires, and an exchange with a server ends it for that server: idle servers get requests again.
+func TestDoubtEnds(t *testing.T) {
 	p := testPool("a", 2)
 	p.Hear(start, "b", []Note{{Server: p.servers["s0"].hash, Load: Load{Requests: 9}}})
 	w := &Wish{}
 	p.Ended(start, "s1", w, Absent)
 	p.servers["s1"].until, p.servers["s1"].rests = time.Time{}, 0
 	if got := pick(t, p, w); got != "s0" {
-		t.Errorf("%s was picked, want the one that is known to work", got)
+		t.Errorf("%s was picked, want the one known to be working", got)
 	}
 	p.Ended(start, "s1", w, Good)
 	if got := pick(t, p, w); got != "s1" {
-		t.Errorf("%s was picked, want the idle one, which has just answered", got)
+		t.Errorf("%s was picked, want the idle one, which has just responded", got)
 	}
 	q := testPool("a", 2)
 	q.Ended(start, "s1", w, Absent)
@@ -67,13 +67,13 @@
 	q.Hear(later, "b", []Note{{Server: q.servers["s0"].hash, Load: Load{Requests: 9}}})
 	q.servers["s1"].until, q.servers["s1"].rests = time.Time{}, 0
 	if s, _, _ := q.Pick(later, w); s.ID != "s1" {
-		t.Errorf("%s was picked %s after a server was found gone, want the idle one", s.ID, goneDoubt)
+		t.Errorf("%s was picked %s after a server was found absent, want the idle one", s.ID, goneDoubt)
 	}
 }
 
-// A server that was found gone is left alone at once, also where other boxes have told of little work there: one without a
-// process for a moment, since it may come back, one whose address another has for as long as the list may name it.
-func TestAServerThatIsGoneRestsAtOnce(t *testing.T) {
+// A server that was found absent is paused at once, even if other boxes report little load there: one without a process for
+// a short time, since it may come back, and one whose address another server has for as long as the list may be stale.
+func TestAbsentServerIsPausedAtOnce(t *testing.T) {
 	for outcome, rest := range map[Outcome]time.Duration{Absent: failurePause, Replaced: replacedPause} {
 		p := testPool("a", 3)
 		hear := func(now time.Time) {
@@ -94,7 +94,7 @@
 			s, _, _ := p.Pick(start.Add(after), w)
 			p.Ended(start.Add(after), s.ID, w, Dropped)
 			if (s.ID == "s0") != (after == rest) {
-				t.Errorf("%s: %s was picked %s after s0 was found gone; it rests for %s", outcome, s.ID, after, rest)
+				t.Errorf("%s: %s was picked %s after s0 was found absent; it is paused for %s", outcome, s.ID, after, rest)
 			}
 		}
 	}
--- a/src/balance/source_test.go
+++ b/src/balance/source_test.go
@@ -7,7 +7,7 @@
 	"github.com/stilemast/stilemast/src/catalog"
 )
 
-// other gives a server that is not the one named.
+// other returns a server other than id.
 func other(id string) string {
 	if id == "s0" {
 		return "s1"
@@ -15,28 +15,28 @@
 	return "s0"
 }
 
-func TestAPromptIsCopiedFromTheServerThatReadIt(t *testing.T) {
+func TestPromptIsCopiedFromItsReader(t *testing.T) {
 	p := testPool("a", 3)
 	w := &Wish{Parts: prompt("common", "book", "1")}
 	chosen := pick(t, p, w)
 	reader := other(chosen)
 	if s, ok := p.Source(start, chosen, w); ok {
-		t.Fatalf("copied from %s, though nobody read it and the chosen server is its home", s.ID)
+		t.Fatalf("copied from %s, though no server has read it and the chosen server is its home", s.ID)
 	}
 	p.HearReads(start, []Read{{Part: catalog.Hash("book"), Server: catalog.Hash(reader)}})
 	if s, ok := p.Source(start, chosen, w); !ok || s.ID != reader {
-		t.Errorf("copied from %q, want %s, which another box saw read it", s.ID, reader)
+		t.Errorf("copied from %q, want %s, which has read it according to another box", s.ID, reader)
 	}
 	if _, ok := p.Source(start.Add(keptLife), chosen, w); ok {
 		t.Error("copied from a server that read it long ago")
 	}
 	p.Kept(start, chosen, w.Parts)
 	if _, ok := p.Source(start, chosen, w); ok {
-		t.Error("copied to a server that keeps it")
+		t.Error("copied to a server that has it cached")
 	}
 }
 
-func TestAPromptIsCopiedFromItsHomeWhenNobodyIsKnownToHaveReadIt(t *testing.T) {
+func TestPromptIsCopiedFromItsHomeIfNoReaderIsKnown(t *testing.T) {
 	p := testPool("a", 3)
 	w := &Wish{Parts: prompt("common", "book", "1")}
 	home := pick(t, p, w)
@@ -49,8 +49,8 @@
 	}
 }
 
-// A source that is gone, fails or is slow would hold the request up.
-func TestNothingIsCopiedFromAServerThatMayNotAnswer(t *testing.T) {
+// Copying from a server that is removed, failing or slow would delay the request.
+func TestNoCopyFromUnhealthyServer(t *testing.T) {
 	for name, spoil := range map[string]func(p *Pool, reader string){
 		"broken":  func(p *Pool, reader string) { p.Ended(start, reader, &Wish{}, Broken) },
 		"resting": func(p *Pool, reader string) { p.Hear(start, "b", []Note{{Server: catalog.Hash(reader), Rests: true}}) },
@@ -75,7 +75,7 @@
 		reader := other(chosen)
 		p.HearReads(start, []Read{{Part: catalog.Hash("book"), Server: catalog.Hash(reader)}})
 		if _, ok := p.Source(start, chosen, w); !ok {
-			t.Fatal("nothing is copied though the reader is sound")
+			t.Fatal("nothing is copied though the reader is healthy")
 		}
 		spoil(p, reader)
 		if s, ok := p.Source(start, chosen, w); ok && s.ID == reader {
@@ -84,13 +84,13 @@
 	}
 }
 
-func TestReadsAreToldForAWhile(t *testing.T) {
+func TestReadsAreReportedForALimitedTime(t *testing.T) {
 	p := testPool("a", 2)
 	p.Kept(start, "s0", prompt("common", "book", "own"))
 	if r := p.FreshReads(start.Add(tellReads)); len(r) != 2 {
-		t.Errorf("%d reads are told, want those of the two shared parts", len(r))
+		t.Errorf("%d reads are reported, want those of the two shared parts", len(r))
 	}
 	if r := p.FreshReads(start.Add(tellReads + 1)); len(r) != 0 {
-		t.Errorf("%d reads are told for ever", len(r))
+		t.Errorf("%d reads are reported too long", len(r))
 	}
 }
--- a/src/batch/constants.go
+++ b/src/batch/constants.go
@@ -15,7 +15,7 @@
 	fullPause             = 60 * time.Millisecond   // after a server reported that it is full
 	failurePause          = 400 * time.Millisecond  // after a failed call; doubled with each further one
 	maxDoublings          = 4                       // of failurePause
-	maxJobFailures         = 4                       // failed calls after which a job fails
+	maxJobFailures        = 4                       // failed calls after which a job fails
 	timeoutFactor         = 3.0                     // a call's timeout is this times its expected time,
 	timeoutFloor          = 500 * time.Millisecond  // plus this
 	ratioWeight           = 0.3                     // weight of a new sample in the moving average of a server's relative call time
@@ -24,7 +24,7 @@
 	slowRatio             = 1.8                     // relative call time from which a server is used last
 	slowProbe             = 1500 * time.Millisecond // interval at which a slow server is tried again
 	readTime              = 70 * time.Millisecond   // time for a call to read its inputs
-	minCallFill          = 0.4                     // fill of the smallest call assumed when estimating whether a job can still be in time
+	minCallFill           = 0.4                     // fill of the smallest call assumed when estimating whether a job can still be in time
 	handoverSlack         = 300 * time.Millisecond  // added to twice the remaining time of a call that was handed over
 	limitedFreeInterval   = 2 * time.Second         // shortest interval between freeing results at a rate-limited server: half of their usual lifetime
 	requestsPerFree       = 4.0                     // requests allowed by such a server's limit for each request that frees results
--- a/src/crasher/register_test.go
+++ b/src/crasher/register_test.go
@@ -14,69 +14,69 @@
 	return ContentOf("w", "POST", "h", "/x", []byte(fmt.Sprint(n))).At("pool")
 }
 
-// endUnder has a server's life end under contents.
-func endUnder(r *Register, now time.Time, life Life, keys ...Key) {
+// crashWith records the crash of a server while it ran contents.
+func crashWith(r *Register, now time.Time, life Life, keys ...Key) {
 	r.Broke(now, life, keys...)
 	r.Ended(now, life)
 }
 
-func TestTheThirdEndBarsAContentForATime(t *testing.T) {
+func TestThirdCrashBarsContentForATime(t *testing.T) {
 	var r Register
 	k, now := keyOf(1), began
 	for i := range 3 {
 		if v := r.Judge(now, k); v.Barred || v.Ends != i {
-			t.Fatalf("after %d ends: %+v", i, v)
+			t.Fatalf("after %d crashes: %+v", i, v)
 		}
 		now = now.Add(time.Minute)
-		endUnder(&r, now, Life(i), k)
+		crashWith(&r, now, Life(i), k)
 	}
 	v := r.Judge(now, k)
 	if !v.Barred || v.Left != barFirst {
-		t.Errorf("after the third end: %+v", v)
+		t.Errorf("after the third crash: %+v", v)
 	}
 	now = now.Add(barFirst + time.Second)
 	r.Sweep(now)
 	if v := r.Judge(now, k); v.Barred || v.Ends != 3 {
-		t.Errorf("after the bar: %+v, want one try under what is known", v)
+		t.Errorf("after the bar: %+v, want no bar and the same crashes", v)
 	}
-	endUnder(&r, now, 9, k)
+	crashWith(&r, now, 9, k)
 	if v := r.Judge(now, k); !v.Barred || v.Left != 2*barFirst {
-		t.Errorf("after the try: %+v, want twice the time", v)
+		t.Errorf("after another crash: %+v, want twice the time", v)
 	}
 }
 
-func TestABreakCountsOnlyWhenItsServerEnded(t *testing.T) {
+func TestBrokenExchangeCountsOnlyIfServerCrashed(t *testing.T) {
 	var r Register
 	k := keyOf(1)
 	for i := range 5 {
 		r.Broke(began, Life(i), k)
 	}
 	if v := r.Judge(began, k); v.Ends != 0 {
-		t.Errorf("breaks alone: %+v", v)
+		t.Errorf("broken exchanges alone: %+v", v)
 	}
 	later := began.Add(proofWindow + time.Second)
 	for i := range 5 {
 		r.Ended(later, Life(i))
 	}
 	if v := r.Judge(later, k); v.Ends != 0 {
-		t.Errorf("servers that ended long after: %+v", v)
+		t.Errorf("servers that crashed long after: %+v", v)
 	}
 }
 
-func TestOneLifeCountsOnceWhoeverSawItsEnd(t *testing.T) {
+func TestIncarnationCountsOnce(t *testing.T) {
 	var a, b Register
 	k := keyOf(1)
-	endUnder(&a, began, 7, k)
-	endUnder(&b, began.Add(time.Millisecond), 7, k)
-	a.Broke(began.Add(2*time.Millisecond), 7, k, k) // a second try of it there
+	crashWith(&a, began, 7, k)
+	crashWith(&b, began.Add(time.Millisecond), 7, k)
+	a.Broke(began.Add(2*time.Millisecond), 7, k, k) // a second attempt there
 	a.Hear(began.Add(3*time.Millisecond), b.News(began.Add(3*time.Millisecond)))
 	a.Hear(began.Add(4*time.Millisecond), b.NotesOf(began.Add(4*time.Millisecond), []Key{k}))
 	if v := a.Judge(began, k); v.Ends != 1 {
-		t.Errorf("%+v, want one end", v)
+		t.Errorf("%+v, want one crash", v)
 	}
 }
 
-func TestABreakThatIsToldAfterTheEndCounts(t *testing.T) {
+func TestBrokenExchangeReportedAfterCrashCounts(t *testing.T) {
 	var r Register
 	r.Ended(began, 7)
 	if out := r.Broke(began.Add(time.Second), 7, keyOf(1)); len(out) != 1 || out[0].Verdict.Ends != 1 {
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestAGoodAnswerClearsAContent(t *testing.T) {
+func TestGoodResponseClearsContent(t *testing.T) {
 	k := keyOf(1)
 	for name, goodAt := range map[string]time.Duration{"since": 5 * time.Second, "a moment before": -5 * time.Second} {
 		var r Register
@@ -92,36 +92,36 @@
 			r.Good(began.Add(goodAt), k)
 		}
 		for i := range 4 {
-			endUnder(&r, began.Add(time.Duration(i)*time.Second), Life(i), k)
+			crashWith(&r, began.Add(time.Duration(i)*time.Second), Life(i), k)
 		}
 		if goodAt > 0 {
 			r.Good(began.Add(goodAt), k)
 		}
 		if v := r.Judge(began.Add(6*time.Second), k); v.Ends != 0 || v.Barred {
-			t.Errorf("a good answer %s: %+v", name, v)
+			t.Errorf("a good response %s: %+v", name, v)
 		}
 	}
 }
 
-func TestAGoodAnswerOfLongAgoSpeaksForNothing(t *testing.T) {
+func TestOldGoodResponseDoesNotClear(t *testing.T) {
 	var r Register
 	k := keyOf(1)
 	r.Good(began, k)
 	for i := range 3 {
-		endUnder(&r, began.Add(goodHolds+time.Duration(i+1)*time.Second), Life(i), k)
+		crashWith(&r, began.Add(goodHolds+time.Duration(i+1)*time.Second), Life(i), k)
 	}
 	if v := r.Judge(began.Add(goodHolds+5*time.Second), k); !v.Barred {
 		t.Errorf("%+v", v)
 	}
 }
 
-// A box that answered the content a moment ago clears it for the box that saw servers end.
-func TestAGoodAnswerElsewhereClearsAContent(t *testing.T) {
+// A good response at one box clears the content at the box that observed crashes.
+func TestGoodResponseElsewhereClearsContent(t *testing.T) {
 	var saw, answered Register
 	k := keyOf(1)
 	answered.Good(began, k)
 	for i := range 3 {
-		endUnder(&saw, began.Add(time.Second), Life(i), k)
+		crashWith(&saw, began.Add(time.Second), Life(i), k)
 	}
 	now := began.Add(1100 * time.Millisecond)
 	if changed := answered.Hear(now, saw.News(now)); len(changed) != 1 || changed[0].Verdict.Ends != 0 {
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestContentsOfWorkspacesAndPoolsAreApart(t *testing.T) {
+func TestContentsOfWorkspacesAndPoolsDiffer(t *testing.T) {
 	one := ContentOf("school", "POST", "h", "/x", []byte("b"))
 	for _, other := range []Content{
 		ContentOf("other", "POST", "h", "/x", []byte("b")), ContentOf("school", "PUT", "h", "/x", []byte("b")),
@@ -140,25 +140,26 @@
 		ContentOf("school", "POST", "h", "/x", []byte("c")), ContentOf("schoo", "lPOST", "h", "/x", []byte("b")),
 	} {
 		if other == one {
-			t.Error("two contents have one name")
+			t.Error("two contents have the same identifier")
 		}
 	}
 	if one.At("a") == one.At("b") {
-		t.Error("a content has one key at two pools")
+		t.Error("a content has the same key at two pools")
 	}
 }
 
-// A failure of half of a large pool is bounded, and what has most against it is told first and kept.
-func TestATableThatIsFullKeepsWhatHasMostAgainstIt(t *testing.T) {
+// When half of a large pool fails the table stays bounded, and the contents with the most crashes are kept and reported
+// first.
+func TestFullTableKeepsContentsWithMostCrashes(t *testing.T) {
 	var r Register
 	guilty := keyOf(-1)
-	endUnder(&r, began, 1, guilty)
-	endUnder(&r, began, 2, guilty)
+	crashWith(&r, began, 1, guilty)
+	crashWith(&r, began, 2, guilty)
 	for i := range entriesMost + 500 {
-		endUnder(&r, began, Life(100+i/keysPerLife), keyOf(i))
+		crashWith(&r, began, Life(100+i/keysPerLife), keyOf(i))
 	}
 	if len(r.entries) > entriesMost || r.Judge(began, guilty).Ends != 2 {
-		t.Errorf("%d entries, the guilty one: %+v", len(r.entries), r.Judge(began, guilty))
+		t.Errorf("%d entries, the verdict on the guilty one: %+v", len(r.entries), r.Judge(began, guilty))
 	}
 	if news := r.News(began); len(news) != 1 || news[0].Key != guilty {
 		t.Errorf("%d notes, the first of %s", len(news), news[0].Key)
@@ -169,8 +170,9 @@
 	}
 }
 
-// Whatever boxes see, and in whatever order their notes come, twice or late, all judge alike once each has heard all.
-func TestBoxesThatHeardAllJudgeAlike(t *testing.T) {
+// Whatever boxes observe, and in whatever order their notes arrive, repeatedly or late, all have the same verdicts once each
+// has all notes.
+func TestVerdictsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		boxes := make([]Register, 3)
 		now := began
@@ -188,7 +190,7 @@
 			case 3:
 				r.Hear(now, boxes[rapid.IntRange(0, 2).Draw(t, "other")].Notes(now))
 			case 4:
-				endUnder(r, now, life, k)
+				crashWith(r, now, life, k)
 			}
 		}
 		for range 3 {
@@ -201,14 +203,14 @@
 		for n := range 3 {
 			for i := 1; i < len(boxes); i++ {
 				if a, b := boxes[0].Judge(now, keyOf(n)), boxes[i].Judge(now, keyOf(n)); a != b {
-					t.Fatalf("content %d: box 0 says %+v, box %d %+v", n, a, i, b)
+					t.Fatalf("content %d: box 0 has %+v, box %d %+v", n, a, i, b)
 				}
 			}
 		}
 	})
 }
 
-// allNotes tells all that is known.
+// allNotes returns the notes on all contents.
 func (r *Register) allNotes(now time.Time) []Note {
 	return r.notes(now, r.keys(func(*entry) bool { return true }))
 }
--- a/src/pushback/limit_test.go
+++ b/src/pushback/limit_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestNumbersThatServersName(t *testing.T) {
+func TestParseLimit(t *testing.T) {
 	for _, c := range []struct {
 		values []string
 		want   float64
--- a/src/suspects/tracker_test.go
+++ b/src/suspects/tracker_test.go
@@ -14,8 +14,8 @@
 	"github.com/stilemast/stilemast/src/crasher"
 )
 
-// alone makes a tracker of the only box, whose probes answer as a table says.
-func alone(presence map[string]Presence) *Tracker {
+// singleBox returns the tracker of the only box, with probe results from a table.
+func singleBox(presence map[string]Presence) *Tracker {
 	return &Tracker{
 		Self: "box", Now: time.Now, Log: slog.New(slog.DiscardHandler),
 		Probe:    func(_ context.Context, s Server) Presence { return presence[s.ID] },
@@ -24,8 +24,8 @@
 	}
 }
 
-// play lets the tracker work for a time.
-func play(u *Tracker, d time.Duration) {
+// runFor runs the tracker for d.
+func runFor(u *Tracker, d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		u.Tick()
 	}
@@ -35,15 +35,15 @@
 
 var key = crasher.Key{1}
 
-func TestAnEndCountsAsSoonAsItIsProven(t *testing.T) {
+func TestCrashCountsOnceProven(t *testing.T) {
 	for _, c := range []struct {
 		presence Presence
 		ends     int
 	}{{Absent, 1}, {NoAnswer, 1}, {Present, 0}} {
 		synctest.Test(t, func(t *testing.T) {
-			u := alone(map[string]Presence{"a": c.presence})
+			u := singleBox(map[string]Presence{"a": c.presence})
 			u.Broke(server("a", 1), key)
-			play(u, time.Second)
+			runFor(u, time.Second)
 			if v := u.Judge(key); v.Ends != c.ends {
 				t.Errorf("presence %d: %+v, want %d ends", c.presence, v, c.ends)
 			}
@@ -51,23 +51,23 @@
 	}
 }
 
-// Of several servers that don't answer at once it may be this box that is cut off.
-func TestServersThatAreSilentTogetherHaveNotEnded(t *testing.T) {
+// If several servers are unresponsive at once this box may be disconnected.
+func TestServersSilentTogetherAreNotCrashed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := alone(map[string]Presence{"a": NoAnswer, "b": NoAnswer, "c": NoAnswer})
+		u := singleBox(map[string]Presence{"a": NoAnswer, "b": NoAnswer, "c": NoAnswer})
 		for i, id := range []string{"a", "b", "c"} {
 			u.Broke(server(id, uint64(i)), key)
 		}
-		play(u, 2*time.Second)
+		runFor(u, 2*time.Second)
 		if v := u.Judge(key); v.Ends != 0 {
 			t.Errorf("%+v", v)
 		}
 	})
 }
 
-func TestAServerIsAskedOnceForAllThatBrokeThere(t *testing.T) {
+func TestServerIsProbedOnceForManyBrokenExchanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := alone(nil)
+		u := singleBox(nil)
 		var mu sync.Mutex
 		asked := 0
 		u.Probe = func(context.Context, Server) Presence {
@@ -79,17 +79,17 @@
 		for i := range 50 {
 			u.Broke(server("a", 1), crasher.Key{byte(i)})
 		}
-		play(u, 2*time.Second)
+		runFor(u, 2*time.Second)
 		if asked != probeTries {
-			t.Errorf("asked %d times, want %d", asked, probeTries)
+			t.Errorf("probed %d times, want %d", asked, probeTries)
 		}
 	})
 }
 
-// The boxes that add an end up are told, one that does not answer is passed over, and what an answer tells is taken.
-func TestWhoAddsEndsUpIsToldAndHeard(t *testing.T) {
+// A crash is reported to the counter boxes, one that doesn't respond is replaced, and the notes in a response are merged.
+func TestCounterBoxesExchangeNotes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := alone(map[string]Presence{"a": Absent})
+		u := singleBox(map[string]Presence{"a": Absent})
 		u.Boxes = func() []string { return []string{"box", "b1", "b2", "b3", "b4", "b5"} }
 		var mu sync.Mutex
 		told := map[string]int{}
@@ -106,18 +106,18 @@
 		var announced atomic.Int64
 		u.Announce = func() { announced.Add(1) }
 		u.Broke(server("a", 1), key)
-		play(u, time.Second)
+		runFor(u, time.Second)
 		if len(told) < 2 {
-			t.Errorf("told %v", told)
+			t.Errorf("reported to %v", told)
 		}
 		if v := u.Judge(key); v.Ends != 2 || announced.Load() == 0 {
-			t.Errorf("%+v, announced %d times: want the end that another box knows of, told to all", v, announced.Load())
+			t.Errorf("%+v, announced %d times: want the crash known to another box, announced to all", v, announced.Load())
 		}
 	})
 }
 
-func TestPresences(t *testing.T) {
+func TestPresenceOf(t *testing.T) {
 	if PresenceOf(nil) != Present || PresenceOf(syscall.ECONNREFUSED) != Absent || PresenceOf(context.DeadlineExceeded) != NoAnswer {
-		t.Error("an error of opening a connection is taken for something else")
+		t.Error("a connection error has the wrong presence")
 	}
 }
