--- a/src/batch/ending.go
+++ b/src/batch/ending.go
@@ -97,7 +97,7 @@
 			refused = t.ResultBytes
 		}
 		if !t.ended {
-			s.missed(now, t, rc.pieces[i], r.Reason, v, out)
+			s.itemFailed(now, t, rc.pieces[i], r.Reason, v, out)
 		}
 	}
 	if v != nil && refused > 0 {
@@ -110,8 +110,8 @@
 	}
 }
 
-// missed requeues a piece that the server did not produce, or fails its job.
-func (s *Scheduler) missed(now time.Time, t *job, piece int, why ItemReason, v *serverState, out *Actions) {
+// itemFailed requeues a piece that the server did not produce, or fails its job.
+func (s *Scheduler) itemFailed(now time.Time, t *job, piece int, why ItemReason, v *serverState, out *Actions) {
 	switch why {
 	case ItemLate:
 		s.end(now, t, Message{Failed: &Failed{ID: t.ID, Reason: Late}}, out)
