--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -34,8 +34,8 @@
 	return list
 }
 
-// free returns the servers that can take a call now, the best first.
-func (s *Scheduler) free(now time.Time) []*serverState {
+// freeServers returns the servers that can take a call now, the best first.
+func (s *Scheduler) freeServers(now time.Time) []*serverState {
 	var out []*serverState
 	for _, v := range s.servers {
 		if v.listed && v.call == 0 && !now.Before(v.pause) && s.restLeft(now, v) == 0 {
@@ -65,7 +65,7 @@
 	s.endUnplaceable(now, &out)
 	s.endResting(now, &out)
 	s.endCrowded(now, &out)
-	free := s.free(now)
+	free := s.freeServers(now)
 	if len(free) == 0 {
 		return out
 	}
