--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -113,7 +113,7 @@
 		if !t.Within.Allow(v.Domain) || !s.fitsDomain(now, t, v) || !s.fitsCall(t, rc) {
 			continue
 		}
-		n := min(len(t.pending), limit-len(c.Items), s.timely(now, t, rc, v, due, patience))
+		n := min(len(t.pending), limit-len(c.Items), s.piecesInTime(now, t, rc, v, due, patience))
 		if t.ResultBytes > 0 {
 			n = min(n, int(room/t.ResultBytes))
 		}
@@ -154,10 +154,10 @@
 	return c, true
 }
 
-// timely returns how many pieces of a job may be added to a call without making the most urgent job in it late, since
+// piecesInTime returns how many pieces of a job may be added to a call without making the most urgent job in it late, since
 // that job may have further stages to run. It limits only jobs that can wait for everything queued and for a call
 // after that: a pool that falls behind needs full calls to catch up.
-func (s *Scheduler) timely(now time.Time, t *job, rc *runningCall, v *serverState, due time.Time, patience time.Duration) int {
+func (s *Scheduler) piecesInTime(now time.Time, t *job, rc *runningCall, v *serverState, due time.Time, patience time.Duration) int {
 	if due.IsZero() || t.Due.Sub(now) < patience || s.limitOf(v) > 0 { // full calls make the most of a rate limit
 		return len(t.pending)
 	}
