--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -71,7 +71,7 @@
 	}
 	queue, patience := s.sorted(now), s.patience(now)
 	for _, v := range free {
-		if v.ratio > slowRatio && !s.worthSlow(now, v) {
+		if v.ratio > slowRatio && !s.useSlowServer(now, v) {
 			continue
 		}
 		if c, ok := s.form(now, v, queue, patience); ok {
@@ -81,9 +81,9 @@
 	return out
 }
 
-// worthSlow reports whether a slow server should get a call: if more work is queued than the other servers can take
+// useSlowServer reports whether a slow server should get a call: if more work is queued than the other servers can take
 // soon, and once per slowProbe to measure its speed again.
-func (s *Scheduler) worthSlow(now time.Time, v *serverState) bool {
+func (s *Scheduler) useSlowServer(now time.Time, v *serverState) bool {
 	sound, pending := s.sound(now), 0
 	for _, t := range s.jobs {
 		pending += len(t.pending)
