--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -117,7 +117,7 @@
 		if t.ResultBytes > 0 {
 			n = min(n, int(room/t.ResultBytes))
 		}
-		if n <= 0 || n < len(t.pending) && now.Sub(t.since) < splitAfter && len(t.pending) <= limit && s.roomFor(t) {
+		if n <= 0 || n < len(t.pending) && now.Sub(t.since) < splitAfter && len(t.pending) <= limit && s.fitsOneServer(t) {
 			continue
 		}
 		for _, piece := range t.pending[:n] {
@@ -169,8 +169,8 @@
 // patience returns the time until due from which a job can wait for all others and for its own call.
 func (s *Scheduler) patience(now time.Time) time.Duration { return s.Waits(now).All + 2*s.fullCall() }
 
-// roomFor reports whether the results of a job's pending pieces fit in an empty server's result memory.
-func (s *Scheduler) roomFor(t *job) bool {
+// fitsOneServer reports whether the results of a job's pending pieces fit in an empty server's result memory.
+func (s *Scheduler) fitsOneServer(t *job) bool {
 	return float64(len(t.pending))*t.ResultBytes <= s.pool.Batch.RoomBytes*usableRoomFraction
 }
 
