--- a/src/pushback/register.go
+++ b/src/pushback/register.go
@@ -67,8 +67,8 @@
 	listedAt    time.Time // when its server was last listed
 }
 
-// rest is a rest that a server asked for and the gradual increase after it: one request tries the server first, and each
-// response doubles the number of requests allowed at once.
+// rest is the time for which a server asked for no requests, and the gradual increase after it: one request tries the
+// server first, and each response doubles the number of requests allowed at once.
 type rest struct {
 	until  time.Time // end of the rest
 	window int       // requests allowed at once after the rest
--- a/src/pushback/word.go
+++ b/src/pushback/word.go
@@ -1,5 +1,6 @@
 // Package pushback applies the flow control that backend servers send in their responses. A server can announce that it
-// takes no new work, ask a box to send nothing for a time (a rest), and limit the requests per second from all boxes together.
+// takes no new work, ask a box to send nothing for a time (a rest), and limit the requests per second from all boxes
+// together.
 package pushback
 
 import (
