--- a/src/batch/handover_test.go
+++ b/src/batch/handover_test.go
@@ -77,8 +77,8 @@
 	if len(a.Calls) != 1 || len(a.Calls[0].Free) != 1 || a.Calls[0].Free[0] != "h1" {
 		t.Fatalf("the room of a freed result is not used: %+v", a.Calls)
 	}
-	s.Free(start.Add(50*time.Millisecond), []HeldResult{{Server: "s0", Handle: "never heard of", Bytes: 1}})
-	if a := s.Tick(start.Add(80 * time.Millisecond)); len(a.Frees) != 1 || a.Frees[0].Handles[0] != "never heard of" {
+	s.Free(start.Add(50*time.Millisecond), []HeldResult{{Server: "s0", Handle: "unknown", Bytes: 1}})
+	if a := s.Tick(start.Add(80 * time.Millisecond)); len(a.Frees) != 1 || a.Frees[0].Handles[0] != "unknown" {
 		t.Fatalf("an unknown result was not freed at the server: %+v", a.Frees)
 	}
 }
--- a/src/batch/scheduler_test.go
+++ b/src/batch/scheduler_test.go
@@ -231,32 +231,32 @@
 		now := start
 		open := map[uint64]Call{}
 		busy := map[string]bool{}
-		lying := map[string]float64{} // bytes stored at each server, as the server counts them
+		stored := map[string]float64{} // bytes stored at each server, as the server counts them
 		handles := map[string]string{}
 		ends := map[JobID]int{}
 		jobs := map[JobID]*Job{}
 		next := uint64(0)
-		give := func(server string, hs []string) {
+		free := func(server string, hs []string) {
 			for _, h := range hs {
 				if handles[h] == server {
-					lying[server] -= 100
+					stored[server] -= 100
 					delete(handles, h)
 				}
 			}
 		}
 		take := func(a Actions) {
 			for _, f := range a.Frees {
-				give(f.Server.ID, f.Handles)
+				free(f.Server.ID, f.Handles)
 			}
 			for _, c := range a.Calls {
-				give(c.Server.ID, c.Free)
+				free(c.Server.ID, c.Free)
 				if busy[c.Server.ID] {
 					rt.Fatalf("%s has two calls", c.Server.ID)
 				}
 				busy[c.Server.ID] = true
-				lying[c.Server.ID] += 100 * float64(len(c.Items))
-				if lying[c.Server.ID] > 1000 {
-					rt.Fatalf("%s holds %g bytes", c.Server.ID, lying[c.Server.ID])
+				stored[c.Server.ID] += 100 * float64(len(c.Items))
+				if stored[c.Server.ID] > 1000 {
+					rt.Fatalf("%s holds %g bytes", c.Server.ID, stored[c.Server.ID])
 				}
 				if len(c.Items) == 0 || len(c.Items) > 8 {
 					rt.Fatalf("a call of %d items", len(c.Items))
@@ -296,7 +296,7 @@
 					results := successResults(c)
 					if outcome != CallDone {
 						results = nil
-						lying[c.Server.ID] -= 100 * float64(len(c.Items))
+						stored[c.Server.ID] -= 100 * float64(len(c.Items))
 					}
 					for _, r := range results {
 						handles[r.Handle] = c.Server.ID
