--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -84,7 +84,7 @@
 // useSlowServer reports whether a slow server should get a call: if more work is queued than the other servers can take
 // soon, and once per slowProbe to measure its speed again.
 func (s *Scheduler) useSlowServer(now time.Time, v *serverState) bool {
-	sound, pending := s.sound(now), 0
+	sound, pending := s.healthyServers(now), 0
 	for _, t := range s.jobs {
 		pending += len(t.pending)
 	}
@@ -192,8 +192,8 @@
 	return true
 }
 
-// sound counts the healthy servers that accept calls now.
-func (s *Scheduler) sound(now time.Time) int {
+// healthyServers counts the healthy servers that accept calls now.
+func (s *Scheduler) healthyServers(now time.Time) int {
 	n := 0
 	for _, v := range s.servers {
 		if v.sound() && s.restLeft(now, v) == 0 {
