--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -185,7 +185,7 @@
 		return true
 	}
 	for _, o := range s.servers {
-		if o.sound() && o.Domain == t.InputDomain && t.Within.Allow(o.Domain) && s.restLeft(now, o) == 0 {
+		if o.healthy() && o.Domain == t.InputDomain && t.Within.Allow(o.Domain) && s.restLeft(now, o) == 0 {
 			return false
 		}
 	}
@@ -196,15 +196,15 @@
 func (s *Scheduler) healthyServers(now time.Time) int {
 	n := 0
 	for _, v := range s.servers {
-		if v.sound() && s.restLeft(now, v) == 0 {
+		if v.healthy() && s.restLeft(now, v) == 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// sound reports whether a server is listed, has no recent failure and is not slow.
-func (v *serverState) sound() bool { return v.listed && v.failures == 0 && v.ratio <= slowRatio }
+// healthy reports whether a server is listed, has no recent failure and is not slow.
+func (v *serverState) healthy() bool { return v.listed && v.failures == 0 && v.ratio <= slowRatio }
 
 // hopeless reports whether a job that isn't running can no longer be in time.
 func (s *Scheduler) hopeless(now time.Time, t *job) bool {
--- a/src/batch/pace.go
+++ b/src/batch/pace.go
@@ -60,7 +60,7 @@
 	}
 	for _, v := range s.servers {
 		limit := s.limitOf(v)
-		if !v.sound() || !allRest && limit == 0 && s.restLeft(now, v) > 0 {
+		if !v.healthy() || !allRest && limit == 0 && s.restLeft(now, v) > 0 {
 			continue
 		}
 		part := 1.0
