--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -14,7 +14,7 @@
 	for _, t := range s.jobs {
 		list = append(list, t)
 	}
-	hopeless := func(t *job) bool { return s.hopeless(now, t) }
+	hopeless := func(t *job) bool { return s.cannotBeInTime(now, t) }
 	rank := func(t *job) time.Time {
 		if hopeless(t) {
 			return t.Deadline
@@ -125,7 +125,7 @@
 			rc.jobs, rc.pieces = append(rc.jobs, t), append(rc.pieces, piece)
 			rc.expected += s.pieceTime(t.Class)
 		}
-		if due.IsZero() && !s.hopeless(now, t) || t.Due.Before(due) {
+		if due.IsZero() && !s.cannotBeInTime(now, t) || t.Due.Before(due) {
 			due = t.Due
 		}
 		rc.alone = rc.alone || s.judge(t).Ends >= crasher.AloneFrom
@@ -206,8 +206,8 @@
 // healthy reports whether a server is listed, has no recent failure and is not slow.
 func (v *serverState) healthy() bool { return v.listed && v.failures == 0 && v.ratio <= slowRatio }
 
-// hopeless reports whether a job that isn't running can no longer be in time.
-func (s *Scheduler) hopeless(now time.Time, t *job) bool {
+// cannotBeInTime reports whether a job that isn't running can no longer be in time.
+func (s *Scheduler) cannotBeInTime(now time.Time, t *job) bool {
 	b := s.pool.Batch
 	call := b.CallTime + time.Duration(minCallFill*float64(b.Size))*b.ItemTime
 	return t.running == 0 && now.Add(call).After(t.Due)
--- a/src/batch/pace.go
+++ b/src/batch/pace.go
@@ -81,7 +81,7 @@
 	}
 	var ahead backlog.Count
 	for _, t := range s.jobs {
-		if !s.hopeless(now, t) {
+		if !s.cannotBeInTime(now, t) {
 			ahead.Add(Place(t.Due, t.Priority).Sub(now), len(t.pending))
 		}
 	}
