--- a/src/batch/handover.go
+++ b/src/batch/handover.go
@@ -17,10 +17,10 @@
 		}
 	}
 	for handle, r := range s.handles {
-		if r.told == next {
+		if r.handedTo == next {
 			continue
 		}
-		r.told = next
+		r.handedTo = next
 		s.handles[handle] = r
 		h.Held = append(h.Held, HeldResult{Server: r.server, Handle: handle, Bytes: r.bytes, Left: r.until.Sub(now)})
 	}
@@ -38,7 +38,7 @@
 func (s *Scheduler) TakeOver(now time.Time, h Handover) {
 	s.holds = time.Time{}
 	for handle, r := range s.handles {
-		if r.told != "" {
+		if r.handedTo != "" {
 			s.forget(handle)
 		}
 	}
--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -59,7 +59,7 @@
 	incarnation catalog.Incarnation // of the server
 	bytes       float64
 	until       time.Time // expiry
-	told        string    // scheduler that it was handed over to
+	handedTo        string    // scheduler that it was handed over to
 }
 
 // ending is the outcome of a job, kept to answer repeated submissions.
