--- a/src/batch/ending.go
+++ b/src/batch/ending.go
@@ -14,10 +14,10 @@
 	delete(s.calls, n)
 	v := s.servers[rc.server]
 	if v != nil {
-		if v.handed != "" {
+		if v.handedTo != "" {
 			s.idle = append(s.idle, rc.server)
 		}
-		v.call, v.handed = 0, ""
+		v.call, v.handedTo = 0, ""
 	}
 	if outcome == CallDone && len(results) != len(rc.jobs) {
 		outcome = CallBroken
--- a/src/batch/handover.go
+++ b/src/batch/handover.go
@@ -25,8 +25,8 @@
 		h.Held = append(h.Held, HeldResult{Server: r.server, Handle: handle, Bytes: r.bytes, Left: r.until.Sub(now)})
 	}
 	for id, v := range s.servers {
-		if v.call != 0 && v.handed != next {
-			v.handed = next
+		if v.call != 0 && v.handedTo != next {
+			v.handedTo = next
 			h.Busy = append(h.Busy, BusyServer{Server: id, Left: max(0, v.until.Sub(now)), Bytes: s.calls[v.call].bytes})
 		}
 	}
--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -34,7 +34,7 @@
 	ratio     float64   // moving average of measured over expected call time
 	probed    time.Time // when it last got a call although slow
 	freedAt   time.Time // when results were last freed there
-	handed    string    // scheduler that was told of the running call
+	handedTo    string    // scheduler that was told of the running call
 	used      float64   // bytes of known results stored there
 	unknown   float64   // bytes of results there without known handles, as estimated at unknownAt
 	unknownAt time.Time
