--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -148,7 +148,7 @@
 	}
 	expected := time.Duration(float64(rc.expected) * max(1, v.ratio))
 	c.Timeout = time.Duration(float64(expected)*timeoutFactor) + timeoutFloor
-	v.call, v.until = c.N, now.Add(expected)
+	v.call, v.expectedEnd = c.N, now.Add(expected)
 	v.used += rc.bytes
 	s.calls[c.N] = rc
 	return c, true
--- a/src/batch/handover.go
+++ b/src/batch/handover.go
@@ -27,7 +27,7 @@
 	for id, v := range s.servers {
 		if v.call != 0 && v.handedTo != next {
 			v.handedTo = next
-			h.Busy = append(h.Busy, BusyServer{Server: id, Left: max(0, v.until.Sub(now)), Bytes: s.calls[v.call].bytes})
+			h.Busy = append(h.Busy, BusyServer{Server: id, Left: max(0, v.expectedEnd.Sub(now)), Bytes: s.calls[v.call].bytes})
 		}
 	}
 	return h, out
--- a/src/batch/pace.go
+++ b/src/batch/pace.go
@@ -70,7 +70,7 @@
 		sound += part
 		left := max(least, s.restLeft(now, v))
 		if v.call != 0 {
-			left = max(left, v.until.Sub(now))
+			left = max(left, v.expectedEnd.Sub(now))
 		}
 		if soonest < 0 || left < soonest {
 			soonest = left
--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -28,7 +28,7 @@
 type serverState struct {
 	catalog.Server
 	call      uint64    // number of the running call, 0 for none
-	until     time.Time // expected end of the running call
+	expectedEnd     time.Time // expected end of the running call
 	pause     time.Time // no call before
 	failures  int       // consecutive
 	ratio     float64   // moving average of measured over expected call time
