--- a/src/batch/ending.go
+++ b/src/batch/ending.go
@@ -44,9 +44,9 @@
 	if v != nil {
 		v.used = max(0, v.used-rc.bytes)
 		if !outcome.fails() {
-			v.pause = now.Add(fullPause)
+			v.pausedUntil = now.Add(fullPause)
 		} else {
-			v.pause = now.Add(failurePause << min(v.failures, maxDoublings))
+			v.pausedUntil = now.Add(failurePause << min(v.failures, maxDoublings))
 			v.failures++
 		}
 	}
--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -38,7 +38,7 @@
 func (s *Scheduler) freeServers(now time.Time) []*serverState {
 	var out []*serverState
 	for _, v := range s.servers {
-		if v.listed && v.call == 0 && !now.Before(v.pause) && s.restLeft(now, v) == 0 {
+		if v.listed && v.call == 0 && !now.Before(v.pausedUntil) && s.restLeft(now, v) == 0 {
 			out = append(out, v)
 		}
 	}
--- a/src/batch/handover.go
+++ b/src/batch/handover.go
@@ -48,9 +48,9 @@
 		if v == nil || v.call != 0 {
 			continue
 		}
-		v.pause = now.Add(2*b.Left + handoverSlack) // or until the call is reported as ended
+		v.pausedUntil = now.Add(2*b.Left + handoverSlack) // or until the call is reported as ended
 		v.used += b.Bytes                           // until the results themselves are reported
-		s.handles[callAt(b.Server)] = held{server: b.Server, incarnation: v.Incarnation, bytes: b.Bytes, until: v.pause}
+		s.handles[callAt(b.Server)] = held{server: b.Server, incarnation: v.Incarnation, bytes: b.Bytes, until: v.pausedUntil}
 	}
 	for _, id := range h.Idle {
 		v := s.servers[id]
@@ -60,7 +60,7 @@
 		}
 		delete(s.handles, callAt(id))
 		v.used = max(0, v.used-r.bytes)
-		v.pause = now
+		v.pausedUntil = now
 	}
 }
 
--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -29,7 +29,7 @@
 	catalog.Server
 	call      uint64    // number of the running call, 0 for none
 	expectedEnd     time.Time // expected end of the running call
-	pause     time.Time // no call before
+	pausedUntil     time.Time // no call before
 	failures  int       // consecutive
 	ratio     float64   // moving average of measured over expected call time
 	probed    time.Time // when it last got a call although slow
