--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -21,7 +21,7 @@
 	insisted bool      // stays here even if another box schedules the pool
 	sent     time.Time // when a piece was last put in a call
 	read     bool      // its owner was told that the inputs have been read
-	doubtful bool      // some of its pieces are at a server that may lack room for them
+	roomUncertain bool      // some of its pieces are at a server that may lack room for them
 }
 
 // serverState is a server as seen by the scheduler.
@@ -304,7 +304,7 @@
 // the throughput of pools that produce inputs. If a server may refuse pieces for lack of room the inputs are kept:
 // without them all earlier stages would have to run again for the refused pieces.
 func (t *job) hasRead(now time.Time) bool {
-	return !t.read && !t.doubtful && len(t.Inputs) > 0 && len(t.pending) == 0 && now.Sub(t.sent) >= readTime
+	return !t.read && !t.roomUncertain && len(t.Inputs) > 0 && len(t.pending) == 0 && now.Sub(t.sent) >= readTime
 }
 
 // frees returns requests that free the queued handles at servers that accept them now.
