--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -132,7 +132,7 @@
 		t.pending = t.pending[n:]
 		t.running += n
 		t.sent = now
-		t.roomUncertain = t.roomUncertain || s.inDoubt(now, v)
+		t.roomUncertain = t.roomUncertain || s.roomUncertain(now, v)
 		room -= float64(n) * t.ResultBytes
 		rc.bytes += float64(n) * t.ResultBytes
 	}
--- a/src/batch/room.go
+++ b/src/batch/room.go
@@ -24,8 +24,8 @@
 	v.unknownAt = now
 }
 
-// inDoubt reports whether a server may have less room than estimated: it refused a result recently, and the results
+// roomUncertain reports whether a server may have less room than estimated: it refused a result recently, and the results
 // stored then may not have expired yet.
-func (s *Scheduler) inDoubt(now time.Time, v *serverState) bool {
+func (s *Scheduler) roomUncertain(now time.Time, v *serverState) bool {
 	return now.Sub(v.unknownAt) < s.pool.Batch.ResultTTL
 }
