--- a/src/batch/handover.go
+++ b/src/batch/handover.go
@@ -12,7 +12,7 @@
 	s.idle = nil
 	var out Actions
 	for _, t := range s.sorted(now) {
-		if t.running == 0 && len(t.pending) == t.Pieces && !t.insisted {
+		if t.running == 0 && len(t.pending) == t.Pieces && !t.resubmitted {
 			s.end(now, t, Message{Failed: &Failed{ID: t.ID, Reason: Moved, To: next}}, &out)
 		}
 	}
--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -18,7 +18,7 @@
 	domains  []string  // failure domain of each result
 	failures int
 	ended    bool
-	insisted bool      // stays here even if another box schedules the pool
+	resubmitted bool      // stays here even if another box schedules the pool
 	sent     time.Time // when a piece was last put in a call
 	read     bool      // its owner was told that the inputs have been read
 	roomUncertain bool      // some of its pieces are at a server that may lack room for them
@@ -186,7 +186,7 @@
 		s.ended[id] = outcome{message: moved, at: now}
 		return Actions{Replies: []Reply{{Box: id.Box, Message: moved}}}
 	}
-	t := &job{Job: j, since: now, insisted: insisted, handles: make([]string, j.Pieces), places: make([]string, j.Pieces), domains: make([]string, j.Pieces)}
+	t := &job{Job: j, since: now, resubmitted: insisted, handles: make([]string, j.Pieces), places: make([]string, j.Pieces), domains: make([]string, j.Pieces)}
 	for i := range j.Pieces {
 		t.pending = append(t.pending, i)
 	}
