--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -64,7 +64,7 @@
 	s.endBarred(now, &out)
 	s.endUnplaceable(now, &out)
 	s.endResting(now, &out)
-	s.endCrowded(now, &out)
+	s.endOverLimit(now, &out)
 	free := s.freeServers(now)
 	if len(free) == 0 {
 		return out
--- a/src/batch/resting.go
+++ b/src/batch/resting.go
@@ -58,10 +58,10 @@
 	return l == 0 || now.Sub(v.freedAt) >= max(limitedFreeInterval, time.Duration(requestsPerFree/l*float64(time.Second)))
 }
 
-// endCrowded fails jobs that can't be completed if all servers limit their requests, so that the pool's throughput is
+// endOverLimit fails jobs that can't be completed if all servers limit their requests, so that the pool's throughput is
 // known: those that would end after their deadlines, and those that would be late while a full call of jobs that can
 // be in time is waiting. They fail now instead of at their deadlines.
-func (s *Scheduler) endCrowded(now time.Time, out *Actions) {
+func (s *Scheduler) endOverLimit(now time.Time, out *Actions) {
 	perSecond := s.mostPerSecond()
 	if perSecond == 0 {
 		return
