--- a/src/batch/suspects.go
+++ b/src/batch/suspects.go
@@ -12,8 +12,8 @@
 // 30 simulated runs: 0.645 of the possible value, against 0.651 without isolation and 0.652 with this rule, with as many
 // crashes (3 or 4).
 
-// judge returns the crashes attributed to a job's content.
-func (s *Scheduler) judge(t *job) crasher.Verdict {
+// verdict returns the crashes attributed to a job's content.
+func (s *Scheduler) verdict(t *job) crasher.Verdict {
 	if s.Judge == nil {
 		return crasher.Verdict{}
 	}
@@ -22,7 +22,7 @@
 
 // fitsCall reports whether a job may be added to a call, given the jobs already in it.
 func (s *Scheduler) fitsCall(t *job, rc *runningCall) bool {
-	alone := s.judge(t).Ends >= crasher.AloneFrom
+	alone := s.verdict(t).Ends >= crasher.AloneFrom
 	if alone && s.atWork(t.Content) {
 		return false
 	}
@@ -44,7 +44,7 @@
 // endBarred fails the jobs whose content is barred.
 func (s *Scheduler) endBarred(now time.Time, out *Actions) {
 	for _, t := range s.jobs {
-		if s.judge(t).Barred {
+		if s.verdict(t).Barred {
 			s.end(now, t, Message{Failed: &Failed{ID: t.ID, Reason: Barred}}, out)
 		}
 	}
