--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -51,8 +51,8 @@
 	Rests  bool // the box has paused the server after failures
 }
 
-// word is the last report of a box on this pool.
-type word struct {
+// boxReport is the last report of a box on this pool.
+type boxReport struct {
 	at    time.Time
 	notes []Note
 }
@@ -82,7 +82,7 @@
 	Limits func(*catalog.Server) bool
 	Boxes  int // number of boxes including this one; 0 to count only those that send reports
 
-	words   map[string]word    // reports of other boxes, by name
+	words   map[string]boxReport    // reports of other boxes, by name
 	names   map[uint64]*server // servers by the hash of their ids
 	busy    map[string]*server // servers with requests of this box
 	resting map[string]*server // servers that are paused or were until recently
@@ -101,7 +101,7 @@
 
 // NewPool returns a pool without servers for a box in a failure domain.
 func NewPool(box, domain string) *Pool {
-	return &Pool{Box: box, Domain: domain, salt: catalog.Hash(box), words: map[string]word{}, names: map[uint64]*server{}, busy: map[string]*server{}, resting: map[string]*server{}, servers: map[string]*server{}, domains: map[string]int{}, kept: map[uint64]map[uint64]time.Time{}, asked: newPopularity()}
+	return &Pool{Box: box, Domain: domain, salt: catalog.Hash(box), words: map[string]boxReport{}, names: map[uint64]*server{}, busy: map[string]*server{}, resting: map[string]*server{}, servers: map[string]*server{}, domains: map[string]int{}, kept: map[uint64]map[uint64]time.Time{}, asked: newPopularity()}
 }
 
 // Configure sets the complete list of servers that take new work.
@@ -216,7 +216,7 @@
 // no load from that box. The cost is proportional to the number of notes, not of servers.
 func (p *Pool) Hear(now time.Time, box string, notes []Note) {
 	p.forgetWord(box)
-	w := word{at: now}
+	w := boxReport{at: now}
 	for _, n := range notes {
 		v := p.names[n.Server]
 		if v == nil {
