--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -62,8 +62,8 @@
 	handedTo        string    // scheduler that it was handed over to
 }
 
-// outcome is the outcome of a job, kept to answer repeated submissions.
-type outcome struct {
+// endedJob is the endedJob of a job, kept to answer repeated submissions.
+type endedJob struct {
 	message Message
 	at      time.Time
 }
@@ -82,7 +82,7 @@
 
 	pool    catalog.Pool
 	jobs    map[JobID]*job
-	ended   map[JobID]outcome
+	ended   map[JobID]endedJob
 	servers map[string]*serverState
 	calls   map[uint64]*runningCall
 	handles map[string]held
@@ -98,7 +98,7 @@
 // NewScheduler returns a scheduler for a pool, running in box self.
 func NewScheduler(self string, pool catalog.Pool) *Scheduler {
 	return &Scheduler{
-		Self: self, pool: pool, jobs: map[JobID]*job{}, ended: map[JobID]outcome{}, servers: map[string]*serverState{},
+		Self: self, pool: pool, jobs: map[JobID]*job{}, ended: map[JobID]endedJob{}, servers: map[string]*serverState{},
 		calls: map[uint64]*runningCall{}, handles: map[string]held{}, freeing: map[string][]string{}, early: map[string]time.Time{}, pieces: map[string]float64{},
 	}
 }
@@ -183,7 +183,7 @@
 	}
 	if elsewhere != "" && !insisted {
 		moved := Message{Failed: &Failed{ID: id, Reason: Moved, To: elsewhere}}
-		s.ended[id] = outcome{message: moved, at: now}
+		s.ended[id] = endedJob{message: moved, at: now}
 		return Actions{Replies: []Reply{{Box: id.Box, Message: moved}}}
 	}
 	t := &job{Job: j, since: now, resubmitted: insisted, handles: make([]string, j.Pieces), places: make([]string, j.Pieces), domains: make([]string, j.Pieces)}
@@ -328,7 +328,7 @@
 func (s *Scheduler) end(now time.Time, t *job, m Message, out *Actions) {
 	t.ended = true
 	delete(s.jobs, t.ID)
-	s.ended[t.ID] = outcome{message: m, at: now}
+	s.ended[t.ID] = endedJob{message: m, at: now}
 	out.Replies = append(out.Replies, Reply{Box: t.ID.Box, Message: m})
 	if m.Done == nil {
 		s.release(now, t.handles)
