--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -82,7 +82,7 @@
 	Limits func(*catalog.Server) bool
 	Boxes  int // number of boxes including this one; 0 to count only those that send reports
 
-	words   map[string]boxReport    // reports of other boxes, by name
+	reports   map[string]boxReport    // reports of other boxes, by name
 	names   map[uint64]*server // servers by the hash of their ids
 	busy    map[string]*server // servers with requests of this box
 	resting map[string]*server // servers that are paused or were until recently
@@ -101,7 +101,7 @@
 
 // NewPool returns a pool without servers for a box in a failure domain.
 func NewPool(box, domain string) *Pool {
-	return &Pool{Box: box, Domain: domain, salt: catalog.Hash(box), words: map[string]boxReport{}, names: map[uint64]*server{}, busy: map[string]*server{}, resting: map[string]*server{}, servers: map[string]*server{}, domains: map[string]int{}, kept: map[uint64]map[uint64]time.Time{}, asked: newPopularity()}
+	return &Pool{Box: box, Domain: domain, salt: catalog.Hash(box), reports: map[string]boxReport{}, names: map[uint64]*server{}, busy: map[string]*server{}, resting: map[string]*server{}, servers: map[string]*server{}, domains: map[string]int{}, kept: map[uint64]map[uint64]time.Time{}, asked: newPopularity()}
 }
 
 // Configure sets the complete list of servers that take new work.
@@ -162,9 +162,9 @@
 		delete(m, v.hash)
 	}
 	p.fresh = slices.DeleteFunc(p.fresh, func(r freshRead) bool { return r.Server == v.hash })
-	for box, w := range p.words {
+	for box, w := range p.reports {
 		w.notes = slices.DeleteFunc(w.notes, func(n Note) bool { return n.Server == v.hash })
-		p.words[box] = w
+		p.reports[box] = w
 	}
 }
 
@@ -189,12 +189,12 @@
 
 // unheard drops expired reports and returns the factor by which to scale the remaining ones to all boxes.
 func (p *Pool) unheard(now time.Time) float64 {
-	for box, w := range p.words {
+	for box, w := range p.reports {
 		if now.Sub(w.at) >= reportLifetime {
 			p.forgetWord(box)
 		}
 	}
-	n := len(p.words)
+	n := len(p.reports)
 	if n == 0 || p.Boxes-1 <= n {
 		return 1
 	}
@@ -203,13 +203,13 @@
 
 // forgetWord removes a box's report and subtracts it from the sums.
 func (p *Pool) forgetWord(box string) {
-	for _, n := range p.words[box].notes {
+	for _, n := range p.reports[box].notes {
 		if v := p.names[n.Server]; v != nil {
 			v.peers.Requests = max(0, v.peers.Requests-n.Load.Requests)
 			v.peers.Tokens = max(0, v.peers.Tokens-n.Load.Tokens)
 		}
 	}
-	delete(p.words, box)
+	delete(p.reports, box)
 }
 
 // Hear replaces the load report of another box. Servers of other pools are ignored, and servers that aren't named have
@@ -229,7 +229,7 @@
 			p.rest(now, v)
 		}
 	}
-	p.words[box] = w
+	p.reports[box] = w
 }
 
 // Own returns this box's load at each server where it has any.
