--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -64,7 +64,7 @@
 	own             Load      // of this box
 	peers           Load      // sum of other boxes' current reports
 	broken          int       // consecutive broken exchanges
-	share           float64   // moving average of the failure rate
+	failureRate           float64   // moving average of the failure rate
 	rests           int       // pauses since the last success
 	until           time.Time // end of the current pause
 	probing         bool      // a request has been sent to see whether it has recovered
--- a/src/balance/resting_test.go
+++ b/src/balance/resting_test.go
@@ -50,8 +50,8 @@
 			t.Fatal("the server was paused")
 		}
 	}
-	if v := p.servers["a"]; v.share != 0 || v.broken != 0 || !v.usable(start) || v.own.Requests != 0 {
-		t.Errorf("failure rate %f, %d broken, %d requests", v.share, v.broken, v.own.Requests)
+	if v := p.servers["a"]; v.failureRate != 0 || v.broken != 0 || !v.usable(start) || v.own.Requests != 0 {
+		t.Errorf("failure rate %f, %d broken, %d requests", v.failureRate, v.broken, v.own.Requests)
 	}
 }
 
