--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -93,7 +93,7 @@
 	fresh   []freshRead                     // recent reads to report to other boxes
 	picks   uint64                          // number of choices made
 	asked   popularity
-	share   float64   // moving average of the failure rate of the whole pool
+	failureRate   float64   // moving average of the failure rate of the whole pool
 	doubtAt time.Time // when this box last found a server absent or rejecting requests
 	salt    uint64    // specific to this box, for choices among servers of the same cost
 	ranks   []uint64  // scratch space
--- a/src/balance/health.go
+++ b/src/balance/health.go
@@ -90,7 +90,7 @@
 		bad = 1
 	}
 	v.failureRate += failureLearning * (bad - v.failureRate)
-	p.share += failureLearning / float64(max(1, len(p.servers))) * (bad - p.share)
+	p.failureRate += failureLearning / float64(max(1, len(p.servers))) * (bad - p.failureRate)
 	switch o {
 	case Good:
 		v.broken = 0
@@ -111,7 +111,7 @@
 		v.until = now.Add(replacedPause)
 		return true
 	}
-	if v.probing || v.broken >= hardFailures || v.failureRate > p.share+greyShare {
+	if v.probing || v.broken >= hardFailures || v.failureRate > p.failureRate+greyShare {
 		p.rest(now, v)
 		return true
 	}
@@ -124,7 +124,7 @@
 	p.resting[v.ID] = v
 	v.rests++
 	v.broken, v.probing = 0, false
-	v.failureRate = min(v.failureRate, p.share+greyShare/2)
+	v.failureRate = min(v.failureRate, p.failureRate+greyShare/2)
 }
 
 // Resting returns the ids of the servers that are paused after failures.
