--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -65,7 +65,7 @@
 	peers           Load      // sum of other boxes' current reports
 	broken          int       // consecutive broken exchanges
 	failureRate           float64   // moving average of the failure rate
-	rests           int       // pauses since the last success
+	pauses           int       // pauses since the last success
 	until           time.Time // end of the current pause
 	probing         bool      // a request has been sent to see whether it has recovered
 	pace            float64   // moving average of measured over expected time
@@ -225,7 +225,7 @@
 		v.peers.Requests += n.Load.Requests
 		v.peers.Tokens += n.Load.Tokens
 		w.notes = append(w.notes, n)
-		if n.Rests && v.rests == 0 {
+		if n.Rests && v.pauses == 0 {
 			p.rest(now, v)
 		}
 	}
@@ -286,7 +286,7 @@
 	default:
 		why = "least cost"
 	}
-	if best.rests > 0 {
+	if best.pauses > 0 {
 		best.probing = true
 	}
 	best.own.Requests++
--- a/src/balance/health.go
+++ b/src/balance/health.go
@@ -9,7 +9,7 @@
 	if now.Before(v.until) {
 		return false
 	}
-	return v.rests == 0 || !v.probing
+	return v.pauses == 0 || !v.probing
 }
 
 // doubtful reports whether a server may be absent or rejecting requests: another server was found so recently, and no box
@@ -95,7 +95,7 @@
 	case Good:
 		v.broken = 0
 		if v.probing || v.failureRate < greyShare {
-			v.rests = 0
+			v.pauses = 0
 		}
 		v.probing = false
 		return false
@@ -120,9 +120,9 @@
 
 // rest pauses a server, longer with each pause since the last success.
 func (p *Pool) rest(now time.Time, v *server) {
-	v.until = now.Add(failurePause << min(v.rests, maxDoublings))
+	v.until = now.Add(failurePause << min(v.pauses, maxDoublings))
 	p.resting[v.ID] = v
-	v.rests++
+	v.pauses++
 	v.broken, v.probing = 0, false
 	v.failureRate = min(v.failureRate, p.failureRate+greyShare/2)
 }
--- a/src/balance/source.go
+++ b/src/balance/source.go
@@ -54,5 +54,5 @@
 
 // sound reports whether a server has no recent failure and is not slow.
 func (v *server) sound(now time.Time) bool {
-	return v.usable(now) && v.rests == 0 && v.broken == 0 && v.pace <= slowRatio
+	return v.usable(now) && v.pauses == 0 && v.broken == 0 && v.pace <= slowRatio
 }
