--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -85,7 +85,7 @@
 	reports   map[string]boxReport    // reports of other boxes, by name
 	names   map[uint64]*server // servers by the hash of their ids
 	busy    map[string]*server // servers with requests of this box
-	resting map[string]*server // servers that are paused or were until recently
+	paused map[string]*server // servers that are paused or were until recently
 	scale   float64            // factor from the reported loads to those of all boxes
 	servers map[string]*server
 	domains map[string]int                  // number of servers by failure domain
@@ -101,7 +101,7 @@
 
 // NewPool returns a pool without servers for a box in a failure domain.
 func NewPool(box, domain string) *Pool {
-	return &Pool{Box: box, Domain: domain, salt: catalog.Hash(box), reports: map[string]boxReport{}, names: map[uint64]*server{}, busy: map[string]*server{}, resting: map[string]*server{}, servers: map[string]*server{}, domains: map[string]int{}, kept: map[uint64]map[uint64]time.Time{}, asked: newPopularity()}
+	return &Pool{Box: box, Domain: domain, salt: catalog.Hash(box), reports: map[string]boxReport{}, names: map[uint64]*server{}, busy: map[string]*server{}, paused: map[string]*server{}, servers: map[string]*server{}, domains: map[string]int{}, kept: map[uint64]map[uint64]time.Time{}, asked: newPopularity()}
 }
 
 // Configure sets the complete list of servers that take new work.
@@ -150,14 +150,14 @@
 	delete(p.servers, v.ID)
 	delete(p.names, v.hash)
 	delete(p.busy, v.ID)
-	delete(p.resting, v.ID)
+	delete(p.paused, v.ID)
 	p.domains[v.Domain]--
 }
 
 // forgetIncarnation drops the state of a server's previous incarnation: loads, failures and cached prompt parts.
 func (p *Pool) forgetIncarnation(v *server) {
 	delete(p.busy, v.ID)
-	delete(p.resting, v.ID)
+	delete(p.paused, v.ID)
 	for _, m := range p.kept {
 		delete(m, v.hash)
 	}
--- a/src/balance/health.go
+++ b/src/balance/health.go
@@ -121,7 +121,7 @@
 // rest pauses a server, longer with each pause since the last success.
 func (p *Pool) rest(now time.Time, v *server) {
 	v.until = now.Add(failurePause << min(v.pauses, maxDoublings))
-	p.resting[v.ID] = v
+	p.paused[v.ID] = v
 	v.pauses++
 	v.broken, v.probing = 0, false
 	v.failureRate = min(v.failureRate, p.failureRate+greyShare/2)
@@ -130,11 +130,11 @@
 // Resting returns the ids of the servers that are paused after failures.
 func (p *Pool) Resting(now time.Time) []string {
 	var out []string
-	for id, v := range p.resting {
+	for id, v := range p.paused {
 		if now.Before(v.until) {
 			out = append(out, id)
 		} else {
-			delete(p.resting, id)
+			delete(p.paused, id)
 		}
 	}
 	return out
