--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -226,7 +226,7 @@
 		v.peers.Tokens += n.Load.Tokens
 		w.notes = append(w.notes, n)
 		if n.Rests && v.pauses == 0 {
-			p.rest(now, v)
+			p.pause(now, v)
 		}
 	}
 	p.reports[box] = w
--- a/src/balance/health.go
+++ b/src/balance/health.go
@@ -103,23 +103,23 @@
 		v.broken++
 	case Absent:
 		p.doubtAt = now
-		p.rest(now, v)
+		p.pause(now, v)
 		return true
 	case Replaced:
 		p.doubtAt = now
-		p.rest(now, v)
+		p.pause(now, v)
 		v.until = now.Add(replacedPause)
 		return true
 	}
 	if v.probing || v.broken >= hardFailures || v.failureRate > p.failureRate+greyShare {
-		p.rest(now, v)
+		p.pause(now, v)
 		return true
 	}
 	return false
 }
 
-// rest pauses a server, longer with each pause since the last success.
-func (p *Pool) rest(now time.Time, v *server) {
+// pause pauses a server, longer with each pause since the last success.
+func (p *Pool) pause(now time.Time, v *server) {
 	v.until = now.Add(failurePause << min(v.pauses, maxDoublings))
 	p.paused[v.ID] = v
 	v.pauses++
