--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -89,7 +89,7 @@
 	scale   float64            // factor from the reported loads to those of all boxes
 	servers map[string]*server
 	domains map[string]int                  // number of servers by failure domain
-	kept    map[uint64]map[uint64]time.Time // by hash of a prompt part and of a server: when the server processed the part
+	cached    map[uint64]map[uint64]time.Time // by hash of a prompt part and of a server: when the server processed the part
 	fresh   []freshRead                     // recent reads to report to other boxes
 	picks   uint64                          // number of choices made
 	asked   popularity
@@ -101,7 +101,7 @@
 
 // NewPool returns a pool without servers for a box in a failure domain.
 func NewPool(box, domain string) *Pool {
-	return &Pool{Box: box, Domain: domain, salt: catalog.Hash(box), reports: map[string]boxReport{}, names: map[uint64]*server{}, busy: map[string]*server{}, paused: map[string]*server{}, servers: map[string]*server{}, domains: map[string]int{}, kept: map[uint64]map[uint64]time.Time{}, asked: newPopularity()}
+	return &Pool{Box: box, Domain: domain, salt: catalog.Hash(box), reports: map[string]boxReport{}, names: map[uint64]*server{}, busy: map[string]*server{}, paused: map[string]*server{}, servers: map[string]*server{}, domains: map[string]int{}, cached: map[uint64]map[uint64]time.Time{}, asked: newPopularity()}
 }
 
 // Configure sets the complete list of servers that take new work.
@@ -158,7 +158,7 @@
 func (p *Pool) forgetIncarnation(v *server) {
 	delete(p.busy, v.ID)
 	delete(p.paused, v.ID)
-	for _, m := range p.kept {
+	for _, m := range p.cached {
 		delete(m, v.hash)
 	}
 	p.fresh = slices.DeleteFunc(p.fresh, func(r freshRead) bool { return r.Server == v.hash })
--- a/src/balance/prompt.go
+++ b/src/balance/prompt.go
@@ -21,7 +21,7 @@
 func (p *Pool) keptParts(w *Wish) keptParts {
 	out := make(keptParts, len(w.Parts))
 	for i, part := range w.Parts {
-		out[i] = p.kept[catalog.Hash(part.ID)]
+		out[i] = p.cached[catalog.Hash(part.ID)]
 	}
 	return out
 }
@@ -173,30 +173,30 @@
 
 // keeps records that a server processed a part, both given by hash.
 func (p *Pool) keeps(now time.Time, server, part uint64) {
-	m := p.kept[part]
+	m := p.cached[part]
 	if m == nil {
-		if len(p.kept) >= keptMost {
+		if len(p.cached) >= keptMost {
 			p.forgetKept(now)
 		}
 		m = map[uint64]time.Time{}
-		p.kept[part] = m
+		p.cached[part] = m
 	}
 	m[server] = now
 }
 
 // forgetKept drops expired entries, or all if there are still too many.
 func (p *Pool) forgetKept(now time.Time) {
-	for part, m := range p.kept {
+	for part, m := range p.cached {
 		for id, at := range m {
 			if now.Sub(at) > keptLife {
 				delete(m, id)
 			}
 		}
 		if len(m) == 0 {
-			delete(p.kept, part)
+			delete(p.cached, part)
 		}
 	}
-	if len(p.kept) >= keptMost {
-		clear(p.kept)
+	if len(p.cached) >= keptMost {
+		clear(p.cached)
 	}
 }
