--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -187,8 +187,8 @@
 	}
 }
 
-// unheard drops expired reports and returns the factor by which to scale the remaining ones to all boxes.
-func (p *Pool) unheard(now time.Time) float64 {
+// dropExpiredReports drops expired reports and returns the factor by which to scale the remaining ones to all boxes.
+func (p *Pool) dropExpiredReports(now time.Time) float64 {
 	for box, w := range p.reports {
 		if now.Sub(w.at) >= reportLifetime {
 			p.forgetWord(box)
@@ -243,7 +243,7 @@
 
 // Busy returns the requests of all boxes in the pool and the number of its slots.
 func (p *Pool) Busy(now time.Time) (requests, places int) {
-	p.scale = p.unheard(now)
+	p.scale = p.dropExpiredReports(now)
 	for _, v := range p.servers {
 		requests += p.load(v).Requests
 		places += v.Slots
@@ -257,7 +257,7 @@
 	var best *server
 	bestCost, why := 0.0, ""
 	p.asked.note(now, w)
-	p.scale = p.unheard(now)
+	p.scale = p.dropExpiredReports(now)
 	p.picks++
 	home, kept := p.home(w), p.keptParts(w)
 	sparing := p.fewCold(now)
