--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -191,7 +191,7 @@
 func (p *Pool) dropExpiredReports(now time.Time) float64 {
 	for box, w := range p.reports {
 		if now.Sub(w.at) >= reportLifetime {
-			p.forgetWord(box)
+			p.dropReport(box)
 		}
 	}
 	n := len(p.reports)
@@ -201,8 +201,8 @@
 	return float64(p.Boxes-1) / float64(n)
 }
 
-// forgetWord removes a box's report and subtracts it from the sums.
-func (p *Pool) forgetWord(box string) {
+// dropReport removes a box's report and subtracts it from the sums.
+func (p *Pool) dropReport(box string) {
 	for _, n := range p.reports[box].notes {
 		if v := p.names[n.Server]; v != nil {
 			v.peers.Requests = max(0, v.peers.Requests-n.Load.Requests)
@@ -215,7 +215,7 @@
 // Hear replaces the load report of another box. Servers of other pools are ignored, and servers that aren't named have
 // no load from that box. The cost is proportional to the number of notes, not of servers.
 func (p *Pool) Hear(now time.Time, box string, notes []Note) {
-	p.forgetWord(box)
+	p.dropReport(box)
 	w := boxReport{at: now}
 	for _, n := range notes {
 		v := p.names[n.Server]
