--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -291,7 +291,7 @@
 	}
 	best.own.Requests++
 	p.busy[best.ID] = best
-	unread, _ := p.unread(now, best, w, kept, home)
+	unread, _ := p.uncachedTokens(now, best, w, kept, home)
 	best.own.Tokens += unread
 	return *best.Server, why, true
 }
@@ -367,7 +367,7 @@
 		cost += 50 * (over + 1)
 	}
 	if len(w.Parts) > 0 {
-		all, shared := p.unread(now, v, w, kept, home)
+		all, shared := p.uncachedTokens(now, v, w, kept, home)
 		cost += float64(l.Tokens+all)/tokensPerMs + againPerToken*float64(shared)
 	}
 	if w.Domain != "" && v.Domain != w.Domain {
--- a/src/balance/prompt.go
+++ b/src/balance/prompt.go
@@ -26,9 +26,9 @@
 	return out
 }
 
-// unread estimates the tokens of a prompt that a server has not cached, and how many of them are shared with other
+// uncachedTokens estimates the tokens of a prompt that a server has not cached, and how many of them are shared with other
 // requests. home is the server assigned to the prompt's shared parts, which counts as having them.
-func (p *Pool) unread(now time.Time, v *server, w *Wish, kept keptParts, home string) (all, shared int) {
+func (p *Pool) uncachedTokens(now time.Time, v *server, w *Wish, kept keptParts, home string) (all, shared int) {
 	last := len(w.Parts) - 1
 	keeps := true
 	for i, part := range w.Parts {
