--- a/src/pushback/constants.go
+++ b/src/pushback/constants.go
@@ -22,8 +22,8 @@
 	// permitLife is how long a permit is valid. It covers a new connection and a scheduling delay. A permit used later would
 	// add to those of the following window.
 	permitLife = 250 * time.Millisecond
-	// liftFor is how long a limit still applies after its end, doubled with each liftStep.
-	liftFor  = 6 * time.Second
+	// limitRampPeriod is how long a limit still applies after its end, doubled with each liftStep.
+	limitRampPeriod  = 6 * time.Second
 	liftStep = time.Second
 	// wantsOver is the window in which used permits are counted, to decide how many to request at once.
 	wantsOver = 50 * time.Millisecond
--- a/src/pushback/limits.go
+++ b/src/pushback/limits.go
@@ -45,7 +45,7 @@
 	if l.incarnation > 0 && s.Incarnation > l.incarnation {
 		return false
 	}
-	return l.endedAt.IsZero() || now.Sub(l.endedAt) < liftFor
+	return l.endedAt.IsZero() || now.Sub(l.endedAt) < limitRampPeriod
 }
 
 // rate returns the current rate. After the limit ends it increases in steps, so that held-back requests don't arrive all
@@ -86,7 +86,7 @@
 		l.perSecond = min(l.perSecond, perSecond)
 	}
 	l.incarnation, l.heardAt, l.endedAt = s.Incarnation, now, time.Time{}
-	if !known || now.Sub(was.endedAt) >= liftFor && !was.endedAt.IsZero() {
+	if !known || now.Sub(was.endedAt) >= limitRampPeriod && !was.endedAt.IsZero() {
 		l.since, l.listedAt = now, now
 	}
 	if !known || !was.endedAt.IsZero() || l.perSecond != was.perSecond {
--- a/src/pushback/limits_test.go
+++ b/src/pushback/limits_test.go
@@ -67,10 +67,10 @@
 			t.Errorf("%d s after its end the limit is %g (%v), want %g", s, l.Rate, ok, want)
 		}
 	}
-	if _, ok := r.LimitOf(end.Add(liftFor), server("a", 1)); ok {
+	if _, ok := r.LimitOf(end.Add(limitRampPeriod), server("a", 1)); ok {
 		t.Error("the limit is still in force long after its end")
 	}
-	if v := r.Begin(end.Add(liftFor), server("a", 1), "r"); !v.Open() {
+	if v := r.Begin(end.Add(limitRampPeriod), server("a", 1), "r"); !v.Open() {
 		t.Errorf("the server is %s", v.State)
 	}
 }
