--- a/src/pushback/limits.go
+++ b/src/pushback/limits.go
@@ -40,8 +40,8 @@
 	Ended     bool
 }
 
-// in reports whether the limit is in force for a server's incarnation.
-func (l limit) in(now time.Time, s Server) bool {
+// appliesTo reports whether the limit is appliesTo force for a server's incarnation.
+func (l limit) appliesTo(now time.Time, s Server) bool {
 	if l.incarnation > 0 && s.Incarnation > l.incarnation {
 		return false
 	}
@@ -166,7 +166,7 @@
 // LimitOf returns the limit in force at a server, or false if there is none.
 func (r *Register) LimitOf(now time.Time, s Server) (Limited, bool) {
 	l, ok := r.limits[s.ID]
-	if !ok || !l.in(now, s) {
+	if !ok || !l.appliesTo(now, s) {
 		return Limited{}, false
 	}
 	out := Limited{LimitNote: r.note(s.ID), Rate: l.rate(now), Known: now.Sub(l.since), Wants: 1}
@@ -207,7 +207,7 @@
 // HasPermit reports whether a request may be sent to a server without asking its coordinator for a permit.
 func (r *Register) HasPermit(now time.Time, s Server, owner string) bool {
 	l, ok := r.limits[s.ID]
-	return !ok || !l.in(now, s) || slices.ContainsFunc(l.permits, func(p permit) bool { return p.open(now, owner) })
+	return !ok || !l.appliesTo(now, s) || slices.ContainsFunc(l.permits, func(p permit) bool { return p.open(now, owner) })
 }
 
 // open reports whether the permit can be used by a request now.
@@ -218,7 +218,7 @@
 // judgeLimit reports whether a permit is available or can be requested now.
 func (r *Register) judgeLimit(now time.Time, s Server) Verdict {
 	l, ok := r.limits[s.ID]
-	if !ok || !l.in(now, s) || !now.Before(l.next) || r.HasPermit(now, s, "") {
+	if !ok || !l.appliesTo(now, s) || !now.Before(l.next) || r.HasPermit(now, s, "") {
 		return Verdict{}
 	}
 	return Verdict{State: Full, Until: l.next}
@@ -227,7 +227,7 @@
 // takePermit consumes a permit just before the first byte of a request is sent.
 func (r *Register) takePermit(now time.Time, s Server, owner string) Verdict {
 	l, ok := r.limits[s.ID]
-	if !ok || !l.in(now, s) {
+	if !ok || !l.appliesTo(now, s) {
 		return Verdict{}
 	}
 	l.permits = slices.DeleteFunc(l.permits, func(p permit) bool { return !now.Before(p.till) })
