--- a/src/pushback/register.go
+++ b/src/pushback/register.go
@@ -55,7 +55,7 @@
 // The register does no I/O. Times passed to it must come from a clock that advances while the machine is suspended. It is
 // not safe for concurrent use.
 type Register struct {
-	left   map[string]departure // by server id, as are the others
+	departures   map[string]departure // by server id, as are the others
 	rests  map[string]rest
 	limits map[string]limit
 	told   int // position in the rotation of Limits
@@ -84,17 +84,17 @@
 // HearLeaving records that a server's incarnation takes no new work, as announced by itself or reported by another box. It
 // reports whether that is new.
 func (r *Register) HearLeaving(now time.Time, s Server) bool {
-	d, known := r.left[s.ID]
+	d, known := r.departures[s.ID]
 	if known && d.incarnation == 0 {
-		r.left[s.ID] = departure{incarnation: s.Incarnation, listedAt: d.listedAt}
+		r.departures[s.ID] = departure{incarnation: s.Incarnation, listedAt: d.listedAt}
 	}
-	if known && !d.before(s) || !known && len(r.left) >= lifeMost {
+	if known && !d.before(s) || !known && len(r.departures) >= lifeMost {
 		return false
 	}
-	if r.left == nil {
-		r.left = map[string]departure{}
+	if r.departures == nil {
+		r.departures = map[string]departure{}
 	}
-	r.left[s.ID] = departure{incarnation: s.Incarnation, listedAt: now}
+	r.departures[s.ID] = departure{incarnation: s.Incarnation, listedAt: now}
 	return true
 }
 
@@ -139,7 +139,7 @@
 
 // Judge returns whether a request may be sent to a server now.
 func (r *Register) Judge(now time.Time, s Server) Verdict {
-	if d, ok := r.left[s.ID]; ok && !d.before(s) {
+	if d, ok := r.departures[s.ID]; ok && !d.before(s) {
 		return Verdict{State: Leaving}
 	}
 	p, ok := r.rests[s.ID]
@@ -183,7 +183,7 @@
 // Departed returns at most NotesMost leaving incarnations that are still listed as taking work, to report to other boxes.
 func (r *Register) Departed(works func(id string) bool) []Server {
 	var out []Server
-	for id, d := range r.left {
+	for id, d := range r.departures {
 		if works(id) {
 			out = append(out, Server{ID: id, Incarnation: d.incarnation})
 		}
@@ -200,16 +200,16 @@
 		}
 	}
 	r.sweepLimits(now, listed)
-	for id, d := range r.left {
+	for id, d := range r.departures {
 		switch {
 		case listed(id):
 			d.listedAt = now
-			r.left[id] = d
+			r.departures[id] = d
 		case now.Sub(d.listedAt) > departureKept:
-			delete(r.left, id)
+			delete(r.departures, id)
 		}
 	}
 }
 
 // Empty reports whether the register holds nothing.
-func (r *Register) Empty() bool { return len(r.left) == 0 && len(r.rests) == 0 && len(r.limits) == 0 }
+func (r *Register) Empty() bool { return len(r.departures) == 0 && len(r.rests) == 0 && len(r.limits) == 0 }
--- a/src/pushback/register_test.go
+++ b/src/pushback/register_test.go
@@ -71,15 +71,15 @@
 	if r.Judge(start.Add(time.Hour), server("listed", 1)).State != Leaving {
 		t.Error("the departure of a server that is still listed was removed")
 	}
-	if len(r.left) != 1 || len(r.rests) != 0 {
-		t.Errorf("%d departures and %d rests are kept, want 1 and 0", len(r.left), len(r.rests))
+	if len(r.departures) != 1 || len(r.rests) != 0 {
+		t.Errorf("%d departures and %d rests are kept, want 1 and 0", len(r.departures), len(r.rests))
 	}
 	for i := range 2 * lifeMost {
 		r.HearLeaving(start, server(fmt.Sprint(i), 1))
 		r.HearRest(start, fmt.Sprint(i), time.Second)
 	}
-	if len(r.left) > lifeMost || len(r.rests) > lifeMost {
-		t.Errorf("%d departures and %d rests are kept, want %d at most", len(r.left), len(r.rests), lifeMost)
+	if len(r.departures) > lifeMost || len(r.rests) > lifeMost {
+		t.Errorf("%d departures and %d rests are kept, want %d at most", len(r.departures), len(r.rests), lifeMost)
 	}
 }
 
