--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -122,13 +122,13 @@
 	u.mu.Unlock()
 	u.counted(counted, s.ID, "known before")
 	if ask {
-		go u.ask(s)
+		go u.probe(s)
 	}
 }
 
-// ask probes a server: connections to a terminated process are refused at once. The list of servers shows the crash too,
+// probe probes a server: connections to a terminated process are refused at once. The list of servers shows the crash too,
 // but only after three missed heartbeats, and by then the content could have crashed several more servers.
-func (u *Tracker) ask(s Server) {
+func (u *Tracker) probe(s Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTime)
 	p := u.Probe(ctx, s)
 	cancel()
@@ -186,7 +186,7 @@
 	for _, a := range u.asking {
 		if !a.due.IsZero() && !now.Before(a.due) {
 			a.due = time.Time{}
-			go u.ask(a.server)
+			go u.probe(a.server)
 		}
 	}
 }
