--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -132,7 +132,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), probeTime)
 	p := u.Probe(ctx, s)
 	cancel()
-	last := u.asked(s, p)
+	last := u.recordProbe(s, p)
 	switch {
 	case p == Absent:
 		u.Ended(s, Refused)
@@ -141,8 +141,8 @@
 	}
 }
 
-// asked records the result of a probe and reports whether it was the last.
-func (u *Tracker) asked(s Server, p Presence) (last bool) {
+// recordProbe records the result of a probe and reports whether it was the last.
+func (u *Tracker) recordProbe(s Server, p Presence) (last bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now := u.Now()
