--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -211,7 +211,7 @@
 	u.mu.Unlock()
 	if len(cleared) > 0 {
 		u.Log.Info("contents cleared by good responses", "contents", len(cleared), "key", cleared[0].Key.String())
-		u.tell(cleared)
+		u.scheduleReport(cleared)
 	}
 }
 
@@ -229,12 +229,12 @@
 	if u.Counted != nil {
 		u.Counted(len(list))
 	}
-	u.tell(list)
+	u.scheduleReport(list)
 }
 
-// tell schedules a report of changed contents to other boxes, which collects all changes of tellAfter: contents with two
+// scheduleReport schedules a report of changed contents to other boxes, which collects all changes of tellAfter: contents with two
 // crashes or more go to all boxes, the others to their counter boxes.
-func (u *Tracker) tell(list []crasher.Counted) {
+func (u *Tracker) scheduleReport(list []crasher.Counted) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, c := range list {
@@ -334,7 +334,7 @@
 		news = append(news, c)
 		u.Log.Info("another box reported a content that may crash servers", "key", c.Key.String(), "ends", c.Verdict.Ends, "barred", c.Verdict.Barred, "from", from)
 	}
-	u.tell(news)
+	u.scheduleReport(news)
 }
 
 // Notes returns the notes to send to other boxes; with news only the latest changes.
