--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -260,13 +260,13 @@
 	if news {
 		u.Announce()
 	}
-	u.tellCounters(single, map[string]bool{})
+	u.reportToCounters(single, map[string]bool{})
 }
 
-// tellCounters sends this box's notes on contents to their counter boxes. A box that doesn't respond is replaced by the next
+// reportToCounters sends this box's notes on contents to their counter boxes. A box that doesn't respond is replaced by the next
 // one: in a fleet of 61 boxes that had just lost both counter boxes of a content, 3 servers crashed instead of 21, and 8
 // late sends were avoided.
-func (u *Tracker) tellCounters(keys []crasher.Key, silent map[string]bool) {
+func (u *Tracker) reportToCounters(keys []crasher.Key, silent map[string]bool) {
 	boxes := slices.DeleteFunc(slices.Clone(u.Boxes()), func(box string) bool { return silent[box] })
 	to := map[string][]crasher.Key{}
 	for _, k := range keys {
@@ -298,7 +298,7 @@
 	if len(silent) < silentMost {
 		next := maps.Clone(silent)
 		next[box] = true
-		u.tellCounters(keys, next)
+		u.reportToCounters(keys, next)
 	}
 }
 
