--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -277,13 +277,13 @@
 	delete(to, u.Self)
 	for box, keys := range to {
 		for part := range slices.Chunk(keys, crasher.NotesMost) {
-			go u.tellCounter(box, part, silent)
+			go u.reportToCounter(box, part, silent)
 		}
 	}
 }
 
-// tellCounter sends notes to one counter box and records the notes in its response.
-func (u *Tracker) tellCounter(box string, keys []crasher.Key, silent map[string]bool) {
+// reportToCounter sends notes to one counter box and records the notes in its response.
+func (u *Tracker) reportToCounter(box string, keys []crasher.Key, silent map[string]bool) {
 	u.mu.Lock()
 	notes := u.register.NotesOf(u.Now(), keys)
 	u.mu.Unlock()
