--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -30,7 +30,7 @@
 // Register holds what one box knows about contents that may crash servers. The zero value is ready to use.
 type Register struct {
 	entries map[Key]*entry
-	broken  map[Life][]breakage // broken exchanges without proof of a crash
+	broken  map[Life][]brokenExchange // broken exchanges without proof of a crash
 	ended   map[Life]time.Time  // crashes, and when they were proven
 	goods   recent
 	turn    int // position in the rotation of Notes
@@ -49,8 +49,8 @@
 	at   time.Time
 }
 
-// breakage is a broken exchange whose server is not known to have crashed.
-type breakage struct {
+// brokenExchange is a broken exchange whose server is not known to have crashed.
+type brokenExchange struct {
 	key Key
 	at  time.Time
 }
@@ -68,7 +68,7 @@
 		return r.countAll(now, life, breakagesAt(now, keys))
 	}
 	if r.broken == nil {
-		r.broken = map[Life][]breakage{}
+		r.broken = map[Life][]brokenExchange{}
 	}
 	list, known := r.broken[life]
 	if !known && len(r.broken) >= brokenMost {
@@ -80,10 +80,10 @@
 }
 
 // breakagesAt returns the breakages of contents at one time.
-func breakagesAt(now time.Time, keys []Key) []breakage {
-	out := make([]breakage, len(keys))
+func breakagesAt(now time.Time, keys []Key) []brokenExchange {
+	out := make([]brokenExchange, len(keys))
 	for i, k := range keys {
-		out[i] = breakage{key: k, at: now}
+		out[i] = brokenExchange{key: k, at: now}
 	}
 	return out
 }
@@ -102,7 +102,7 @@
 }
 
 // countAll counts a crash against the contents of recent breakages and returns them.
-func (r *Register) countAll(now time.Time, life Life, list []breakage) []Counted {
+func (r *Register) countAll(now time.Time, life Life, list []brokenExchange) []Counted {
 	var out []Counted
 	for _, b := range list {
 		if now.Sub(b.at) > proofWindow || !r.count(now, b.key, end{life: life, at: b.at}) {
