--- a/src/crasher/note.go
+++ b/src/crasher/note.go
@@ -48,7 +48,7 @@
 // Notes returns the news and a rotating selection of the older notes, for boxes that joined later or missed the news.
 func (r *Register) Notes(now time.Time) []Note {
 	out := r.News(now)
-	keys := r.keys(func(e *entry) bool { return e.counted() >= AloneFrom && now.Sub(e.changed) >= freshFor })
+	keys := r.keys(func(e *entry) bool { return e.uncleared() >= AloneFrom && now.Sub(e.changed) >= freshFor })
 	if len(keys) == 0 {
 		return out
 	}
@@ -84,7 +84,7 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b Key) int {
-		return cmp.Or(cmp.Compare(r.entries[b].counted(), r.entries[a].counted()), bytes.Compare(a[:], b[:]))
+		return cmp.Or(cmp.Compare(r.entries[b].uncleared(), r.entries[a].uncleared()), bytes.Compare(a[:], b[:]))
 	})
 	return out
 }
@@ -130,9 +130,9 @@
 		return changed
 	}
 	if at := now.Add(-n.Good); at.After(e.goodAt) {
-		before := e.counted()
+		before := e.uncleared()
 		e.goodAt = at
-		if e.counted() != before {
+		if e.uncleared() != before {
 			e.changed, changed = now, true
 		}
 	}
--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -157,7 +157,7 @@
 	var least Key
 	var worst *entry
 	for k, e := range r.entries {
-		if worst == nil || e.counted() < worst.counted() || e.counted() == worst.counted() && e.last().Before(worst.last()) {
+		if worst == nil || e.uncleared() < worst.uncleared() || e.uncleared() == worst.uncleared() && e.last().Before(worst.last()) {
 			least, worst = k, e
 		}
 	}
@@ -171,7 +171,7 @@
 	if e == nil {
 		return false
 	}
-	cleared = e.counted() > 0
+	cleared = e.uncleared() > 0
 	e.goodAt = now
 	if cleared {
 		e.changed = now
@@ -185,7 +185,7 @@
 	if e == nil {
 		return Verdict{}
 	}
-	n := e.counted()
+	n := e.uncleared()
 	v := Verdict{Ends: n, Seen: len(e.ends)}
 	if left := e.last().Add(barFor(n)).Sub(now); n >= barFrom && left > 0 {
 		v.Barred, v.Left = true, left
@@ -196,8 +196,8 @@
 // Empty reports whether no content has a crash.
 func (r *Register) Empty() bool { return len(r.entries) == 0 }
 
-// counted returns the number of crashes that are not cleared by a good response.
-func (e *entry) counted() int {
+// uncleared returns the number of crashes that are not cleared by a good response.
+func (e *entry) uncleared() int {
 	from := e.goodAt.Add(goodHolds)
 	n := 0
 	for _, x := range e.ends {
@@ -227,7 +227,7 @@
 // Sweep removes expired state.
 func (r *Register) Sweep(now time.Time) {
 	for k, e := range r.entries {
-		if now.Sub(e.last()) > max(suspectLife, 2*barFor(e.counted())) {
+		if now.Sub(e.last()) > max(suspectLife, 2*barFor(e.uncleared())) {
 			delete(r.entries, k)
 		}
 	}
