--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -115,7 +115,7 @@
 
 // count adds a crash to a content and reports whether it is new. Of two times for one incarnation the earlier one is kept.
 func (r *Register) count(now time.Time, k Key, x end) bool {
-	e := r.get(now, k)
+	e := r.entryFor(now, k)
 	known := slices.IndexFunc(e.ends, func(o end) bool { return o.life == x.life })
 	switch {
 	case known < 0:
@@ -135,8 +135,8 @@
 	return true
 }
 
-// get returns the entry of a content, creating it if needed. If the table is full another entry is evicted.
-func (r *Register) get(now time.Time, k Key) *entry {
+// entryFor returns the entry of a content, creating it if needed. If the table is full another entry is evicted.
+func (r *Register) entryFor(now time.Time, k Key) *entry {
 	if r.entries == nil {
 		r.entries = map[Key]*entry{}
 	}
