--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -105,7 +105,7 @@
 func (r *Register) countAll(now time.Time, life Life, list []brokenExchange) []Counted {
 	var out []Counted
 	for _, b := range list {
-		if now.Sub(b.at) > proofWindow || !r.count(now, b.key, end{life: life, at: b.at}) {
+		if now.Sub(b.at) > proofWindow || !r.addEnd(now, b.key, end{life: life, at: b.at}) {
 			continue
 		}
 		out = append(out, Counted{Key: b.key, Verdict: r.Judge(now, b.key)})
@@ -113,8 +113,8 @@
 	return out
 }
 
-// count adds a crash to a content and reports whether it is new. Of two times for one incarnation the earlier one is kept.
-func (r *Register) count(now time.Time, k Key, x end) bool {
+// addEnd adds a crash to a content and reports whether it is new. Of two times for one incarnation the earlier one is kept.
+func (r *Register) addEnd(now time.Time, k Key, x end) bool {
 	e := r.entryFor(now, k)
 	known := slices.IndexFunc(e.ends, func(o end) bool { return o.life == x.life })
 	switch {
