--- a/src/crasher/recent.go
+++ b/src/crasher/recent.go
@@ -4,21 +4,21 @@
 
 // recent holds the contents with recent good responses in two generations; the older one is dropped as a whole.
 type recent struct {
-	now, before map[Key]time.Time
+	current, before map[Key]time.Time
 	since       time.Time // start of the newer generation
 }
 
 // add records a good response to a content.
 func (r *recent) add(now time.Time, k Key) {
-	if r.now == nil || len(r.now) >= goodsMost {
+	if r.current == nil || len(r.current) >= goodsMost {
 		r.turnOver(now)
 	}
-	r.now[k] = now
+	r.current[k] = now
 }
 
 // at returns the time of the last good response to a content, if it is recent.
 func (r *recent) at(k Key) (time.Time, bool) {
-	if at, ok := r.now[k]; ok {
+	if at, ok := r.current[k]; ok {
 		return at, true
 	}
 	at, ok := r.before[k]
@@ -33,5 +33,5 @@
 }
 
 func (r *recent) turnOver(now time.Time) {
-	r.now, r.before, r.since = map[Key]time.Time{}, r.now, now
+	r.current, r.before, r.since = map[Key]time.Time{}, r.current, now
 }
