--- a/src/crasher/recent.go
+++ b/src/crasher/recent.go
@@ -4,7 +4,7 @@
 
 // recent holds the contents with recent good responses in two generations; the older one is dropped as a whole.
 type recent struct {
-	current, before map[Key]time.Time
+	current, previous map[Key]time.Time
 	since       time.Time // start of the newer generation
 }
 
@@ -21,7 +21,7 @@
 	if at, ok := r.current[k]; ok {
 		return at, true
 	}
-	at, ok := r.before[k]
+	at, ok := r.previous[k]
 	return at, ok
 }
 
@@ -33,5 +33,5 @@
 }
 
 func (r *recent) turnOver(now time.Time) {
-	r.current, r.before, r.since = map[Key]time.Time{}, r.current, now
+	r.current, r.previous, r.since = map[Key]time.Time{}, r.current, now
 }
