--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -65,7 +65,7 @@
 // crashed it counts the crash against the contents and returns them.
 func (r *Register) Broke(now time.Time, life Life, keys ...Key) []Counted {
 	if at, known := r.ended[life]; known && now.Sub(at) <= proofWindow {
-		return r.countAll(now, life, breakagesAt(now, keys))
+		return r.countAll(now, life, brokenExchangesAt(now, keys))
 	}
 	if r.broken == nil {
 		r.broken = map[Life][]brokenExchange{}
@@ -74,13 +74,13 @@
 	if !known && len(r.broken) >= brokenMost {
 		return nil
 	}
-	list = append(list, breakagesAt(now, keys)...)
+	list = append(list, brokenExchangesAt(now, keys)...)
 	r.broken[life] = list[:min(len(list), keysPerLife)]
 	return nil
 }
 
-// breakagesAt returns the breakages of contents at one time.
-func breakagesAt(now time.Time, keys []Key) []brokenExchange {
+// brokenExchangesAt returns the breakages of contents at one time.
+func brokenExchangesAt(now time.Time, keys []Key) []brokenExchange {
 	out := make([]brokenExchange, len(keys))
 	for i, k := range keys {
 		out[i] = brokenExchange{key: k, at: now}
