--- a/src/pushback/constants.go
+++ b/src/pushback/constants.go
@@ -24,7 +24,7 @@
 	permitLife = 250 * time.Millisecond
 	// limitRampPeriod is how long a limit still applies after its end, doubled with each liftStep.
 	limitRampPeriod  = 6 * time.Second
-	liftStep = time.Second
+	limitRampStep = time.Second
 	// wantsOver is the window in which used permits are counted, to decide how many to request at once.
 	wantsOver = 50 * time.Millisecond
 	// newsPart is the fraction of a limit below which a new one is reported at once rather than with the next heartbeat.
--- a/src/pushback/limits.go
+++ b/src/pushback/limits.go
@@ -54,7 +54,7 @@
 	if l.endedAt.IsZero() {
 		return l.perSecond
 	}
-	return l.perSecond * math.Exp2(float64(now.Sub(l.endedAt)/liftStep))
+	return l.perSecond * math.Exp2(float64(now.Sub(l.endedAt)/limitRampStep))
 }
 
 // HearLimit records the limit given in a response, 0 if it gives none. sent is when the request was sent: a response to a
--- a/src/pushback/limits_test.go
+++ b/src/pushback/limits_test.go
@@ -63,7 +63,7 @@
 	end := start.Add(time.Second)
 	r.HearLimit(end, end, server("a", 1), 0)
 	for s, want := range []float64{4, 8, 16, 32, 64, 128} {
-		if l, ok := r.LimitOf(end.Add(time.Duration(s)*liftStep), server("a", 1)); !ok || l.Rate != want {
+		if l, ok := r.LimitOf(end.Add(time.Duration(s)*limitRampStep), server("a", 1)); !ok || l.Rate != want {
 			t.Errorf("%d s after its end the limit is %g (%v), want %g", s, l.Rate, ok, want)
 		}
 	}
