--- a/src/batch/resting.go
+++ b/src/batch/resting.go
@@ -62,7 +62,7 @@
 // known: those that would end after their deadlines, and those that would be late while a full call of jobs that can
 // be in time is waiting. They fail now instead of at their deadlines.
 func (s *Scheduler) endOverLimit(now time.Time, out *Actions) {
-	perSecond := s.mostPerSecond()
+	perSecond := s.totalPiecesPerSecond()
 	if perSecond == 0 {
 		return
 	}
@@ -81,8 +81,8 @@
 	}
 }
 
-// mostPerSecond returns the pieces per second that all servers accept together, 0 if one of them has no limit.
-func (s *Scheduler) mostPerSecond() float64 {
+// totalPiecesPerSecond returns the pieces per second that all servers accept together, 0 if one of them has no limit.
+func (s *Scheduler) totalPiecesPerSecond() float64 {
 	sum := 0.0
 	for _, v := range s.servers {
 		if !v.listed {
