--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -80,7 +80,7 @@
 
 	mu       sync.Mutex
 	register crasher.Register
-	asking   map[crasher.Life]*asking
+	asking   map[crasher.Life]*probing
 	silent   map[crasher.Life]time.Time // servers that didn't respond, and when last
 	telling  bool                       // a report to other boxes is scheduled
 	news     bool                       // it includes changes for all boxes
@@ -88,8 +88,8 @@
 	any      atomic.Bool                // the register isn't empty; most of the time it is
 }
 
-// asking is a server that is being probed after broken exchanges.
-type asking struct {
+// probing is a server that is being probed after broken exchanges.
+type probing struct {
 	server Server
 	tries  int
 	due    time.Time // time of the next probe; zero while one is running
@@ -115,9 +115,9 @@
 	ask := len(counted) == 0 && u.asking[s.Life] == nil && u.Probe != nil
 	if ask {
 		if u.asking == nil {
-			u.asking = map[crasher.Life]*asking{}
+			u.asking = map[crasher.Life]*probing{}
 		}
-		u.asking[s.Life] = &asking{server: s}
+		u.asking[s.Life] = &probing{server: s}
 	}
 	u.mu.Unlock()
 	u.counted(counted, s.ID, "known before")
