--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -80,7 +80,7 @@
 
 	mu       sync.Mutex
 	register crasher.Register
-	asking   map[crasher.Life]*probing
+	probing   map[crasher.Life]*probing
 	silent   map[crasher.Life]time.Time // servers that didn't respond, and when last
 	telling  bool                       // a report to other boxes is scheduled
 	news     bool                       // it includes changes for all boxes
@@ -112,12 +112,12 @@
 	}
 	u.mu.Lock()
 	counted := u.register.Broke(u.Now(), s.Life, keys...)
-	ask := len(counted) == 0 && u.asking[s.Life] == nil && u.Probe != nil
+	ask := len(counted) == 0 && u.probing[s.Life] == nil && u.Probe != nil
 	if ask {
-		if u.asking == nil {
-			u.asking = map[crasher.Life]*probing{}
+		if u.probing == nil {
+			u.probing = map[crasher.Life]*probing{}
 		}
-		u.asking[s.Life] = &probing{server: s}
+		u.probing[s.Life] = &probing{server: s}
 	}
 	u.mu.Unlock()
 	u.counted(counted, s.ID, "known before")
@@ -152,7 +152,7 @@
 		}
 		u.silent[s.Life] = now
 	}
-	a := u.asking[s.Life]
+	a := u.probing[s.Life]
 	if a == nil {
 		return true
 	}
@@ -160,7 +160,7 @@
 	a.due = now.Add(probeAgain)
 	last = p == Absent || a.tries >= probeTries
 	if last {
-		delete(u.asking, s.Life)
+		delete(u.probing, s.Life)
 	}
 	return last
 }
@@ -183,7 +183,7 @@
 	now := u.Now()
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for _, a := range u.asking {
+	for _, a := range u.probing {
 		if !a.due.IsZero() && !now.Before(a.due) {
 			a.due = time.Time{}
 			go u.probe(a.server)
