--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -94,7 +94,7 @@
 	picks   uint64                          // number of choices made
 	asked   popularity
 	failureRate   float64   // moving average of the failure rate of the whole pool
-	doubtAt time.Time // when this box last found a server absent or rejecting requests
+	doubtSince time.Time // when this box last found a server absent or rejecting requests
 	salt    uint64    // specific to this box, for choices among servers of the same cost
 	ranks   []uint64  // scratch space
 }
--- a/src/balance/health.go
+++ b/src/balance/health.go
@@ -17,7 +17,7 @@
 // first: without this check, with a third of the servers crashed, 18 of 20 requests were first sent to a crashed server,
 // with it at most 2.
 func (p *Pool) doubtful(now time.Time, v *server, l Load) bool {
-	return now.Sub(p.doubtAt) < goneDoubt && l.Requests == 0 && now.Sub(v.seenAt) >= goneDoubt
+	return now.Sub(p.doubtSince) < goneDoubt && l.Requests == 0 && now.Sub(v.seenAt) >= goneDoubt
 }
 
 // cold reports whether a server has just started and can take only little load.
@@ -82,7 +82,7 @@
 	}
 	if o == AsksRest { // not a failure: the rest that the server asked for applies instead of a pause
 		v.probing = false
-		p.doubtAt = now // with 3 of 5 servers rejecting all requests, 2 of 2,500 were refused, 23 without this
+		p.doubtSince = now // with 3 of 5 servers rejecting all requests, 2 of 2,500 were refused, 23 without this
 		return false
 	}
 	bad := 0.0
@@ -102,11 +102,11 @@
 	case Broken, Full:
 		v.broken++
 	case Absent:
-		p.doubtAt = now
+		p.doubtSince = now
 		p.pause(now, v)
 		return true
 	case Replaced:
-		p.doubtAt = now
+		p.doubtSince = now
 		p.pause(now, v)
 		v.until = now.Add(replacedPause)
 		return true
