--- a/src/balance/prompt.go
+++ b/src/balance/prompt.go
@@ -145,7 +145,7 @@
 	server := catalog.Hash(id)
 	for i, part := range parts {
 		hash := catalog.Hash(part.ID)
-		p.keeps(now, server, hash)
+		p.markCached(now, server, hash)
 		if i < len(parts)-1 {
 			p.fresh = append(p.fresh, freshRead{at: now, Read: Read{Part: hash, Server: server}})
 		}
@@ -156,7 +156,7 @@
 func (p *Pool) HearReads(now time.Time, reads []Read) {
 	for _, r := range reads {
 		if p.names[r.Server] != nil {
-			p.keeps(now, r.Server, r.Part)
+			p.markCached(now, r.Server, r.Part)
 		}
 	}
 }
@@ -171,8 +171,8 @@
 	return out
 }
 
-// keeps records that a server processed a part, both given by hash.
-func (p *Pool) keeps(now time.Time, server, part uint64) {
+// markCached records that a server processed a part, both given by hash.
+func (p *Pool) markCached(now time.Time, server, part uint64) {
 	m := p.cached[part]
 	if m == nil {
 		if len(p.cached) >= keptMost {
