--- a/src/balance/constants.go
+++ b/src/balance/constants.go
@@ -23,7 +23,7 @@
 	failurePause    = 600 * time.Millisecond  // after repeated failures; doubled with each further pause
 	maxDoublings    = 4                       // of failurePause
 	replacedPause   = 10 * time.Second        // for a server whose address another server has taken: longer than the list of servers lags
-	goneDoubt       = 3 * time.Second         // time for which unused servers are doubted after one was found absent; the list drops a silent server after three heartbeats
+	doubtPeriod       = 3 * time.Second         // time for which unused servers are doubted after one was found absent; the list drops a silent server after three heartbeats
 	doubtPenalty    = 150.0                   // ms for a doubted server: the time to process 7,500 prompt tokens
 	hardFailures    = 2                       // consecutive broken exchanges after which a server is paused
 	failureLearning = 0.15                    // weight of a new outcome in the failure rate
--- a/src/balance/doubt_test.go
+++ b/src/balance/doubt_test.go
@@ -63,11 +63,11 @@
 	}
 	q := testPool("a", 2)
 	q.Ended(start, "s1", w, Absent)
-	later := start.Add(goneDoubt)
+	later := start.Add(doubtPeriod)
 	q.Hear(later, "b", []Note{{Server: q.servers["s0"].hash, Load: Load{Requests: 9}}})
 	q.servers["s1"].until, q.servers["s1"].pauses = time.Time{}, 0
 	if s, _, _ := q.Pick(later, w); s.ID != "s1" {
-		t.Errorf("%s was picked %s after a server was found absent, want the idle one", s.ID, goneDoubt)
+		t.Errorf("%s was picked %s after a server was found absent, want the idle one", s.ID, doubtPeriod)
 	}
 }
 
--- a/src/balance/health.go
+++ b/src/balance/health.go
@@ -17,7 +17,7 @@
 // first: without this check, with a third of the servers crashed, 18 of 20 requests were first sent to a crashed server,
 // with it at most 2.
 func (p *Pool) doubtful(now time.Time, v *server, l Load) bool {
-	return now.Sub(p.doubtSince) < goneDoubt && l.Requests == 0 && now.Sub(v.seenAt) >= goneDoubt
+	return now.Sub(p.doubtSince) < doubtPeriod && l.Requests == 0 && now.Sub(v.seenAt) >= doubtPeriod
 }
 
 // cold reports whether a server has just started and can take only little load.
