--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -65,7 +65,7 @@
 // crashed it counts the crash against the contents and returns them.
 func (r *Register) Broke(now time.Time, life Life, keys ...Key) []Counted {
 	if at, known := r.ended[life]; known && now.Sub(at) <= proofWindow {
-		return r.countAll(now, life, brokenExchangesAt(now, keys))
+		return r.addEnds(now, life, brokenExchangesAt(now, keys))
 	}
 	if r.broken == nil {
 		r.broken = map[Life][]brokenExchange{}
@@ -98,11 +98,11 @@
 	}
 	list := r.broken[life]
 	delete(r.broken, life)
-	return r.countAll(now, life, list)
+	return r.addEnds(now, life, list)
 }
 
-// countAll counts a crash against the contents of recent breakages and returns them.
-func (r *Register) countAll(now time.Time, life Life, list []brokenExchange) []Counted {
+// addEnds counts a crash against the contents of recent breakages and returns them.
+func (r *Register) addEnds(now time.Time, life Life, list []brokenExchange) []Counted {
 	var out []Counted
 	for _, b := range list {
 		if now.Sub(b.at) > proofWindow || !r.addEnd(now, b.key, end{life: life, at: b.at}) {
