--- a/src/crasher/recent.go
+++ b/src/crasher/recent.go
@@ -11,7 +11,7 @@
 // add records a good response to a content.
 func (r *recent) add(now time.Time, k Key) {
 	if r.current == nil || len(r.current) >= goodsMost {
-		r.turnOver(now)
+		r.rotate(now)
 	}
 	r.current[k] = now
 }
@@ -28,10 +28,10 @@
 // sweep starts a new generation when the newer one is older than goodsFor.
 func (r *recent) sweep(now time.Time) {
 	if now.Sub(r.since) >= goodsFor {
-		r.turnOver(now)
+		r.rotate(now)
 	}
 }
 
-func (r *recent) turnOver(now time.Time) {
+func (r *recent) rotate(now time.Time) {
 	r.current, r.previous, r.since = map[Key]time.Time{}, r.current, now
 }
