--- a/src/pushback/register.go
+++ b/src/pushback/register.go
@@ -76,8 +76,8 @@
 	round  time.Time // time of the last response, or of the first request begun
 }
 
-// free reports whether another request may be sent after the rest.
-func (p rest) free(now time.Time) bool {
+// mayTry reports whether another request may be sent after the rest.
+func (p rest) mayTry(now time.Time) bool {
 	return p.begun < p.window || now.Sub(p.round) >= trialFor
 }
 
@@ -148,7 +148,7 @@
 		return r.judgeLimit(now, s)
 	case now.Before(p.until):
 		return Verdict{State: Resting, Until: p.until}
-	case !p.free(now):
+	case !p.mayTry(now):
 		return Verdict{State: Returning, Until: now.Add(answerSoon)}
 	}
 	return r.judgeLimit(now, s)
