--- a/src/balance/popularity.go
+++ b/src/balance/popularity.go
@@ -21,13 +21,13 @@
 	total   float64            // tokens of all requests of this box
 	decayed time.Time          // when the counts last decayed
 
-	reports map[string]askReport // of other boxes
+	reports map[string]popularityReport // of other boxes
 	told    map[uint64]float64   // sums of the reports, by hash of the first part
 	toldAll float64              // sum of the reports' totals
 }
 
-// askReport is another box's report of its counts.
-type askReport struct {
+// popularityReport is another box's report of its counts.
+type popularityReport struct {
 	at    time.Time
 	total float64
 	parts []Asked
@@ -40,7 +40,7 @@
 }
 
 func newPopularity() popularity {
-	return popularity{own: map[uint64]float64{}, reports: map[string]askReport{}, told: map[uint64]float64{}}
+	return popularity{own: map[uint64]float64{}, reports: map[string]popularityReport{}, told: map[uint64]float64{}}
 }
 
 // note adds the tokens of a request to its first prompt part.
@@ -79,7 +79,7 @@
 // hear replaces another box's report.
 func (a *popularity) hear(now time.Time, box string, total float64, parts []Asked) {
 	a.forget(box)
-	a.reports[box] = askReport{at: now, total: total, parts: parts}
+	a.reports[box] = popularityReport{at: now, total: total, parts: parts}
 	a.toldAll += total
 	for _, p := range parts {
 		a.told[p.Part] += float64(p.Tokens)
