--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -58,7 +58,7 @@
 // dispatch forms a call for every free server that has matching work.
 func (s *Scheduler) dispatch(now time.Time) Actions {
 	var out Actions
-	if s.pool.Batch == nil || len(s.jobs) == 0 || now.Before(s.holds) {
+	if s.pool.Batch == nil || len(s.jobs) == 0 || now.Before(s.holdUntil) {
 		return out
 	}
 	s.endBarred(now, &out)
--- a/src/batch/handover.go
+++ b/src/batch/handover.go
@@ -36,7 +36,7 @@
 // TakeOver applies the state of the previous scheduler. Results that this scheduler had handed over itself are
 // dropped first, since it doesn't know which of them have been freed.
 func (s *Scheduler) TakeOver(now time.Time, h Handover) {
-	s.holds = time.Time{}
+	s.holdUntil = time.Time{}
 	for handle, r := range s.handles {
 		if r.handedTo != "" {
 			s.forget(handle)
@@ -68,7 +68,7 @@
 func callAt(server string) string { return "call at " + server }
 
 // HoldUntil forms no calls before t, so that a new scheduler of a pool can wait for the handover of the previous one.
-func (s *Scheduler) HoldUntil(t time.Time) { s.holds = t }
+func (s *Scheduler) HoldUntil(t time.Time) { s.holdUntil = t }
 
 // Empty reports whether the handover contains nothing.
 func (h Handover) Empty() bool { return len(h.Held) == 0 && len(h.Busy) == 0 && len(h.Idle) == 0 }
--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -87,7 +87,7 @@
 	calls   map[uint64]*runningCall
 	handles map[string]held
 	freeing map[string][]string  // handles to free, by server
-	holds   time.Time            // no call before, to wait for a handover
+	holdUntil   time.Time            // no call before, to wait for a handover
 	idle    []string             // servers whose handed-over calls have ended since
 	early   map[string]time.Time // handles that were freed before this scheduler knew them, by time
 	pieces  map[string]float64   // learned factor on ItemTime, by class
