--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -89,7 +89,7 @@
 	freeing map[string][]string  // handles to free, by server
 	holdUntil   time.Time            // no call before, to wait for a handover
 	idle    []string             // servers whose handed-over calls have ended since
-	early   map[string]time.Time // handles that were freed before this scheduler knew them, by time
+	freedEarly   map[string]time.Time // handles that were freed before this scheduler knew them, by time
 	pieces  map[string]float64   // learned factor on ItemTime, by class
 	pace    float64              // moving average of one server's pieces per second while work waits; 0 if never measured
 	next    uint64               // number of the last call
@@ -99,7 +99,7 @@
 func NewScheduler(self string, pool catalog.Pool) *Scheduler {
 	return &Scheduler{
 		Self: self, pool: pool, jobs: map[JobID]*job{}, ended: map[JobID]endedJob{}, servers: map[string]*serverState{},
-		calls: map[uint64]*runningCall{}, handles: map[string]held{}, freeing: map[string][]string{}, early: map[string]time.Time{}, pieces: map[string]float64{},
+		calls: map[uint64]*runningCall{}, handles: map[string]held{}, freeing: map[string][]string{}, freedEarly: map[string]time.Time{}, pieces: map[string]float64{},
 	}
 }
 
@@ -217,7 +217,7 @@
 			s.release(now, []string{r.Handle})
 			continue
 		}
-		s.early[r.Handle] = now
+		s.freedEarly[r.Handle] = now
 		if v := s.servers[r.Server]; v != nil {
 			v.unknown = max(0, v.unknown-r.Bytes)
 			s.freeing[r.Server] = append(s.freeing[r.Server], r.Handle)
@@ -230,7 +230,7 @@
 	for _, r := range results {
 		v := s.servers[r.Server]
 		_, known := s.handles[r.Handle]
-		_, given := s.early[r.Handle]
+		_, given := s.freedEarly[r.Handle]
 		if v == nil || known || given {
 			continue
 		}
@@ -278,9 +278,9 @@
 			s.forget(h)
 		}
 	}
-	for h, at := range s.early {
+	for h, at := range s.freedEarly {
 		if now.Sub(at) > outcomeRetention {
-			delete(s.early, h)
+			delete(s.freedEarly, h)
 		}
 	}
 	for _, t := range s.sorted(now) {
