--- a/src/crasher/constants.go
+++ b/src/crasher/constants.go
@@ -17,10 +17,10 @@
 	barMost  = 24 * time.Hour
 	// suspectLife is how long fewer crashes are remembered: enough to detect a caller that retries once a minute.
 	suspectLife = 10 * time.Minute
-	// goodHolds: crashes before a good response to a content, or up to this long after it, don't count against the content.
+	// goodPeriod: crashes before a good response to a content, or up to this long after it, don't count against the content.
 	// A content that crashes every server never gets a good response. A popular content gets one within seconds, so that it
 	// isn't refused anywhere when half of a pool is lost (2,500 of 2,500 requests were answered with 6 and with 61 boxes).
-	goodHolds = 10 * time.Second
+	goodPeriod = 10 * time.Second
 	// proofWindow is the time after a broken exchange in which the crash of the server must be proven: three heartbeats of
 	// 1.2 s until its entry is removed, and the time to propagate that.
 	proofWindow = 6 * time.Second
--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -198,7 +198,7 @@
 
 // uncleared returns the number of crashes that are not cleared by a good response.
 func (e *entry) uncleared() int {
-	from := e.goodAt.Add(goodHolds)
+	from := e.goodAt.Add(goodPeriod)
 	n := 0
 	for _, x := range e.ends {
 		if e.goodAt.IsZero() || x.at.After(from) {
--- a/src/crasher/register_test.go
+++ b/src/crasher/register_test.go
@@ -108,9 +108,9 @@
 	k := keyOf(1)
 	r.Good(began, k)
 	for i := range 3 {
-		crashWith(&r, began.Add(goodHolds+time.Duration(i+1)*time.Second), Life(i), k)
+		crashWith(&r, began.Add(goodPeriod+time.Duration(i+1)*time.Second), Life(i), k)
 	}
-	if v := r.Judge(began.Add(goodHolds+5*time.Second), k); !v.Barred {
+	if v := r.Judge(began.Add(goodPeriod+5*time.Second), k); !v.Barred {
 		t.Errorf("%+v", v)
 	}
 }
