--- a/src/balance/prompt.go
+++ b/src/balance/prompt.go
@@ -50,7 +50,7 @@
 		return false
 	}
 	at, ok := servers[id]
-	return ok && now.Sub(at) < keptLife
+	return ok && now.Sub(at) < cacheLifetime
 }
 
 // home returns the server assigned to the shared parts of a prompt, "" for none. All boxes agree on it without
@@ -188,7 +188,7 @@
 func (p *Pool) forgetKept(now time.Time) {
 	for part, m := range p.cached {
 		for id, at := range m {
-			if now.Sub(at) > keptLife {
+			if now.Sub(at) > cacheLifetime {
 				delete(m, id)
 			}
 		}
--- a/src/balance/source.go
+++ b/src/balance/source.go
@@ -33,7 +33,7 @@
 	var best *server
 	for hash, at := range deepest {
 		s := p.names[hash]
-		if s == nil || s.ID == id || !w.Within.Allow(s.Domain) || !s.sound(now) || p.wantsRest(now, s) || p.limited(s) || now.Sub(at) >= keptLife {
+		if s == nil || s.ID == id || !w.Within.Allow(s.Domain) || !s.sound(now) || p.wantsRest(now, s) || p.limited(s) || now.Sub(at) >= cacheLifetime {
 			continue
 		}
 		if best == nil || at.After(deepest[best.hash]) {
--- a/src/balance/source_test.go
+++ b/src/balance/source_test.go
@@ -27,7 +27,7 @@
 	if s, ok := p.Source(start, chosen, w); !ok || s.ID != reader {
 		t.Errorf("copied from %q, want %s, which has read it according to another box", s.ID, reader)
 	}
-	if _, ok := p.Source(start.Add(keptLife), chosen, w); ok {
+	if _, ok := p.Source(start.Add(cacheLifetime), chosen, w); ok {
 		t.Error("copied from a server that read it long ago")
 	}
 	p.Kept(start, chosen, w.Parts)
