--- a/src/balance/constants.go
+++ b/src/balance/constants.go
@@ -13,7 +13,7 @@
 	farPenalty      = 8.0                     // ms for a server in another failure domain than the box
 	againPerToken   = 0.12                    // ms for processing a shared token again, in addition to the time it takes
 	bytesPerMs      = 27000.0                 // input bytes from another domain that cost one ms
-	leastCopied     = 512                     // fewest shared tokens that are worth copying from another server
+	minCopyTokens     = 512                     // fewest shared tokens that are worth copying from another server
 	tellReads       = 450 * time.Millisecond  // time for which a read is reported to other boxes: two gossip rounds
 	leastMakers     = 0.05                    // minimum weight of a domain without producers, so that it can have homes if it is the only one
 	popularitySpare = 2.0                     // a popular prompt part gets this times its share of all tokens as its share of the servers
--- a/src/balance/resting_test.go
+++ b/src/balance/resting_test.go
@@ -19,7 +19,7 @@
 		}
 		p.Ended(start, "b", &Wish{}, Good)
 	}
-	w := &Wish{Parts: []Part{{"shared", 2 * leastCopied}, {"own", 10}}}
+	w := &Wish{Parts: []Part{{"shared", 2 * minCopyTokens}, {"own", 10}}}
 	p.Kept(start, "a", w.Parts[:1])
 	p.Kept(start, "a", w.Parts)
 	if s, ok := p.Source(start, "b", w); ok {
@@ -61,7 +61,7 @@
 	p := NewPool("box", "d")
 	p.Configure(pointers([]catalog.Server{{ID: "a", Domain: "d", Slots: 4}, {ID: "b", Domain: "d", Slots: 4}}))
 	p.Limits = func(s *catalog.Server) bool { return s.ID == "a" }
-	w := &Wish{Parts: []Part{{"shared", 2 * leastCopied}, {"own", 10}}}
+	w := &Wish{Parts: []Part{{"shared", 2 * minCopyTokens}, {"own", 10}}}
 	p.Kept(start, "a", w.Parts)
 	if s, ok := p.Source(start, "b", w); ok {
 		t.Errorf("%s, which limits its requests, is a source of prompt parts", s.ID)
--- a/src/balance/source.go
+++ b/src/balance/source.go
@@ -26,7 +26,7 @@
 		return catalog.Server{}, false
 	}
 	kept := p.keptParts(w)
-	if _, shared := p.uncachedTokens(now, v, w, kept, ""); shared < leastCopied {
+	if _, shared := p.uncachedTokens(now, v, w, kept, ""); shared < minCopyTokens {
 		return catalog.Server{}, false
 	}
 	deepest := kept[len(w.Parts)-2]
--- a/src/balance/source_test.go
+++ b/src/balance/source_test.go
@@ -43,7 +43,7 @@
 	if s, ok := p.Source(start, other(home), w); !ok || s.ID != home {
 		t.Errorf("copied from %q, want its home %s", s.ID, home)
 	}
-	small := &Wish{Parts: []Part{{ID: "common", Tokens: leastCopied - 1}, {ID: "1", Tokens: 9000}}}
+	small := &Wish{Parts: []Part{{ID: "common", Tokens: minCopyTokens - 1}, {ID: "1", Tokens: 9000}}}
 	if _, ok := p.Source(start, other(p.home(small)), small); ok {
 		t.Error("a few tokens were copied")
 	}
