--- a/src/balance/constants.go
+++ b/src/balance/constants.go
@@ -15,7 +15,7 @@
 	bytesPerMs      = 27000.0                 // input bytes from another domain that cost one ms
 	minCopyTokens     = 512                     // fewest shared tokens that are worth copying from another server
 	tellReads       = 450 * time.Millisecond  // time for which a read is reported to other boxes: two gossip rounds
-	leastMakers     = 0.05                    // minimum weight of a domain without producers, so that it can have homes if it is the only one
+	minProducerWeight     = 0.05                    // minimum weight of a domain without producers, so that it can have homes if it is the only one
 	popularitySpare = 2.0                     // a popular prompt part gets this times its share of all tokens as its share of the servers
 	popularityLife  = 5 * time.Second         // decay time of the token counts
 	askLife         = 10 * time.Second        // lifetime of another box's token counts; in a fleet of 300 a box hears from half of the others in that time
--- a/src/balance/prompt.go
+++ b/src/balance/prompt.go
@@ -84,7 +84,7 @@
 	if makers == 0 {
 		return 1
 	}
-	return (float64(w.Makers[domain]) + leastMakers) / float64(makers)
+	return (float64(w.Makers[domain]) + minProducerWeight) / float64(makers)
 }
 
 // exponential maps a hash to an exponentially distributed number, for weighted rendezvous hashing.
