--- a/src/balance/constants.go
+++ b/src/balance/constants.go
@@ -17,7 +17,7 @@
 	tellReads       = 450 * time.Millisecond  // time for which a read is reported to other boxes: two gossip rounds
 	minProducerWeight     = 0.05                    // minimum weight of a domain without producers, so that it can have homes if it is the only one
 	homesFactor = 2.0                     // a popular prompt part gets this times its share of all tokens as its share of the servers
-	popularityLife  = 5 * time.Second         // decay time of the token counts
+	popularityDecay  = 5 * time.Second         // decay time of the token counts
 	askLife         = 10 * time.Second        // lifetime of another box's token counts; in a fleet of 300 a box hears from half of the others in that time
 	askNotes        = 16                      // prompt parts in one message; a box of such a fleet gets requests for about ten in popularityLife
 	failurePause    = 600 * time.Millisecond  // after repeated failures; doubled with each further pause
--- a/src/balance/popularity.go
+++ b/src/balance/popularity.go
@@ -56,10 +56,10 @@
 
 func (a *popularity) decay(now time.Time) {
 	since := now.Sub(a.decayed)
-	if since <= popularityLife/10 {
+	if since <= popularityDecay/10 {
 		return
 	}
-	f := math.Exp(-float64(since) / float64(popularityLife))
+	f := math.Exp(-float64(since) / float64(popularityDecay))
 	a.total *= f
 	for part, n := range a.own {
 		if n *= f; n < 1 {
