--- a/src/balance/popularity.go
+++ b/src/balance/popularity.go
@@ -70,7 +70,7 @@
 	}
 	a.decayed = now
 	for box, w := range a.reports {
-		if now.Sub(w.at) > askLife {
+		if now.Sub(w.at) > popularityReportLifetime {
 			a.forget(box)
 		}
 	}
