--- a/src/balance/constants.go
+++ b/src/balance/constants.go
@@ -19,7 +19,7 @@
 	homesFactor = 2.0                     // a popular prompt part gets this times its share of all tokens as its share of the servers
 	popularityDecay  = 5 * time.Second         // decay time of the token counts
 	popularityReportLifetime         = 10 * time.Second        // lifetime of another box's token counts; in a fleet of 300 a box hears from half of the others in that time
-	askNotes        = 16                      // prompt parts in one message; a box of such a fleet gets requests for about ten in popularityLife
+	popularityReportParts        = 16                      // prompt parts in one message; a box of such a fleet gets requests for about ten in popularityLife
 	failurePause    = 600 * time.Millisecond  // after repeated failures; doubled with each further pause
 	maxDoublings    = 4                       // of failurePause
 	replacedPause   = 10 * time.Second        // for a server whose address another server has taken: longer than the list of servers lags
--- a/src/balance/popularity.go
+++ b/src/balance/popularity.go
@@ -121,7 +121,7 @@
 		}
 		return compareHashes(a.Part, b.Part)
 	})
-	return p.asked.total, parts[:min(len(parts), askNotes)]
+	return p.asked.total, parts[:min(len(parts), popularityReportParts)]
 }
 
 func compareHashes(a, b uint64) int {
