--- a/src/balance/balance_test.go
+++ b/src/balance/balance_test.go
@@ -86,7 +86,7 @@
 
 func TestBrokenServerIsPausedAndProbedOnce(t *testing.T) {
 	p := testPool("a", 2)
-	for range hardFailures {
+	for range maxConsecutiveBroken {
 		p.Pick(start, &Wish{Exclude: map[string]bool{"s1": true}})
 		p.Ended(start, "s0", &Wish{}, Broken)
 	}
--- a/src/balance/health.go
+++ b/src/balance/health.go
@@ -111,7 +111,7 @@
 		v.until = now.Add(replacedPause)
 		return true
 	}
-	if v.probing || v.broken >= hardFailures || v.failureRate > p.failureRate+greyShare {
+	if v.probing || v.broken >= maxConsecutiveBroken || v.failureRate > p.failureRate+greyShare {
 		p.pause(now, v)
 		return true
 	}
