--- a/src/balance/constants.go
+++ b/src/balance/constants.go
@@ -27,7 +27,7 @@
 	doubtPenalty    = 150.0                   // ms for a doubted server: the time to process 7,500 prompt tokens
 	maxConsecutiveBroken    = 2                       // consecutive broken exchanges after which a server is paused
 	failureLearning = 0.15                    // weight of a new outcome in the failure rate
-	greyShare       = 0.3                     // failure rate above the pool's at which a server is paused
+	excessFailureRate       = 0.3                     // failure rate above the pool's at which a server is paused
 	paceLearning    = 0.2                     // weight of a new sample in the pace of a server
 
 	leastLoadedPenalty = 30.0 // further ms for each running request if the least loaded server is wanted: the time to process 1,500 tokens
--- a/src/balance/health.go
+++ b/src/balance/health.go
@@ -94,7 +94,7 @@
 	switch o {
 	case Good:
 		v.broken = 0
-		if v.probing || v.failureRate < greyShare {
+		if v.probing || v.failureRate < excessFailureRate {
 			v.pauses = 0
 		}
 		v.probing = false
@@ -111,7 +111,7 @@
 		v.until = now.Add(replacedPause)
 		return true
 	}
-	if v.probing || v.broken >= maxConsecutiveBroken || v.failureRate > p.failureRate+greyShare {
+	if v.probing || v.broken >= maxConsecutiveBroken || v.failureRate > p.failureRate+excessFailureRate {
 		p.pause(now, v)
 		return true
 	}
@@ -124,7 +124,7 @@
 	p.paused[v.ID] = v
 	v.pauses++
 	v.broken, v.probing = 0, false
-	v.failureRate = min(v.failureRate, p.failureRate+greyShare/2)
+	v.failureRate = min(v.failureRate, p.failureRate+excessFailureRate/2)
 }
 
 // Resting returns the ids of the servers that are paused after failures.
