--- a/src/balance/constants.go
+++ b/src/balance/constants.go
@@ -26,7 +26,7 @@
 	doubtPeriod       = 3 * time.Second         // time for which unused servers are doubted after one was found absent; the list drops a silent server after three heartbeats
 	doubtPenalty    = 150.0                   // ms for a doubted server: the time to process 7,500 prompt tokens
 	maxConsecutiveBroken    = 2                       // consecutive broken exchanges after which a server is paused
-	failureLearning = 0.15                    // weight of a new outcome in the failure rate
+	failureRateWeight = 0.15                    // weight of a new outcome in the failure rate
 	excessFailureRate       = 0.3                     // failure rate above the pool's at which a server is paused
 	paceLearning    = 0.2                     // weight of a new sample in the pace of a server
 
--- a/src/balance/health.go
+++ b/src/balance/health.go
@@ -89,8 +89,8 @@
 	if o != Good {
 		bad = 1
 	}
-	v.failureRate += failureLearning * (bad - v.failureRate)
-	p.failureRate += failureLearning / float64(max(1, len(p.servers))) * (bad - p.failureRate)
+	v.failureRate += failureRateWeight * (bad - v.failureRate)
+	p.failureRate += failureRateWeight / float64(max(1, len(p.servers))) * (bad - p.failureRate)
 	switch o {
 	case Good:
 		v.broken = 0
