--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -9,8 +9,8 @@
 	"github.com/stilemast/stilemast/src/catalog"
 )
 
-// Wish describes the request for which to choose a server.
-type Wish struct {
+// Request describes the request for which to choose a server.
+type Request struct {
 	Parts       []Part          // parts of the prompt, in order; the last is not shared with other requests
 	Domain      string          // failure domain of its inputs, "" for none
 	InputBytes  float64         // size of its inputs
@@ -25,12 +25,12 @@
 }
 
 // barred reports whether the request excludes a server, whatever the server's load.
-func (w *Wish) barred(v *server) bool {
+func (w *Request) barred(v *server) bool {
 	return w.Exclude[v.ID] || !w.Within.Allow(v.Domain) || w.Only != "" && w.Only != v.ID
 }
 
 // Tokens returns the number of tokens in the prompt.
-func (w *Wish) Tokens() int {
+func (w *Request) Tokens() int {
 	n := 0
 	for _, p := range w.Parts {
 		n += p.Tokens
@@ -253,7 +253,7 @@
 
 // Pick chooses a server and adds the request to its load; the caller must call Ended when the request ends. The second
 // result is the reason for the choice, for logs.
-func (p *Pool) Pick(now time.Time, w *Wish) (catalog.Server, string, bool) {
+func (p *Pool) Pick(now time.Time, w *Request) (catalog.Server, string, bool) {
 	var best *server
 	bestCost, why := 0.0, ""
 	p.asked.note(now, w)
@@ -303,7 +303,7 @@
 }
 
 // Awake reports whether some server that the request doesn't exclude accepts requests now.
-func (p *Pool) Awake(now time.Time, w *Wish) bool {
+func (p *Pool) Awake(now time.Time, w *Request) bool {
 	if p.RestsUntil == nil {
 		return true
 	}
@@ -323,13 +323,13 @@
 
 // RestEnds returns when the first resting server in the request's domains accepts requests again, or false if none
 // rests.
-func (p *Pool) RestEnds(now time.Time, w *Wish) (time.Time, bool) {
+func (p *Pool) RestEnds(now time.Time, w *Request) (time.Time, bool) {
 	_, first, ok := p.FirstToWake(now, w)
 	return first, ok
 }
 
 // FirstToWake returns the resting server that accepts requests again first, and when (see RestEnds).
-func (p *Pool) FirstToWake(now time.Time, w *Wish) (catalog.Server, time.Time, bool) {
+func (p *Pool) FirstToWake(now time.Time, w *Request) (catalog.Server, time.Time, bool) {
 	var first time.Time
 	var server *catalog.Server
 	if p.RestsUntil == nil {
@@ -356,7 +356,7 @@
 }
 
 // cost estimates by how many milliseconds a request would be delayed at a server.
-func (p *Pool) cost(now time.Time, v *server, w *Wish, kept keptParts, home string) float64 {
+func (p *Pool) cost(now time.Time, v *server, w *Request, kept keptParts, home string) float64 {
 	l := p.load(v)
 	slots := float64(max(1, v.Slots))
 	cost := runningPenalty * float64(l.Requests) * 64 / slots
--- a/src/balance/balance_test.go
+++ b/src/balance/balance_test.go
@@ -24,7 +24,7 @@
 	return []Part{{ID: first, Tokens: 300}, {ID: shared, Tokens: 4000}, {ID: own, Tokens: 1000}}
 }
 
-func pick(t *testing.T, p *Pool, w *Wish) string {
+func pick(t *testing.T, p *Pool, w *Request) string {
 	t.Helper()
 	s, _, ok := p.Pick(start, w)
 	if !ok {
@@ -38,10 +38,10 @@
 	b.Domain = "d2"
 	for i := range 30 {
 		shared := fmt.Sprintf("book%d", i)
-		x := pick(t, a, &Wish{Parts: prompt("common", shared, "1")})
-		y := pick(t, b, &Wish{Parts: prompt("common", shared, "2")})
-		a.Ended(start, x, &Wish{}, Good)
-		b.Ended(start, y, &Wish{}, Good)
+		x := pick(t, a, &Request{Parts: prompt("common", shared, "1")})
+		y := pick(t, b, &Request{Parts: prompt("common", shared, "2")})
+		a.Ended(start, x, &Request{}, Good)
+		b.Ended(start, y, &Request{}, Good)
 		if x != y {
 			t.Errorf("%s goes to %s from one box and to %s from the other", shared, x, y)
 		}
@@ -52,12 +52,12 @@
 	p := testPool("a", 9)
 	popular, rare := map[string]bool{}, map[string]bool{}
 	for i := range 200 {
-		w := &Wish{Parts: prompt("everyone", fmt.Sprint("book", i), fmt.Sprint("own", i))}
+		w := &Request{Parts: prompt("everyone", fmt.Sprint("book", i), fmt.Sprint("own", i))}
 		s := pick(t, p, w)
 		popular[s] = true
 		p.Ended(start, s, w, Good)
 		if i%20 == 0 {
-			r := &Wish{Parts: prompt("rare", fmt.Sprint("page", i), fmt.Sprint("mine", i))}
+			r := &Request{Parts: prompt("rare", fmt.Sprint("page", i), fmt.Sprint("mine", i))}
 			s := pick(t, p, r)
 			if i >= 100 { // the popularity of the part is known by then
 				rare[s] = true
@@ -72,7 +72,7 @@
 
 func TestOverloadedHomeIsSkipped(t *testing.T) {
 	p := testPool("a", 9)
-	w := &Wish{Parts: prompt("x", "y", "z")}
+	w := &Request{Parts: prompt("x", "y", "z")}
 	home := pick(t, p, w)
 	p.Hear(start, "other", []Note{{Server: catalog.Hash(home), Load: Load{Requests: 64, Tokens: 500_000}}})
 	if s := pick(t, p, w); s == home {
@@ -87,26 +87,26 @@
 func TestBrokenServerIsPausedAndProbedOnce(t *testing.T) {
 	p := testPool("a", 2)
 	for range maxConsecutiveBroken {
-		p.Pick(start, &Wish{Exclude: map[string]bool{"s1": true}})
-		p.Ended(start, "s0", &Wish{}, Broken)
+		p.Pick(start, &Request{Exclude: map[string]bool{"s1": true}})
+		p.Ended(start, "s0", &Request{}, Broken)
 	}
 	for range 20 {
-		if s := pick(t, p, &Wish{}); s == "s0" {
+		if s := pick(t, p, &Request{}); s == "s0" {
 			t.Fatal("a paused server got a request")
 		}
 	}
 	later := start.Add(2 * failurePause)
 	tries := 0
 	for range 40 {
-		if s, _, _ := p.Pick(later, &Wish{}); s.ID == "s0" {
+		if s, _, _ := p.Pick(later, &Request{}); s.ID == "s0" {
 			tries++
 		}
 	}
 	if tries != 1 {
 		t.Fatalf("%d requests went to a server after its pause, want 1 until it responds", tries)
 	}
-	p.Ended(later, "s0", &Wish{}, Good)
-	if s, _, _ := p.Pick(later, &Wish{}); s.ID != "s0" {
+	p.Ended(later, "s0", &Request{}, Good)
+	if s, _, _ := p.Pick(later, &Request{}); s.ID != "s0" {
 		t.Error("a recovered server gets no requests")
 	}
 }
@@ -114,7 +114,7 @@
 func TestServerIsTriedIfAllArePaused(t *testing.T) {
 	p := testPool("a", 2)
 	p.Hear(start, "other", []Note{{Server: catalog.Hash("s0"), Rests: true}, {Server: catalog.Hash("s1"), Rests: true}})
-	if _, why, ok := p.Pick(start, &Wish{}); !ok || why != "all servers rest" {
+	if _, why, ok := p.Pick(start, &Request{}); !ok || why != "all servers rest" {
 		t.Errorf("no server was tried: %s", why)
 	}
 }
@@ -123,12 +123,12 @@
 	p := testPool("a", 3)
 	p.Domain = "elsewhere"
 	for i := range 300 {
-		id := pick(t, p, &Wish{})
+		id := pick(t, p, &Request{})
 		o := Good
 		if i%7 == 0 {
 			o = Failed // one in seven, at every server
 		}
-		p.Ended(start, id, &Wish{}, o)
+		p.Ended(start, id, &Request{}, o)
 	}
 	if r := p.Resting(start); len(r) > 0 {
 		t.Errorf("%v are paused for failures common to all", r)
@@ -139,12 +139,12 @@
 	p := testPool("a", 3)
 	p.Domain = "elsewhere" // so that no server is in this box's domain
 	for i := range 300 {
-		id := pick(t, p, &Wish{})
+		id := pick(t, p, &Request{})
 		o := Good
 		if id == "s1" && i%2 == 0 {
 			o = Failed
 		}
-		if p.Ended(start, id, &Wish{}, o) && id != "s1" {
+		if p.Ended(start, id, &Request{}, o) && id != "s1" {
 			t.Fatalf("%s was paused", id)
 		}
 	}
@@ -155,7 +155,7 @@
 
 func TestExcludedServersAreNotPicked(t *testing.T) {
 	p := testPool("a", 2)
-	if _, _, ok := p.Pick(start, &Wish{Exclude: map[string]bool{"s0": true, "s1": true}}); ok {
+	if _, _, ok := p.Pick(start, &Request{Exclude: map[string]bool{"s0": true, "s1": true}}); ok {
 		t.Error("an excluded server was picked")
 	}
 }
@@ -163,8 +163,8 @@
 func TestDroppedExchangesAreNotFailures(t *testing.T) {
 	p := testPool("a", 1)
 	for range 20 {
-		pick(t, p, &Wish{})
-		p.Ended(start, "s0", &Wish{}, Dropped)
+		pick(t, p, &Request{})
+		p.Ended(start, "s0", &Request{}, Dropped)
 	}
 	if len(p.Resting(start)) > 0 {
 		t.Error("a server was paused because callers cancelled")
@@ -214,7 +214,7 @@
 	homes, domains = map[string]string{}, map[string]int{}
 	for i := range 400 {
 		book := fmt.Sprint("book", i)
-		w := &Wish{Parts: prompt(fmt.Sprint("common", i%40), book, "own"), Makers: makers}
+		w := &Request{Parts: prompt(fmt.Sprint("common", i%40), book, "own"), Makers: makers}
 		homes[book] = p.home(w)
 		domains[p.servers[homes[book]].Domain]++
 	}
@@ -259,7 +259,7 @@
 	for i := range pools {
 		pools[i] = testPool(fmt.Sprint("box", i), 64)
 	}
-	ask := func(p *Pool, first string) { p.asked.note(start, &Wish{Parts: prompt(first, "book", "own")}) }
+	ask := func(p *Pool, first string) { p.asked.note(start, &Request{Parts: prompt(first, "book", "own")}) }
 	for i, p := range pools { // half of the requests have the same first part
 		for n := range 3 {
 			ask(p, "common")
@@ -308,12 +308,12 @@
 	pickAll := func(now time.Time) map[string]int {
 		at := map[string]int{}
 		for range 60 {
-			s, _, _ := p.Pick(now, &Wish{LeastLoaded: true})
+			s, _, _ := p.Pick(now, &Request{LeastLoaded: true})
 			at[s.ID]++
 		}
 		for id, n := range at {
 			for range n {
-				p.Ended(now, id, &Wish{}, Good)
+				p.Ended(now, id, &Request{}, Good)
 			}
 		}
 		return at
@@ -329,7 +329,7 @@
 	if at := pickAll(start); len(at) != 6 {
 		t.Errorf("with four of six cold: %v", at)
 	}
-	if _, _, ok := p.Pick(start, &Wish{Exclude: map[string]bool{"s4": true, "s5": true}}); !ok {
+	if _, _, ok := p.Pick(start, &Request{Exclude: map[string]bool{"s4": true, "s5": true}}); !ok {
 		t.Error("no server was picked though cold ones are available")
 	}
 }
--- a/src/balance/confined_test.go
+++ b/src/balance/confined_test.go
@@ -19,7 +19,7 @@
 	p.Configure(pointers(list))
 	inside := &catalog.Confines{Domains: []string{"in"}}
 	for i := range 64 {
-		w := &Wish{Within: inside, Exclude: map[string]bool{}, Parts: []Part{{ID: "a", Tokens: 500}, {ID: fmt.Sprint("s", i%5), Tokens: 4000}, {ID: fmt.Sprint(i), Tokens: 100}}}
+		w := &Request{Within: inside, Exclude: map[string]bool{}, Parts: []Part{{ID: "a", Tokens: 500}, {ID: fmt.Sprint("s", i%5), Tokens: 4000}, {ID: fmt.Sprint(i), Tokens: 100}}}
 		if d := p.HomeDomain(w); d != "in" {
 			t.Errorf("the home of request %d is in %q", i, d)
 		}
@@ -38,7 +38,7 @@
 		}
 		return time.Time{}
 	}
-	w := &Wish{Within: inside, Exclude: map[string]bool{}}
+	w := &Request{Within: inside, Exclude: map[string]bool{}}
 	if _, _, ok := p.Pick(start, w); ok || p.Awake(start, w) {
 		t.Error("a server outside counts as available while all inside rest")
 	}
@@ -56,7 +56,7 @@
 	if d := p.Domains(); p.Size() != 1 || len(d) != 1 || d["f"] != 1 {
 		t.Errorf("%d servers are left, by failure domain %v", p.Size(), d)
 	}
-	if s, _, ok := p.Pick(start, &Wish{}); !ok || s.ID != "b" {
+	if s, _, ok := p.Pick(start, &Request{}); !ok || s.ID != "b" {
 		t.Errorf("%q was chosen", s.ID)
 	}
 }
--- a/src/balance/doubt_test.go
+++ b/src/balance/doubt_test.go
@@ -23,7 +23,7 @@
 	for i := range 20 {
 		now := start.Add(time.Duration(i) * 50 * time.Millisecond)
 		p.Hear(now, "b", notes)
-		w := &Wish{LeastLoaded: true}
+		w := &Request{LeastLoaded: true}
 		s, _, ok := p.Pick(now, w)
 		if !ok {
 			t.Fatal("no server was picked")
@@ -51,7 +51,7 @@
 func TestDoubtEnds(t *testing.T) {
 	p := testPool("a", 2)
 	p.Hear(start, "b", []Note{{Server: p.servers["s0"].hash, Load: Load{Requests: 9}}})
-	w := &Wish{}
+	w := &Request{}
 	p.Ended(start, "s1", w, Absent)
 	p.servers["s1"].until, p.servers["s1"].pauses = time.Time{}, 0
 	if got := pick(t, p, w); got != "s0" {
@@ -83,7 +83,7 @@
 				{Server: p.servers["s2"].hash, Load: Load{Requests: 9}},
 			})
 		}
-		w := &Wish{LeastLoaded: true}
+		w := &Request{LeastLoaded: true}
 		hear(start)
 		if got := pick(t, p, w); got != "s0" {
 			t.Fatalf("%s was picked, want the least loaded", got)
--- a/src/balance/health.go
+++ b/src/balance/health.go
@@ -63,7 +63,7 @@
 }
 
 // Ended records the end of a request's exchange with a server. It reports whether the server was paused.
-func (p *Pool) Ended(now time.Time, id string, w *Wish, o Outcome) bool {
+func (p *Pool) Ended(now time.Time, id string, w *Request, o Outcome) bool {
 	v := p.servers[id]
 	if v == nil {
 		return false
--- a/src/balance/incarnation_test.go
+++ b/src/balance/incarnation_test.go
@@ -16,7 +16,7 @@
 	}
 	p := NewPool("box", "d")
 	p.Configure(pointers(list(10)))
-	w := &Wish{Parts: []Part{{ID: "shared", Tokens: 900}, {ID: "own", Tokens: 10}}, Exclude: map[string]bool{}}
+	w := &Request{Parts: []Part{{ID: "shared", Tokens: 900}, {ID: "own", Tokens: 10}}, Exclude: map[string]bool{}}
 	s, _, _ := p.Pick(now, w)
 	p.Read(now, "a", w)
 	p.Ended(now, "a", w, Absent) // pauses it
@@ -45,7 +45,7 @@
 	now := time.Unix(1_700_000_000, 0)
 	p := NewPool("box", "d")
 	p.Configure(pointers([]catalog.Server{{ID: "a", Slots: 4, Incarnation: 10}}))
-	p.Pick(now, &Wish{Exclude: map[string]bool{}})
+	p.Pick(now, &Request{Exclude: map[string]bool{}})
 	p.Configure(pointers([]catalog.Server{{ID: "a", Slots: 8, Incarnation: 10}}))
 	if n := p.Own()["a"].Requests; n != 1 {
 		t.Errorf("%d requests are counted, want 1", n)
--- a/src/balance/popularity.go
+++ b/src/balance/popularity.go
@@ -44,7 +44,7 @@
 }
 
 // note adds the tokens of a request to its first prompt part.
-func (a *popularity) note(now time.Time, w *Wish) {
+func (a *popularity) note(now time.Time, w *Request) {
 	if len(w.Parts) == 0 {
 		return
 	}
--- a/src/balance/prompt.go
+++ b/src/balance/prompt.go
@@ -18,7 +18,7 @@
 type keptParts []map[uint64]time.Time
 
 // keptParts looks up the parts of a prompt once for the choice among many servers.
-func (p *Pool) keptParts(w *Wish) keptParts {
+func (p *Pool) keptParts(w *Request) keptParts {
 	out := make(keptParts, len(w.Parts))
 	for i, part := range w.Parts {
 		out[i] = p.cached[catalog.Hash(part.ID)]
@@ -28,7 +28,7 @@
 
 // uncachedTokens estimates the tokens of a prompt that a server has not cached, and how many of them are shared with other
 // requests. home is the server assigned to the prompt's shared parts, which counts as having them.
-func (p *Pool) uncachedTokens(now time.Time, v *server, w *Wish, kept keptParts, home string) (all, shared int) {
+func (p *Pool) uncachedTokens(now time.Time, v *server, w *Request, kept keptParts, home string) (all, shared int) {
 	last := len(w.Parts) - 1
 	keeps := true
 	for i, part := range w.Parts {
@@ -56,7 +56,7 @@
 // home returns the server assigned to the shared parts of a prompt, "" for none. All boxes agree on it without
 // communication: rendezvous hashing of the first part selects several servers (see homes), and rendezvous hashing of the
 // last shared part selects one of them.
-func (p *Pool) home(w *Wish) string {
+func (p *Pool) home(w *Request) string {
 	if len(w.Parts) < 2 || len(p.servers) == 0 {
 		return ""
 	}
@@ -76,7 +76,7 @@
 
 // weight returns the weight of a domain's servers in the choice of a home: the domain's share of the servers that produce
 // the request's large inputs, or 1 if it has none.
-func (p *Pool) weight(w *Wish, domain string) float64 {
+func (p *Pool) weight(w *Request, domain string) float64 {
 	makers := 0
 	for _, n := range w.Makers {
 		makers += n
@@ -123,7 +123,7 @@
 
 // HomeDomain returns the failure domain of the home of a prompt (see home), "" if it has none. Large inputs of the
 // request are best produced there.
-func (p *Pool) HomeDomain(w *Wish) string {
+func (p *Pool) HomeDomain(w *Request) string {
 	if v := p.servers[p.home(w)]; v != nil {
 		return v.Domain
 	}
@@ -131,7 +131,7 @@
 }
 
 // Read records that a server has processed a prompt of this box: its load is reduced and the parts count as cached.
-func (p *Pool) Read(now time.Time, id string, w *Wish) {
+func (p *Pool) Read(now time.Time, id string, w *Request) {
 	v := p.servers[id]
 	if v == nil || len(w.Parts) == 0 {
 		return
--- a/src/balance/resting_test.go
+++ b/src/balance/resting_test.go
@@ -14,28 +14,28 @@
 	resting := map[string]time.Time{"a": start.Add(3 * time.Second)}
 	p.RestsUntil = func(s *catalog.Server) time.Time { return resting[s.ID] }
 	for range 20 {
-		if s, _, ok := p.Pick(start, &Wish{}); !ok || s.ID != "b" {
+		if s, _, ok := p.Pick(start, &Request{}); !ok || s.ID != "b" {
 			t.Fatalf("%q was chosen while the other server rests", s.ID)
 		}
-		p.Ended(start, "b", &Wish{}, Good)
+		p.Ended(start, "b", &Request{}, Good)
 	}
-	w := &Wish{Parts: []Part{{"shared", 2 * minCopyTokens}, {"own", 10}}}
+	w := &Request{Parts: []Part{{"shared", 2 * minCopyTokens}, {"own", 10}}}
 	p.Kept(start, "a", w.Parts[:1])
 	p.Kept(start, "a", w.Parts)
 	if s, ok := p.Source(start, "b", w); ok {
 		t.Errorf("%s, which rests, is a source of prompt parts", s.ID)
 	}
 	resting["b"] = start.Add(2 * time.Second)
-	if s, _, ok := p.Pick(start, &Wish{}); ok {
+	if s, _, ok := p.Pick(start, &Request{}); ok {
 		t.Errorf("%s was chosen while all rest", s.ID)
 	}
-	if end, ok := p.RestEnds(start, &Wish{}); !ok || !end.Equal(start.Add(2*time.Second)) {
+	if end, ok := p.RestEnds(start, &Request{}); !ok || !end.Equal(start.Add(2*time.Second)) {
 		t.Errorf("the first rest ends after %s, %v", end.Sub(start), ok)
 	}
-	if p.Awake(start, &Wish{}) || !p.Awake(start.Add(2*time.Second), &Wish{}) || p.Awake(start.Add(2*time.Second), &Wish{Exclude: map[string]bool{"b": true}}) {
+	if p.Awake(start, &Request{}) || !p.Awake(start.Add(2*time.Second), &Request{}) || p.Awake(start.Add(2*time.Second), &Request{Exclude: map[string]bool{"b": true}}) {
 		t.Error("wrong result on whether a server is available")
 	}
-	if s, _, ok := p.Pick(start.Add(2*time.Second), &Wish{}); !ok || s.ID != "b" {
+	if s, _, ok := p.Pick(start.Add(2*time.Second), &Request{}); !ok || s.ID != "b" {
 		t.Errorf("%q was chosen after the first rest", s.ID)
 	}
 }
@@ -45,8 +45,8 @@
 	p := NewPool("box", "d")
 	p.Configure(pointers([]catalog.Server{{ID: "a", Domain: "d", Slots: 4}}))
 	for range 10 {
-		p.Pick(start, &Wish{})
-		if p.Ended(start, "a", &Wish{}, AsksRest) {
+		p.Pick(start, &Request{})
+		if p.Ended(start, "a", &Request{}, AsksRest) {
 			t.Fatal("the server was paused")
 		}
 	}
@@ -61,21 +61,21 @@
 	p := NewPool("box", "d")
 	p.Configure(pointers([]catalog.Server{{ID: "a", Domain: "d", Slots: 4}, {ID: "b", Domain: "d", Slots: 4}}))
 	p.Limits = func(s *catalog.Server) bool { return s.ID == "a" }
-	w := &Wish{Parts: []Part{{"shared", 2 * minCopyTokens}, {"own", 10}}}
+	w := &Request{Parts: []Part{{"shared", 2 * minCopyTokens}, {"own", 10}}}
 	p.Kept(start, "a", w.Parts)
 	if s, ok := p.Source(start, "b", w); ok {
 		t.Errorf("%s, which limits its requests, is a source of prompt parts", s.ID)
 	}
 	for range 20 {
-		if s, _, ok := p.Pick(start, &Wish{Unlimited: true}); !ok || s.ID != "b" {
+		if s, _, ok := p.Pick(start, &Request{Unlimited: true}); !ok || s.ID != "b" {
 			t.Fatalf("%q was chosen for a request without a permit", s.ID)
 		}
 	}
 	p.RestsUntil = func(s *catalog.Server) time.Time { return start.Add(time.Second) }
-	if s, _, ok := p.Pick(start, &Wish{Only: "a"}); !ok || s.ID != "a" {
+	if s, _, ok := p.Pick(start, &Request{Only: "a"}); !ok || s.ID != "a" {
 		t.Errorf("%q was chosen for a request with a permit at a", s.ID)
 	}
-	if s, at, ok := p.FirstToWake(start, &Wish{}); !ok || s.ID != "a" || !at.Equal(start.Add(time.Second)) {
+	if s, at, ok := p.FirstToWake(start, &Request{}); !ok || s.ID != "a" || !at.Equal(start.Add(time.Second)) {
 		t.Errorf("%q rests the shortest, for %s", s.ID, at.Sub(start))
 	}
 }
--- a/src/balance/source.go
+++ b/src/balance/source.go
@@ -20,7 +20,7 @@
 // Source returns a server from which server id should copy the shared parts of a prompt: the one that processed them
 // last, or their home. It returns false if copying isn't worth it because id has them cached, as far as this box knows, or
 // if no suitable server is known.
-func (p *Pool) Source(now time.Time, id string, w *Wish) (catalog.Server, bool) {
+func (p *Pool) Source(now time.Time, id string, w *Request) (catalog.Server, bool) {
 	v := p.servers[id]
 	if v == nil || len(w.Parts) < 2 {
 		return catalog.Server{}, false
--- a/src/balance/source_test.go
+++ b/src/balance/source_test.go
@@ -17,7 +17,7 @@
 
 func TestPromptIsCopiedFromItsReader(t *testing.T) {
 	p := testPool("a", 3)
-	w := &Wish{Parts: prompt("common", "book", "1")}
+	w := &Request{Parts: prompt("common", "book", "1")}
 	chosen := pick(t, p, w)
 	reader := other(chosen)
 	if s, ok := p.Source(start, chosen, w); ok {
@@ -38,12 +38,12 @@
 
 func TestPromptIsCopiedFromItsHomeIfNoReaderIsKnown(t *testing.T) {
 	p := testPool("a", 3)
-	w := &Wish{Parts: prompt("common", "book", "1")}
+	w := &Request{Parts: prompt("common", "book", "1")}
 	home := pick(t, p, w)
 	if s, ok := p.Source(start, other(home), w); !ok || s.ID != home {
 		t.Errorf("copied from %q, want its home %s", s.ID, home)
 	}
-	small := &Wish{Parts: []Part{{ID: "common", Tokens: minCopyTokens - 1}, {ID: "1", Tokens: 9000}}}
+	small := &Request{Parts: []Part{{ID: "common", Tokens: minCopyTokens - 1}, {ID: "1", Tokens: 9000}}}
 	if _, ok := p.Source(start, other(p.home(small)), small); ok {
 		t.Error("a few tokens were copied")
 	}
@@ -52,7 +52,7 @@
 // Copying from a server that is removed, failing or slow would delay the request.
 func TestNoCopyFromUnhealthyServer(t *testing.T) {
 	for name, spoil := range map[string]func(p *Pool, reader string){
-		"broken":  func(p *Pool, reader string) { p.Ended(start, reader, &Wish{}, Broken) },
+		"broken":  func(p *Pool, reader string) { p.Ended(start, reader, &Request{}, Broken) },
 		"resting": func(p *Pool, reader string) { p.Hear(start, "b", []Note{{Server: catalog.Hash(reader), Rests: true}}) },
 		"slow": func(p *Pool, reader string) {
 			for range 20 {
@@ -70,7 +70,7 @@
 		},
 	} {
 		p := testPool("a", 2)
-		w := &Wish{Parts: prompt("common", "book", "1")}
+		w := &Request{Parts: prompt("common", "book", "1")}
 		chosen := pick(t, p, w)
 		reader := other(chosen)
 		p.HearReads(start, []Read{{Part: catalog.Hash("book"), Server: catalog.Hash(reader)}})
--- a/src/gateway/bench_test.go
+++ b/src/gateway/bench_test.go
@@ -86,7 +86,7 @@
 			g := benchGateway(b, n, 0)
 			p := g.pools.get("model").picker
 			for i := 0; b.Loop(); i++ {
-				w := balance.Wish{Parts: []balance.Part{{ID: "a", Tokens: 500}, {ID: fmt.Sprint("s", i%500), Tokens: 4000}, {ID: fmt.Sprint(i), Tokens: 900}}, Exclude: map[string]bool{}}
+				w := balance.Request{Parts: []balance.Part{{ID: "a", Tokens: 500}, {ID: fmt.Sprint("s", i%500), Tokens: 4000}, {ID: fmt.Sprint(i), Tokens: 900}}, Exclude: map[string]bool{}}
 				p.HomeDomain(&w)
 				s, _, _ := p.Pick(g.now(), &w)
 				p.Read(g.now(), s.ID, &w)
@@ -119,7 +119,7 @@
 			}
 			e := g.pools.get("model")
 			for b.Loop() {
-				w := balance.Wish{Exclude: map[string]bool{}}
+				w := balance.Request{Exclude: map[string]bool{}}
 				s, _, _ := e.picker.Pick(g.now(), &w)
 				e.picker.Ended(g.now(), s.ID, &w, balance.Good)
 			}
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -32,7 +32,7 @@
 	limitedBy  string // what set the deadline: the caller or the pipeline
 	made       *results
 	stages     *stageRun
-	wish       balance.Wish
+	wish       balance.Request
 	attempts   int
 	remade     bool
 	maybeRan   bool
@@ -179,7 +179,7 @@
 		v.refuse(err)
 		return
 	}
-	v.wish = balance.Wish{Parts: v.request.Parts, Exclude: map[string]bool{}, Makers: g.makersOf(p), Within: v.confines}
+	v.wish = balance.Request{Parts: v.request.Parts, Exclude: map[string]bool{}, Makers: g.makersOf(p), Within: v.confines}
 	if err := v.checkRest(e); err != nil {
 		v.refuse(err)
 		return
--- a/src/gateway/source_test.go
+++ b/src/gateway/source_test.go
@@ -38,7 +38,7 @@
 		first := f.box("box0")
 		p := first.pools.get("model")
 		p.mu.Lock()
-		wish := balance.Wish{Parts: prompt("none")}
+		wish := balance.Request{Parts: prompt("none")}
 		home, _, _ := p.picker.Pick(first.now(), &wish)
 		p.picker.Ended(first.now(), home.ID, &wish, balance.Dropped)
 		p.picker.Hear(first.now(), "busy", []balance.Note{{Server: catalog.Hash(home.ID), Load: balance.Load{Requests: 500}}})
