--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -411,7 +411,7 @@
 	e.mu.Unlock()
 	took := now.Sub(began)
 	g.Log.Info("exchange", "request", v.request.ID, "pool", e.name, "content", v.content.String(), "server", s.ID, "incarnation", s.Incarnation, "domain", s.Domain, "outcome", o.String(), "took_ms", took.Milliseconds(), "detail", detail, "chosen", why, "rests", rests, "says_leaving", v.said.Leaving, "asks_rest_ms", v.said.Rest.Milliseconds(), "names_limit", v.said.Limit)
-	v.said = pushback.Word{}
+	v.said = pushback.Signals{}
 	if g.Watch.Exchanged != nil {
 		g.Watch.Exchanged(e.name, o.String(), took)
 	}
--- a/src/gateway/fleet_test.go
+++ b/src/gateway/fleet_test.go
@@ -60,7 +60,7 @@
 	alter      func(to string, b *core.Beat)                                 // changes a heartbeat on its way; nil changes none
 	alterBatch func(from string, m *batch.Message)                           // changes a message on jobs on its way; nil changes none
 	callPieces func(ctx context.Context, box string, c PieceCall) PieceReply // in place of runPieces, where a server says more than its results; nil for none
-	freePieces func(box string, s catalog.Server) pushback.Word              // nil answers with nothing
+	freePieces func(box string, s catalog.Server) pushback.Signals              // nil answers with nothing
 
 	send  func(ctx context.Context, box string, c *Call) (*Reply, error)
 	probe func(address string) error // opens a connection to a server; nil finds that its process is there
@@ -162,9 +162,9 @@
 				}
 				return f.probe(address)
 			},
-			FreePieces: func(_ context.Context, s catalog.Server, _ []string) pushback.Word {
+			FreePieces: func(_ context.Context, s catalog.Server, _ []string) pushback.Signals {
 				if f.freePieces == nil {
-					return pushback.Word{}
+					return pushback.Signals{}
 				}
 				return f.freePieces(name, s)
 			},
--- a/src/gateway/inputs_test.go
+++ b/src/gateway/inputs_test.go
@@ -23,9 +23,9 @@
 		settle()
 		var freed atomic.Int64
 		for _, name := range []string{"box0", "box1"} {
-			f.box(name).Backends.FreePieces = func(_ context.Context, _ catalog.Server, handles []string) pushback.Word {
+			f.box(name).Backends.FreePieces = func(_ context.Context, _ catalog.Server, handles []string) pushback.Signals {
 				freed.Add(int64(len(handles)))
-				return pushback.Word{}
+				return pushback.Signals{}
 			}
 		}
 		go f.ask("box1", "/draft/x", "r", nil)
--- a/src/gateway/ports.go
+++ b/src/gateway/ports.go
@@ -72,7 +72,7 @@
 type PieceReply struct {
 	Outcome batch.CallOutcome
 	Results []batch.ItemResult // one for each item when the outcome is CallDone
-	Said    pushback.Word
+	Said    pushback.Signals
 }
 
 // Reply is the head of a server's answer. Close must be called.
@@ -86,7 +86,7 @@
 	Missing bool // an input is gone
 	Signed  bool
 	Events  bool // the answer is a stream of events
-	Said    pushback.Word
+	Said    pushback.Signals
 }
 
 // Backends are the calls to backend servers.
@@ -96,7 +96,7 @@
 	// RunPieces makes pieces of stages.
 	RunPieces func(ctx context.Context, c PieceCall) PieceReply
 	// FreePieces gives up results.
-	FreePieces func(ctx context.Context, s catalog.Server, handles []string) pushback.Word
+	FreePieces func(ctx context.Context, s catalog.Server, handles []string) pushback.Signals
 	// Probe opens a connection to an address and closes it; the error is that of opening. nil asks nobody.
 	Probe func(ctx context.Context, address string) error
 	// Forget drops the idle connections to an address whose server has started again; nil keeps none.
--- a/src/gateway/pushback.go
+++ b/src/gateway/pushback.go
@@ -77,8 +77,8 @@
 
 // hear takes what the answer of a server says of it. what names the exchange, for logs; sent is when it began, zero where no answer
 // of that server came.
-func (g *Gateway) hear(s catalog.Server, w pushback.Word, what string, sent time.Time) {
-	if w == (pushback.Word{}) && !g.words.any.Load() {
+func (g *Gateway) hear(s catalog.Server, w pushback.Signals, what string, sent time.Time) {
+	if w == (pushback.Signals{}) && !g.words.any.Load() {
 		return
 	}
 	if w.Limit != 0 || !sent.IsZero() {
--- a/src/gateway/pushback_site_test.go
+++ b/src/gateway/pushback_site_test.go
@@ -72,7 +72,7 @@
 }
 
 // arrives notes that a message reached a server, and gives what its answer is to say.
-func (s *wordSite) arrives(box, server string, requests ...string) (pushback.Word, bool) {
+func (s *wordSite) arrives(box, server string, requests ...string) (pushback.Signals, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now, key := time.Now(), [2]string{box, server}
@@ -93,7 +93,7 @@
 			r.n++
 		}
 	}
-	w := pushback.Word{Leaving: s.leaving[server], Limit: s.limits.arrives(now, box, server)}
+	w := pushback.Signals{Leaving: s.leaving[server], Limit: s.limits.arrives(now, box, server)}
 	shed := now.Before(s.shedsTo[server])
 	if shed {
 		w.Rest = s.restFor
@@ -102,7 +102,7 @@
 }
 
 // hears notes that a box got an answer.
-func (s *wordSite) hears(box, server string, w pushback.Word) {
+func (s *wordSite) hears(box, server string, w pushback.Signals) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now, key := time.Now(), [2]string{box, server}
@@ -162,7 +162,7 @@
 	return PieceReply{Outcome: batch.CallDone, Results: piecesOf(c.Server, c.Items), Said: w}
 }
 
-func (s *wordSite) free(box string, v catalog.Server) pushback.Word {
+func (s *wordSite) free(box string, v catalog.Server) pushback.Signals {
 	w, _ := s.arrives(box, v.ID)
 	w.Rest = 0
 	s.hears(box, v.ID, w)
--- a/src/gateway/pushback_test.go
+++ b/src/gateway/pushback_test.go
@@ -163,7 +163,7 @@
 // A choice may wait for its connection while another request's answer says that the server leaves or wants rest. It is looked
 // at once more before the first byte, and another server gets the request.
 func TestAWordThatComesBetweenChoiceAndFirstByte(t *testing.T) {
-	for _, word := range []pushback.Word{{Leaving: true}, {Rest: 3 * time.Second}} {
+	for _, word := range []pushback.Signals{{Leaving: true}, {Rest: 3 * time.Second}} {
 		t.Run(fmt.Sprintf("%+v", word), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newTestFleet(t, 4)
@@ -198,8 +198,8 @@
 		settle()
 		g := f.box("box2")
 		leaves, rests := catalog.Server{ID: "model0", Pool: "model"}, catalog.Server{ID: "model1", Pool: "model"}
-		g.hear(leaves, pushback.Word{Leaving: true}, "r", time.Now())
-		g.hear(rests, pushback.Word{Rest: 3 * time.Second}, "r", time.Now())
+		g.hear(leaves, pushback.Signals{Leaving: true}, "r", time.Now())
+		g.hear(rests, pushback.Signals{Rest: 3 * time.Second}, "r", time.Now())
 		if !g.restsUntil(&rests).After(g.now()) || g.mayUse("model0") {
 			t.Fatal("the words were not heard")
 		}
@@ -220,11 +220,11 @@
 		f := newTestFleet(t, 1)
 		settle()
 		g, freed := f.box("box0"), map[string]int{}
-		f.freePieces = func(_ string, s catalog.Server) pushback.Word {
+		f.freePieces = func(_ string, s catalog.Server) pushback.Signals {
 			freed[s.ID]++
-			return pushback.Word{Rest: 3 * time.Second}
+			return pushback.Signals{Rest: 3 * time.Second}
 		}
-		g.hear(catalog.Server{ID: "piece0", Pool: "encode"}, pushback.Word{Leaving: true}, "pieces", time.Now())
+		g.hear(catalog.Server{ID: "piece0", Pool: "encode"}, pushback.Signals{Leaving: true}, "pieces", time.Now())
 		for range 3 {
 			for _, id := range []string{"piece0", "piece1"} {
 				g.desk.giveUp(f.ctx, catalog.Server{ID: id, Pool: "encode"}, []string{"h"})
@@ -253,7 +253,7 @@
 				s.f.send = func(ctx context.Context, box string, c *Call) (*Reply, error) {
 					r, err := send(ctx, box, c)
 					if r != nil && old(box) {
-						r.Said = pushback.Word{}
+						r.Said = pushback.Signals{}
 					}
 					return r, err
 				}
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -36,7 +36,7 @@
 	attempts   int
 	remade     bool
 	maybeRan   bool
-	said       pushback.Word // by the server of the attempt that is at work
+	said       pushback.Signals // by the server of the attempt that is at work
 	turnedAway []string      // servers that asked for rest in place of taking this request
 	withheld   bool          // from a server that asked for rest since it was chosen, or had no permit left
 	asked      int           // times that it found no permit, or waited for one, at servers with limits
--- a/src/pushback/word.go
+++ b/src/pushback/word.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Word is the flow control information in one response. The zero value contains none.
-type Word struct {
+// Signals is the flow control information in one response. The zero value contains none.
+type Signals struct {
 	Leaving bool          // the server takes no new work
 	Rest    time.Duration // time for which it wants no requests from this box, 0 for none
 	Limit   float64       // requests per second from all boxes together, 0 if none is given; see LimitOf
