--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -324,12 +324,12 @@
 // RestEnds returns when the first resting server in the request's domains accepts requests again, or false if none
 // rests.
 func (p *Pool) RestEnds(now time.Time, w *Request) (time.Time, bool) {
-	_, first, ok := p.FirstToWake(now, w)
+	_, first, ok := p.FirstRestToEnd(now, w)
 	return first, ok
 }
 
-// FirstToWake returns the resting server that accepts requests again first, and when (see RestEnds).
-func (p *Pool) FirstToWake(now time.Time, w *Request) (catalog.Server, time.Time, bool) {
+// FirstRestToEnd returns the resting server that accepts requests again first, and when (see RestEnds).
+func (p *Pool) FirstRestToEnd(now time.Time, w *Request) (catalog.Server, time.Time, bool) {
 	var first time.Time
 	var server *catalog.Server
 	if p.RestsUntil == nil {
--- a/src/balance/resting_test.go
+++ b/src/balance/resting_test.go
@@ -75,7 +75,7 @@
 	if s, _, ok := p.Pick(start, &Request{Only: "a"}); !ok || s.ID != "a" {
 		t.Errorf("%q was chosen for a request with a permit at a", s.ID)
 	}
-	if s, at, ok := p.FirstToWake(start, &Request{}); !ok || s.ID != "a" || !at.Equal(start.Add(time.Second)) {
+	if s, at, ok := p.FirstRestToEnd(start, &Request{}); !ok || s.ID != "a" || !at.Equal(start.Add(time.Second)) {
 		t.Errorf("%q rests the shortest, for %s", s.ID, at.Sub(start))
 	}
 }
--- a/src/gateway/resting.go
+++ b/src/gateway/resting.go
@@ -66,7 +66,7 @@
 // nextPermit is the server that can be asked first, where all want rest or have no permit free, if it has a limit.
 func (v *visit) nextPermit(e *pool, now time.Time) (catalog.Server, bool) {
 	e.mu.Lock()
-	s, _, ok := e.picker.FirstToWake(now, &v.wish)
+	s, _, ok := e.picker.FirstRestToEnd(now, &v.wish)
 	e.mu.Unlock()
 	if !ok {
 		return s, false
