--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -321,9 +321,9 @@
 	return v != nil && p.wantsRest(now, v)
 }
 
-// RestEnds returns when the first resting server in the request's domains accepts requests again, or false if none
+// EarliestRestEnd returns when the first resting server in the request's domains accepts requests again, or false if none
 // rests.
-func (p *Pool) RestEnds(now time.Time, w *Request) (time.Time, bool) {
+func (p *Pool) EarliestRestEnd(now time.Time, w *Request) (time.Time, bool) {
 	_, first, ok := p.FirstRestToEnd(now, w)
 	return first, ok
 }
--- a/src/balance/confined_test.go
+++ b/src/balance/confined_test.go
@@ -42,7 +42,7 @@
 	if _, _, ok := p.Pick(start, w); ok || p.Awake(start, w) {
 		t.Error("a server outside counts as available while all inside rest")
 	}
-	if end, ok := p.RestEnds(start, w); !ok || !end.Equal(start.Add(time.Second)) {
+	if end, ok := p.EarliestRestEnd(start, w); !ok || !end.Equal(start.Add(time.Second)) {
 		t.Errorf("the rest ends at %v", end)
 	}
 }
--- a/src/balance/resting_test.go
+++ b/src/balance/resting_test.go
@@ -29,7 +29,7 @@
 	if s, _, ok := p.Pick(start, &Request{}); ok {
 		t.Errorf("%s was chosen while all rest", s.ID)
 	}
-	if end, ok := p.RestEnds(start, &Request{}); !ok || !end.Equal(start.Add(2*time.Second)) {
+	if end, ok := p.EarliestRestEnd(start, &Request{}); !ok || !end.Equal(start.Add(2*time.Second)) {
 		t.Errorf("the first rest ends after %s, %v", end.Sub(start), ok)
 	}
 	if p.Awake(start, &Request{}) || !p.Awake(start.Add(2*time.Second), &Request{}) || p.Awake(start.Add(2*time.Second), &Request{Exclude: map[string]bool{"b": true}}) {
--- a/src/gateway/resting.go
+++ b/src/gateway/resting.go
@@ -60,7 +60,7 @@
 	if e.picker.Awake(now, &v.wish) {
 		return time.Time{}, false
 	}
-	return e.picker.RestEnds(now, &v.wish)
+	return e.picker.EarliestRestEnd(now, &v.wish)
 }
 
 // nextPermit is the server that can be asked first, where all want rest or have no permit free, if it has a limit.
@@ -123,7 +123,7 @@
 // noServer is the refusal of a request that no server is left for.
 func (v *visit) noServer(e *pool, now time.Time) *code.Error {
 	e.mu.Lock()
-	end, resting := e.picker.RestEnds(now, &v.wish)
+	end, resting := e.picker.EarliestRestEnd(now, &v.wish)
 	e.mu.Unlock()
 	if resting {
 		return v.resting(now, end)
