--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -302,8 +302,8 @@
 	return p.RestsUntil != nil && now.Before(p.RestsUntil(v.Server))
 }
 
-// Awake reports whether some server that the request doesn't exclude accepts requests now.
-func (p *Pool) Awake(now time.Time, w *Request) bool {
+// AnyAccepting reports whether some server that the request doesn't exclude accepts requests now.
+func (p *Pool) AnyAccepting(now time.Time, w *Request) bool {
 	if p.RestsUntil == nil {
 		return true
 	}
--- a/src/balance/confined_test.go
+++ b/src/balance/confined_test.go
@@ -39,7 +39,7 @@
 		return time.Time{}
 	}
 	w := &Request{Within: inside, Exclude: map[string]bool{}}
-	if _, _, ok := p.Pick(start, w); ok || p.Awake(start, w) {
+	if _, _, ok := p.Pick(start, w); ok || p.AnyAccepting(start, w) {
 		t.Error("a server outside counts as available while all inside rest")
 	}
 	if end, ok := p.EarliestRestEnd(start, w); !ok || !end.Equal(start.Add(time.Second)) {
--- a/src/balance/resting_test.go
+++ b/src/balance/resting_test.go
@@ -32,7 +32,7 @@
 	if end, ok := p.EarliestRestEnd(start, &Request{}); !ok || !end.Equal(start.Add(2*time.Second)) {
 		t.Errorf("the first rest ends after %s, %v", end.Sub(start), ok)
 	}
-	if p.Awake(start, &Request{}) || !p.Awake(start.Add(2*time.Second), &Request{}) || p.Awake(start.Add(2*time.Second), &Request{Exclude: map[string]bool{"b": true}}) {
+	if p.AnyAccepting(start, &Request{}) || !p.AnyAccepting(start.Add(2*time.Second), &Request{}) || p.AnyAccepting(start.Add(2*time.Second), &Request{Exclude: map[string]bool{"b": true}}) {
 		t.Error("wrong result on whether a server is available")
 	}
 	if s, _, ok := p.Pick(start.Add(2*time.Second), &Request{}); !ok || s.ID != "b" {
--- a/src/gateway/resting.go
+++ b/src/gateway/resting.go
@@ -57,7 +57,7 @@
 		}
 		return over
 	})
-	if e.picker.Awake(now, &v.wish) {
+	if e.picker.AnyAccepting(now, &v.wish) {
 		return time.Time{}, false
 	}
 	return e.picker.EarliestRestEnd(now, &v.wish)
@@ -82,7 +82,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.picker.Awake(now, &v.wish)
+	return e.picker.AnyAccepting(now, &v.wish)
 }
 
 // tooLong says whether a request can't wait for a server until a time: what is left then would not do for its run or, unless the
