--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -212,9 +212,9 @@
 	delete(p.reports, box)
 }
 
-// Hear replaces the load report of another box. Servers of other pools are ignored, and servers that aren't named have
+// SetBoxLoads replaces the load report of another box. Servers of other pools are ignored, and servers that aren't named have
 // no load from that box. The cost is proportional to the number of notes, not of servers.
-func (p *Pool) Hear(now time.Time, box string, notes []Note) {
+func (p *Pool) SetBoxLoads(now time.Time, box string, notes []Note) {
 	p.dropReport(box)
 	w := boxReport{at: now}
 	for _, n := range notes {
--- a/src/balance/balance_test.go
+++ b/src/balance/balance_test.go
@@ -74,7 +74,7 @@
 	p := testPool("a", 9)
 	w := &Request{Parts: prompt("x", "y", "z")}
 	home := pick(t, p, w)
-	p.Hear(start, "other", []Note{{Server: catalog.Hash(home), Load: Load{Requests: 64, Tokens: 500_000}}})
+	p.SetBoxLoads(start, "other", []Note{{Server: catalog.Hash(home), Load: Load{Requests: 64, Tokens: 500_000}}})
 	if s := pick(t, p, w); s == home {
 		t.Errorf("%s got the request with ten seconds of prompt processing queued there", home)
 	}
@@ -113,7 +113,7 @@
 
 func TestServerIsTriedIfAllArePaused(t *testing.T) {
 	p := testPool("a", 2)
-	p.Hear(start, "other", []Note{{Server: catalog.Hash("s0"), Rests: true}, {Server: catalog.Hash("s1"), Rests: true}})
+	p.SetBoxLoads(start, "other", []Note{{Server: catalog.Hash("s0"), Rests: true}, {Server: catalog.Hash("s1"), Rests: true}})
 	if _, why, ok := p.Pick(start, &Request{}); !ok || why != "all servers rest" {
 		t.Errorf("no server was tried: %s", why)
 	}
@@ -178,7 +178,7 @@
 	p := testPool("a", 2)
 	p.Boxes = 81
 	for i := range 8 {
-		p.Hear(start, fmt.Sprint("box", i), []Note{{Server: catalog.Hash("s0"), Load: Load{Requests: 1}}})
+		p.SetBoxLoads(start, fmt.Sprint("box", i), []Note{{Server: catalog.Hash("s0"), Load: Load{Requests: 1}}})
 	}
 	if n, _ := p.Busy(start); n != 80 {
 		t.Errorf("8 of 80 boxes report 8 requests; %d are estimated in total, want 80", n)
@@ -192,18 +192,18 @@
 func TestNewReportReplacesTheOldOne(t *testing.T) {
 	p := testPool("a", 2)
 	note := func(id string, n int) []Note { return []Note{{Server: catalog.Hash(id), Load: Load{Requests: n}}} }
-	p.Hear(start, "b", note("s0", 5))
-	p.Hear(start, "c", note("s0", 2))
-	p.Hear(start, "b", note("s1", 1))
+	p.SetBoxLoads(start, "b", note("s0", 5))
+	p.SetBoxLoads(start, "c", note("s0", 2))
+	p.SetBoxLoads(start, "b", note("s1", 1))
 	if n, _ := p.Busy(start); n != 3 {
 		t.Errorf("%d requests, want 2 from c and 1 from b", n)
 	}
 	p.Configure(pointers([]catalog.Server{{ID: "s1", Slots: 64}}))
-	p.Hear(start, "b", note("s0", 9))
+	p.SetBoxLoads(start, "b", note("s0", 9))
 	if n, _ := p.Busy(start); n != 0 {
 		t.Errorf("%d requests at removed servers", n)
 	}
-	p.Hear(start, "b", note("s1", 4))
+	p.SetBoxLoads(start, "b", note("s1", 4))
 	if n, _ := p.Busy(start.Add(reportLifetime)); n != 0 {
 		t.Errorf("%d requests from expired reports", n)
 	}
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -279,7 +279,7 @@
 	for _, e := range g.pools.list() {
 		e.mu.Lock()
 		e.picker.Boxes = boxes
-		e.picker.Hear(now, m.From.ID.Name, notes)
+		e.picker.SetBoxLoads(now, m.From.ID.Name, notes)
 		e.picker.HearReads(now, reads)
 		e.hearAsked(now, m.From.ID.Name, m.Asked)
 		e.mu.Unlock()
