--- a/src/balance/balance_test.go
+++ b/src/balance/balance_test.go
@@ -274,7 +274,7 @@
 		for j := 1; j <= 40; j++ { // the boxes that reported recently
 			box := (i + 2*j) % boxes
 			total, told := pools[box].Asked(start)
-			p.HearAsked(start, fmt.Sprint("box", box), total, told)
+			p.SetBoxPopularity(start, fmt.Sprint("box", box), total, told)
 		}
 		if n := p.homes(common); n != 64 {
 			t.Errorf("box%d: %d homes of the most popular part, want all 64", i, n)
--- a/src/balance/popularity.go
+++ b/src/balance/popularity.go
@@ -134,8 +134,8 @@
 	return 0
 }
 
-// HearAsked records another box's counts.
-func (p *Pool) HearAsked(now time.Time, box string, total float64, parts []Asked) {
+// SetBoxPopularity records another box's counts.
+func (p *Pool) SetBoxPopularity(now time.Time, box string, total float64, parts []Asked) {
 	p.asked.hear(now, box, total, parts)
 }
 
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -188,7 +188,7 @@
 		for i, part := range n.Parts {
 			parts[i] = balance.Asked{Part: part, Tokens: n.Tokens[i]}
 		}
-		p.picker.HearAsked(now, box, float64(n.Total), parts)
+		p.picker.SetBoxPopularity(now, box, float64(n.Total), parts)
 	}
 }
 
