--- a/src/balance/popularity.go
+++ b/src/balance/popularity.go
@@ -30,11 +30,11 @@
 type popularityReport struct {
 	at    time.Time
 	total float64
-	parts []Asked
+	parts []PartTokens
 }
 
-// Asked is the recent number of prompt tokens of requests with a certain first part, identified by its hash.
-type Asked struct {
+// PartTokens is the recent number of prompt tokens of requests with a certain first part, identified by its hash.
+type PartTokens struct {
 	Part   uint64
 	Tokens uint32
 }
@@ -77,7 +77,7 @@
 }
 
 // hear replaces another box's report.
-func (a *popularity) hear(now time.Time, box string, total float64, parts []Asked) {
+func (a *popularity) hear(now time.Time, box string, total float64, parts []PartTokens) {
 	a.forget(box)
 	a.reports[box] = popularityReport{at: now, total: total, parts: parts}
 	a.toldAll += total
@@ -110,12 +110,12 @@
 }
 
 // Asked returns this box's counts to report to other boxes: all tokens, and those of the most requested parts.
-func (p *Pool) Asked(now time.Time) (total float64, parts []Asked) {
+func (p *Pool) Asked(now time.Time) (total float64, parts []PartTokens) {
 	p.asked.decay(now)
 	for part, n := range p.asked.own {
-		parts = append(parts, Asked{Part: part, Tokens: uint32(min(n, math.MaxUint32))})
+		parts = append(parts, PartTokens{Part: part, Tokens: uint32(min(n, math.MaxUint32))})
 	}
-	slices.SortFunc(parts, func(a, b Asked) int {
+	slices.SortFunc(parts, func(a, b PartTokens) int {
 		if a.Tokens != b.Tokens {
 			return int(int64(b.Tokens) - int64(a.Tokens))
 		}
@@ -135,7 +135,7 @@
 }
 
 // SetBoxPopularity records another box's counts.
-func (p *Pool) SetBoxPopularity(now time.Time, box string, total float64, parts []Asked) {
+func (p *Pool) SetBoxPopularity(now time.Time, box string, total float64, parts []PartTokens) {
 	p.asked.hear(now, box, total, parts)
 }
 
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -184,9 +184,9 @@
 		if n.Pool != catalog.Hash(p.name) || len(n.Parts) != len(n.Tokens) {
 			continue
 		}
-		parts := make([]balance.Asked, len(n.Parts))
+		parts := make([]balance.PartTokens, len(n.Parts))
 		for i, part := range n.Parts {
-			parts[i] = balance.Asked{Part: part, Tokens: n.Tokens[i]}
+			parts[i] = balance.PartTokens{Part: part, Tokens: n.Tokens[i]}
 		}
 		p.picker.SetBoxPopularity(now, box, float64(n.Total), parts)
 	}
