--- a/src/balance/balance_test.go
+++ b/src/balance/balance_test.go
@@ -273,7 +273,7 @@
 	for i, p := range pools {
 		for j := 1; j <= 40; j++ { // the boxes that reported recently
 			box := (i + 2*j) % boxes
-			total, told := pools[box].Asked(start)
+			total, told := pools[box].PopularityReport(start)
 			p.SetBoxPopularity(start, fmt.Sprint("box", box), total, told)
 		}
 		if n := p.homes(common); n != 64 {
--- a/src/balance/popularity.go
+++ b/src/balance/popularity.go
@@ -109,8 +109,8 @@
 	return (a.own[part] + a.told[part]) / all
 }
 
-// Asked returns this box's counts to report to other boxes: all tokens, and those of the most requested parts.
-func (p *Pool) Asked(now time.Time) (total float64, parts []PartTokens) {
+// PopularityReport returns this box's counts to report to other boxes: all tokens, and those of the most requested parts.
+func (p *Pool) PopularityReport(now time.Time) (total float64, parts []PartTokens) {
 	p.asked.decay(now)
 	for part, n := range p.asked.own {
 		parts = append(parts, PartTokens{Part: part, Tokens: uint32(min(n, math.MaxUint32))})
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -164,7 +164,7 @@
 	var out []core.AskNote
 	for _, p := range g.pools.list() {
 		p.mu.Lock()
-		total, parts := p.picker.Asked(now)
+		total, parts := p.picker.PopularityReport(now)
 		p.mu.Unlock()
 		if len(parts) == 0 {
 			continue
