--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -44,8 +44,8 @@
 	Tokens   int // prompt tokens that have not been processed
 }
 
-// Note is the load that a box reports for a server, which is identified by the hash of its id.
-type Note struct {
+// LoadReport is the load that a box reports for a server, which is identified by the hash of its id.
+type LoadReport struct {
 	Server uint64
 	Load   Load
 	Rests  bool // the box has paused the server after failures
@@ -54,7 +54,7 @@
 // boxReport is the last report of a box on this pool.
 type boxReport struct {
 	at    time.Time
-	notes []Note
+	notes []LoadReport
 }
 
 // server is a server of the pool as seen by this box.
@@ -163,7 +163,7 @@
 	}
 	p.fresh = slices.DeleteFunc(p.fresh, func(r freshRead) bool { return r.Server == v.hash })
 	for box, w := range p.reports {
-		w.notes = slices.DeleteFunc(w.notes, func(n Note) bool { return n.Server == v.hash })
+		w.notes = slices.DeleteFunc(w.notes, func(n LoadReport) bool { return n.Server == v.hash })
 		p.reports[box] = w
 	}
 }
@@ -214,7 +214,7 @@
 
 // SetBoxLoads replaces the load report of another box. Servers of other pools are ignored, and servers that aren't named have
 // no load from that box. The cost is proportional to the number of notes, not of servers.
-func (p *Pool) SetBoxLoads(now time.Time, box string, notes []Note) {
+func (p *Pool) SetBoxLoads(now time.Time, box string, notes []LoadReport) {
 	p.dropReport(box)
 	w := boxReport{at: now}
 	for _, n := range notes {
--- a/src/balance/balance_test.go
+++ b/src/balance/balance_test.go
@@ -74,7 +74,7 @@
 	p := testPool("a", 9)
 	w := &Request{Parts: prompt("x", "y", "z")}
 	home := pick(t, p, w)
-	p.SetBoxLoads(start, "other", []Note{{Server: catalog.Hash(home), Load: Load{Requests: 64, Tokens: 500_000}}})
+	p.SetBoxLoads(start, "other", []LoadReport{{Server: catalog.Hash(home), Load: Load{Requests: 64, Tokens: 500_000}}})
 	if s := pick(t, p, w); s == home {
 		t.Errorf("%s got the request with ten seconds of prompt processing queued there", home)
 	}
@@ -113,7 +113,7 @@
 
 func TestServerIsTriedIfAllArePaused(t *testing.T) {
 	p := testPool("a", 2)
-	p.SetBoxLoads(start, "other", []Note{{Server: catalog.Hash("s0"), Rests: true}, {Server: catalog.Hash("s1"), Rests: true}})
+	p.SetBoxLoads(start, "other", []LoadReport{{Server: catalog.Hash("s0"), Rests: true}, {Server: catalog.Hash("s1"), Rests: true}})
 	if _, why, ok := p.Pick(start, &Request{}); !ok || why != "all servers rest" {
 		t.Errorf("no server was tried: %s", why)
 	}
@@ -178,7 +178,7 @@
 	p := testPool("a", 2)
 	p.Boxes = 81
 	for i := range 8 {
-		p.SetBoxLoads(start, fmt.Sprint("box", i), []Note{{Server: catalog.Hash("s0"), Load: Load{Requests: 1}}})
+		p.SetBoxLoads(start, fmt.Sprint("box", i), []LoadReport{{Server: catalog.Hash("s0"), Load: Load{Requests: 1}}})
 	}
 	if n, _ := p.Busy(start); n != 80 {
 		t.Errorf("8 of 80 boxes report 8 requests; %d are estimated in total, want 80", n)
@@ -191,7 +191,7 @@
 
 func TestNewReportReplacesTheOldOne(t *testing.T) {
 	p := testPool("a", 2)
-	note := func(id string, n int) []Note { return []Note{{Server: catalog.Hash(id), Load: Load{Requests: n}}} }
+	note := func(id string, n int) []LoadReport { return []LoadReport{{Server: catalog.Hash(id), Load: Load{Requests: n}}} }
 	p.SetBoxLoads(start, "b", note("s0", 5))
 	p.SetBoxLoads(start, "c", note("s0", 2))
 	p.SetBoxLoads(start, "b", note("s1", 1))
--- a/src/balance/doubt_test.go
+++ b/src/balance/doubt_test.go
@@ -11,12 +11,12 @@
 // the other requests at each server.
 func runWithCrashedServers(t *testing.T) (met int, at map[string]int) {
 	p := testPool("a", 30)
-	var notes []Note
+	var notes []LoadReport
 	gone := map[string]bool{}
 	for i := range 30 {
 		id := fmt.Sprintf("s%d", i)
 		if gone[id] = i%3 == 0; !gone[id] {
-			notes = append(notes, Note{Server: p.servers[id].hash, Load: Load{Requests: 1 + i%2}})
+			notes = append(notes, LoadReport{Server: p.servers[id].hash, Load: Load{Requests: 1 + i%2}})
 		}
 	}
 	at = map[string]int{}
@@ -50,7 +50,7 @@
 // A doubt expires, and an exchange with a server ends it for that server: idle servers get requests again.
 func TestDoubtEnds(t *testing.T) {
 	p := testPool("a", 2)
-	p.SetBoxLoads(start, "b", []Note{{Server: p.servers["s0"].hash, Load: Load{Requests: 9}}})
+	p.SetBoxLoads(start, "b", []LoadReport{{Server: p.servers["s0"].hash, Load: Load{Requests: 9}}})
 	w := &Request{}
 	p.Ended(start, "s1", w, Absent)
 	p.servers["s1"].until, p.servers["s1"].pauses = time.Time{}, 0
@@ -64,7 +64,7 @@
 	q := testPool("a", 2)
 	q.Ended(start, "s1", w, Absent)
 	later := start.Add(doubtPeriod)
-	q.SetBoxLoads(later, "b", []Note{{Server: q.servers["s0"].hash, Load: Load{Requests: 9}}})
+	q.SetBoxLoads(later, "b", []LoadReport{{Server: q.servers["s0"].hash, Load: Load{Requests: 9}}})
 	q.servers["s1"].until, q.servers["s1"].pauses = time.Time{}, 0
 	if s, _, _ := q.Pick(later, w); s.ID != "s1" {
 		t.Errorf("%s was picked %s after a server was found absent, want the idle one", s.ID, doubtPeriod)
@@ -77,7 +77,7 @@
 	for outcome, rest := range map[Outcome]time.Duration{Absent: failurePause, Replaced: replacedPause} {
 		p := testPool("a", 3)
 		hear := func(now time.Time) {
-			p.SetBoxLoads(now, "b", []Note{
+			p.SetBoxLoads(now, "b", []LoadReport{
 				{Server: p.servers["s0"].hash, Load: Load{Requests: 1}},
 				{Server: p.servers["s1"].hash, Load: Load{Requests: 9}},
 				{Server: p.servers["s2"].hash, Load: Load{Requests: 9}},
--- a/src/balance/incarnation_test.go
+++ b/src/balance/incarnation_test.go
@@ -21,7 +21,7 @@
 	p.Read(now, "a", w)
 	p.Ended(now, "a", w, Absent) // pauses it
 	p.Pick(now, w)
-	p.SetBoxLoads(now, "peer", []Note{{Server: catalog.Hash("a"), Load: Load{Requests: 3}, Rests: true}})
+	p.SetBoxLoads(now, "peer", []LoadReport{{Server: catalog.Hash("a"), Load: Load{Requests: 3}, Rests: true}})
 
 	p.Configure(pointers(list(20)))
 	v := p.servers["a"]
@@ -34,7 +34,7 @@
 	if p.Current(s) {
 		t.Error("the earlier incarnation counts as the current one")
 	}
-	p.SetBoxLoads(now, "other", []Note{{Server: catalog.Hash("a"), Load: Load{Requests: 2}}})
+	p.SetBoxLoads(now, "other", []LoadReport{{Server: catalog.Hash("a"), Load: Load{Requests: 2}}})
 	p.SetBoxLoads(now, "peer", nil) // withdraws its report on the earlier incarnation
 	if v.peers.Requests != 2 {
 		t.Errorf("%d requests of other boxes count, want 2", v.peers.Requests)
--- a/src/gateway/source_test.go
+++ b/src/gateway/source_test.go
@@ -41,7 +41,7 @@
 		wish := balance.Request{Parts: prompt("none")}
 		home, _, _ := p.picker.Pick(first.now(), &wish)
 		p.picker.Ended(first.now(), home.ID, &wish, balance.Dropped)
-		p.picker.SetBoxLoads(first.now(), "busy", []balance.Note{{Server: catalog.Hash(home.ID), Load: balance.Load{Requests: 500}}})
+		p.picker.SetBoxLoads(first.now(), "busy", []balance.LoadReport{{Server: catalog.Hash(home.ID), Load: balance.Load{Requests: 500}}})
 		p.mu.Unlock()
 		f.ask("box0", "/draft/x", "one", ask)
 		time.Sleep(300 * time.Millisecond)
