--- a/src/gateway/limits.go
+++ b/src/gateway/limits.go
@@ -31,7 +31,7 @@
 			l, _ = r.LimitOf(now, wordLife(s))
 		}
 	})
-	if perSecond == pushback.NoSense {
+	if perSecond == pushback.InvalidLimit {
 		g.Log.Warn("limit of a server that can't be read", "server", s.ID, "pool", s.Pool, "what", what)
 	}
 	if !news {
--- a/src/pushback/limit_test.go
+++ b/src/pushback/limit_test.go
@@ -18,11 +18,11 @@
 		{[]string{"1e9"}, MostLimit},
 		{[]string{"1e999"}, MostLimit},
 		{[]string{"+Inf"}, MostLimit},
-		{[]string{"-1"}, NoSense},
-		{[]string{"-Inf"}, NoSense},
-		{[]string{"NaN"}, NoSense},
-		{[]string{""}, NoSense},
-		{[]string{"2 a second"}, NoSense},
+		{[]string{"-1"}, InvalidLimit},
+		{[]string{"-Inf"}, InvalidLimit},
+		{[]string{"NaN"}, InvalidLimit},
+		{[]string{""}, InvalidLimit},
+		{[]string{"2 a second"}, InvalidLimit},
 	} {
 		if got := LimitOf(c.values); got != c.want {
 			t.Errorf("%q: %g, want %g", c.values, got, c.want)
--- a/src/pushback/limits.go
+++ b/src/pushback/limits.go
@@ -66,7 +66,7 @@
 		l, known = limit{}, false
 	}
 	switch {
-	case perSecond == NoSense, known && s.Incarnation < l.incarnation && s.Incarnation > 0:
+	case perSecond == InvalidLimit, known && s.Incarnation < l.incarnation && s.Incarnation > 0:
 		return false
 	case perSecond == 0:
 		if !known || !l.endedAt.IsZero() || !sent.After(l.heardAt) {
--- a/src/pushback/limits_test.go
+++ b/src/pushback/limits_test.go
@@ -22,7 +22,7 @@
 		{"sent before, higher", 50, 150, 9, 4},
 		{"sent before, lower", 50, 150, 2, 2},
 		{"sent after, higher", 110, 150, 9, 9},
-		{"without sense", 110, 150, NoSense, 4},
+		{"without sense", 110, 150, InvalidLimit, 4},
 	} {
 		var r Register
 		if !r.HearLimit(at(100), at(0), server("a", 1), 4) {
--- a/src/pushback/word.go
+++ b/src/pushback/word.go
@@ -25,22 +25,22 @@
 	MostLimit  = 1e5
 )
 
-// NoSense stands for a limit that can't be parsed. It neither sets a limit nor ends one.
-const NoSense = -1
+// InvalidLimit stands for a limit that can't be parsed. It neither sets a limit nor ends one.
+const InvalidLimit = -1
 
 // LimitOf parses the limits given in one response and returns the lowest, 0 if there is none, or NoSense.
 func LimitOf(values []string) float64 {
 	if len(values) == 0 {
 		return 0
 	}
-	least := float64(NoSense)
+	least := float64(InvalidLimit)
 	for _, v := range values {
 		n, err := strconv.ParseFloat(strings.TrimSpace(v), 64)
 		if err != nil && !errors.Is(err, strconv.ErrRange) || math.IsNaN(n) || n < 0 {
 			continue
 		}
 		n = min(max(n, LeastLimit), MostLimit)
-		if least == NoSense || n < least {
+		if least == InvalidLimit || n < least {
 			least = n
 		}
 	}
