--- a/src/pushback/limit_test.go
+++ b/src/pushback/limit_test.go
@@ -24,7 +24,7 @@
 		{[]string{""}, InvalidLimit},
 		{[]string{"2 a second"}, InvalidLimit},
 	} {
-		if got := LimitOf(c.values); got != c.want {
+		if got := ParseLimit(c.values); got != c.want {
 			t.Errorf("%q: %g, want %g", c.values, got, c.want)
 		}
 	}
--- a/src/pushback/word.go
+++ b/src/pushback/word.go
@@ -28,8 +28,8 @@
 // InvalidLimit stands for a limit that can't be parsed. It neither sets a limit nor ends one.
 const InvalidLimit = -1
 
-// LimitOf parses the limits given in one response and returns the lowest, 0 if there is none, or NoSense.
-func LimitOf(values []string) float64 {
+// ParseLimit parses the limits given in one response and returns the lowest, 0 if there is none, or NoSense.
+func ParseLimit(values []string) float64 {
 	if len(values) == 0 {
 		return 0
 	}
