--- a/src/gateway/pushback.go
+++ b/src/gateway/pushback.go
@@ -52,7 +52,7 @@
 // giveBack leaves the permit of a request that was not sent to others.
 func (w *words) giveBack(id, owner string) {
 	if w.any.Load() {
-		w.with(func(r *pushback.Register) { r.GiveBack(id, owner) })
+		w.with(func(r *pushback.Register) { r.ReleasePermit(id, owner) })
 	}
 }
 
--- a/src/pushback/limits.go
+++ b/src/pushback/limits.go
@@ -195,8 +195,8 @@
 	r.limits[id] = l
 }
 
-// GiveBack makes the permit of a request that will not be sent available to any request.
-func (r *Register) GiveBack(id, owner string) {
+// ReleasePermit makes the permit of a request that will not be sent available to any request.
+func (r *Register) ReleasePermit(id, owner string) {
 	for i, p := range r.limits[id].permits {
 		if p.owner == owner {
 			r.limits[id].permits[i].owner = ""
--- a/src/pushback/limits_test.go
+++ b/src/pushback/limits_test.go
@@ -145,7 +145,7 @@
 		t.Error("an expired permit was used")
 	}
 	r.Granted(start, "a", "r", 1, 0, time.Second)
-	r.GiveBack("a", "r")
+	r.ReleasePermit("a", "r")
 	if v := r.Begin(at(permitLife/2), s, "other"); !v.Open() {
 		t.Error("a released permit is lost")
 	}
