--- a/src/gateway/permits.go
+++ b/src/gateway/permits.go
@@ -84,7 +84,7 @@
 	news := false
 	g.words.with(func(r *pushback.Register) {
 		news = r.HearNote(now, noteFrom(a.Limit))
-		r.Granted(now, s.ID, owner, a.N, a.Begin, a.Next)
+		r.AddPermits(now, s.ID, owner, a.N, a.Begin, a.Next)
 	})
 	if news {
 		g.announceLimits()
--- a/src/pushback/limits.go
+++ b/src/pushback/limits.go
@@ -176,9 +176,9 @@
 	return out, true
 }
 
-// Granted records permits granted by a server's coordinator. They are valid from begin after now, the first is reserved
+// AddPermits records permits granted by a server's coordinator. They are valid from begin after now, the first is reserved
 // for owner, and the coordinator has further ones after next.
-func (r *Register) Granted(now time.Time, id, owner string, permits int, begin, next time.Duration) {
+func (r *Register) AddPermits(now time.Time, id, owner string, permits int, begin, next time.Duration) {
 	l, ok := r.limits[id]
 	if !ok {
 		return
--- a/src/pushback/limits_test.go
+++ b/src/pushback/limits_test.go
@@ -123,7 +123,7 @@
 	if v := r.Begin(start, s, "r"); v.Open() {
 		t.Fatal("a request began without a permit")
 	}
-	r.Granted(start, "a", "r", 2, 100*time.Millisecond, time.Second)
+	r.AddPermits(start, "a", "r", 2, 100*time.Millisecond, time.Second)
 	at := func(d time.Duration) time.Time { return start.Add(d) }
 	if v := r.Begin(at(50*time.Millisecond), s, "r"); v.Open() || !v.Until.Equal(at(time.Second)) {
 		t.Errorf("before the permit begins the server is %s until %s", v.State, v.Until.Sub(start))
@@ -140,11 +140,11 @@
 	if v := r.Begin(at(150*time.Millisecond), s, "r"); !v.Open() {
 		t.Errorf("the request with the reserved permit: %s", v.State)
 	}
-	r.Granted(start, "a", "r", 1, 0, time.Second)
+	r.AddPermits(start, "a", "r", 1, 0, time.Second)
 	if v := r.Begin(at(permitLife), s, "r"); v.Open() {
 		t.Error("an expired permit was used")
 	}
-	r.Granted(start, "a", "r", 1, 0, time.Second)
+	r.AddPermits(start, "a", "r", 1, 0, time.Second)
 	r.ReleasePermit("a", "r")
 	if v := r.Begin(at(permitLife/2), s, "other"); !v.Open() {
 		t.Error("a released permit is lost")
