--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -410,7 +410,7 @@
 		s.answeredLeaving(now)
 	case Busy:
 		s.window = max(s.share(), windowCut*s.window)
-		if p.words.Judge(now, pushback.Server{ID: name}).State != pushback.Resting { // its own time counts in place of our guess
+		if p.words.Check(now, pushback.Server{ID: name}).State != pushback.Resting { // its own time counts in place of our guess
 			s.failed(now)
 		}
 	case Wrong:
--- a/src/gateway/pushback.go
+++ b/src/gateway/pushback.go
@@ -36,7 +36,7 @@
 func (w *words) judge(now time.Time, s catalog.Server) pushback.Verdict {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.register.Judge(now, wordLife(s))
+	return w.register.Check(now, wordLife(s))
 }
 
 // begin judges a server just before the first byte of a request goes there.
--- a/src/pushback/limits_test.go
+++ b/src/pushback/limits_test.go
@@ -134,7 +134,7 @@
 	if v := r.Begin(at(150*time.Millisecond), s, "other"); v.Open() {
 		t.Error("a request used the reserved permit of another")
 	}
-	if v := r.Judge(at(150*time.Millisecond), s); v.State != Full {
+	if v := r.Check(at(150*time.Millisecond), s); v.State != Full {
 		t.Errorf("the server is %s for others", v.State)
 	}
 	if v := r.Begin(at(150*time.Millisecond), s, "r"); !v.Open() {
@@ -187,6 +187,6 @@
 	}
 	s := server("500", 1)
 	for range b.N {
-		r.Judge(start, s)
+		r.Check(start, s)
 	}
 }
--- a/src/pushback/register.go
+++ b/src/pushback/register.go
@@ -137,8 +137,8 @@
 	r.rests[id] = p
 }
 
-// Judge returns whether a request may be sent to a server now.
-func (r *Register) Judge(now time.Time, s Server) Verdict {
+// Check returns whether a request may be sent to a server now.
+func (r *Register) Check(now time.Time, s Server) Verdict {
 	if d, ok := r.departures[s.ID]; ok && !d.before(s) {
 		return Verdict{State: Leaving}
 	}
@@ -157,7 +157,7 @@
 // Begin is Judge for the moment before the first byte of a request is sent. If the request may be sent it consumes a
 // permit and counts the request. owner identifies the request for which a permit was reserved.
 func (r *Register) Begin(now time.Time, s Server, owner string) Verdict {
-	v := r.Judge(now, s)
+	v := r.Check(now, s)
 	if v.Open() || v.State == Full {
 		v = r.takePermit(now, s, owner)
 	}
--- a/src/pushback/register_test.go
+++ b/src/pushback/register_test.go
@@ -33,13 +33,13 @@
 			t.Errorf("%s: the first departure is not reported as new", c.name)
 		}
 		later := start.Add(time.Hour)
-		if got := r.Judge(later, server("a", c.listed)).State == Leaving; got != c.stillLeft {
+		if got := r.Check(later, server("a", c.listed)).State == Leaving; got != c.stillLeft {
 			t.Errorf("%s: leaving %v, want %v", c.name, got, c.stillLeft)
 		}
 		if got := r.HearLeaving(later, server("a", c.listed)); got != c.newsFromThere {
 			t.Errorf("%s: new %v, want %v", c.name, got, c.newsFromThere)
 		}
-		if v := r.Judge(start, server("b", c.said)); !v.Open() {
+		if v := r.Check(start, server("b", c.said)); !v.Open() {
 			t.Errorf("%s: another server is %s", c.name, v.State)
 		}
 	}
@@ -50,10 +50,10 @@
 	var r Register
 	r.HearLeaving(start, server("a", 0))
 	r.HearLeaving(start, server("a", 7))
-	if v := r.Judge(start, server("a", 7)); v.State != Leaving {
+	if v := r.Check(start, server("a", 7)); v.State != Leaving {
 		t.Errorf("the departed incarnation is %s", v.State)
 	}
-	if v := r.Judge(start, server("a", 8)); !v.Open() {
+	if v := r.Check(start, server("a", 8)); !v.Open() {
 		t.Errorf("the next incarnation is %s", v.State)
 	}
 }
@@ -68,7 +68,7 @@
 	for at := time.Duration(0); at <= 2*departureKept; at += time.Second {
 		r.Sweep(start.Add(at), is)
 	}
-	if r.Judge(start.Add(time.Hour), server("listed", 1)).State != Leaving {
+	if r.Check(start.Add(time.Hour), server("listed", 1)).State != Leaving {
 		t.Error("the departure of a server that is still listed was removed")
 	}
 	if len(r.departures) != 1 || len(r.rests) != 0 {
@@ -91,7 +91,7 @@
 	}
 	r.Answered(start.Add(200*time.Millisecond), "a") // response to a request sent before the rest
 	for _, at := range []time.Duration{0, time.Second, 2999 * time.Millisecond} {
-		if v := r.Judge(start.Add(at), server("a", 9)); v.State != Resting || !v.Until.Equal(start.Add(3*time.Second)) {
+		if v := r.Check(start.Add(at), server("a", 9)); v.State != Resting || !v.Until.Equal(start.Add(3*time.Second)) {
 			t.Errorf("after %s the server is %s until %s", at, v.State, v.Until.Sub(start))
 		}
 	}
