--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -200,7 +200,7 @@
 func (s *Scheduler) Withdraw(now time.Time, id JobID) Actions {
 	var out Actions
 	if t := s.jobs[id]; t != nil {
-		s.end(now, t, Message{Failed: &Failed{ID: id, Reason: Stopped}}, &out)
+		s.end(now, t, Message{Failed: &Failed{ID: id, Reason: Withdrawn}}, &out)
 		out.Replies = nil
 		return out
 	}
--- a/src/gateway/owner.go
+++ b/src/gateway/owner.go
@@ -121,7 +121,7 @@
 		select {
 		case <-ctx.Done():
 			g.tell(box, batch.Message{Withdraw: &batch.Withdraw{ID: id, Pool: j.Pool}})
-			return nil, batch.Stopped
+			return nil, batch.Withdrawn
 		case m := <-answers:
 			switch {
 			case m.Done != nil:
--- a/src/gateway/stages.go
+++ b/src/gateway/stages.go
@@ -182,7 +182,7 @@
 		select {
 		case <-s.done[a]:
 		case <-ctx.Done():
-			return batch.Stopped
+			return batch.Withdrawn
 		}
 	}
 	if s.request.Pieces[i] == 0 {
@@ -195,7 +195,7 @@
 	j := s.job(i)
 	done, reason := g.runJob(ctx, j, func() { s.freeRead(i) })
 	if done == nil {
-		if reason != batch.Stopped {
+		if reason != batch.Withdrawn {
 			g.Log.Warn("stage failed", "request", s.request.ID, "stage", i, "pool", st.Pool, "reason", reason.String(), "took_ms", g.now().Sub(began).Milliseconds())
 		}
 		return reason
