--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -19,7 +19,7 @@
 		if hopeless(t) {
 			return t.Deadline
 		}
-		return Place(t.Due, t.Priority)
+		return EffectiveDue(t.Due, t.Priority)
 	}
 	sort.Slice(list, func(i, j int) bool {
 		a, b := list[i], list[j]
--- a/src/batch/pace.go
+++ b/src/batch/pace.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// Place returns the due time used to order jobs, which is later for less urgent priorities.
-func Place(due time.Time, priority int) time.Time {
+// EffectiveDue returns the due time used to order jobs, which is later for less urgent priorities.
+func EffectiveDue(due time.Time, priority int) time.Time {
 	return due.Add(time.Duration(priority) * priorityStep)
 }
 
@@ -82,7 +82,7 @@
 	var ahead backlog.Count
 	for _, t := range s.jobs {
 		if !s.cannotBeInTime(now, t) {
-			ahead.Add(Place(t.Due, t.Priority).Sub(now), len(t.pending))
+			ahead.Add(EffectiveDue(t.Due, t.Priority).Sub(now), len(t.pending))
 		}
 	}
 	return ahead.Waits(soonest, rate*sound)
--- a/src/gateway/forecast.go
+++ b/src/gateway/forecast.go
@@ -25,7 +25,7 @@
 			f.rests[i] = max(f.rests[i], f.waits[k]+f.calls[k]+f.rests[k])
 		}
 		if s.request.Pieces[i] > 0 {
-			due := batch.Place(s.objective.Add(-f.rests[i]), s.priority)
+			due := batch.EffectiveDue(s.objective.Add(-f.rests[i]), s.priority)
 			w := s.gateway.waitsIn(now, s.pipeline.Stages[i].Pool)
 			f.waits[i], f.calls[i] = w.At(due.Sub(now)), s.underLoad(i, w.All)
 		}
