--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -72,7 +72,7 @@
 // It is not safe for concurrent use.
 type Scheduler struct {
 	Self  string                            // name of this box
-	Judge func(crasher.Key) crasher.Verdict // returns the crashes attributed to a content; nil for none
+	VerdictOf func(crasher.Key) crasher.Verdict // returns the crashes attributed to a content; nil for none
 
 	// RestsUntil returns until when a server wants no calls, as it said itself; nil if no server rests.
 	RestsUntil func(*catalog.Server) time.Time
--- a/src/batch/suspects.go
+++ b/src/batch/suspects.go
@@ -14,10 +14,10 @@
 
 // verdict returns the crashes attributed to a job's content.
 func (s *Scheduler) verdict(t *job) crasher.Verdict {
-	if s.Judge == nil {
+	if s.VerdictOf == nil {
 		return crasher.Verdict{}
 	}
-	return s.Judge(t.Content)
+	return s.VerdictOf(t.Content)
 }
 
 // fitsCall reports whether a job may be added to a call, given the jobs already in it.
--- a/src/batch/suspects_test.go
+++ b/src/batch/suspects_test.go
@@ -17,7 +17,7 @@
 // schedulerWithVerdicts returns a scheduler with verdicts from a table.
 func schedulerWithVerdicts(servers int, ends map[byte]crasher.Verdict) *Scheduler {
 	s := testScheduler(servers)
-	s.Judge = func(k crasher.Key) crasher.Verdict { return ends[k[0]] }
+	s.VerdictOf = func(k crasher.Key) crasher.Verdict { return ends[k[0]] }
 	return s
 }
 
