--- a/src/box/suspects.go
+++ b/src/box/suspects.go
@@ -21,7 +21,7 @@
 	u.Ask = func(ctx context.Context, box string, notes []crasher.Note) ([]crasher.Note, error) {
 		a, err := b.Peers.Ask(ctx, b.fleet.addressOf(core.BoxID{Name: box}), port.Question{Suspects: &port.Suspects{From: b.ID.Name, Notes: notes}})
 		if err == nil && a.Suspects == nil {
-			err = suspects.ErrAddsNothingUp
+			err = suspects.ErrUnsupported
 		}
 		if err != nil {
 			return nil, err
--- a/src/gateway/suspects.go
+++ b/src/gateway/suspects.go
@@ -24,7 +24,7 @@
 	u.Ask = func(ctx context.Context, box string, notes []crasher.Note) ([]crasher.Note, error) {
 		a, err := g.Peers.Ask(ctx, g.fleet.addressOf(box), port.Question{Suspects: &port.Suspects{From: g.ID.Name, Notes: notes}})
 		if err == nil && a.Suspects == nil {
-			err = suspects.ErrAddsNothingUp
+			err = suspects.ErrUnsupported
 		}
 		if err != nil {
 			return nil, err
--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -31,8 +31,8 @@
 	Report  Proof = "report"             // its own report has another incarnation
 )
 
-// ErrAddsNothingUp is returned for a box of an earlier release that doesn't support suspect reports.
-var ErrAddsNothingUp = errors.New("the box does not support suspect reports")
+// ErrUnsupported is returned for a box of an earlier release that doesn't support suspect reports.
+var ErrUnsupported = errors.New("the box does not support suspect reports")
 
 // Presence is the result of probing a server.
 type Presence uint8
