--- a/src/box/beats.go
+++ b/src/box/beats.go
@@ -293,7 +293,7 @@
 		return port.Answer{Taken: b.takeHandover(*q.Handover)}
 	}
 	if q.Suspects != nil {
-		return port.Answer{Suspects: &port.Suspects{From: b.ID.Name, Notes: b.suspects.AddUp(q.Suspects.Notes, q.Suspects.From)}}
+		return port.Answer{Suspects: &port.Suspects{From: b.ID.Name, Notes: b.suspects.HandleReport(q.Suspects.Notes, q.Suspects.From)}}
 	}
 	return port.Answer{}
 }
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -449,7 +449,7 @@
 func (g *Gateway) TakeQuestion(ctx context.Context, q port.Question) port.Answer {
 	switch {
 	case q.Suspects != nil:
-		return port.Answer{Suspects: &port.Suspects{From: g.ID.Name, Notes: g.suspects.AddUp(q.Suspects.Notes, q.Suspects.From)}}
+		return port.Answer{Suspects: &port.Suspects{From: g.ID.Name, Notes: g.suspects.HandleReport(q.Suspects.Notes, q.Suspects.From)}}
 	case q.Publish != nil:
 		return port.Answer{Publish: g.give(q.Publish)}
 	case q.Permits != nil:
--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -302,8 +302,8 @@
 	}
 }
 
-// AddUp records another box's notes on contents that this box is a counter of, and returns this box's notes on them.
-func (u *Tracker) AddUp(notes []crasher.Note, from string) []crasher.Note {
+// HandleReport records another box's notes on contents that this box is a counter of, and returns this box's notes on them.
+func (u *Tracker) HandleReport(notes []crasher.Note, from string) []crasher.Note {
 	u.Hear(notes, from)
 	keys := make([]crasher.Key, 0, len(notes))
 	for _, n := range notes[:min(len(notes), crasher.NotesMost)] {
