--- a/src/box/suspects.go
+++ b/src/box/suspects.go
@@ -70,7 +70,7 @@
 
 // barred is the refusal of a request whose content crashes the servers of a stage, nil when it may run there.
 func (f *flight) barred(s *config.Stage) *code.Error {
-	d := f.box.suspects.Judge(f.content.At(s.Pool()))
+	d := f.box.suspects.Verdict(f.content.At(s.Pool()))
 	if !d.Barred {
 		return nil
 	}
--- a/src/gateway/suspects.go
+++ b/src/gateway/suspects.go
@@ -93,7 +93,7 @@
 // barredAt is the refusal of a content at one pool, nil when it may run there. It says what happened and when a further try
 // makes sense: by then a mended server may be there.
 func (g *Gateway) barredAt(c crasher.Content, pool string) *code.Error {
-	d := g.suspects.Judge(c.At(pool))
+	d := g.suspects.Verdict(c.At(pool))
 	if !d.Barred {
 		return nil
 	}
--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -95,8 +95,8 @@
 	due    time.Time // time of the next probe; zero while one is running
 }
 
-// Judge returns the crashes attributed to a content at a pool.
-func (u *Tracker) Judge(k crasher.Key) crasher.Verdict {
+// Verdict returns the crashes attributed to a content at a pool.
+func (u *Tracker) Verdict(k crasher.Key) crasher.Verdict {
 	if !u.any.Load() {
 		return crasher.Verdict{}
 	}
