--- a/src/box/suspects.go
+++ b/src/box/suspects.go
@@ -97,7 +97,7 @@
 	case err.Refused:
 		b.suspects.Ended(life, suspects.Refused)
 	case err.Failure == core.Broken && !server.Leaving():
-		b.suspects.Broke(life, f.content.At(stage.Pool()))
+		b.suspects.RecordBroken(life, f.content.At(stage.Pool()))
 	}
 }
 
--- a/src/gateway/suspects.go
+++ b/src/gateway/suspects.go
@@ -41,7 +41,7 @@
 // brokeAt tells that exchanges of contents with a server broke. One that left as planned speaks against nobody.
 func (g *Gateway) brokeAt(s catalog.Server, keys ...crasher.Key) {
 	if !g.hasLeft(s) {
-		g.suspects.Broke(lifeOf(s), keys...)
+		g.suspects.RecordBroken(lifeOf(s), keys...)
 	}
 }
 
--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -105,8 +105,8 @@
 	return u.register.Judge(u.Now(), k)
 }
 
-// Broke records that exchanges of contents with a server broke, and probes whether the server has crashed.
-func (u *Tracker) Broke(s Server, keys ...crasher.Key) {
+// RecordBroken records that exchanges of contents with a server broke, and probes whether the server has crashed.
+func (u *Tracker) RecordBroken(s Server, keys ...crasher.Key) {
 	if len(keys) == 0 {
 		return
 	}
--- a/src/suspects/tracker_test.go
+++ b/src/suspects/tracker_test.go
@@ -42,7 +42,7 @@
 	}{{Absent, 1}, {NoAnswer, 1}, {Present, 0}} {
 		synctest.Test(t, func(t *testing.T) {
 			u := singleBox(map[string]Presence{"a": c.presence})
-			u.Broke(server("a", 1), key)
+			u.RecordBroken(server("a", 1), key)
 			runFor(u, time.Second)
 			if v := u.Verdict(key); v.Ends != c.ends {
 				t.Errorf("presence %d: %+v, want %d ends", c.presence, v, c.ends)
@@ -56,7 +56,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		u := singleBox(map[string]Presence{"a": NoAnswer, "b": NoAnswer, "c": NoAnswer})
 		for i, id := range []string{"a", "b", "c"} {
-			u.Broke(server(id, uint64(i)), key)
+			u.RecordBroken(server(id, uint64(i)), key)
 		}
 		runFor(u, 2*time.Second)
 		if v := u.Verdict(key); v.Ends != 0 {
@@ -77,7 +77,7 @@
 			return Present
 		}
 		for i := range 50 {
-			u.Broke(server("a", 1), crasher.Key{byte(i)})
+			u.RecordBroken(server("a", 1), crasher.Key{byte(i)})
 		}
 		runFor(u, 2*time.Second)
 		if asked != probeTries {
@@ -105,7 +105,7 @@
 		}
 		var announced atomic.Int64
 		u.Announce = func() { announced.Add(1) }
-		u.Broke(server("a", 1), key)
+		u.RecordBroken(server("a", 1), key)
 		runFor(u, time.Second)
 		if len(told) < 2 {
 			t.Errorf("reported to %v", told)
