--- a/src/box/suspects.go
+++ b/src/box/suspects.go
@@ -95,7 +95,7 @@
 	case err == nil:
 		b.suspects.Good(f.content.At(stage.Pool()))
 	case err.Refused:
-		b.suspects.Ended(life, suspects.Refused)
+		b.suspects.RecordCrash(life, suspects.Refused)
 	case err.Failure == core.Broken && !server.Leaving():
 		b.suspects.RecordBroken(life, f.content.At(stage.Pool()))
 	}
@@ -117,6 +117,6 @@
 // takeLife takes from a report that a server began a new life.
 func (b *Box) takeLife(server string, before, now core.Report) {
 	if before.Incarnation != 0 && now.Incarnation > before.Incarnation {
-		b.suspects.Ended(serverLife(server, before.Incarnation), suspects.Report)
+		b.suspects.RecordCrash(serverLife(server, before.Incarnation), suspects.Report)
 	}
 }
--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -195,7 +195,7 @@
 		switch {
 		case exchange.Refused(err):
 			outcome = balance.Absent
-			g.suspects.Ended(lifeOf(s), suspects.Refused)
+			g.suspects.RecordCrash(lifeOf(s), suspects.Refused)
 		case errors.Is(err, ErrServerRests):
 			outcome, v.withheld, v.turnedAway = balance.Dropped, true, append(v.turnedAway, s.ID)
 		case errors.Is(err, ErrServerLeft), errors.Is(err, errOutside):
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -342,7 +342,7 @@
 	case batch.CallBroken:
 		g.brokeAt(c.Server, contentsOf(c.Items)...)
 	case batch.CallAbsent:
-		g.suspects.Ended(lifeOf(c.Server), suspects.Refused)
+		g.suspects.RecordCrash(lifeOf(c.Server), suspects.Refused)
 	case batch.CallDone:
 		var made []batch.Item
 		for i, r := range results[:min(len(results), len(c.Items))] {
--- a/src/gateway/suspects.go
+++ b/src/gateway/suspects.go
@@ -54,11 +54,11 @@
 	}
 	for _, id := range change.Gone {
 		if s := change.Before[id]; !lapsed[id] && s.Works() && !g.leaves(*s) {
-			g.suspects.Ended(lifeOf(*s), suspects.Listed)
+			g.suspects.RecordCrash(lifeOf(*s), suspects.Listed)
 		}
 	}
 	for _, r := range effects.Restarted {
-		g.suspects.Ended(lifeOf(r.Before), suspects.Listed)
+		g.suspects.RecordCrash(lifeOf(r.Before), suspects.Listed)
 	}
 }
 
--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -135,9 +135,9 @@
 	last := u.recordProbe(s, p)
 	switch {
 	case p == Absent:
-		u.Ended(s, Refused)
+		u.RecordCrash(s, Refused)
 	case p == NoAnswer && last && u.onlySilent(s):
-		u.Ended(s, Silent)
+		u.RecordCrash(s, Silent)
 	}
 }
 
@@ -191,8 +191,8 @@
 	}
 }
 
-// Ended records that an incarnation of a server ended unplanned.
-func (u *Tracker) Ended(s Server, proof Proof) {
+// RecordCrash records that an incarnation of a server ended unplanned.
+func (u *Tracker) RecordCrash(s Server, proof Proof) {
 	u.mu.Lock()
 	counted := u.register.Ended(u.Now(), s.Life)
 	u.mu.Unlock()
