--- a/src/crasher/note.go
+++ b/src/crasher/note.go
@@ -111,7 +111,7 @@
 	var out []Counted
 	for _, n := range notes[:min(len(notes), NotesMost)] {
 		if r.hear(now, n) {
-			out = append(out, Counted{Key: n.Key, Verdict: r.Judge(now, n.Key)})
+			out = append(out, Counted{Key: n.Key, Verdict: r.Verdict(now, n.Key)})
 		}
 	}
 	return out
--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -108,7 +108,7 @@
 		if now.Sub(b.at) > proofWindow || !r.addEnd(now, b.key, end{life: life, at: b.at}) {
 			continue
 		}
-		out = append(out, Counted{Key: b.key, Verdict: r.Judge(now, b.key)})
+		out = append(out, Counted{Key: b.key, Verdict: r.Verdict(now, b.key)})
 	}
 	return out
 }
@@ -179,8 +179,8 @@
 	return cleared
 }
 
-// Judge returns the current verdict on a content.
-func (r *Register) Judge(now time.Time, k Key) Verdict {
+// Verdict returns the current verdict on a content.
+func (r *Register) Verdict(now time.Time, k Key) Verdict {
 	e := r.entries[k]
 	if e == nil {
 		return Verdict{}
--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -102,7 +102,7 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.register.Judge(u.Now(), k)
+	return u.register.Verdict(u.Now(), k)
 }
 
 // RecordBroken records that exchanges of contents with a server broke, and probes whether the server has crashed.
@@ -205,7 +205,7 @@
 	var cleared []crasher.Counted
 	for _, k := range keys {
 		if u.register.Good(u.Now(), k) {
-			cleared = append(cleared, crasher.Counted{Key: k, Verdict: u.register.Judge(u.Now(), k)})
+			cleared = append(cleared, crasher.Counted{Key: k, Verdict: u.register.Verdict(u.Now(), k)})
 		}
 	}
 	u.mu.Unlock()
