--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -61,9 +61,9 @@
 	Verdict Verdict
 }
 
-// Broke records that exchanges of contents with an incarnation of a server broke. If the incarnation is known to have
+// RecordBroken records that exchanges of contents with an incarnation of a server broke. If the incarnation is known to have
 // crashed it counts the crash against the contents and returns them.
-func (r *Register) Broke(now time.Time, life Life, keys ...Key) []Counted {
+func (r *Register) RecordBroken(now time.Time, life Life, keys ...Key) []Counted {
 	if at, known := r.ended[life]; known && now.Sub(at) <= proofWindow {
 		return r.addEnds(now, life, brokenExchangesAt(now, keys))
 	}
--- a/src/crasher/register_test.go
+++ b/src/crasher/register_test.go
@@ -16,7 +16,7 @@
 
 // crashWith records the crash of a server while it ran contents.
 func crashWith(r *Register, now time.Time, life Life, keys ...Key) {
-	r.Broke(now, life, keys...)
+	r.RecordBroken(now, life, keys...)
 	r.Ended(now, life)
 }
 
@@ -49,7 +49,7 @@
 	var r Register
 	k := keyOf(1)
 	for i := range 5 {
-		r.Broke(began, Life(i), k)
+		r.RecordBroken(began, Life(i), k)
 	}
 	if v := r.Verdict(began, k); v.Ends != 0 {
 		t.Errorf("broken exchanges alone: %+v", v)
@@ -68,7 +68,7 @@
 	k := keyOf(1)
 	crashWith(&a, began, 7, k)
 	crashWith(&b, began.Add(time.Millisecond), 7, k)
-	a.Broke(began.Add(2*time.Millisecond), 7, k, k) // a second attempt there
+	a.RecordBroken(began.Add(2*time.Millisecond), 7, k, k) // a second attempt there
 	a.Hear(began.Add(3*time.Millisecond), b.News(began.Add(3*time.Millisecond)))
 	a.Hear(began.Add(4*time.Millisecond), b.NotesOf(began.Add(4*time.Millisecond), []Key{k}))
 	if v := a.Verdict(began, k); v.Ends != 1 {
@@ -79,7 +79,7 @@
 func TestBrokenExchangeReportedAfterCrashCounts(t *testing.T) {
 	var r Register
 	r.Ended(began, 7)
-	if out := r.Broke(began.Add(time.Second), 7, keyOf(1)); len(out) != 1 || out[0].Verdict.Ends != 1 {
+	if out := r.RecordBroken(began.Add(time.Second), 7, keyOf(1)); len(out) != 1 || out[0].Verdict.Ends != 1 {
 		t.Errorf("%+v", out)
 	}
 }
@@ -182,7 +182,7 @@
 			k, life := keyOf(rapid.IntRange(0, 2).Draw(t, "content")), Life(rapid.IntRange(0, 9).Draw(t, "life"))
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				r.Broke(now, life, k)
+				r.RecordBroken(now, life, k)
 			case 1:
 				r.Ended(now, life)
 			case 2:
--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -111,7 +111,7 @@
 		return
 	}
 	u.mu.Lock()
-	counted := u.register.Broke(u.Now(), s.Life, keys...)
+	counted := u.register.RecordBroken(u.Now(), s.Life, keys...)
 	ask := len(counted) == 0 && u.probing[s.Life] == nil && u.Probe != nil
 	if ask {
 		if u.probing == nil {
