--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -88,8 +88,8 @@
 	return out
 }
 
-// Ended records that an incarnation of a server has ended unplanned. It returns the contents that this counts against.
-func (r *Register) Ended(now time.Time, life Life) []Counted {
+// RecordCrash records that an incarnation of a server has ended unplanned. It returns the contents that this counts against.
+func (r *Register) RecordCrash(now time.Time, life Life) []Counted {
 	if r.ended == nil {
 		r.ended = map[Life]time.Time{}
 	}
--- a/src/crasher/register_test.go
+++ b/src/crasher/register_test.go
@@ -17,7 +17,7 @@
 // crashWith records the crash of a server while it ran contents.
 func crashWith(r *Register, now time.Time, life Life, keys ...Key) {
 	r.RecordBroken(now, life, keys...)
-	r.Ended(now, life)
+	r.RecordCrash(now, life)
 }
 
 func TestThirdCrashBarsContentForATime(t *testing.T) {
@@ -56,7 +56,7 @@
 	}
 	later := began.Add(proofWindow + time.Second)
 	for i := range 5 {
-		r.Ended(later, Life(i))
+		r.RecordCrash(later, Life(i))
 	}
 	if v := r.Verdict(later, k); v.Ends != 0 {
 		t.Errorf("servers that crashed long after: %+v", v)
@@ -78,7 +78,7 @@
 
 func TestBrokenExchangeReportedAfterCrashCounts(t *testing.T) {
 	var r Register
-	r.Ended(began, 7)
+	r.RecordCrash(began, 7)
 	if out := r.RecordBroken(began.Add(time.Second), 7, keyOf(1)); len(out) != 1 || out[0].Verdict.Ends != 1 {
 		t.Errorf("%+v", out)
 	}
@@ -184,7 +184,7 @@
 			case 0:
 				r.RecordBroken(now, life, k)
 			case 1:
-				r.Ended(now, life)
+				r.RecordCrash(now, life)
 			case 2:
 				r.Good(now, k)
 			case 3:
--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -194,7 +194,7 @@
 // RecordCrash records that an incarnation of a server ended unplanned.
 func (u *Tracker) RecordCrash(s Server, proof Proof) {
 	u.mu.Lock()
-	counted := u.register.Ended(u.Now(), s.Life)
+	counted := u.register.RecordCrash(u.Now(), s.Life)
 	u.mu.Unlock()
 	u.counted(counted, s.ID, proof)
 }
