--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -128,7 +128,7 @@
 		if due.IsZero() && !s.cannotBeInTime(now, t) || t.Due.Before(due) {
 			due = t.Due
 		}
-		rc.alone = rc.alone || s.verdict(t).Ends >= crasher.AloneFrom
+		rc.alone = rc.alone || s.verdict(t).Ends >= crasher.IsolationThreshold
 		t.pending = t.pending[n:]
 		t.running += n
 		t.sent = now
--- a/src/batch/suspects.go
+++ b/src/batch/suspects.go
@@ -22,7 +22,7 @@
 
 // fitsCall reports whether a job may be added to a call, given the jobs already in it.
 func (s *Scheduler) fitsCall(t *job, rc *runningCall) bool {
-	alone := s.verdict(t).Ends >= crasher.AloneFrom
+	alone := s.verdict(t).Ends >= crasher.IsolationThreshold
 	if alone && s.atWork(t.Content) {
 		return false
 	}
--- a/src/crasher/constants.go
+++ b/src/crasher/constants.go
@@ -7,9 +7,9 @@
 	// barFrom is the number of crashes from which a content is refused: one crash has many suspects, two may be
 	// coincidence, and the users' limit on crashes by one content counts from the third.
 	barFrom = 3
-	// AloneFrom is the number of crashes from which a content is run separately from others and not retried by this box:
+	// IsolationThreshold is the number of crashes from which a content is run separately from others and not retried by this box:
 	// except by coincidence, two crashes have only the guilty content in common.
-	AloneFrom = 2
+	IsolationThreshold = 2
 	// barFirst is how long a content is refused after the third crash, doubled with each further one, up to barMost: longer
 	// than callers retry by themselves, shorter than it takes to fix and deploy a server. A content that is sent continually
 	// is tried at most three times in the first three and a half hours.
--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -240,7 +240,7 @@
 	}
 	d := g.suspects.Verdict(v.content.At(v.pool))
 	v.wish.LeastLoaded = d.Ends > 0
-	if d.Ends >= crasher.AloneFrom && v.attempts > 0 {
+	if d.Ends >= crasher.IsolationThreshold && v.attempts > 0 {
 		return code.New(code.CrashesServers, "body", "%d servers of %s ended while they ran this content", d.Ends, v.pool)
 	}
 	return nil
--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -238,7 +238,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, c := range list {
-		if c.Verdict.Seen < crasher.AloneFrom {
+		if c.Verdict.Seen < crasher.IsolationThreshold {
 			u.single = append(u.single, c.Key)
 		} else {
 			u.news = true
@@ -328,7 +328,7 @@
 	u.any.Store(true)
 	var news []crasher.Counted // a first crash is not passed on: this box is the counter
 	for _, c := range changed {
-		if c.Verdict.Seen < crasher.AloneFrom {
+		if c.Verdict.Seen < crasher.IsolationThreshold {
 			continue
 		}
 		news = append(news, c)
