--- a/src/balance/balance_test.go
+++ b/src/balance/balance_test.go
@@ -130,7 +130,7 @@
 		}
 		p.Ended(start, id, &Request{}, o)
 	}
-	if r := p.Resting(start); len(r) > 0 {
+	if r := p.PausedServers(start); len(r) > 0 {
 		t.Errorf("%v are paused for failures common to all", r)
 	}
 }
@@ -148,7 +148,7 @@
 			t.Fatalf("%s was paused", id)
 		}
 	}
-	if r := p.Resting(start); len(r) != 1 || r[0] != "s1" {
+	if r := p.PausedServers(start); len(r) != 1 || r[0] != "s1" {
 		t.Errorf("paused: %v, want s1", r)
 	}
 }
@@ -166,7 +166,7 @@
 		pick(t, p, &Request{})
 		p.Ended(start, "s0", &Request{}, Dropped)
 	}
-	if len(p.Resting(start)) > 0 {
+	if len(p.PausedServers(start)) > 0 {
 		t.Error("a server was paused because callers cancelled")
 	}
 	if n, _ := p.Busy(start); n != 0 {
--- a/src/balance/health.go
+++ b/src/balance/health.go
@@ -127,8 +127,8 @@
 	v.failureRate = min(v.failureRate, p.failureRate+excessFailureRate/2)
 }
 
-// Resting returns the ids of the servers that are paused after failures.
-func (p *Pool) Resting(now time.Time) []string {
+// PausedServers returns the ids of the servers that are paused after failures.
+func (p *Pool) PausedServers(now time.Time) []string {
 	var out []string
 	for id, v := range p.paused {
 		if now.Before(v.until) {
--- a/src/gateway/attempts_test.go
+++ b/src/gateway/attempts_test.go
@@ -81,7 +81,7 @@
 		e := f.box("box0").pools.get("model")
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if r := e.picker.Resting(time.Now()); len(r) > 0 {
+		if r := e.picker.PausedServers(time.Now()); len(r) > 0 {
 			t.Errorf("%v rest", r)
 		}
 	})
