--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -315,8 +315,8 @@
 	return false
 }
 
-// Rests reports whether a server has asked for no requests now.
-func (p *Pool) Rests(now time.Time, id string) bool {
+// IsResting reports whether a server has asked for no requests now.
+func (p *Pool) IsResting(now time.Time, id string) bool {
 	v := p.servers[id]
 	return v != nil && p.wantsRest(now, v)
 }
--- a/src/gateway/resting.go
+++ b/src/gateway/resting.go
@@ -51,7 +51,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	v.turnedAway = slices.DeleteFunc(v.turnedAway, func(id string) bool {
-		over := !e.picker.Rests(now, id)
+		over := !e.picker.IsResting(now, id)
 		if over {
 			delete(v.wish.Exclude, id)
 		}
