--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -116,11 +116,11 @@
 			gone = append(gone, id)
 		}
 	}
-	p.Change(list, gone)
+	p.UpdateServers(list, gone)
 }
 
-// Change adds or updates servers that take new work (put) and removes those that no longer do (gone).
-func (p *Pool) Change(put []*catalog.Server, gone []string) {
+// UpdateServers adds or updates servers that take new work (put) and removes those that no longer do (gone).
+func (p *Pool) UpdateServers(put []*catalog.Server, gone []string) {
 	for _, v := range put {
 		st := p.servers[v.ID]
 		if st != nil && st.Incarnation != v.Incarnation {
--- a/src/balance/confined_test.go
+++ b/src/balance/confined_test.go
@@ -51,8 +51,8 @@
 func TestRemovedServerIsForgotten(t *testing.T) {
 	p := NewPool("box", "d")
 	list := []catalog.Server{{ID: "a", Domain: "d", Slots: 4}, {ID: "b", Domain: "e", Slots: 4}}
-	p.Change(pointers(list), nil)
-	p.Change([]*catalog.Server{{ID: "b", Domain: "f", Slots: 4}}, []string{"a", "never there"})
+	p.UpdateServers(pointers(list), nil)
+	p.UpdateServers([]*catalog.Server{{ID: "b", Domain: "f", Slots: 4}}, []string{"a", "never there"})
 	if d := p.Domains(); p.Size() != 1 || len(d) != 1 || d["f"] != 1 {
 		t.Errorf("%d servers are left, by failure domain %v", p.Size(), d)
 	}
--- a/src/gateway/pools.go
+++ b/src/gateway/pools.go
@@ -80,7 +80,7 @@
 	e := p.get(pool)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.picker.Change(c.put, c.gone)
+	e.picker.UpdateServers(c.put, c.gone)
 }
 
 // estimates are moving means of how long pipelines take from dispatch to the first output.
