--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -116,8 +116,8 @@
 	return s.dispatchAfter(now, out)
 }
 
-// Change adds or updates servers that take new work (put) and removes those that no longer do (gone).
-func (s *Scheduler) Change(now time.Time, put []*catalog.Server, gone []string) Actions {
+// UpdateServers adds or updates servers that take new work (put) and removes those that no longer do (gone).
+func (s *Scheduler) UpdateServers(now time.Time, put []*catalog.Server, gone []string) Actions {
 	out := s.list(now, put)
 	for _, id := range gone {
 		if v := s.servers[id]; v != nil {
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -119,7 +119,7 @@
 		return
 	}
 	s.mu.Lock()
-	a := s.core.Change(d.gateway.now(), c.put, c.gone)
+	a := s.core.UpdateServers(d.gateway.now(), c.put, c.gone)
 	s.mu.Unlock()
 	d.carry(s, a)
 }
