--- a/src/balance/confined_test.go
+++ b/src/balance/confined_test.go
@@ -27,7 +27,7 @@
 		if !ok || s.Domain != "in" {
 			t.Fatalf("request %d went to %q", i, s.ID)
 		}
-		p.Kept(start, "out0", w.Parts)
+		p.RecordCached(start, "out0", w.Parts)
 		if from, ok := p.Source(start, s.ID, w); ok && from.Domain != "in" {
 			t.Errorf("request %d copies from %s", i, from.ID)
 		}
--- a/src/balance/prompt.go
+++ b/src/balance/prompt.go
@@ -137,11 +137,11 @@
 		return
 	}
 	v.own.Tokens = max(0, v.own.Tokens-w.Tokens())
-	p.Kept(now, id, w.Parts)
+	p.RecordCached(now, id, w.Parts)
 }
 
-// Kept records that a server has cached prompt parts for this box, to be reported to other boxes.
-func (p *Pool) Kept(now time.Time, id string, parts []Part) {
+// RecordCached records that a server has cached prompt parts for this box, to be reported to other boxes.
+func (p *Pool) RecordCached(now time.Time, id string, parts []Part) {
 	server := catalog.Hash(id)
 	for i, part := range parts {
 		hash := catalog.Hash(part.ID)
--- a/src/balance/resting_test.go
+++ b/src/balance/resting_test.go
@@ -20,8 +20,8 @@
 		p.Ended(start, "b", &Request{}, Good)
 	}
 	w := &Request{Parts: []Part{{"shared", 2 * minCopyTokens}, {"own", 10}}}
-	p.Kept(start, "a", w.Parts[:1])
-	p.Kept(start, "a", w.Parts)
+	p.RecordCached(start, "a", w.Parts[:1])
+	p.RecordCached(start, "a", w.Parts)
 	if s, ok := p.Source(start, "b", w); ok {
 		t.Errorf("%s, which rests, is a source of prompt parts", s.ID)
 	}
@@ -62,7 +62,7 @@
 	p.Configure(pointers([]catalog.Server{{ID: "a", Domain: "d", Slots: 4}, {ID: "b", Domain: "d", Slots: 4}}))
 	p.Limits = func(s *catalog.Server) bool { return s.ID == "a" }
 	w := &Request{Parts: []Part{{"shared", 2 * minCopyTokens}, {"own", 10}}}
-	p.Kept(start, "a", w.Parts)
+	p.RecordCached(start, "a", w.Parts)
 	if s, ok := p.Source(start, "b", w); ok {
 		t.Errorf("%s, which limits its requests, is a source of prompt parts", s.ID)
 	}
--- a/src/balance/source_test.go
+++ b/src/balance/source_test.go
@@ -30,7 +30,7 @@
 	if _, ok := p.Source(start.Add(cacheLifetime), chosen, w); ok {
 		t.Error("copied from a server that read it long ago")
 	}
-	p.Kept(start, chosen, w.Parts)
+	p.RecordCached(start, chosen, w.Parts)
 	if _, ok := p.Source(start, chosen, w); ok {
 		t.Error("copied to a server that has it cached")
 	}
@@ -86,7 +86,7 @@
 
 func TestReadsAreReportedForALimitedTime(t *testing.T) {
 	p := testPool("a", 2)
-	p.Kept(start, "s0", prompt("common", "book", "own"))
+	p.RecordCached(start, "s0", prompt("common", "book", "own"))
 	if r := p.FreshReads(start.Add(tellReads)); len(r) != 2 {
 		t.Errorf("%d reads are reported, want those of the two shared parts", len(r))
 	}
