--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -232,8 +232,8 @@
 	p.reports[box] = w
 }
 
-// Own returns this box's load at each server where it has any.
-func (p *Pool) Own() map[string]Load {
+// OwnLoads returns this box's load at each server where it has any.
+func (p *Pool) OwnLoads() map[string]Load {
 	out := make(map[string]Load, len(p.busy))
 	for id, v := range p.busy {
 		out[id] = v.own
--- a/src/balance/incarnation_test.go
+++ b/src/balance/incarnation_test.go
@@ -25,7 +25,7 @@
 
 	p.Configure(pointers(list(20)))
 	v := p.servers["a"]
-	if v.own.Requests+v.peers.Requests+v.pauses+v.broken > 0 || !v.usable(now) || len(p.PausedServers(now)) > 0 || len(p.Own()) > 0 {
+	if v.own.Requests+v.peers.Requests+v.pauses+v.broken > 0 || !v.usable(now) || len(p.PausedServers(now)) > 0 || len(p.OwnLoads()) > 0 {
 		t.Errorf("the new incarnation begins with %+v", v)
 	}
 	if all, _ := p.uncachedTokens(now, v, w, p.keptParts(w), ""); all != 910 || len(p.FreshReads(now)) > 0 {
@@ -47,7 +47,7 @@
 	p.Configure(pointers([]catalog.Server{{ID: "a", Slots: 4, Incarnation: 10}}))
 	p.Pick(now, &Request{Exclude: map[string]bool{}})
 	p.Configure(pointers([]catalog.Server{{ID: "a", Slots: 8, Incarnation: 10}}))
-	if n := p.Own()["a"].Requests; n != 1 {
+	if n := p.OwnLoads()["a"].Requests; n != 1 {
 		t.Errorf("%d requests are counted, want 1", n)
 	}
 }
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -202,7 +202,7 @@
 	}
 	for _, p := range g.pools.list() {
 		p.mu.Lock()
-		own, resting := p.picker.Own(), p.picker.PausedServers(now)
+		own, resting := p.picker.OwnLoads(), p.picker.PausedServers(now)
 		p.mu.Unlock()
 		for id, l := range own {
 			out = append(out, core.BackendNote{Server: catalog.Hash(id), Requests: uint16(l.Requests), Tokens: uint32(l.Tokens), Resting: slices.Contains(resting, id)})
