--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -241,8 +241,8 @@
 	return out
 }
 
-// Busy returns the requests of all boxes in the pool and the number of its slots.
-func (p *Pool) Busy(now time.Time) (requests, places int) {
+// Occupancy returns the requests of all boxes in the pool and the number of its slots.
+func (p *Pool) Occupancy(now time.Time) (requests, places int) {
 	p.scale = p.dropExpiredReports(now)
 	for _, v := range p.servers {
 		requests += p.load(v).Requests
--- a/src/balance/balance_test.go
+++ b/src/balance/balance_test.go
@@ -169,7 +169,7 @@
 	if len(p.PausedServers(start)) > 0 {
 		t.Error("a server was paused because callers cancelled")
 	}
-	if n, _ := p.Busy(start); n != 0 {
+	if n, _ := p.Occupancy(start); n != 0 {
 		t.Errorf("%d requests are still counted", n)
 	}
 }
@@ -180,11 +180,11 @@
 	for i := range 8 {
 		p.SetBoxLoads(start, fmt.Sprint("box", i), []LoadReport{{Server: catalog.Hash("s0"), Load: Load{Requests: 1}}})
 	}
-	if n, _ := p.Busy(start); n != 80 {
+	if n, _ := p.Occupancy(start); n != 80 {
 		t.Errorf("8 of 80 boxes report 8 requests; %d are estimated in total, want 80", n)
 	}
 	p.Boxes = 9
-	if n, _ := p.Busy(start); n != 8 {
+	if n, _ := p.Occupancy(start); n != 8 {
 		t.Errorf("8 of 8 boxes report 8 requests; %d are estimated", n)
 	}
 }
@@ -195,16 +195,16 @@
 	p.SetBoxLoads(start, "b", note("s0", 5))
 	p.SetBoxLoads(start, "c", note("s0", 2))
 	p.SetBoxLoads(start, "b", note("s1", 1))
-	if n, _ := p.Busy(start); n != 3 {
+	if n, _ := p.Occupancy(start); n != 3 {
 		t.Errorf("%d requests, want 2 from c and 1 from b", n)
 	}
 	p.Configure(pointers([]catalog.Server{{ID: "s1", Slots: 64}}))
 	p.SetBoxLoads(start, "b", note("s0", 9))
-	if n, _ := p.Busy(start); n != 0 {
+	if n, _ := p.Occupancy(start); n != 0 {
 		t.Errorf("%d requests at removed servers", n)
 	}
 	p.SetBoxLoads(start, "b", note("s1", 4))
-	if n, _ := p.Busy(start.Add(reportLifetime)); n != 0 {
+	if n, _ := p.Occupancy(start.Add(reportLifetime)); n != 0 {
 		t.Errorf("%d requests from expired reports", n)
 	}
 }
