--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -170,7 +170,7 @@
 	var news []catalog.Server
 	g.words.with(func(r *pushback.Register) {
 		for _, s := range servers {
-			if r.HearLeaving(now, wordLife(s)) {
+			if r.RecordLeaving(now, wordLife(s)) {
 				news = append(news, s)
 			}
 		}
--- a/src/gateway/pushback.go
+++ b/src/gateway/pushback.go
@@ -89,7 +89,7 @@
 	leaves, rests := false, false
 	g.words.with(func(r *pushback.Register) {
 		if w.Leaving {
-			leaves = r.HearLeaving(now, wordLife(s))
+			leaves = r.RecordLeaving(now, wordLife(s))
 		}
 		if w.Rest > 0 {
 			until, rests = r.HearRest(now, s.ID, w.Rest)
@@ -169,7 +169,7 @@
 	g.words.with(func(r *pushback.Register) {
 		for _, n := range notes[:min(len(notes), pushback.NotesMost)] {
 			s := pushback.Server{ID: n.Server, Incarnation: int64(n.Incarnation)}
-			if r.HearLeaving(now, s) {
+			if r.RecordLeaving(now, s) {
 				news[s.ID] = catalog.Server{ID: s.ID, Incarnation: catalog.Incarnation(s.Incarnation)}
 			}
 		}
--- a/src/pushback/register.go
+++ b/src/pushback/register.go
@@ -81,9 +81,9 @@
 	return p.begun < p.window || now.Sub(p.round) >= trialFor
 }
 
-// HearLeaving records that a server's incarnation takes no new work, as announced by itself or reported by another box. It
+// RecordLeaving records that a server's incarnation takes no new work, as announced by itself or reported by another box. It
 // reports whether that is new.
-func (r *Register) HearLeaving(now time.Time, s Server) bool {
+func (r *Register) RecordLeaving(now time.Time, s Server) bool {
 	d, known := r.departures[s.ID]
 	if known && d.incarnation == 0 {
 		r.departures[s.ID] = departure{incarnation: s.Incarnation, listedAt: d.listedAt}
--- a/src/pushback/register_test.go
+++ b/src/pushback/register_test.go
@@ -29,14 +29,14 @@
 		{"a departure without incarnation", 0, 7, true, false},
 	} {
 		var r Register
-		if !r.HearLeaving(start, server("a", c.said)) {
+		if !r.RecordLeaving(start, server("a", c.said)) {
 			t.Errorf("%s: the first departure is not reported as new", c.name)
 		}
 		later := start.Add(time.Hour)
 		if got := r.Check(later, server("a", c.listed)).State == Leaving; got != c.stillLeft {
 			t.Errorf("%s: leaving %v, want %v", c.name, got, c.stillLeft)
 		}
-		if got := r.HearLeaving(later, server("a", c.listed)); got != c.newsFromThere {
+		if got := r.RecordLeaving(later, server("a", c.listed)); got != c.newsFromThere {
 			t.Errorf("%s: new %v, want %v", c.name, got, c.newsFromThere)
 		}
 		if v := r.Check(start, server("b", c.said)); !v.Open() {
@@ -48,8 +48,8 @@
 // An incarnation that becomes known after the departure is the departed one; the next is not.
 func TestIncarnationKnownLaterIsTheDepartedOne(t *testing.T) {
 	var r Register
-	r.HearLeaving(start, server("a", 0))
-	r.HearLeaving(start, server("a", 7))
+	r.RecordLeaving(start, server("a", 0))
+	r.RecordLeaving(start, server("a", 7))
 	if v := r.Check(start, server("a", 7)); v.State != Leaving {
 		t.Errorf("the departed incarnation is %s", v.State)
 	}
@@ -62,8 +62,8 @@
 	var r Register
 	listed := map[string]bool{"listed": true}
 	is := func(id string) bool { return listed[id] }
-	r.HearLeaving(start, server("listed", 1))
-	r.HearLeaving(start, server("gone", 1))
+	r.RecordLeaving(start, server("listed", 1))
+	r.RecordLeaving(start, server("gone", 1))
 	r.HearRest(start, "resting", time.Second)
 	for at := time.Duration(0); at <= 2*departureKept; at += time.Second {
 		r.Sweep(start.Add(at), is)
@@ -75,7 +75,7 @@
 		t.Errorf("%d departures and %d rests are kept, want 1 and 0", len(r.departures), len(r.rests))
 	}
 	for i := range 2 * lifeMost {
-		r.HearLeaving(start, server(fmt.Sprint(i), 1))
+		r.RecordLeaving(start, server(fmt.Sprint(i), 1))
 		r.HearRest(start, fmt.Sprint(i), time.Second)
 	}
 	if len(r.departures) > lifeMost || len(r.rests) > lifeMost {
@@ -144,7 +144,7 @@
 			s := server(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "id"), int64(rapid.IntRange(1, 3).Draw(t, "life")))
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				r.HearLeaving(now, s)
+				r.RecordLeaving(now, s)
 				left[s] = true
 			case 1:
 				length := time.Duration(rapid.IntRange(1, 5000).Draw(t, "rest")) * time.Millisecond
