--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -356,7 +356,7 @@
 // AsksRest takes for how long a server wants nothing from this box, as it said when it turned a call away.
 func (p *Pool) AsksRest(now time.Time, name string, length time.Duration) {
 	if s := p.servers[name]; s != nil && length > 0 {
-		p.words.HearRest(now, name, length)
+		p.words.RecordRest(now, name, length)
 		s.asked = true
 		s.stale()
 	}
--- a/src/gateway/pushback.go
+++ b/src/gateway/pushback.go
@@ -92,7 +92,7 @@
 			leaves = r.RecordLeaving(now, wordLife(s))
 		}
 		if w.Rest > 0 {
-			until, rests = r.HearRest(now, s.ID, w.Rest)
+			until, rests = r.RecordRest(now, s.ID, w.Rest)
 		} else {
 			r.Answered(now, s.ID)
 		}
--- a/src/pushback/register.go
+++ b/src/pushback/register.go
@@ -104,9 +104,9 @@
 	return d.incarnation > 0 && s.Incarnation > d.incarnation
 }
 
-// HearRest records that a server wants no requests from this box for the given time. The latest end counts, so a delayed
+// RecordRest records that a server wants no requests from this box for the given time. The latest end counts, so a delayed
 // response doesn't shorten a rest. It returns the end and whether it is later than the one known before.
-func (r *Register) HearRest(now time.Time, id string, length time.Duration) (until time.Time, later bool) {
+func (r *Register) RecordRest(now time.Time, id string, length time.Duration) (until time.Time, later bool) {
 	until = now.Add(min(length, mostRest))
 	known, ok := r.rests[id]
 	if ok && !until.After(known.until) {
--- a/src/pushback/register_test.go
+++ b/src/pushback/register_test.go
@@ -64,7 +64,7 @@
 	is := func(id string) bool { return listed[id] }
 	r.RecordLeaving(start, server("listed", 1))
 	r.RecordLeaving(start, server("gone", 1))
-	r.HearRest(start, "resting", time.Second)
+	r.RecordRest(start, "resting", time.Second)
 	for at := time.Duration(0); at <= 2*departureKept; at += time.Second {
 		r.Sweep(start.Add(at), is)
 	}
@@ -76,7 +76,7 @@
 	}
 	for i := range 2 * lifeMost {
 		r.RecordLeaving(start, server(fmt.Sprint(i), 1))
-		r.HearRest(start, fmt.Sprint(i), time.Second)
+		r.RecordRest(start, fmt.Sprint(i), time.Second)
 	}
 	if len(r.departures) > lifeMost || len(r.rests) > lifeMost {
 		t.Errorf("%d departures and %d rests are kept, want %d at most", len(r.departures), len(r.rests), lifeMost)
@@ -85,8 +85,8 @@
 
 func TestLatestEndOfRestCounts(t *testing.T) {
 	var r Register
-	r.HearRest(start, "a", 3*time.Second)
-	if _, later := r.HearRest(start.Add(100*time.Millisecond), "a", time.Second); later {
+	r.RecordRest(start, "a", 3*time.Second)
+	if _, later := r.RecordRest(start.Add(100*time.Millisecond), "a", time.Second); later {
 		t.Error("a delayed response extended the rest")
 	}
 	r.Answered(start.Add(200*time.Millisecond), "a") // response to a request sent before the rest
@@ -95,7 +95,7 @@
 			t.Errorf("after %s the server is %s until %s", at, v.State, v.Until.Sub(start))
 		}
 	}
-	if until, _ := r.HearRest(start, "b", 1<<62); until.Sub(start) != mostRest {
+	if until, _ := r.RecordRest(start, "b", 1<<62); until.Sub(start) != mostRest {
 		t.Errorf("an absurdly long rest ends after %s", until.Sub(start))
 	}
 }
@@ -104,7 +104,7 @@
 // followed later by as many again.
 func TestServerReturnsInSteps(t *testing.T) {
 	var r Register
-	r.HearRest(start, "a", time.Second)
+	r.RecordRest(start, "a", time.Second)
 	now := start.Add(time.Second)
 	wave := func() int {
 		n := 0
@@ -148,7 +148,7 @@
 				left[s] = true
 			case 1:
 				length := time.Duration(rapid.IntRange(1, 5000).Draw(t, "rest")) * time.Millisecond
-				r.HearRest(now, s.ID, length)
+				r.RecordRest(now, s.ID, length)
 				if end := now.Add(length); end.After(until[s.ID]) {
 					until[s.ID] = end
 				}
