--- a/src/gateway/limits.go
+++ b/src/gateway/limits.go
@@ -27,7 +27,7 @@
 	news := false
 	var l pushback.Limited
 	g.words.with(func(r *pushback.Register) {
-		if news = r.HearLimit(now, sent, wordLife(s), perSecond); news {
+		if news = r.RecordLimit(now, sent, wordLife(s), perSecond); news {
 			l, _ = r.LimitOf(now, wordLife(s))
 		}
 	})
--- a/src/pushback/limits.go
+++ b/src/pushback/limits.go
@@ -57,10 +57,10 @@
 	return l.perSecond * math.Exp2(float64(now.Sub(l.endedAt)/limitRampStep))
 }
 
-// HearLimit records the limit given in a response, 0 if it gives none. sent is when the request was sent: a response to a
-// request sent before the limit was known may be older than the limit and doesn't end it. HearLimit reports whether other
+// RecordLimit records the limit given in a response, 0 if it gives none. sent is when the request was sent: a response to a
+// request sent before the limit was known may be older than the limit and doesn't end it. RecordLimit reports whether other
 // boxes should be told at once.
-func (r *Register) HearLimit(now, sent time.Time, s Server, perSecond float64) bool {
+func (r *Register) RecordLimit(now, sent time.Time, s Server, perSecond float64) bool {
 	l, known := r.limits[s.ID]
 	if known && l.incarnation > 0 && s.Incarnation > l.incarnation {
 		l, known = limit{}, false
--- a/src/pushback/limits_test.go
+++ b/src/pushback/limits_test.go
@@ -25,10 +25,10 @@
 		{"without sense", 110, 150, InvalidLimit, 4},
 	} {
 		var r Register
-		if !r.HearLimit(at(100), at(0), server("a", 1), 4) {
+		if !r.RecordLimit(at(100), at(0), server("a", 1), 4) {
 			t.Fatal("the first limit is not reported as new")
 		}
-		r.HearLimit(at(c.come), at(c.sent), server("a", 1), c.says)
+		r.RecordLimit(at(c.come), at(c.sent), server("a", 1), c.says)
 		l, ok := r.LimitOf(at(c.come), server("a", 1))
 		if !ok || l.Ended != (c.want == 0) || c.want > 0 && l.PerSecond != c.want {
 			t.Errorf("%s: limit %g, ended %v, want %g", c.name, l.PerSecond, l.Ended, c.want)
@@ -38,7 +38,7 @@
 
 func TestLimitAppliesToOneIncarnation(t *testing.T) {
 	var r Register
-	r.HearLimit(start, start, server("a", 7), 4)
+	r.RecordLimit(start, start, server("a", 7), 4)
 	for _, c := range []struct {
 		life int64
 		want bool
@@ -47,10 +47,10 @@
 			t.Errorf("incarnation %d: limited %v, want %v", c.life, ok, c.want)
 		}
 	}
-	if r.HearLimit(start, start, server("a", 6), 1); r.limits["a"].perSecond != 4 {
+	if r.RecordLimit(start, start, server("a", 6), 1); r.limits["a"].perSecond != 4 {
 		t.Error("a limit of an earlier incarnation was applied")
 	}
-	r.HearLimit(start, start, server("a", 8), 2)
+	r.RecordLimit(start, start, server("a", 8), 2)
 	if l, ok := r.LimitOf(start, server("a", 8)); !ok || l.PerSecond != 2 {
 		t.Error("a limit of the next incarnation was ignored")
 	}
@@ -59,9 +59,9 @@
 // After its end a limit rises in steps and then no longer applies.
 func TestEndedLimitRisesInSteps(t *testing.T) {
 	var r Register
-	r.HearLimit(start, start, server("a", 1), 4)
+	r.RecordLimit(start, start, server("a", 1), 4)
 	end := start.Add(time.Second)
-	r.HearLimit(end, end, server("a", 1), 0)
+	r.RecordLimit(end, end, server("a", 1), 0)
 	for s, want := range []float64{4, 8, 16, 32, 64, 128} {
 		if l, ok := r.LimitOf(end.Add(time.Duration(s)*limitRampStep), server("a", 1)); !ok || l.Rate != want {
 			t.Errorf("%d s after its end the limit is %g (%v), want %g", s, l.Rate, ok, want)
@@ -119,7 +119,7 @@
 func TestPermitIsValidOnceAndForALimitedTime(t *testing.T) {
 	var r Register
 	s := server("a", 1)
-	r.HearLimit(start, start, s, 4)
+	r.RecordLimit(start, start, s, 4)
 	if v := r.Begin(start, s, "r"); v.Open() {
 		t.Fatal("a request began without a permit")
 	}
@@ -156,7 +156,7 @@
 	var r Register
 	const servers = 1000
 	for i := range servers {
-		r.HearLimit(start.Add(time.Duration(i)*time.Millisecond), start, server(fmt.Sprint(i), 1), 4)
+		r.RecordLimit(start.Add(time.Duration(i)*time.Millisecond), start, server(fmt.Sprint(i), 1), 4)
 	}
 	told := map[string]bool{}
 	for range 2 * servers / NotesMost {
@@ -183,7 +183,7 @@
 func BenchmarkCheckWithThousandLimits(b *testing.B) {
 	var r Register
 	for i := range 1000 {
-		r.HearLimit(start, start, server(fmt.Sprint(i), 1), 4)
+		r.RecordLimit(start, start, server(fmt.Sprint(i), 1), 4)
 	}
 	s := server("500", 1)
 	for range b.N {
