--- a/src/gateway/limits.go
+++ b/src/gateway/limits.go
@@ -65,7 +65,7 @@
 	var news []core.LimitNote
 	g.words.with(func(r *pushback.Register) {
 		for _, n := range notes[:min(len(notes), pushback.NotesMost)] {
-			if r.HearNote(now, noteFrom(n)) {
+			if r.MergeNote(now, noteFrom(n)) {
 				news = append(news, n)
 			}
 		}
--- a/src/gateway/permits.go
+++ b/src/gateway/permits.go
@@ -83,7 +83,7 @@
 	}
 	news := false
 	g.words.with(func(r *pushback.Register) {
-		news = r.HearNote(now, noteFrom(a.Limit))
+		news = r.MergeNote(now, noteFrom(a.Limit))
 		r.AddPermits(now, s.ID, owner, a.N, a.Begin, a.Next)
 	})
 	if news {
@@ -164,7 +164,7 @@
 	news, limited := false, false
 	var l pushback.Limited
 	g.words.with(func(r *pushback.Register) {
-		news = r.HearNote(now, note)
+		news = r.MergeNote(now, note)
 		l, limited = r.LimitOf(now, note.Server)
 	})
 	if news {
--- a/src/pushback/limits.go
+++ b/src/pushback/limits.go
@@ -104,8 +104,8 @@
 	r.limits[id] = l
 }
 
-// HearNote records another box's note on a server's limit. It reports whether the note changed anything.
-func (r *Register) HearNote(now time.Time, n LimitNote) bool {
+// MergeNote records another box's note on a server's limit. It reports whether the note changed anything.
+func (r *Register) MergeNote(now time.Time, n LimitNote) bool {
 	l, known := r.limits[n.Server.ID]
 	switch {
 	case n.PerSecond < LeastLimit || n.PerSecond > MostLimit || n.Sequence == 0:
--- a/src/pushback/limits_test.go
+++ b/src/pushback/limits_test.go
@@ -87,10 +87,10 @@
 		}
 		var a, b Register
 		for _, n := range notes {
-			a.HearNote(start, n)
+			a.MergeNote(start, n)
 		}
 		for _, n := range rapid.Permutation(notes).Draw(t, "order") {
-			b.HearNote(start, n)
+			b.MergeNote(start, n)
 		}
 		x, y := a.note("a"), b.note("a")
 		if x.Ended && y.Ended {
@@ -108,7 +108,7 @@
 		{Server: server("a", 1), Sequence: 1, PerSecond: 0}, {Server: server("a", 1), Sequence: 1, PerSecond: -1},
 		{Server: server("a", 1), Sequence: 1, PerSecond: 2 * MostLimit}, {Server: server("a", 1), PerSecond: 1}, {},
 	} {
-		if r.HearNote(start, n) || !r.Empty() {
+		if r.MergeNote(start, n) || !r.Empty() {
 			t.Errorf("%+v was accepted", n)
 		}
 	}
