--- a/src/pushback/register.go
+++ b/src/pushback/register.go
@@ -174,8 +174,8 @@
 	return v
 }
 
-// Remembers reports whether a server has asked for a rest and is not back to unlimited requests yet.
-func (r *Register) Remembers(id string) bool {
+// HasRest reports whether a server has asked for a rest and is not back to unlimited requests yet.
+func (r *Register) HasRest(id string) bool {
 	_, ok := r.rests[id]
 	return ok
 }
