--- a/src/gateway/pushback.go
+++ b/src/gateway/pushback.go
@@ -143,7 +143,7 @@
 	defer p.mu.Unlock()
 	var out []core.LeavingNote
 	g.words.with(func(r *pushback.Register) {
-		for _, s := range r.Departed(p.named) {
+		for _, s := range r.LeavingServers(p.named) {
 			out = append(out, core.LeavingNote{Server: s.ID, Incarnation: uint64(s.Incarnation)})
 		}
 	})
--- a/src/pushback/register.go
+++ b/src/pushback/register.go
@@ -180,8 +180,8 @@
 	return ok
 }
 
-// Departed returns at most NotesMost leaving incarnations that are still listed as taking work, to report to other boxes.
-func (r *Register) Departed(works func(id string) bool) []Server {
+// LeavingServers returns at most NotesMost leaving incarnations that are still listed as taking work, to report to other boxes.
+func (r *Register) LeavingServers(works func(id string) bool) []Server {
 	var out []Server
 	for id, d := range r.departures {
 		if works(id) {
