--- a/src/box/beats.go
+++ b/src/box/beats.go
@@ -138,7 +138,7 @@
 	if !m.News {
 		b.docs.hear(now, m.From.ID.Name, m, h.AskedAt)
 	}
-	b.suspects.Hear(m.Suspects, m.From.ID.Name)
+	b.suspects.Merge(m.Suspects, m.From.ID.Name)
 	b.takeLoads(now, m)
 	if changed {
 		b.membersChanged()
--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -291,7 +291,7 @@
 	defer cancel()
 	known, err := u.Ask(ctx, box, notes)
 	if err == nil {
-		u.Hear(known, box)
+		u.Merge(known, box)
 		return
 	}
 	u.Log.Warn("counter box for server crashes does not respond", "peer", box, "contents", len(keys), "passed_over", len(silent), "cause", err.Error())
@@ -304,7 +304,7 @@
 
 // HandleReport records another box's notes on contents that this box is a counter of, and returns this box's notes on them.
 func (u *Tracker) HandleReport(notes []crasher.Note, from string) []crasher.Note {
-	u.Hear(notes, from)
+	u.Merge(notes, from)
 	keys := make([]crasher.Key, 0, len(notes))
 	for _, n := range notes[:min(len(notes), crasher.NotesMost)] {
 		keys = append(keys, n.Key)
@@ -314,8 +314,8 @@
 	return u.register.NotesOf(u.Now(), keys)
 }
 
-// Hear records the notes of another box.
-func (u *Tracker) Hear(notes []crasher.Note, from string) {
+// Merge records the notes of another box.
+func (u *Tracker) Merge(notes []crasher.Note, from string) {
 	if len(notes) == 0 {
 		return
 	}
