--- a/src/crasher/note.go
+++ b/src/crasher/note.go
@@ -105,9 +105,9 @@
 	return out
 }
 
-// Hear merges the notes of another box. It returns the contents whose verdict may have changed, which is news for other
+// Merge merges the notes of another box. It returns the contents whose verdict may have changed, which is news for other
 // boxes.
-func (r *Register) Hear(now time.Time, notes []Note) []Counted {
+func (r *Register) Merge(now time.Time, notes []Note) []Counted {
 	var out []Counted
 	for _, n := range notes[:min(len(notes), NotesMost)] {
 		if r.hear(now, n) {
--- a/src/crasher/register_test.go
+++ b/src/crasher/register_test.go
@@ -69,8 +69,8 @@
 	crashWith(&a, began, 7, k)
 	crashWith(&b, began.Add(time.Millisecond), 7, k)
 	a.RecordBroken(began.Add(2*time.Millisecond), 7, k, k) // a second attempt there
-	a.Hear(began.Add(3*time.Millisecond), b.News(began.Add(3*time.Millisecond)))
-	a.Hear(began.Add(4*time.Millisecond), b.NotesOf(began.Add(4*time.Millisecond), []Key{k}))
+	a.Merge(began.Add(3*time.Millisecond), b.News(began.Add(3*time.Millisecond)))
+	a.Merge(began.Add(4*time.Millisecond), b.NotesOf(began.Add(4*time.Millisecond), []Key{k}))
 	if v := a.Verdict(began, k); v.Ends != 1 {
 		t.Errorf("%+v, want one crash", v)
 	}
@@ -124,10 +124,10 @@
 		crashWith(&saw, began.Add(time.Second), Life(i), k)
 	}
 	now := began.Add(1100 * time.Millisecond)
-	if changed := answered.Hear(now, saw.News(now)); len(changed) != 1 || changed[0].Verdict.Ends != 0 {
+	if changed := answered.Merge(now, saw.News(now)); len(changed) != 1 || changed[0].Verdict.Ends != 0 {
 		t.Fatalf("%+v", changed)
 	}
-	if changed := saw.Hear(now, answered.News(now)); len(changed) != 1 || saw.Verdict(now, k).Barred {
+	if changed := saw.Merge(now, answered.News(now)); len(changed) != 1 || saw.Verdict(now, k).Barred {
 		t.Errorf("%+v %+v", changed, saw.Verdict(now, k))
 	}
 }
@@ -188,7 +188,7 @@
 			case 2:
 				r.Good(now, k)
 			case 3:
-				r.Hear(now, boxes[rapid.IntRange(0, 2).Draw(t, "other")].Notes(now))
+				r.Merge(now, boxes[rapid.IntRange(0, 2).Draw(t, "other")].Notes(now))
 			case 4:
 				crashWith(r, now, life, k)
 			}
@@ -196,7 +196,7 @@
 		for range 3 {
 			for i := range boxes {
 				for j := range boxes {
-					boxes[i].Hear(now, boxes[j].allNotes(now))
+					boxes[i].Merge(now, boxes[j].allNotes(now))
 				}
 			}
 		}
--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -320,7 +320,7 @@
 		return
 	}
 	u.mu.Lock()
-	changed := u.register.Hear(u.Now(), notes)
+	changed := u.register.Merge(u.Now(), notes)
 	u.mu.Unlock()
 	if len(changed) == 0 {
 		return
