--- a/src/gateway/limits.go
+++ b/src/gateway/limits.go
@@ -49,7 +49,7 @@
 	}
 	var out []core.LimitNote
 	g.words.with(func(r *pushback.Register) {
-		for _, n := range r.Limits() {
+		for _, n := range r.LimitNotes() {
 			out = append(out, noteOf(n))
 		}
 	})
--- a/src/pushback/limits.go
+++ b/src/pushback/limits.go
@@ -131,9 +131,9 @@
 	return true
 }
 
-// Limits returns at most NotesMost notes on servers' limits to send to other boxes: half of them the latest changes, the
+// LimitNotes returns at most NotesMost notes on servers' limits to send to other boxes: half of them the latest changes, the
 // others in rotation, so that a box that missed a change receives it later.
-func (r *Register) Limits() []LimitNote {
+func (r *Register) LimitNotes() []LimitNote {
 	ids := slices.SortedFunc(maps.Keys(r.limits), func(a, b string) int {
 		return cmp.Or(r.limits[b].changedAt.Compare(r.limits[a].changedAt), cmp.Compare(a, b))
 	})
--- a/src/pushback/limits_test.go
+++ b/src/pushback/limits_test.go
@@ -160,7 +160,7 @@
 	}
 	told := map[string]bool{}
 	for range 2 * servers / NotesMost {
-		notes := r.Limits()
+		notes := r.LimitNotes()
 		if len(notes) != NotesMost {
 			t.Fatalf("%d limits in one message, want %d", len(notes), NotesMost)
 		}
