--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -16,7 +16,7 @@
 	InputBytes  float64         // size of its inputs
 	Exclude     map[string]bool // ids of servers already tried
 	LeastLoaded bool            // prefer the server with the fewest requests; prompt cache and domain come second
-	Makers      map[string]int  // number of servers in each domain that produce its large inputs; nil if it has none
+	Producers      map[string]int  // number of servers in each domain that produce its large inputs; nil if it has none
 
 	Within *catalog.Confines // failure domains that it may run in; nil for any
 
--- a/src/balance/balance_test.go
+++ b/src/balance/balance_test.go
@@ -214,7 +214,7 @@
 	homes, domains = map[string]string{}, map[string]int{}
 	for i := range 400 {
 		book := fmt.Sprint("book", i)
-		w := &Request{Parts: prompt(fmt.Sprint("common", i%40), book, "own"), Makers: makers}
+		w := &Request{Parts: prompt(fmt.Sprint("common", i%40), book, "own"), Producers: makers}
 		homes[book] = p.home(w)
 		domains[p.servers[homes[book]].Domain]++
 	}
--- a/src/balance/prompt.go
+++ b/src/balance/prompt.go
@@ -78,13 +78,13 @@
 // the request's large inputs, or 1 if it has none.
 func (p *Pool) weight(w *Request, domain string) float64 {
 	makers := 0
-	for _, n := range w.Makers {
+	for _, n := range w.Producers {
 		makers += n
 	}
 	if makers == 0 {
 		return 1
 	}
-	return (float64(w.Makers[domain]) + minProducerWeight) / float64(makers)
+	return (float64(w.Producers[domain]) + minProducerWeight) / float64(makers)
 }
 
 // exponential maps a hash to an exponentially distributed number, for weighted rendezvous hashing.
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -179,7 +179,7 @@
 		v.refuse(err)
 		return
 	}
-	v.wish = balance.Request{Parts: v.request.Parts, Exclude: map[string]bool{}, Makers: g.makersOf(p), Within: v.confines}
+	v.wish = balance.Request{Parts: v.request.Parts, Exclude: map[string]bool{}, Producers: g.makersOf(p), Within: v.confines}
 	if err := v.checkRest(e); err != nil {
 		v.refuse(err)
 		return
