--- a/src/balance/confined_test.go
+++ b/src/balance/confined_test.go
@@ -28,7 +28,7 @@
 			t.Fatalf("request %d went to %q", i, s.ID)
 		}
 		p.RecordCached(start, "out0", w.Parts)
-		if from, ok := p.Source(start, s.ID, w); ok && from.Domain != "in" {
+		if from, ok := p.CopySource(start, s.ID, w); ok && from.Domain != "in" {
 			t.Errorf("request %d copies from %s", i, from.ID)
 		}
 	}
--- a/src/balance/resting_test.go
+++ b/src/balance/resting_test.go
@@ -22,7 +22,7 @@
 	w := &Request{Parts: []Part{{"shared", 2 * minCopyTokens}, {"own", 10}}}
 	p.RecordCached(start, "a", w.Parts[:1])
 	p.RecordCached(start, "a", w.Parts)
-	if s, ok := p.Source(start, "b", w); ok {
+	if s, ok := p.CopySource(start, "b", w); ok {
 		t.Errorf("%s, which rests, is a source of prompt parts", s.ID)
 	}
 	resting["b"] = start.Add(2 * time.Second)
@@ -63,7 +63,7 @@
 	p.Limits = func(s *catalog.Server) bool { return s.ID == "a" }
 	w := &Request{Parts: []Part{{"shared", 2 * minCopyTokens}, {"own", 10}}}
 	p.RecordCached(start, "a", w.Parts)
-	if s, ok := p.Source(start, "b", w); ok {
+	if s, ok := p.CopySource(start, "b", w); ok {
 		t.Errorf("%s, which limits its requests, is a source of prompt parts", s.ID)
 	}
 	for range 20 {
--- a/src/balance/source.go
+++ b/src/balance/source.go
@@ -17,10 +17,10 @@
 	at time.Time
 }
 
-// Source returns a server from which server id should copy the shared parts of a prompt: the one that processed them
+// CopySource returns a server from which server id should copy the shared parts of a prompt: the one that processed them
 // last, or their home. It returns false if copying isn't worth it because id has them cached, as far as this box knows, or
 // if no suitable server is known.
-func (p *Pool) Source(now time.Time, id string, w *Request) (catalog.Server, bool) {
+func (p *Pool) CopySource(now time.Time, id string, w *Request) (catalog.Server, bool) {
 	v := p.servers[id]
 	if v == nil || len(w.Parts) < 2 {
 		return catalog.Server{}, false
--- a/src/balance/source_test.go
+++ b/src/balance/source_test.go
@@ -20,18 +20,18 @@
 	w := &Request{Parts: prompt("common", "book", "1")}
 	chosen := pick(t, p, w)
 	reader := other(chosen)
-	if s, ok := p.Source(start, chosen, w); ok {
+	if s, ok := p.CopySource(start, chosen, w); ok {
 		t.Fatalf("copied from %s, though no server has read it and the chosen server is its home", s.ID)
 	}
 	p.HearReads(start, []Read{{Part: catalog.Hash("book"), Server: catalog.Hash(reader)}})
-	if s, ok := p.Source(start, chosen, w); !ok || s.ID != reader {
+	if s, ok := p.CopySource(start, chosen, w); !ok || s.ID != reader {
 		t.Errorf("copied from %q, want %s, which has read it according to another box", s.ID, reader)
 	}
-	if _, ok := p.Source(start.Add(cacheLifetime), chosen, w); ok {
+	if _, ok := p.CopySource(start.Add(cacheLifetime), chosen, w); ok {
 		t.Error("copied from a server that read it long ago")
 	}
 	p.RecordCached(start, chosen, w.Parts)
-	if _, ok := p.Source(start, chosen, w); ok {
+	if _, ok := p.CopySource(start, chosen, w); ok {
 		t.Error("copied to a server that has it cached")
 	}
 }
@@ -40,11 +40,11 @@
 	p := testPool("a", 3)
 	w := &Request{Parts: prompt("common", "book", "1")}
 	home := pick(t, p, w)
-	if s, ok := p.Source(start, other(home), w); !ok || s.ID != home {
+	if s, ok := p.CopySource(start, other(home), w); !ok || s.ID != home {
 		t.Errorf("copied from %q, want its home %s", s.ID, home)
 	}
 	small := &Request{Parts: []Part{{ID: "common", Tokens: minCopyTokens - 1}, {ID: "1", Tokens: 9000}}}
-	if _, ok := p.Source(start, other(p.home(small)), small); ok {
+	if _, ok := p.CopySource(start, other(p.home(small)), small); ok {
 		t.Error("a few tokens were copied")
 	}
 }
@@ -74,11 +74,11 @@
 		chosen := pick(t, p, w)
 		reader := other(chosen)
 		p.HearReads(start, []Read{{Part: catalog.Hash("book"), Server: catalog.Hash(reader)}})
-		if _, ok := p.Source(start, chosen, w); !ok {
+		if _, ok := p.CopySource(start, chosen, w); !ok {
 			t.Fatal("nothing is copied though the reader is healthy")
 		}
 		spoil(p, reader)
-		if s, ok := p.Source(start, chosen, w); ok && s.ID == reader {
+		if s, ok := p.CopySource(start, chosen, w); ok && s.ID == reader {
 			t.Errorf("%s: copied from it", name)
 		}
 	}
--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -141,7 +141,7 @@
 	v.wish.Within = v.confinesNow()
 	e.mu.Lock()
 	s, why, ok := e.picker.Pick(now, &v.wish)
-	source, copied := e.picker.Source(now, s.ID, &v.wish)
+	source, copied := e.picker.CopySource(now, s.ID, &v.wish)
 	e.mu.Unlock()
 	reserved := v.wish.Only != ""
 	v.wish.Only = ""
