--- a/src/balance/incarnation_test.go
+++ b/src/balance/incarnation_test.go
@@ -18,7 +18,7 @@
 	p.Configure(pointers(list(10)))
 	w := &Request{Parts: []Part{{ID: "shared", Tokens: 900}, {ID: "own", Tokens: 10}}, Exclude: map[string]bool{}}
 	s, _, _ := p.Pick(now, w)
-	p.Read(now, "a", w)
+	p.RecordRead(now, "a", w)
 	p.Ended(now, "a", w, Absent) // pauses it
 	p.Pick(now, w)
 	p.SetBoxLoads(now, "peer", []LoadReport{{Server: catalog.Hash("a"), Load: Load{Requests: 3}, Rests: true}})
--- a/src/balance/prompt.go
+++ b/src/balance/prompt.go
@@ -130,8 +130,8 @@
 	return ""
 }
 
-// Read records that a server has processed a prompt of this box: its load is reduced and the parts count as cached.
-func (p *Pool) Read(now time.Time, id string, w *Request) {
+// RecordRead records that a server has processed a prompt of this box: its load is reduced and the parts count as cached.
+func (p *Pool) RecordRead(now time.Time, id string, w *Request) {
 	v := p.servers[id]
 	if v == nil || len(w.Parts) == 0 {
 		return
--- a/src/gateway/bench_test.go
+++ b/src/gateway/bench_test.go
@@ -89,7 +89,7 @@
 				w := balance.Request{Parts: []balance.Part{{ID: "a", Tokens: 500}, {ID: fmt.Sprint("s", i%500), Tokens: 4000}, {ID: fmt.Sprint(i), Tokens: 900}}, Exclude: map[string]bool{}}
 				p.HomeDomain(&w)
 				s, _, _ := p.Pick(g.now(), &w)
-				p.Read(g.now(), s.ID, &w)
+				p.RecordRead(g.now(), s.ID, &w)
 				p.Ended(g.now(), s.ID, &w, balance.Good)
 			}
 		})
--- a/src/gateway/relay.go
+++ b/src/gateway/relay.go
@@ -130,7 +130,7 @@
 		g.estimates.learn(v.pipeline.Name, v.firstOut.Sub(began))
 		e.mu.Lock()
 		if e.picker.Current(s) {
-			e.picker.Read(g.now(), s.ID, &v.wish)
+			e.picker.RecordRead(g.now(), s.ID, &v.wish)
 		}
 		e.mu.Unlock()
 	}
