--- a/src/balance/prompt.go
+++ b/src/balance/prompt.go
@@ -152,8 +152,8 @@
 	}
 }
 
-// HearReads records prompt parts that servers have processed, as reported by another box.
-func (p *Pool) HearReads(now time.Time, reads []Read) {
+// RecordReads records prompt parts that servers have processed, as reported by another box.
+func (p *Pool) RecordReads(now time.Time, reads []Read) {
 	for _, r := range reads {
 		if p.names[r.Server] != nil {
 			p.markCached(now, r.Server, r.Part)
--- a/src/balance/source_test.go
+++ b/src/balance/source_test.go
@@ -23,7 +23,7 @@
 	if s, ok := p.CopySource(start, chosen, w); ok {
 		t.Fatalf("copied from %s, though no server has read it and the chosen server is its home", s.ID)
 	}
-	p.HearReads(start, []Read{{Part: catalog.Hash("book"), Server: catalog.Hash(reader)}})
+	p.RecordReads(start, []Read{{Part: catalog.Hash("book"), Server: catalog.Hash(reader)}})
 	if s, ok := p.CopySource(start, chosen, w); !ok || s.ID != reader {
 		t.Errorf("copied from %q, want %s, which has read it according to another box", s.ID, reader)
 	}
@@ -73,7 +73,7 @@
 		w := &Request{Parts: prompt("common", "book", "1")}
 		chosen := pick(t, p, w)
 		reader := other(chosen)
-		p.HearReads(start, []Read{{Part: catalog.Hash("book"), Server: catalog.Hash(reader)}})
+		p.RecordReads(start, []Read{{Part: catalog.Hash("book"), Server: catalog.Hash(reader)}})
 		if _, ok := p.CopySource(start, chosen, w); !ok {
 			t.Fatal("nothing is copied though the reader is healthy")
 		}
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -280,7 +280,7 @@
 		e.mu.Lock()
 		e.picker.Boxes = boxes
 		e.picker.SetBoxLoads(now, m.From.ID.Name, notes)
-		e.picker.HearReads(now, reads)
+		e.picker.RecordReads(now, reads)
 		e.hearAsked(now, m.From.ID.Name, m.Asked)
 		e.mu.Unlock()
 	}
