--- a/src/balance/health.go
+++ b/src/balance/health.go
@@ -140,8 +140,8 @@
 	return out
 }
 
-// Pace records the time that a server took for a request and the time that was expected.
-func (p *Pool) Pace(id string, took, expected time.Duration) {
+// RecordPace records the time that a server took for a request and the time that was expected.
+func (p *Pool) RecordPace(id string, took, expected time.Duration) {
 	v := p.servers[id]
 	if v == nil || expected <= 0 {
 		return
--- a/src/balance/source_test.go
+++ b/src/balance/source_test.go
@@ -56,7 +56,7 @@
 		"resting": func(p *Pool, reader string) { p.SetBoxLoads(start, "b", []LoadReport{{Server: catalog.Hash(reader), Rests: true}}) },
 		"slow": func(p *Pool, reader string) {
 			for range 20 {
-				p.Pace(reader, 10*time.Second, time.Second)
+				p.RecordPace(reader, 10*time.Second, time.Second)
 			}
 		},
 		"gone": func(p *Pool, reader string) {
