--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -128,8 +128,8 @@
 	return s.dispatchAfter(now, out)
 }
 
-// Limit sets the pool's limits.
-func (s *Scheduler) Limit(now time.Time, pool catalog.Pool) Actions {
+// SetLimits sets the pool's limits.
+func (s *Scheduler) SetLimits(now time.Time, pool catalog.Pool) Actions {
 	s.pool = pool
 	return s.dispatch(now)
 }
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -103,7 +103,7 @@
 	for _, s := range d.list() {
 		if limits, ok := d.limitsOf(s.pool); ok {
 			s.mu.Lock()
-			a := s.core.Limit(d.gateway.now(), limits)
+			a := s.core.SetLimits(d.gateway.now(), limits)
 			s.mu.Unlock()
 			d.carry(s, a)
 		}
