--- a/src/batch/handover.go
+++ b/src/batch/handover.go
@@ -42,7 +42,7 @@
 			s.forget(handle)
 		}
 	}
-	s.Hold(now, h.Held)
+	s.AddHeld(now, h.Held)
 	for _, b := range h.Busy {
 		v := s.servers[b.Server]
 		if v == nil || v.call != 0 {
--- a/src/batch/handover_test.go
+++ b/src/batch/handover_test.go
@@ -66,8 +66,8 @@
 func TestResultsOfALostSchedulerAreCountedAndFreed(t *testing.T) {
 	s := testScheduler(1)
 	held := []HeldResult{{Server: "s0", Handle: "h1", Bytes: 480, Left: 3 * time.Second}, {Server: "s0", Handle: "h2", Bytes: 480, Left: 3 * time.Second}}
-	s.Hold(start, held)
-	s.Hold(start, held[:1]) // repeated by the same owner
+	s.AddHeld(start, held)
+	s.AddHeld(start, held[:1]) // repeated by the same owner
 	big := jobOfSize("b", 1, 1, 400)
 	if a := s.Submit(start, big, ""); len(a.Calls) != 0 {
 		t.Fatal("the room of an owner's results was used")
--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -225,8 +225,8 @@
 	}
 }
 
-// Hold accounts for results stored at servers, as reported by an owner or the previous scheduler.
-func (s *Scheduler) Hold(now time.Time, results []HeldResult) {
+// AddHeld accounts for results stored at servers, as reported by an owner or the previous scheduler.
+func (s *Scheduler) AddHeld(now time.Time, results []HeldResult) {
 	for _, r := range results {
 		v := s.servers[r.Server]
 		_, known := s.handles[r.Handle]
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -248,7 +248,7 @@
 
 func (d *desk) hold(h batch.Held) {
 	d.with(h.Pool, func(now time.Time, s *batch.Scheduler) batch.Actions {
-		s.Hold(now, h.Results)
+		s.AddHeld(now, h.Results)
 		return batch.Actions{}
 	})
 }
