--- a/src/batch/confined_test.go
+++ b/src/batch/confined_test.go
@@ -40,7 +40,7 @@
 	if last := a.Replies[len(a.Replies)-1].Message.Failed; last == nil || last.Reason != Nowhere || len(a.Calls) > 0 {
 		t.Errorf("job without an allowed server: %+v", a)
 	}
-	if m := j.Submission(start).Job(start); m.Within == nil || !m.Within.Allow("east") || m.Within.Allow("west") {
+	if m := j.ToSubmit(start).Job(start); m.Within == nil || !m.Within.Allow("east") || m.Within.Allow("west") {
 		t.Errorf("the submission is confined to %v", m.Within)
 	}
 }
--- a/src/batch/message.go
+++ b/src/batch/message.go
@@ -189,8 +189,8 @@
 	Bytes  float64       `msgpack:"b"` // expected size of the call's results
 }
 
-// Submission converts a job to a message sent at now.
-func (j *Job) Submission(now time.Time) *Submit {
+// ToSubmit converts a job to a message sent at now.
+func (j *Job) ToSubmit(now time.Time) *Submit {
 	return &Submit{
 		ID: j.ID, Pool: j.Pool, Request: j.Request, Content: j.Content, Class: j.Class, Stage: j.Stage, Pieces: j.Pieces,
 		Inputs: j.Inputs, InputDomain: j.InputDomain, CrossBytes: j.CrossBytes, Key: j.Key, ResultBytes: j.ResultBytes,
--- a/src/gateway/held.go
+++ b/src/gateway/held.go
@@ -119,7 +119,7 @@
 			g.tell(box, batch.Message{Held: &batch.Held{Pool: j.Pool, Results: part}})
 		}
 	}
-	m := j.Submission(now)
+	m := j.ToSubmit(now)
 	m.Silent = silent
 	if m.Within != nil {
 		g.tell(box, batch.Message{Confined: m})
