--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -48,7 +48,7 @@
 type LoadReport struct {
 	Server uint64
 	Load   Load
-	Rests  bool // the box has paused the server after failures
+	Paused  bool // the box has paused the server after failures
 }
 
 // boxReport is the last report of a box on this pool.
@@ -225,7 +225,7 @@
 		v.peers.Requests += n.Load.Requests
 		v.peers.Tokens += n.Load.Tokens
 		w.notes = append(w.notes, n)
-		if n.Rests && v.pauses == 0 {
+		if n.Paused && v.pauses == 0 {
 			p.pause(now, v)
 		}
 	}
--- a/src/balance/balance_test.go
+++ b/src/balance/balance_test.go
@@ -113,7 +113,7 @@
 
 func TestServerIsTriedIfAllArePaused(t *testing.T) {
 	p := testPool("a", 2)
-	p.SetBoxLoads(start, "other", []LoadReport{{Server: catalog.Hash("s0"), Rests: true}, {Server: catalog.Hash("s1"), Rests: true}})
+	p.SetBoxLoads(start, "other", []LoadReport{{Server: catalog.Hash("s0"), Paused: true}, {Server: catalog.Hash("s1"), Paused: true}})
 	if _, why, ok := p.Pick(start, &Request{}); !ok || why != "all servers rest" {
 		t.Errorf("no server was tried: %s", why)
 	}
--- a/src/balance/incarnation_test.go
+++ b/src/balance/incarnation_test.go
@@ -21,7 +21,7 @@
 	p.RecordRead(now, "a", w)
 	p.Ended(now, "a", w, Absent) // pauses it
 	p.Pick(now, w)
-	p.SetBoxLoads(now, "peer", []LoadReport{{Server: catalog.Hash("a"), Load: Load{Requests: 3}, Rests: true}})
+	p.SetBoxLoads(now, "peer", []LoadReport{{Server: catalog.Hash("a"), Load: Load{Requests: 3}, Paused: true}})
 
 	p.Configure(pointers(list(20)))
 	v := p.servers["a"]
--- a/src/balance/source_test.go
+++ b/src/balance/source_test.go
@@ -53,7 +53,7 @@
 func TestNoCopyFromUnhealthyServer(t *testing.T) {
 	for name, spoil := range map[string]func(p *Pool, reader string){
 		"broken":  func(p *Pool, reader string) { p.Ended(start, reader, &Request{}, Broken) },
-		"resting": func(p *Pool, reader string) { p.SetBoxLoads(start, "b", []LoadReport{{Server: catalog.Hash(reader), Rests: true}}) },
+		"resting": func(p *Pool, reader string) { p.SetBoxLoads(start, "b", []LoadReport{{Server: catalog.Hash(reader), Paused: true}}) },
 		"slow": func(p *Pool, reader string) {
 			for range 20 {
 				p.RecordPace(reader, 10*time.Second, time.Second)
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -270,7 +270,7 @@
 	boxes := len(g.fleet.usable())
 	notes := make([]balance.LoadReport, len(m.Backends))
 	for i, n := range m.Backends {
-		notes[i] = balance.LoadReport{Server: n.Server, Load: loadOf(n), Rests: n.Resting}
+		notes[i] = balance.LoadReport{Server: n.Server, Load: loadOf(n), Paused: n.Resting}
 	}
 	reads := make([]balance.Read, len(m.Reads))
 	for i, r := range m.Reads {
