--- a/src/gateway/limits_words_test.go
+++ b/src/gateway/limits_words_test.go
@@ -239,7 +239,7 @@
 					if r.Said.Limit = c.says(n); math.IsInf(r.Said.Limit, 1) {
 						r.Said.Limit = 0
 						if call.Server.ID == "model0" {
-							r.Said.Limit = pushback.LeastLimit
+							r.Said.Limit = pushback.MinLimit
 						}
 					}
 					return r, err
--- a/src/pushback/word.go
+++ b/src/pushback/word.go
@@ -21,7 +21,7 @@
 // Range of limits accepted from responses, in requests per second. With a lower one too few requests would be sent to
 // learn that the limit has ended.
 const (
-	LeastLimit = 0.1
+	MinLimit = 0.1
 	MostLimit  = 1e5
 )
 
@@ -39,7 +39,7 @@
 		if err != nil && !errors.Is(err, strconv.ErrRange) || math.IsNaN(n) || n < 0 {
 			continue
 		}
-		n = min(max(n, LeastLimit), MostLimit)
+		n = min(max(n, MinLimit), MostLimit)
 		if least == InvalidLimit || n < least {
 			least = n
 		}
