--- a/src/gateway/limits_words_test.go
+++ b/src/gateway/limits_words_test.go
@@ -220,7 +220,7 @@
 		{"flickers", func(i int) float64 { return float64(i%2) * 20 }, 0},
 		{"rises and falls", func(i int) float64 { return []float64{40, 20, 80, 30}[i%4] }, 0},
 		{"makes no sense", func(int) float64 { return pushback.InvalidLimit }, 0.99},
-		{"is huge", func(int) float64 { return pushback.MostLimit }, 0.99},
+		{"is huge", func(int) float64 { return pushback.MaxLimit }, 0.99},
 		{"is near nothing at one of five", func(int) float64 { return math.Inf(1) }, 0.99},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/src/pushback/limits.go
+++ b/src/pushback/limits.go
@@ -108,7 +108,7 @@
 func (r *Register) MergeNote(now time.Time, n LimitNote) bool {
 	l, known := r.limits[n.Server.ID]
 	switch {
-	case n.PerSecond < MinLimit || n.PerSecond > MostLimit || n.Sequence == 0:
+	case n.PerSecond < MinLimit || n.PerSecond > MaxLimit || n.Sequence == 0:
 		return false // invalid
 	case known && n.Server.Incarnation < l.incarnation, !known && len(r.limits) >= lifeMost:
 		return false
--- a/src/pushback/limits_test.go
+++ b/src/pushback/limits_test.go
@@ -106,7 +106,7 @@
 	var r Register
 	for _, n := range []LimitNote{
 		{Server: server("a", 1), Sequence: 1, PerSecond: 0}, {Server: server("a", 1), Sequence: 1, PerSecond: -1},
-		{Server: server("a", 1), Sequence: 1, PerSecond: 2 * MostLimit}, {Server: server("a", 1), PerSecond: 1}, {},
+		{Server: server("a", 1), Sequence: 1, PerSecond: 2 * MaxLimit}, {Server: server("a", 1), PerSecond: 1}, {},
 	} {
 		if r.MergeNote(start, n) || !r.Empty() {
 			t.Errorf("%+v was accepted", n)
--- a/src/pushback/word.go
+++ b/src/pushback/word.go
@@ -22,7 +22,7 @@
 // learn that the limit has ended.
 const (
 	MinLimit = 0.1
-	MostLimit  = 1e5
+	MaxLimit  = 1e5
 )
 
 // InvalidLimit stands for a limit that can't be parsed. It neither sets a limit nor ends one.
@@ -39,7 +39,7 @@
 		if err != nil && !errors.Is(err, strconv.ErrRange) || math.IsNaN(n) || n < 0 {
 			continue
 		}
-		n = min(max(n, MinLimit), MostLimit)
+		n = min(max(n, MinLimit), MaxLimit)
 		if least == InvalidLimit || n < least {
 			least = n
 		}
