--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -56,10 +56,10 @@
 	b.List.Version = catalog.ListTold(p.lists.AsOf(), base)
 	b.Settled = p.registry.Settled(now)
 	b.Closures, b.Doubts = nil, nil
-	for _, n := range p.closures.Notes(now, p.configEra(), pushback.NotesMost) {
+	for _, n := range p.closures.Notes(now, p.configEra(), pushback.MaxNotes) {
 		b.Closures = append(b.Closures, core.ClosureNote{Domain: n.Domain, Closed: n.Closed, Revision: n.At.Told(base)})
 	}
-	for _, n := range p.registry.Doubts(now, pushback.NotesMost) {
+	for _, n := range p.registry.Doubts(now, pushback.MaxNotes) {
 		b.Doubts = append(b.Doubts, core.DoubtNote{Server: n.Server, Incarnation: int64(n.Incarnation), For: n.For})
 	}
 }
@@ -124,7 +124,7 @@
 	now := g.now()
 	p.mu.Lock()
 	base, closed := p.heardBase(b.Era), false
-	for _, n := range b.Closures[:min(len(b.Closures), pushback.NotesMost)] {
+	for _, n := range b.Closures[:min(len(b.Closures), pushback.MaxNotes)] {
 		note := catalog.ClosureNote{Domain: n.Domain, Closed: n.Closed, At: catalog.RevisionTold(n.Revision, base)}
 		if p.closures.Hear(now, note, p.configEra()) {
 			closed = true
@@ -132,7 +132,7 @@
 		}
 	}
 	var doubted []catalog.Changed
-	for _, n := range b.Doubts[:min(len(b.Doubts), pushback.NotesMost)] {
+	for _, n := range b.Doubts[:min(len(b.Doubts), pushback.MaxNotes)] {
 		note := catalog.DoubtNote{Server: n.Server, Incarnation: catalog.Incarnation(n.Incarnation), For: n.For}
 		if c, changed := p.registry.HearDoubt(now, note); changed {
 			doubted = append(doubted, c)
--- a/src/gateway/limits.go
+++ b/src/gateway/limits.go
@@ -64,7 +64,7 @@
 	now := g.now()
 	var news []core.LimitNote
 	g.words.with(func(r *pushback.Register) {
-		for _, n := range notes[:min(len(notes), pushback.NotesMost)] {
+		for _, n := range notes[:min(len(notes), pushback.MaxNotes)] {
 			if r.MergeNote(now, noteFrom(n)) {
 				news = append(news, n)
 			}
--- a/src/gateway/pushback.go
+++ b/src/gateway/pushback.go
@@ -167,7 +167,7 @@
 	now := g.now()
 	news := map[string]catalog.Server{}
 	g.words.with(func(r *pushback.Register) {
-		for _, n := range notes[:min(len(notes), pushback.NotesMost)] {
+		for _, n := range notes[:min(len(notes), pushback.MaxNotes)] {
 			s := pushback.Server{ID: n.Server, Incarnation: int64(n.Incarnation)}
 			if r.RecordLeaving(now, s) {
 				news[s.ID] = catalog.Server{ID: s.ID, Incarnation: catalog.Incarnation(s.Incarnation)}
--- a/src/pushback/constants.go
+++ b/src/pushback/constants.go
@@ -32,7 +32,7 @@
 	// lifeMost bounds the departures, rests and limits that are kept, about 100 bytes each: seven times the servers of the
 	// largest supported fleet.
 	lifeMost = 4096
-	// NotesMost is the largest number of leaving servers, and of servers with limits, in one message, 20 to 40 bytes each:
+	// MaxNotes is the largest number of leaving servers, and of servers with limits, in one message, 20 to 40 bytes each:
 	// a tenth of the servers of the largest fleet.
-	NotesMost = 64
+	MaxNotes = 64
 )
--- a/src/pushback/limits.go
+++ b/src/pushback/limits.go
@@ -137,13 +137,13 @@
 	ids := slices.SortedFunc(maps.Keys(r.limits), func(a, b string) int {
 		return cmp.Or(r.limits[b].changedAt.Compare(r.limits[a].changedAt), cmp.Compare(a, b))
 	})
-	out := make([]LimitNote, 0, min(len(ids), NotesMost))
-	newest := min(len(ids), NotesMost/2)
+	out := make([]LimitNote, 0, min(len(ids), MaxNotes))
+	newest := min(len(ids), MaxNotes/2)
 	for _, id := range ids[:newest] {
 		out = append(out, r.note(id))
 	}
 	rest := ids[newest:]
-	for range min(len(rest), NotesMost-newest) {
+	for range min(len(rest), MaxNotes-newest) {
 		r.told++
 		out = append(out, r.note(rest[r.told%len(rest)]))
 	}
--- a/src/pushback/limits_test.go
+++ b/src/pushback/limits_test.go
@@ -159,10 +159,10 @@
 		r.RecordLimit(start.Add(time.Duration(i)*time.Millisecond), start, server(fmt.Sprint(i), 1), 4)
 	}
 	told := map[string]bool{}
-	for range 2 * servers / NotesMost {
+	for range 2 * servers / MaxNotes {
 		notes := r.LimitNotes()
-		if len(notes) != NotesMost {
-			t.Fatalf("%d limits in one message, want %d", len(notes), NotesMost)
+		if len(notes) != MaxNotes {
+			t.Fatalf("%d limits in one message, want %d", len(notes), MaxNotes)
 		}
 		if notes[0].Server.ID != fmt.Sprint(servers-1) {
 			t.Fatalf("the first is %s, want the latest change", notes[0].Server.ID)
@@ -171,7 +171,7 @@
 			told[n.Server.ID] = true
 		}
 	}
-	if len(told) < servers-NotesMost {
+	if len(told) < servers-MaxNotes {
 		t.Errorf("%d of %d limits were reported", len(told), servers)
 	}
 	r.Sweep(start.Add(time.Hour), func(string) bool { return false })
--- a/src/pushback/register.go
+++ b/src/pushback/register.go
@@ -189,7 +189,7 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b Server) int { return strings.Compare(a.ID, b.ID) })
-	return out[:min(len(out), NotesMost)]
+	return out[:min(len(out), MaxNotes)]
 }
 
 // Sweep removes expired rests and limits, and departures of servers that are no longer listed.
