--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -404,7 +404,7 @@
 		}
 		s.succeeded()
 		s.learn(now, r, u)
-		p.words.Answered(now, name)
+		p.words.RecordResponse(now, name)
 		s.asked = p.words.HasRest(name)
 	case Leaving:
 		s.answeredLeaving(now)
--- a/src/gateway/pushback.go
+++ b/src/gateway/pushback.go
@@ -94,7 +94,7 @@
 		if w.Rest > 0 {
 			until, rests = r.RecordRest(now, s.ID, w.Rest)
 		} else {
-			r.Answered(now, s.ID)
+			r.RecordResponse(now, s.ID)
 		}
 	})
 	if rests {
--- a/src/pushback/register.go
+++ b/src/pushback/register.go
@@ -122,9 +122,9 @@
 	return until, true
 }
 
-// Answered records a response that asked for no rest. It doubles the number of concurrent requests allowed at a
+// RecordResponse records a response that asked for no rest. It doubles the number of concurrent requests allowed at a
 // returning server.
-func (r *Register) Answered(now time.Time, id string) {
+func (r *Register) RecordResponse(now time.Time, id string) {
 	p, ok := r.rests[id]
 	if !ok || now.Before(p.until) {
 		return
--- a/src/pushback/register_test.go
+++ b/src/pushback/register_test.go
@@ -89,7 +89,7 @@
 	if _, later := r.RecordRest(start.Add(100*time.Millisecond), "a", time.Second); later {
 		t.Error("a delayed response extended the rest")
 	}
-	r.Answered(start.Add(200*time.Millisecond), "a") // response to a request sent before the rest
+	r.RecordResponse(start.Add(200*time.Millisecond), "a") // response to a request sent before the rest
 	for _, at := range []time.Duration{0, time.Second, 2999 * time.Millisecond} {
 		if v := r.Check(start.Add(at), server("a", 9)); v.State != Resting || !v.Until.Equal(start.Add(3*time.Second)) {
 			t.Errorf("after %s the server is %s until %s", at, v.State, v.Until.Sub(start))
@@ -122,12 +122,12 @@
 	}
 	for want := 2; want <= returnMost; want *= 2 {
 		now = now.Add(10 * time.Millisecond)
-		r.Answered(now, "a")
+		r.RecordResponse(now, "a")
 		if n := wave(); n != want {
 			t.Fatalf("%d requests at once, want %d", n, want)
 		}
 	}
-	r.Answered(now, "a")
+	r.RecordResponse(now, "a")
 	if n := wave(); n != 1000 {
 		t.Errorf("a server that has returned got %d requests, want all", n)
 	}
@@ -153,7 +153,7 @@
 					until[s.ID] = end
 				}
 			case 2:
-				r.Answered(now, s.ID)
+				r.RecordResponse(now, s.ID)
 			case 3:
 				r.Sweep(now, func(string) bool { return true })
 			case 4:
