--- a/src/gateway/limits.go
+++ b/src/gateway/limits.go
@@ -97,7 +97,7 @@
 	}
 	var limited []pushback.Limited
 	now := g.now()
-	g.words.with(func(r *pushback.Register) { limited = r.InForce(now) })
+	g.words.with(func(r *pushback.Register) { limited = r.ActiveLimits(now) })
 	for i, l := range limited {
 		if i == notesPerBeat/2 {
 			break
--- a/src/pushback/limits.go
+++ b/src/pushback/limits.go
@@ -271,8 +271,8 @@
 	}
 }
 
-// InForce returns the limits in force, sorted by server id.
-func (r *Register) InForce(now time.Time) []Limited {
+// ActiveLimits returns the limits in force, sorted by server id.
+func (r *Register) ActiveLimits(now time.Time) []Limited {
 	var out []Limited
 	for id := range r.limits {
 		if l, ok := r.LimitOf(now, Server{ID: id}); ok {
