--- a/src/gateway/limits.go
+++ b/src/gateway/limits.go
@@ -25,7 +25,7 @@
 func (g *Gateway) hearLimit(s catalog.Server, perSecond float64, sent time.Time, what string) {
 	now := g.now()
 	news := false
-	var l pushback.Limited
+	var l pushback.ActiveLimit
 	g.words.with(func(r *pushback.Register) {
 		if news = r.RecordLimit(now, sent, wordLife(s), perSecond); news {
 			l, _ = r.LimitOf(now, wordLife(s))
@@ -95,7 +95,7 @@
 	if !g.words.any.Load() {
 		return plain
 	}
-	var limited []pushback.Limited
+	var limited []pushback.ActiveLimit
 	now := g.now()
 	g.words.with(func(r *pushback.Register) { limited = r.ActiveLimits(now) })
 	for i, l := range limited {
--- a/src/gateway/permits.go
+++ b/src/gateway/permits.go
@@ -45,9 +45,9 @@
 }
 
 // limitAt gives the limit in force at a server; false for none.
-func (g *Gateway) limitAt(s catalog.Server) (pushback.Limited, bool) {
+func (g *Gateway) limitAt(s catalog.Server) (pushback.ActiveLimit, bool) {
 	if !g.words.any.Load() {
-		return pushback.Limited{}, false
+		return pushback.ActiveLimit{}, false
 	}
 	w := &g.words
 	w.mu.Lock()
@@ -162,7 +162,7 @@
 		return port.Permits{Coordinator: box, Next: coordinatorPause}
 	}
 	news, limited := false, false
-	var l pushback.Limited
+	var l pushback.ActiveLimit
 	g.words.with(func(r *pushback.Register) {
 		news = r.MergeNote(now, note)
 		l, limited = r.LimitOf(now, note.Server)
--- a/src/pushback/limits.go
+++ b/src/pushback/limits.go
@@ -155,8 +155,8 @@
 	return LimitNote{Server: Server{ID: id, Incarnation: l.incarnation}, Sequence: l.sequence, PerSecond: l.perSecond, Ended: !l.endedAt.IsZero()}
 }
 
-// Limited is a limit that is in force at a server.
-type Limited struct {
+// ActiveLimit is a limit that is in force at a server.
+type ActiveLimit struct {
 	LimitNote
 	Rate  float64       // requests per second that all boxes together may send now
 	Known time.Duration // time since this box first learned of the limit
@@ -164,12 +164,12 @@
 }
 
 // LimitOf returns the limit in force at a server, or false if there is none.
-func (r *Register) LimitOf(now time.Time, s Server) (Limited, bool) {
+func (r *Register) LimitOf(now time.Time, s Server) (ActiveLimit, bool) {
 	l, ok := r.limits[s.ID]
 	if !ok || !l.appliesTo(now, s) {
-		return Limited{}, false
+		return ActiveLimit{}, false
 	}
-	out := Limited{LimitNote: r.note(s.ID), Rate: l.rate(now), Known: now.Sub(l.since), Wants: 1}
+	out := ActiveLimit{LimitNote: r.note(s.ID), Rate: l.rate(now), Known: now.Sub(l.since), Wants: 1}
 	if now.Sub(l.usedAt) < 2*wantsOver {
 		out.Wants += l.used
 	}
@@ -272,13 +272,13 @@
 }
 
 // ActiveLimits returns the limits in force, sorted by server id.
-func (r *Register) ActiveLimits(now time.Time) []Limited {
-	var out []Limited
+func (r *Register) ActiveLimits(now time.Time) []ActiveLimit {
+	var out []ActiveLimit
 	for id := range r.limits {
 		if l, ok := r.LimitOf(now, Server{ID: id}); ok {
 			out = append(out, l)
 		}
 	}
-	slices.SortFunc(out, func(a, b Limited) int { return cmp.Compare(a.Server.ID, b.Server.ID) })
+	slices.SortFunc(out, func(a, b ActiveLimit) int { return cmp.Compare(a.Server.ID, b.Server.ID) })
 	return out
 }
