--- a/src/box/suspects.go
+++ b/src/box/suspects.go
@@ -93,7 +93,7 @@
 	life := b.lifeOf(stage.Pool(), server.Name())
 	switch {
 	case err == nil:
-		b.suspects.Good(f.content.At(stage.Pool()))
+		b.suspects.RecordGood(f.content.At(stage.Pool()))
 	case err.Refused:
 		b.suspects.RecordCrash(life, suspects.Refused)
 	case err.Failure == core.Broken && !server.Leaving():
--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -256,7 +256,7 @@
 // went tells of a whole answer. Only a success that the server signed shows that it ran the content and lives.
 func (v *visit) went(reply *Reply) {
 	if reply.Signed && isSuccess(reply.Status) {
-		v.gateway.suspects.Good(v.content.At(v.pool))
+		v.gateway.suspects.RecordGood(v.content.At(v.pool))
 	}
 }
 
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -350,7 +350,7 @@
 				made = append(made, c.Items[i])
 			}
 		}
-		g.suspects.Good(contentsOf(made)...)
+		g.suspects.RecordGood(contentsOf(made)...)
 	}
 }
 
--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -199,8 +199,8 @@
 	u.counted(counted, s.ID, proof)
 }
 
-// Good records good responses to contents, which clear them.
-func (u *Tracker) Good(keys ...crasher.Key) {
+// RecordGood records good responses to contents, which clear them.
+func (u *Tracker) RecordGood(keys ...crasher.Key) {
 	u.mu.Lock()
 	var cleared []crasher.Counted
 	for _, k := range keys {
