--- a/src/box/suspects.go
+++ b/src/box/suspects.go
@@ -18,7 +18,7 @@
 	u.Self, u.Now, u.Log = b.ID.Name, b.now, b.Log
 	u.Probe = b.askServer
 	u.Boxes, u.Announce = b.fleet.usable, b.announceSuspects
-	u.Ask = func(ctx context.Context, box string, notes []crasher.Note) ([]crasher.Note, error) {
+	u.Exchange = func(ctx context.Context, box string, notes []crasher.Note) ([]crasher.Note, error) {
 		a, err := b.Peers.Ask(ctx, b.fleet.addressOf(core.BoxID{Name: box}), port.Question{Suspects: &port.Suspects{From: b.ID.Name, Notes: notes}})
 		if err == nil && a.Suspects == nil {
 			err = suspects.ErrUnsupported
--- a/src/gateway/suspects.go
+++ b/src/gateway/suspects.go
@@ -21,7 +21,7 @@
 			return suspects.PresenceOf(probe(ctx, s.Address))
 		}
 	}
-	u.Ask = func(ctx context.Context, box string, notes []crasher.Note) ([]crasher.Note, error) {
+	u.Exchange = func(ctx context.Context, box string, notes []crasher.Note) ([]crasher.Note, error) {
 		a, err := g.Peers.Ask(ctx, g.fleet.addressOf(box), port.Question{Suspects: &port.Suspects{From: g.ID.Name, Notes: notes}})
 		if err == nil && a.Suspects == nil {
 			err = suspects.ErrUnsupported
--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -71,8 +71,8 @@
 	Probe func(ctx context.Context, s Server) Presence
 	// Boxes returns the boxes that take work, including this one.
 	Boxes func() []string
-	// Ask sends another box this box's notes on some contents and returns that box's notes on them.
-	Ask func(ctx context.Context, box string, notes []crasher.Note) ([]crasher.Note, error)
+	// Exchange sends another box this box's notes on some contents and returns that box's notes on them.
+	Exchange func(ctx context.Context, box string, notes []crasher.Note) ([]crasher.Note, error)
 	// Announce sends the latest changes (see Notes) to all boxes, in a large fleet through other boxes.
 	Announce func()
 	// Counted, if set, is called with the number of contents that a crash was counted against, for metrics.
@@ -289,7 +289,7 @@
 	u.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), answerTime)
 	defer cancel()
-	known, err := u.Ask(ctx, box, notes)
+	known, err := u.Exchange(ctx, box, notes)
 	if err == nil {
 		u.Merge(known, box)
 		return
--- a/src/suspects/tracker_test.go
+++ b/src/suspects/tracker_test.go
@@ -93,7 +93,7 @@
 		u.Boxes = func() []string { return []string{"box", "b1", "b2", "b3", "b4", "b5"} }
 		var mu sync.Mutex
 		told := map[string]int{}
-		u.Ask = func(_ context.Context, box string, notes []crasher.Note) ([]crasher.Note, error) {
+		u.Exchange = func(_ context.Context, box string, notes []crasher.Note) ([]crasher.Note, error) {
 			mu.Lock()
 			defer mu.Unlock()
 			told[box] += len(notes)
