--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -164,8 +164,8 @@
 	delete(r.entries, least)
 }
 
-// Good records a good response to a content. It reports whether that cleared crashes.
-func (r *Register) Good(now time.Time, k Key) (cleared bool) {
+// RecordGood records a good response to a content. It reports whether that cleared crashes.
+func (r *Register) RecordGood(now time.Time, k Key) (cleared bool) {
 	r.goods.add(now, k)
 	e := r.entries[k]
 	if e == nil {
--- a/src/crasher/register_test.go
+++ b/src/crasher/register_test.go
@@ -89,13 +89,13 @@
 	for name, goodAt := range map[string]time.Duration{"since": 5 * time.Second, "a moment before": -5 * time.Second} {
 		var r Register
 		if goodAt < 0 {
-			r.Good(began.Add(goodAt), k)
+			r.RecordGood(began.Add(goodAt), k)
 		}
 		for i := range 4 {
 			crashWith(&r, began.Add(time.Duration(i)*time.Second), Life(i), k)
 		}
 		if goodAt > 0 {
-			r.Good(began.Add(goodAt), k)
+			r.RecordGood(began.Add(goodAt), k)
 		}
 		if v := r.Verdict(began.Add(6*time.Second), k); v.Ends != 0 || v.Barred {
 			t.Errorf("a good response %s: %+v", name, v)
@@ -106,7 +106,7 @@
 func TestOldGoodResponseDoesNotClear(t *testing.T) {
 	var r Register
 	k := keyOf(1)
-	r.Good(began, k)
+	r.RecordGood(began, k)
 	for i := range 3 {
 		crashWith(&r, began.Add(goodPeriod+time.Duration(i+1)*time.Second), Life(i), k)
 	}
@@ -119,7 +119,7 @@
 func TestGoodResponseElsewhereClearsContent(t *testing.T) {
 	var saw, answered Register
 	k := keyOf(1)
-	answered.Good(began, k)
+	answered.RecordGood(began, k)
 	for i := range 3 {
 		crashWith(&saw, began.Add(time.Second), Life(i), k)
 	}
@@ -186,7 +186,7 @@
 			case 1:
 				r.RecordCrash(now, life)
 			case 2:
-				r.Good(now, k)
+				r.RecordGood(now, k)
 			case 3:
 				r.Merge(now, boxes[rapid.IntRange(0, 2).Draw(t, "other")].Notes(now))
 			case 4:
--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -204,7 +204,7 @@
 	u.mu.Lock()
 	var cleared []crasher.Counted
 	for _, k := range keys {
-		if u.register.Good(u.Now(), k) {
+		if u.register.RecordGood(u.Now(), k) {
 			cleared = append(cleared, crasher.Counted{Key: k, Verdict: u.register.Verdict(u.Now(), k)})
 		}
 	}
