--- a/src/crasher/constants.go
+++ b/src/crasher/constants.go
@@ -39,5 +39,5 @@
 	freshFor  = 600 * time.Millisecond // time for which a change is in every message: three gossip rounds of a small fleet, one heartbeat
 	newsMost  = 24                     // changes in one message, about 60 bytes each
 	repairs   = 4                      // further notes in a heartbeat, in rotation, for boxes that missed a change
-	NotesMost = 64                     // notes accepted in one message
+	MaxNotes = 64                     // notes accepted in one message
 )
--- a/src/crasher/note.go
+++ b/src/crasher/note.go
@@ -109,7 +109,7 @@
 // boxes.
 func (r *Register) Merge(now time.Time, notes []Note) []Counted {
 	var out []Counted
-	for _, n := range notes[:min(len(notes), NotesMost)] {
+	for _, n := range notes[:min(len(notes), MaxNotes)] {
 		if r.hear(now, n) {
 			out = append(out, Counted{Key: n.Key, Verdict: r.Verdict(now, n.Key)})
 		}
--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -276,7 +276,7 @@
 	}
 	delete(to, u.Self)
 	for box, keys := range to {
-		for part := range slices.Chunk(keys, crasher.NotesMost) {
+		for part := range slices.Chunk(keys, crasher.MaxNotes) {
 			go u.reportToCounter(box, part, silent)
 		}
 	}
@@ -306,7 +306,7 @@
 func (u *Tracker) HandleReport(notes []crasher.Note, from string) []crasher.Note {
 	u.Merge(notes, from)
 	keys := make([]crasher.Key, 0, len(notes))
-	for _, n := range notes[:min(len(notes), crasher.NotesMost)] {
+	for _, n := range notes[:min(len(notes), crasher.MaxNotes)] {
 		keys = append(keys, n.Key)
 	}
 	u.mu.Lock()
