--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -66,7 +66,7 @@
 	broken          int       // consecutive broken exchanges
 	failureRate           float64   // moving average of the failure rate
 	pauses           int       // pauses since the last success
-	until           time.Time // end of the current pause
+	pausedUntil           time.Time // end of the current pause
 	probing         bool      // a request has been sent to see whether it has recovered
 	pace            float64   // moving average of measured over expected time
 	seenAt          time.Time // end of this box's last exchange with it
--- a/src/balance/doubt_test.go
+++ b/src/balance/doubt_test.go
@@ -53,7 +53,7 @@
 	p.SetBoxLoads(start, "b", []LoadReport{{Server: p.servers["s0"].hash, Load: Load{Requests: 9}}})
 	w := &Request{}
 	p.Ended(start, "s1", w, Absent)
-	p.servers["s1"].until, p.servers["s1"].pauses = time.Time{}, 0
+	p.servers["s1"].pausedUntil, p.servers["s1"].pauses = time.Time{}, 0
 	if got := pick(t, p, w); got != "s0" {
 		t.Errorf("%s was picked, want the one known to be working", got)
 	}
@@ -65,7 +65,7 @@
 	q.Ended(start, "s1", w, Absent)
 	later := start.Add(doubtPeriod)
 	q.SetBoxLoads(later, "b", []LoadReport{{Server: q.servers["s0"].hash, Load: Load{Requests: 9}}})
-	q.servers["s1"].until, q.servers["s1"].pauses = time.Time{}, 0
+	q.servers["s1"].pausedUntil, q.servers["s1"].pauses = time.Time{}, 0
 	if s, _, _ := q.Pick(later, w); s.ID != "s1" {
 		t.Errorf("%s was picked %s after a server was found absent, want the idle one", s.ID, doubtPeriod)
 	}
--- a/src/balance/health.go
+++ b/src/balance/health.go
@@ -6,7 +6,7 @@
 
 // usable reports whether a server is neither paused nor being probed after a pause.
 func (v *server) usable(now time.Time) bool {
-	if now.Before(v.until) {
+	if now.Before(v.pausedUntil) {
 		return false
 	}
 	return v.pauses == 0 || !v.probing
@@ -108,7 +108,7 @@
 	case Replaced:
 		p.doubtSince = now
 		p.pause(now, v)
-		v.until = now.Add(replacedPause)
+		v.pausedUntil = now.Add(replacedPause)
 		return true
 	}
 	if v.probing || v.broken >= maxConsecutiveBroken || v.failureRate > p.failureRate+excessFailureRate {
@@ -120,7 +120,7 @@
 
 // pause pauses a server, longer with each pause since the last success.
 func (p *Pool) pause(now time.Time, v *server) {
-	v.until = now.Add(failurePause << min(v.pauses, maxDoublings))
+	v.pausedUntil = now.Add(failurePause << min(v.pauses, maxDoublings))
 	p.paused[v.ID] = v
 	v.pauses++
 	v.broken, v.probing = 0, false
@@ -131,7 +131,7 @@
 func (p *Pool) PausedServers(now time.Time) []string {
 	var out []string
 	for id, v := range p.paused {
-		if now.Before(v.until) {
+		if now.Before(v.pausedUntil) {
 			out = append(out, id)
 		} else {
 			delete(p.paused, id)
