--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -376,7 +376,7 @@
 	if v.pace > slowRatio {
 		cost += 100 * v.pace
 	}
-	if p.doubtful(now, v, l) {
+	if p.doubted(now, v, l) {
 		cost += doubtPenalty
 	}
 	if w.Unlimited && p.limited(v) {
--- a/src/balance/health.go
+++ b/src/balance/health.go
@@ -12,11 +12,11 @@
 	return v.pauses == 0 || !v.probing
 }
 
-// doubtful reports whether a server may be absent or rejecting requests: another server was found so recently, and no box
+// doubted reports whether a server may be absent or rejecting requests: another server was found so recently, and no box
 // is known to have requests at this one or to have had an answer since. An absent server looks idle and would be chosen
 // first: without this check, with a third of the servers crashed, 18 of 20 requests were first sent to a crashed server,
 // with it at most 2.
-func (p *Pool) doubtful(now time.Time, v *server, l Load) bool {
+func (p *Pool) doubted(now time.Time, v *server, l Load) bool {
 	return now.Sub(p.doubtSince) < doubtPeriod && l.Requests == 0 && now.Sub(v.seenAt) >= doubtPeriod
 }
 
