--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -356,7 +356,7 @@
 }
 
 // cost estimates by how many milliseconds a request would be delayed at a server.
-func (p *Pool) cost(now time.Time, v *server, w *Request, kept keptParts, home string) float64 {
+func (p *Pool) cost(now time.Time, v *server, w *Request, kept cachedParts, home string) float64 {
 	l := p.load(v)
 	slots := float64(max(1, v.Slots))
 	cost := runningPenalty * float64(l.Requests) * 64 / slots
--- a/src/balance/prompt.go
+++ b/src/balance/prompt.go
@@ -14,12 +14,12 @@
 	Tokens int
 }
 
-// keptParts holds, for each part of one prompt, the servers that processed it (by hash of their ids) and when.
-type keptParts []map[uint64]time.Time
+// cachedParts holds, for each part of one prompt, the servers that processed it (by hash of their ids) and when.
+type cachedParts []map[uint64]time.Time
 
 // keptParts looks up the parts of a prompt once for the choice among many servers.
-func (p *Pool) keptParts(w *Request) keptParts {
-	out := make(keptParts, len(w.Parts))
+func (p *Pool) keptParts(w *Request) cachedParts {
+	out := make(cachedParts, len(w.Parts))
 	for i, part := range w.Parts {
 		out[i] = p.cached[catalog.Hash(part.ID)]
 	}
@@ -28,7 +28,7 @@
 
 // uncachedTokens estimates the tokens of a prompt that a server has not cached, and how many of them are shared with other
 // requests. home is the server assigned to the prompt's shared parts, which counts as having them.
-func (p *Pool) uncachedTokens(now time.Time, v *server, w *Request, kept keptParts, home string) (all, shared int) {
+func (p *Pool) uncachedTokens(now time.Time, v *server, w *Request, kept cachedParts, home string) (all, shared int) {
 	last := len(w.Parts) - 1
 	keeps := true
 	for i, part := range w.Parts {
