--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -259,7 +259,7 @@
 	p.asked.note(now, w)
 	p.scale = p.dropExpiredReports(now)
 	p.picks++
-	home, kept := p.home(w), p.keptParts(w)
+	home, kept := p.home(w), p.cachedParts(w)
 	sparing := p.fewCold(now)
 	for pass := range 2 {
 		for _, v := range p.servers {
--- a/src/balance/incarnation_test.go
+++ b/src/balance/incarnation_test.go
@@ -28,7 +28,7 @@
 	if v.own.Requests+v.peers.Requests+v.pauses+v.broken > 0 || !v.usable(now) || len(p.PausedServers(now)) > 0 || len(p.OwnLoads()) > 0 {
 		t.Errorf("the new incarnation begins with %+v", v)
 	}
-	if all, _ := p.uncachedTokens(now, v, w, p.keptParts(w), ""); all != 910 || len(p.FreshReads(now)) > 0 {
+	if all, _ := p.uncachedTokens(now, v, w, p.cachedParts(w), ""); all != 910 || len(p.FreshReads(now)) > 0 {
 		t.Errorf("it counts as having prompt parts cached: %d tokens uncached", all)
 	}
 	if p.Current(s) {
--- a/src/balance/prompt.go
+++ b/src/balance/prompt.go
@@ -17,8 +17,8 @@
 // cachedParts holds, for each part of one prompt, the servers that processed it (by hash of their ids) and when.
 type cachedParts []map[uint64]time.Time
 
-// keptParts looks up the parts of a prompt once for the choice among many servers.
-func (p *Pool) keptParts(w *Request) cachedParts {
+// cachedParts looks up the parts of a prompt once for the choice among many servers.
+func (p *Pool) cachedParts(w *Request) cachedParts {
 	out := make(cachedParts, len(w.Parts))
 	for i, part := range w.Parts {
 		out[i] = p.cached[catalog.Hash(part.ID)]
--- a/src/balance/source.go
+++ b/src/balance/source.go
@@ -25,7 +25,7 @@
 	if v == nil || len(w.Parts) < 2 {
 		return catalog.Server{}, false
 	}
-	kept := p.keptParts(w)
+	kept := p.cachedParts(w)
 	if _, shared := p.uncachedTokens(now, v, w, kept, ""); shared < minCopyTokens {
 		return catalog.Server{}, false
 	}
