--- a/src/balance/balance_test.go
+++ b/src/balance/balance_test.go
@@ -267,7 +267,7 @@
 		}
 	}
 	rare, common := catalog.Hash("rare0"), catalog.Hash("common")
-	if n := pools[0].homes(rare); n < 8 {
+	if n := pools[0].homeCount(rare); n < 8 {
 		t.Errorf("a rare part has %d homes before reports are exchanged: the test is ineffective", n)
 	}
 	for i, p := range pools {
@@ -276,10 +276,10 @@
 			total, told := pools[box].PopularityReport(start)
 			p.SetBoxPopularity(start, fmt.Sprint("box", box), total, told)
 		}
-		if n := p.homes(common); n != 64 {
+		if n := p.homeCount(common); n != 64 {
 			t.Errorf("box%d: %d homes of the most popular part, want all 64", i, n)
 		}
-		if n := p.homes(rare); n > 4 {
+		if n := p.homeCount(rare); n > 4 {
 			t.Errorf("box%d: %d homes of a rare part", i, n)
 		}
 	}
--- a/src/balance/popularity.go
+++ b/src/balance/popularity.go
@@ -139,9 +139,9 @@
 	p.asked.hear(now, box, total, parts)
 }
 
-// homes returns how many servers should process a first prompt part, in proportion to its share of all tokens. The number
+// homeCount returns how many servers should process a first prompt part, in proportion to its share of all tokens. The number
 // is rounded up to a power of two so that boxes with slightly different estimates agree.
-func (p *Pool) homes(first uint64) int {
+func (p *Pool) homeCount(first uint64) int {
 	n := int(math.Ceil(homesFactor * p.asked.share(first) * float64(len(p.servers))))
 	if n > 1 {
 		n = 1 << bits.Len(uint(n-1))
--- a/src/balance/prompt.go
+++ b/src/balance/prompt.go
@@ -61,7 +61,7 @@
 		return ""
 	}
 	first, deepest := catalog.Hash(w.Parts[0].ID), catalog.Hash(w.Parts[len(w.Parts)-2].ID)
-	least := p.rankOf(first, p.homes(first), w.Within)
+	least := p.rankOf(first, p.homeCount(first), w.Within)
 	best, rank := "", 0.0
 	for id, v := range p.servers {
 		if mix(first, v.hash) < least || !w.Within.Allow(v.Domain) {
