--- a/src/balance/prompt.go
+++ b/src/balance/prompt.go
@@ -67,16 +67,16 @@
 		if mix(first, v.hash) < least || !w.Within.Allow(v.Domain) {
 			continue
 		}
-		if r := p.weight(w, v.Domain) / exponential(mix(deepest, v.hash)); best == "" || r > rank || r == rank && id < best {
+		if r := p.domainWeight(w, v.Domain) / exponential(mix(deepest, v.hash)); best == "" || r > rank || r == rank && id < best {
 			best, rank = id, r
 		}
 	}
 	return best
 }
 
-// weight returns the weight of a domain's servers in the choice of a home: the domain's share of the servers that produce
+// domainWeight returns the domainWeight of a domain's servers in the choice of a home: the domain's share of the servers that produce
 // the request's large inputs, or 1 if it has none.
-func (p *Pool) weight(w *Request, domain string) float64 {
+func (p *Pool) domainWeight(w *Request, domain string) float64 {
 	makers := 0
 	for _, n := range w.Producers {
 		makers += n
