--- a/src/balance/constants.go
+++ b/src/balance/constants.go
@@ -6,7 +6,7 @@
 const (
 	reportLifetime  = 1500 * time.Millisecond // lifetime of another box's load report
 	cacheLifetime        = 10 * time.Second        // time for which a processed prompt part is assumed to be cached
-	keptMost        = 4096                    // prompt parts remembered for one pool
+	maxCachedParts        = 4096                    // prompt parts remembered for one pool
 	tokensPerMs     = 50.0                    // prompt tokens that an engine processes per millisecond, roughly
 	runningPenalty  = 3.0                     // ms for each running request, at a server of 64 slots
 	jitterMs        = 1.0                     // largest random ms added to the cost
--- a/src/balance/prompt.go
+++ b/src/balance/prompt.go
@@ -175,7 +175,7 @@
 func (p *Pool) markCached(now time.Time, server, part uint64) {
 	m := p.cached[part]
 	if m == nil {
-		if len(p.cached) >= keptMost {
+		if len(p.cached) >= maxCachedParts {
 			p.forgetKept(now)
 		}
 		m = map[uint64]time.Time{}
@@ -196,7 +196,7 @@
 			delete(p.cached, part)
 		}
 	}
-	if len(p.cached) >= keptMost {
+	if len(p.cached) >= maxCachedParts {
 		clear(p.cached)
 	}
 }
