--- a/src/balance/prompt.go
+++ b/src/balance/prompt.go
@@ -176,7 +176,7 @@
 	m := p.cached[part]
 	if m == nil {
 		if len(p.cached) >= maxCachedParts {
-			p.forgetKept(now)
+			p.evictCached(now)
 		}
 		m = map[uint64]time.Time{}
 		p.cached[part] = m
@@ -184,8 +184,8 @@
 	m[server] = now
 }
 
-// forgetKept drops expired entries, or all if there are still too many.
-func (p *Pool) forgetKept(now time.Time) {
+// evictCached drops expired entries, or all if there are still too many.
+func (p *Pool) evictCached(now time.Time) {
 	for part, m := range p.cached {
 		for id, at := range m {
 			if now.Sub(at) > cacheLifetime {
