--- a/src/balance/prompt.go
+++ b/src/balance/prompt.go
@@ -61,7 +61,7 @@
 		return ""
 	}
 	first, deepest := catalog.Hash(w.Parts[0].ID), catalog.Hash(w.Parts[len(w.Parts)-2].ID)
-	least := p.rankOf(first, p.homeCount(first), w.Within)
+	least := p.nthRank(first, p.homeCount(first), w.Within)
 	best, rank := "", 0.0
 	for id, v := range p.servers {
 		if mix(first, v.hash) < least || !w.Within.Allow(v.Domain) {
@@ -92,9 +92,9 @@
 	return -math.Log((float64(hash>>11) + 0.5) / (1 << 53))
 }
 
-// rankOf returns the n-th highest rendezvous hash for a key among the servers within the confines, 0 if there are no
+// nthRank returns the n-th highest rendezvous hash for a key among the servers within the confines, 0 if there are no
 // more than n.
-func (p *Pool) rankOf(key uint64, n int, within *catalog.Confines) uint64 {
+func (p *Pool) nthRank(key uint64, n int, within *catalog.Confines) uint64 {
 	p.ranks = p.ranks[:0]
 	for _, v := range p.servers {
 		if within.Allow(v.Domain) {
