--- a/src/balance/popularity.go
+++ b/src/balance/popularity.go
@@ -22,7 +22,7 @@
 	decayed time.Time          // when the counts last decayed
 
 	reports map[string]popularityReport // of other boxes
-	told    map[uint64]float64   // sums of the reports, by hash of the first part
+	reported    map[uint64]float64   // sums of the reports, by hash of the first part
 	toldAll float64              // sum of the reports' totals
 }
 
@@ -40,7 +40,7 @@
 }
 
 func newPopularity() popularity {
-	return popularity{own: map[uint64]float64{}, reports: map[string]popularityReport{}, told: map[uint64]float64{}}
+	return popularity{own: map[uint64]float64{}, reports: map[string]popularityReport{}, reported: map[uint64]float64{}}
 }
 
 // note adds the tokens of a request to its first prompt part.
@@ -82,7 +82,7 @@
 	a.reports[box] = popularityReport{at: now, total: total, parts: parts}
 	a.toldAll += total
 	for _, p := range parts {
-		a.told[p.Part] += float64(p.Tokens)
+		a.reported[p.Part] += float64(p.Tokens)
 	}
 }
 
@@ -94,8 +94,8 @@
 	delete(a.reports, box)
 	a.toldAll = max(0, a.toldAll-w.total)
 	for _, p := range w.parts {
-		if a.told[p.Part] -= float64(p.Tokens); a.told[p.Part] < 1 {
-			delete(a.told, p.Part)
+		if a.reported[p.Part] -= float64(p.Tokens); a.reported[p.Part] < 1 {
+			delete(a.reported, p.Part)
 		}
 	}
 }
@@ -106,7 +106,7 @@
 	if all <= 0 {
 		return 0
 	}
-	return (a.own[part] + a.told[part]) / all
+	return (a.own[part] + a.reported[part]) / all
 }
 
 // PopularityReport returns this box's counts to report to other boxes: all tokens, and those of the most requested parts.
