--- a/src/balance/balance_test.go
+++ b/src/balance/balance_test.go
@@ -285,7 +285,7 @@
 	}
 	p := pools[0]
 	p.asked.decay(start.Add(popularityReportLifetime + popularityDecay))
-	if len(p.asked.reports) > 0 || p.asked.toldAll > 0 || len(p.asked.reported) > 0 {
+	if len(p.asked.reports) > 0 || p.asked.reportedTotal > 0 || len(p.asked.reported) > 0 {
 		t.Errorf("expired reports are still counted: %v", p.asked)
 	}
 }
--- a/src/balance/popularity.go
+++ b/src/balance/popularity.go
@@ -23,7 +23,7 @@
 
 	reports map[string]popularityReport // of other boxes
 	reported    map[uint64]float64   // sums of the reports, by hash of the first part
-	toldAll float64              // sum of the reports' totals
+	reportedTotal float64              // sum of the reports' totals
 }
 
 // popularityReport is another box's report of its counts.
@@ -80,7 +80,7 @@
 func (a *popularity) hear(now time.Time, box string, total float64, parts []PartTokens) {
 	a.forget(box)
 	a.reports[box] = popularityReport{at: now, total: total, parts: parts}
-	a.toldAll += total
+	a.reportedTotal += total
 	for _, p := range parts {
 		a.reported[p.Part] += float64(p.Tokens)
 	}
@@ -92,7 +92,7 @@
 		return
 	}
 	delete(a.reports, box)
-	a.toldAll = max(0, a.toldAll-w.total)
+	a.reportedTotal = max(0, a.reportedTotal-w.total)
 	for _, p := range w.parts {
 		if a.reported[p.Part] -= float64(p.Tokens); a.reported[p.Part] < 1 {
 			delete(a.reported, p.Part)
@@ -102,7 +102,7 @@
 
 // share returns the share of all tokens that belongs to a first prompt part.
 func (a *popularity) share(part uint64) float64 {
-	all := a.total + a.toldAll
+	all := a.total + a.reportedTotal
 	if all <= 0 {
 		return 0
 	}
