--- a/src/balance/popularity.go
+++ b/src/balance/popularity.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// hear replaces another box's report.
-func (a *popularity) hear(now time.Time, box string, total float64, parts []PartTokens) {
+// setReport replaces another box's report.
+func (a *popularity) setReport(now time.Time, box string, total float64, parts []PartTokens) {
 	a.forget(box)
 	a.reports[box] = popularityReport{at: now, total: total, parts: parts}
 	a.reportedTotal += total
@@ -136,7 +136,7 @@
 
 // SetBoxPopularity records another box's counts.
 func (p *Pool) SetBoxPopularity(now time.Time, box string, total float64, parts []PartTokens) {
-	p.asked.hear(now, box, total, parts)
+	p.asked.setReport(now, box, total, parts)
 }
 
 // homeCount returns how many servers should process a first prompt part, in proportion to its share of all tokens. The number
