--- a/src/balance/popularity.go
+++ b/src/balance/popularity.go
@@ -71,14 +71,14 @@
 	a.decayed = now
 	for box, w := range a.reports {
 		if now.Sub(w.at) > popularityReportLifetime {
-			a.forget(box)
+			a.dropReport(box)
 		}
 	}
 }
 
 // setReport replaces another box's report.
 func (a *popularity) setReport(now time.Time, box string, total float64, parts []PartTokens) {
-	a.forget(box)
+	a.dropReport(box)
 	a.reports[box] = popularityReport{at: now, total: total, parts: parts}
 	a.reportedTotal += total
 	for _, p := range parts {
@@ -86,7 +86,7 @@
 	}
 }
 
-func (a *popularity) forget(box string) {
+func (a *popularity) dropReport(box string) {
 	w, ok := a.reports[box]
 	if !ok {
 		return
