--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -90,7 +90,7 @@
 	servers map[string]*server
 	domains map[string]int                  // number of servers by failure domain
 	cached    map[uint64]map[uint64]time.Time // by hash of a prompt part and of a server: when the server processed the part
-	fresh   []freshRead                     // recent reads to report to other boxes
+	freshReads   []freshRead                     // recent reads to report to other boxes
 	picks   uint64                          // number of choices made
 	asked   popularity
 	failureRate   float64   // moving average of the failure rate of the whole pool
@@ -161,7 +161,7 @@
 	for _, m := range p.cached {
 		delete(m, v.hash)
 	}
-	p.fresh = slices.DeleteFunc(p.fresh, func(r freshRead) bool { return r.Server == v.hash })
+	p.freshReads = slices.DeleteFunc(p.freshReads, func(r freshRead) bool { return r.Server == v.hash })
 	for box, w := range p.reports {
 		w.notes = slices.DeleteFunc(w.notes, func(n LoadReport) bool { return n.Server == v.hash })
 		p.reports[box] = w
--- a/src/balance/prompt.go
+++ b/src/balance/prompt.go
@@ -147,7 +147,7 @@
 		hash := catalog.Hash(part.ID)
 		p.markCached(now, server, hash)
 		if i < len(parts)-1 {
-			p.fresh = append(p.fresh, freshRead{at: now, Read: Read{Part: hash, Server: server}})
+			p.freshReads = append(p.freshReads, freshRead{at: now, Read: Read{Part: hash, Server: server}})
 		}
 	}
 }
@@ -163,9 +163,9 @@
 
 // FreshReads returns the recent reads of shared prompt parts to report to other boxes.
 func (p *Pool) FreshReads(now time.Time) []Read {
-	p.fresh = slices.DeleteFunc(p.fresh, func(r freshRead) bool { return now.Sub(r.at) > tellReads })
+	p.freshReads = slices.DeleteFunc(p.freshReads, func(r freshRead) bool { return now.Sub(r.at) > tellReads })
 	var out []Read
-	for _, r := range p.fresh {
+	for _, r := range p.freshReads {
 		out = append(out, r.Read)
 	}
 	return out
