--- a/src/balance/constants.go
+++ b/src/balance/constants.go
@@ -14,7 +14,7 @@
 	againPerToken   = 0.12                    // ms for processing a shared token again, in addition to the time it takes
 	bytesPerMs      = 27000.0                 // input bytes from another domain that cost one ms
 	minCopyTokens     = 512                     // fewest shared tokens that are worth copying from another server
-	tellReads       = 450 * time.Millisecond  // time for which a read is reported to other boxes: two gossip rounds
+	reportReadsFor       = 450 * time.Millisecond  // time for which a read is reported to other boxes: two gossip rounds
 	minProducerWeight     = 0.05                    // minimum weight of a domain without producers, so that it can have homes if it is the only one
 	homesFactor = 2.0                     // a popular prompt part gets this times its share of all tokens as its share of the servers
 	popularityDecay  = 5 * time.Second         // decay time of the token counts
--- a/src/balance/prompt.go
+++ b/src/balance/prompt.go
@@ -163,7 +163,7 @@
 
 // FreshReads returns the recent reads of shared prompt parts to report to other boxes.
 func (p *Pool) FreshReads(now time.Time) []Read {
-	p.freshReads = slices.DeleteFunc(p.freshReads, func(r freshRead) bool { return now.Sub(r.at) > tellReads })
+	p.freshReads = slices.DeleteFunc(p.freshReads, func(r freshRead) bool { return now.Sub(r.at) > reportReadsFor })
 	var out []Read
 	for _, r := range p.freshReads {
 		out = append(out, r.Read)
--- a/src/balance/source_test.go
+++ b/src/balance/source_test.go
@@ -87,10 +87,10 @@
 func TestReadsAreReportedForALimitedTime(t *testing.T) {
 	p := testPool("a", 2)
 	p.RecordCached(start, "s0", prompt("common", "book", "own"))
-	if r := p.FreshReads(start.Add(tellReads)); len(r) != 2 {
+	if r := p.FreshReads(start.Add(reportReadsFor)); len(r) != 2 {
 		t.Errorf("%d reads are reported, want those of the two shared parts", len(r))
 	}
-	if r := p.FreshReads(start.Add(tellReads + 1)); len(r) != 0 {
+	if r := p.FreshReads(start.Add(reportReadsFor + 1)); len(r) != 0 {
 		t.Errorf("%d reads are reported too long", len(r))
 	}
 }
