--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -361,7 +361,7 @@
 	slots := float64(max(1, v.Slots))
 	cost := runningPenalty * float64(l.Requests) * 64 / slots
 	if v.Domain != p.Domain {
-		cost += farPenalty
+		cost += otherDomainPenalty
 	}
 	if over := float64(l.Requests) - slots; over >= 0 {
 		cost += 50 * (over + 1)
