--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -368,7 +368,7 @@
 	}
 	if len(w.Parts) > 0 {
 		all, shared := p.uncachedTokens(now, v, w, kept, home)
-		cost += float64(l.Tokens+all)/tokensPerMs + againPerToken*float64(shared)
+		cost += float64(l.Tokens+all)/tokensPerMs + reprocessPenalty*float64(shared)
 	}
 	if w.Domain != "" && v.Domain != w.Domain {
 		cost += w.InputBytes / bytesPerMs
--- a/src/balance/constants.go
+++ b/src/balance/constants.go
@@ -11,7 +11,7 @@
 	runningPenalty  = 3.0                     // ms for each running request, at a server of 64 slots
 	jitterMs        = 1.0                     // largest random ms added to the cost
 	otherDomainPenalty      = 8.0                     // ms for a server in another failure domain than the box
-	againPerToken   = 0.12                    // ms for processing a shared token again, in addition to the time it takes
+	reprocessPenalty   = 0.12                    // ms for processing a shared token again, in addition to the time it takes
 	bytesPerMs      = 27000.0                 // input bytes from another domain that cost one ms
 	minCopyTokens     = 512                     // fewest shared tokens that are worth copying from another server
 	reportReadsFor       = 450 * time.Millisecond  // time for which a read is reported to other boxes: two gossip rounds
