--- a/src/pushback/constants.go
+++ b/src/pushback/constants.go
@@ -6,9 +6,9 @@
 	// mostRest is the longest rest that a server can ask for. It is longer than an overload lasts, and keeps an absurd
 	// value from removing a server for good.
 	mostRest = 10 * time.Minute
-	// trialFor is how long to wait for a response to the requests that try a server after its rest before sending more:
+	// trialTimeout is how long to wait for a response to the requests that try a server after its rest before sending more:
 	// four times as long as a busy engine takes to send a response header.
-	trialFor = time.Second
+	trialTimeout = time.Second
 	// answerSoon is the delay before a returning server is checked again: a quick service has responded by then.
 	answerSoon = 20 * time.Millisecond
 	// returnMost is the number of concurrent requests above which a returning server is no longer limited: the slots of the
--- a/src/pushback/register.go
+++ b/src/pushback/register.go
@@ -78,7 +78,7 @@
 
 // mayTry reports whether another request may be sent after the rest.
 func (p rest) mayTry(now time.Time) bool {
-	return p.begun < p.window || now.Sub(p.round) >= trialFor
+	return p.begun < p.window || now.Sub(p.round) >= trialTimeout
 }
 
 // RecordLeaving records that a server's incarnation takes no new work, as announced by itself or reported by another box. It
--- a/src/pushback/register_test.go
+++ b/src/pushback/register_test.go
@@ -116,7 +116,7 @@
 	if n := wave(); n != 1 {
 		t.Fatalf("%d requests tried the server, want 1", n)
 	}
-	now = now.Add(trialFor)
+	now = now.Add(trialTimeout)
 	if n := wave(); n != 1 {
 		t.Fatalf("%d requests tried the server after one without a response, want 1", n)
 	}
