--- a/src/pushback/constants.go
+++ b/src/pushback/constants.go
@@ -27,8 +27,8 @@
 	limitRampStep = time.Second
 	// wantsOver is the window in which used permits are counted, to decide how many to request at once.
 	wantsOver = 50 * time.Millisecond
-	// newsPart is the fraction of a limit below which a new one is reported at once rather than with the next heartbeat.
-	newsPart = 0.8
+	// urgentDecrease is the fraction of a limit below which a new one is reported at once rather than with the next heartbeat.
+	urgentDecrease = 0.8
 	// lifeMost bounds the departures, rests and limits that are kept, about 100 bytes each: seven times the servers of the
 	// largest supported fleet.
 	lifeMost = 4096
--- a/src/pushback/limits.go
+++ b/src/pushback/limits.go
@@ -94,7 +94,7 @@
 		l.changedAt, l.next = now, now
 	}
 	r.putLimit(s.ID, l)
-	return !known || !was.endedAt.IsZero() || l.perSecond < newsPart*was.perSecond
+	return !known || !was.endedAt.IsZero() || l.perSecond < urgentDecrease*was.perSecond
 }
 
 func (r *Register) putLimit(id string, l limit) {
