--- a/src/pushback/constants.go
+++ b/src/pushback/constants.go
@@ -25,8 +25,8 @@
 	// limitRampPeriod is how long a limit still applies after its end, doubled with each liftStep.
 	limitRampPeriod  = 6 * time.Second
 	limitRampStep = time.Second
-	// wantsOver is the window in which used permits are counted, to decide how many to request at once.
-	wantsOver = 50 * time.Millisecond
+	// permitCountWindow is the window in which used permits are counted, to decide how many to request at once.
+	permitCountWindow = 50 * time.Millisecond
 	// urgentDecrease is the fraction of a limit below which a new one is reported at once rather than with the next heartbeat.
 	urgentDecrease = 0.8
 	// lifeMost bounds the departures, rests and limits that are kept, about 100 bytes each: seven times the servers of the
--- a/src/pushback/limits.go
+++ b/src/pushback/limits.go
@@ -170,7 +170,7 @@
 		return ActiveLimit{}, false
 	}
 	out := ActiveLimit{LimitNote: r.note(s.ID), Rate: l.rate(now), Known: now.Sub(l.since), Wants: 1}
-	if now.Sub(l.usedAt) < 2*wantsOver {
+	if now.Sub(l.usedAt) < 2*permitCountWindow {
 		out.Wants += l.used
 	}
 	return out, true
@@ -242,7 +242,7 @@
 		v = Verdict{State: Full, Until: later(l.next, now.Add(answerSoon))}
 	} else {
 		l.permits = slices.Delete(l.permits, best, best+1)
-		if now.Sub(l.usedAt) >= wantsOver {
+		if now.Sub(l.usedAt) >= permitCountWindow {
 			l.used, l.usedAt = 0, now
 		}
 		l.used++
