--- a/src/pushback/constants.go
+++ b/src/pushback/constants.go
@@ -29,9 +29,9 @@
 	permitCountWindow = 50 * time.Millisecond
 	// urgentDecrease is the fraction of a limit below which a new one is reported at once rather than with the next heartbeat.
 	urgentDecrease = 0.8
-	// lifeMost bounds the departures, rests and limits that are kept, about 100 bytes each: seven times the servers of the
+	// maxEntries bounds the departures, rests and limits that are kept, about 100 bytes each: seven times the servers of the
 	// largest supported fleet.
-	lifeMost = 4096
+	maxEntries = 4096
 	// MaxNotes is the largest number of leaving servers, and of servers with limits, in one message, 20 to 40 bytes each:
 	// a tenth of the servers of the largest fleet.
 	MaxNotes = 64
--- a/src/pushback/limits.go
+++ b/src/pushback/limits.go
@@ -76,7 +76,7 @@
 		r.limits[s.ID] = l
 		return true
 	}
-	if !known && len(r.limits) >= lifeMost {
+	if !known && len(r.limits) >= maxEntries {
 		return false
 	}
 	was := l
@@ -110,7 +110,7 @@
 	switch {
 	case n.PerSecond < MinLimit || n.PerSecond > MaxLimit || n.Sequence == 0:
 		return false // invalid
-	case known && n.Server.Incarnation < l.incarnation, !known && len(r.limits) >= lifeMost:
+	case known && n.Server.Incarnation < l.incarnation, !known && len(r.limits) >= maxEntries:
 		return false
 	case known && n.Server.Incarnation == l.incarnation && n.Sequence < l.sequence:
 		return false
--- a/src/pushback/register.go
+++ b/src/pushback/register.go
@@ -88,7 +88,7 @@
 	if known && d.incarnation == 0 {
 		r.departures[s.ID] = departure{incarnation: s.Incarnation, listedAt: d.listedAt}
 	}
-	if known && !d.before(s) || !known && len(r.departures) >= lifeMost {
+	if known && !d.before(s) || !known && len(r.departures) >= maxEntries {
 		return false
 	}
 	if r.departures == nil {
@@ -112,7 +112,7 @@
 	if ok && !until.After(known.until) {
 		return known.until, false
 	}
-	if !ok && len(r.rests) >= lifeMost {
+	if !ok && len(r.rests) >= maxEntries {
 		return until, false
 	}
 	if r.rests == nil {
--- a/src/pushback/register_test.go
+++ b/src/pushback/register_test.go
@@ -74,12 +74,12 @@
 	if len(r.departures) != 1 || len(r.rests) != 0 {
 		t.Errorf("%d departures and %d rests are kept, want 1 and 0", len(r.departures), len(r.rests))
 	}
-	for i := range 2 * lifeMost {
+	for i := range 2 * maxEntries {
 		r.RecordLeaving(start, server(fmt.Sprint(i), 1))
 		r.RecordRest(start, fmt.Sprint(i), time.Second)
 	}
-	if len(r.departures) > lifeMost || len(r.rests) > lifeMost {
-		t.Errorf("%d departures and %d rests are kept, want %d at most", len(r.departures), len(r.rests), lifeMost)
+	if len(r.departures) > maxEntries || len(r.rests) > maxEntries {
+		t.Errorf("%d departures and %d rests are kept, want %d at most", len(r.departures), len(r.rests), maxEntries)
 	}
 }
 
