--- a/src/pushback/constants.go
+++ b/src/pushback/constants.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// mostRest is the longest rest that a server can ask for. It is longer than an overload lasts, and keeps an absurd
+	// maxRest is the longest rest that a server can ask for. It is longer than an overload lasts, and keeps an absurd
 	// value from removing a server for good.
-	mostRest = 10 * time.Minute
+	maxRest = 10 * time.Minute
 	// trialTimeout is how long to wait for a response to the requests that try a server after its rest before sending more:
 	// four times as long as a busy engine takes to send a response header.
 	trialTimeout = time.Second
--- a/src/pushback/register.go
+++ b/src/pushback/register.go
@@ -107,7 +107,7 @@
 // RecordRest records that a server wants no requests from this box for the given time. The latest end counts, so a delayed
 // response doesn't shorten a rest. It returns the end and whether it is later than the one known before.
 func (r *Register) RecordRest(now time.Time, id string, length time.Duration) (until time.Time, later bool) {
-	until = now.Add(min(length, mostRest))
+	until = now.Add(min(length, maxRest))
 	known, ok := r.rests[id]
 	if ok && !until.After(known.until) {
 		return known.until, false
--- a/src/pushback/register_test.go
+++ b/src/pushback/register_test.go
@@ -95,7 +95,7 @@
 			t.Errorf("after %s the server is %s until %s", at, v.State, v.Until.Sub(start))
 		}
 	}
-	if until, _ := r.RecordRest(start, "b", 1<<62); until.Sub(start) != mostRest {
+	if until, _ := r.RecordRest(start, "b", 1<<62); until.Sub(start) != maxRest {
 		t.Errorf("an absurdly long rest ends after %s", until.Sub(start))
 	}
 }
