--- a/src/pushback/constants.go
+++ b/src/pushback/constants.go
@@ -11,9 +11,9 @@
 	trialTimeout = time.Second
 	// answerSoon is the delay before a returning server is checked again: a quick service has responded by then.
 	answerSoon = 20 * time.Millisecond
-	// returnMost is the number of concurrent requests above which a returning server is no longer limited: the slots of the
+	// maxReturnWindow is the number of concurrent requests above which a returning server is no longer limited: the slots of the
 	// largest engines seen. Without the gradual increase a box would send all waiting requests when the rest ends.
-	returnMost = 64
+	maxReturnWindow = 64
 	// restKept is how long a rest is kept after its end if nothing is sent to the server.
 	restKept = time.Minute
 	// departureKept is how long a departure is kept after the server was last listed: leaving servers were seen to serve
--- a/src/pushback/register.go
+++ b/src/pushback/register.go
@@ -130,7 +130,7 @@
 		return
 	}
 	p.window, p.begun, p.round = 2*p.window, 0, now
-	if p.window > returnMost {
+	if p.window > maxReturnWindow {
 		delete(r.rests, id)
 		return
 	}
--- a/src/pushback/register_test.go
+++ b/src/pushback/register_test.go
@@ -120,7 +120,7 @@
 	if n := wave(); n != 1 {
 		t.Fatalf("%d requests tried the server after one without a response, want 1", n)
 	}
-	for want := 2; want <= returnMost; want *= 2 {
+	for want := 2; want <= maxReturnWindow; want *= 2 {
 		now = now.Add(10 * time.Millisecond)
 		r.RecordResponse(now, "a")
 		if n := wave(); n != want {
