--- a/src/pushback/constants.go
+++ b/src/pushback/constants.go
@@ -9,8 +9,8 @@
 	// trialTimeout is how long to wait for a response to the requests that try a server after its rest before sending more:
 	// four times as long as a busy engine takes to send a response header.
 	trialTimeout = time.Second
-	// answerSoon is the delay before a returning server is checked again: a quick service has responded by then.
-	answerSoon = 20 * time.Millisecond
+	// returnRecheckDelay is the delay before a returning server is checked again: a quick service has responded by then.
+	returnRecheckDelay = 20 * time.Millisecond
 	// maxReturnWindow is the number of concurrent requests above which a returning server is no longer limited: the slots of the
 	// largest engines seen. Without the gradual increase a box would send all waiting requests when the rest ends.
 	maxReturnWindow = 64
--- a/src/pushback/limits.go
+++ b/src/pushback/limits.go
@@ -239,7 +239,7 @@
 	}
 	v := Verdict{}
 	if best < 0 {
-		v = Verdict{State: Full, Until: later(l.next, now.Add(answerSoon))}
+		v = Verdict{State: Full, Until: later(l.next, now.Add(returnRecheckDelay))}
 	} else {
 		l.permits = slices.Delete(l.permits, best, best+1)
 		if now.Sub(l.usedAt) >= permitCountWindow {
--- a/src/pushback/register.go
+++ b/src/pushback/register.go
@@ -149,7 +149,7 @@
 	case now.Before(p.until):
 		return Verdict{State: Resting, Until: p.until}
 	case !p.mayTry(now):
-		return Verdict{State: Returning, Until: now.Add(answerSoon)}
+		return Verdict{State: Returning, Until: now.Add(returnRecheckDelay)}
 	}
 	return r.judgeLimit(now, s)
 }
