--- a/src/pushback/constants.go
+++ b/src/pushback/constants.go
@@ -14,8 +14,8 @@
 	// maxReturnWindow is the number of concurrent requests above which a returning server is no longer limited: the slots of the
 	// largest engines seen. Without the gradual increase a box would send all waiting requests when the rest ends.
 	maxReturnWindow = 64
-	// restKept is how long a rest is kept after its end if nothing is sent to the server.
-	restKept = time.Minute
+	// restRetention is how long a rest is kept after its end if nothing is sent to the server.
+	restRetention = time.Minute
 	// departureKept is how long a departure is kept after the server was last listed: leaving servers were seen to serve
 	// for many more seconds, and the lists of other boxes lag by a second or two.
 	departureKept = time.Minute
--- a/src/pushback/register.go
+++ b/src/pushback/register.go
@@ -195,7 +195,7 @@
 // Sweep removes expired rests and limits, and departures of servers that are no longer listed.
 func (r *Register) Sweep(now time.Time, listed func(id string) bool) {
 	for id, p := range r.rests {
-		if now.Sub(p.until) > restKept {
+		if now.Sub(p.until) > restRetention {
 			delete(r.rests, id)
 		}
 	}
