--- a/src/pushback/constants.go
+++ b/src/pushback/constants.go
@@ -16,9 +16,9 @@
 	maxReturnWindow = 64
 	// restRetention is how long a rest is kept after its end if nothing is sent to the server.
 	restRetention = time.Minute
-	// departureKept is how long a departure is kept after the server was last listed: leaving servers were seen to serve
+	// departureRetention is how long a departure is kept after the server was last listed: leaving servers were seen to serve
 	// for many more seconds, and the lists of other boxes lag by a second or two.
-	departureKept = time.Minute
+	departureRetention = time.Minute
 	// permitLife is how long a permit is valid. It covers a new connection and a scheduling delay. A permit used later would
 	// add to those of the following window.
 	permitLife = 250 * time.Millisecond
--- a/src/pushback/limits.go
+++ b/src/pushback/limits.go
@@ -265,7 +265,7 @@
 			l.listedAt = now
 			r.limits[id] = l
 		}
-		if now.Sub(l.listedAt) > departureKept || !l.endedAt.IsZero() && now.Sub(l.endedAt) > restRetention {
+		if now.Sub(l.listedAt) > departureRetention || !l.endedAt.IsZero() && now.Sub(l.endedAt) > restRetention {
 			delete(r.limits, id)
 		}
 	}
--- a/src/pushback/register.go
+++ b/src/pushback/register.go
@@ -205,7 +205,7 @@
 		case listed(id):
 			d.listedAt = now
 			r.departures[id] = d
-		case now.Sub(d.listedAt) > departureKept:
+		case now.Sub(d.listedAt) > departureRetention:
 			delete(r.departures, id)
 		}
 	}
--- a/src/pushback/register_test.go
+++ b/src/pushback/register_test.go
@@ -65,7 +65,7 @@
 	r.RecordLeaving(start, server("listed", 1))
 	r.RecordLeaving(start, server("gone", 1))
 	r.RecordRest(start, "resting", time.Second)
-	for at := time.Duration(0); at <= 2*departureKept; at += time.Second {
+	for at := time.Duration(0); at <= 2*departureRetention; at += time.Second {
 		r.Sweep(start.Add(at), is)
 	}
 	if r.Check(start.Add(time.Hour), server("listed", 1)).State != Leaving {
