--- a/src/pushback/constants.go
+++ b/src/pushback/constants.go
@@ -19,9 +19,9 @@
 	// departureRetention is how long a departure is kept after the server was last listed: leaving servers were seen to serve
 	// for many more seconds, and the lists of other boxes lag by a second or two.
 	departureRetention = time.Minute
-	// permitLife is how long a permit is valid. It covers a new connection and a scheduling delay. A permit used later would
+	// permitLifetime is how long a permit is valid. It covers a new connection and a scheduling delay. A permit used later would
 	// add to those of the following window.
-	permitLife = 250 * time.Millisecond
+	permitLifetime = 250 * time.Millisecond
 	// limitRampPeriod is how long a limit still applies after its end, doubled with each liftStep.
 	limitRampPeriod  = 6 * time.Second
 	limitRampStep = time.Second
--- a/src/pushback/limits.go
+++ b/src/pushback/limits.go
@@ -185,7 +185,7 @@
 	}
 	from := now.Add(begin)
 	for i := range permits {
-		p := permit{from: from, till: from.Add(permitLife)}
+		p := permit{from: from, till: from.Add(permitLifetime)}
 		if i == 0 {
 			p.owner = owner
 		}
--- a/src/pushback/limits_test.go
+++ b/src/pushback/limits_test.go
@@ -141,12 +141,12 @@
 		t.Errorf("the request with the reserved permit: %s", v.State)
 	}
 	r.AddPermits(start, "a", "r", 1, 0, time.Second)
-	if v := r.Begin(at(permitLife), s, "r"); v.Open() {
+	if v := r.Begin(at(permitLifetime), s, "r"); v.Open() {
 		t.Error("an expired permit was used")
 	}
 	r.AddPermits(start, "a", "r", 1, 0, time.Second)
 	r.ReleasePermit("a", "r")
-	if v := r.Begin(at(permitLife/2), s, "other"); !v.Open() {
+	if v := r.Begin(at(permitLifetime/2), s, "other"); !v.Open() {
 		t.Error("a released permit is lost")
 	}
 }
