--- a/src/pushback/register.go
+++ b/src/pushback/register.go
@@ -88,7 +88,7 @@
 	if known && d.incarnation == 0 {
 		r.departures[s.ID] = departure{incarnation: s.Incarnation, listedAt: d.listedAt}
 	}
-	if known && !d.before(s) || !known && len(r.departures) >= maxEntries {
+	if known && !d.earlierThan(s) || !known && len(r.departures) >= maxEntries {
 		return false
 	}
 	if r.departures == nil {
@@ -98,9 +98,9 @@
 	return true
 }
 
-// before reports whether the departed incarnation is earlier than that of s. If either is unknown (0) they count as the
+// earlierThan reports whether the departed incarnation is earlier than that of s. If either is unknown (0) they count as the
 // same: skipping a server costs less than sending requests to one that is leaving.
-func (d departure) before(s Server) bool {
+func (d departure) earlierThan(s Server) bool {
 	return d.incarnation > 0 && s.Incarnation > d.incarnation
 }
 
@@ -139,7 +139,7 @@
 
 // Check returns whether a request may be sent to a server now.
 func (r *Register) Check(now time.Time, s Server) Verdict {
-	if d, ok := r.departures[s.ID]; ok && !d.before(s) {
+	if d, ok := r.departures[s.ID]; ok && !d.earlierThan(s) {
 		return Verdict{State: Leaving}
 	}
 	p, ok := r.rests[s.ID]
