--- a/src/pushback/limits.go
+++ b/src/pushback/limits.go
@@ -144,8 +144,8 @@
 	}
 	rest := ids[newest:]
 	for range min(len(rest), MaxNotes-newest) {
-		r.told++
-		out = append(out, r.note(rest[r.told%len(rest)]))
+		r.rotation++
+		out = append(out, r.note(rest[r.rotation%len(rest)]))
 	}
 	return out
 }
--- a/src/pushback/register.go
+++ b/src/pushback/register.go
@@ -58,7 +58,7 @@
 	departures   map[string]departure // by server id, as are the others
 	rests  map[string]rest
 	limits map[string]limit
-	told   int // position in the rotation of Limits
+	rotation   int // position in the rotation of Limits
 }
 
 // departure is an incarnation that announced that it takes no new work.
