--- a/src/pushback/limits.go
+++ b/src/pushback/limits.go
@@ -215,8 +215,8 @@
 	return (p.owner == "" || p.owner == owner) && !now.Before(p.from) && now.Before(p.till)
 }
 
-// judgeLimit reports whether a permit is available or can be requested now.
-func (r *Register) judgeLimit(now time.Time, s Server) Verdict {
+// checkLimit reports whether a permit is available or can be requested now.
+func (r *Register) checkLimit(now time.Time, s Server) Verdict {
 	l, ok := r.limits[s.ID]
 	if !ok || !l.appliesTo(now, s) || !now.Before(l.next) || r.HasPermit(now, s, "") {
 		return Verdict{}
--- a/src/pushback/register.go
+++ b/src/pushback/register.go
@@ -145,13 +145,13 @@
 	p, ok := r.rests[s.ID]
 	switch {
 	case !ok:
-		return r.judgeLimit(now, s)
+		return r.checkLimit(now, s)
 	case now.Before(p.until):
 		return Verdict{State: Resting, Until: p.until}
 	case !p.mayTry(now):
 		return Verdict{State: Returning, Until: now.Add(returnRecheckDelay)}
 	}
-	return r.judgeLimit(now, s)
+	return r.checkLimit(now, s)
 }
 
 // Begin is Judge for the moment before the first byte of a request is sent. If the request may be sent it consumes a
