--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -248,7 +248,7 @@
 		return
 	}
 	u.telling = true
-	time.AfterFunc(tellAfter, u.tellNow)
+	time.AfterFunc(reportDelay, u.tellNow)
 }
 
 // tellNow sends the scheduled report.
