--- a/src/suspects/constants.go
+++ b/src/suspects/constants.go
@@ -9,7 +9,7 @@
 	answerTime     = 400 * time.Millisecond // timeout of a report to a counter box
 	silentMost     = 3                      // unresponsive counter boxes to skip: at worst 1.6 s of the 3 s in which all boxes must know
 	silentTogether = time.Second            // servers that are unresponsive within this time of each other don't count as crashed
-	linesOfOneEnd  = 8                      // log lines for the suspects of one crash; each contains their number
+	maxLogLines  = 8                      // log lines for the suspects of one crash; each contains their number
 
 	// A terminating process may still accept connections for a moment, so its address is probed again.
 	probeTries = 2
--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -222,7 +222,7 @@
 	}
 	u.any.Store(true)
 	for i, c := range list {
-		if i < linesOfOneEnd {
+		if i < maxLogLines {
 			u.Log.Warn("server crashed while running a request", "key", c.Key.String(), "server", server, "proof", string(proof), "ends", c.Verdict.Ends, "barred", c.Verdict.Barred, "suspects", len(list))
 		}
 	}
