--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -287,7 +287,7 @@
 	u.mu.Lock()
 	notes := u.register.NotesOf(u.Now(), keys)
 	u.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), answerTime)
+	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
 	known, err := u.Exchange(ctx, box, notes)
 	if err == nil {
