--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -129,7 +129,7 @@
 // probe probes a server: connections to a terminated process are refused at once. The list of servers shows the crash too,
 // but only after three missed heartbeats, and by then the content could have crashed several more servers.
 func (u *Tracker) probe(s Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), probeTime)
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	p := u.Probe(ctx, s)
 	cancel()
 	last := u.recordProbe(s, p)
