--- a/src/suspects/constants.go
+++ b/src/suspects/constants.go
@@ -13,5 +13,5 @@
 
 	// A terminating process may still accept connections for a moment, so its address is probed again.
 	probeTries = 2
-	probeAgain = 250 * time.Millisecond
+	probeInterval = 250 * time.Millisecond
 )
--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -157,7 +157,7 @@
 		return true
 	}
 	a.tries++
-	a.due = now.Add(probeAgain)
+	a.due = now.Add(probeInterval)
 	last = p == Absent || a.tries >= probeTries
 	if last {
 		delete(u.probing, s.Life)
