--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -295,7 +295,7 @@
 		return
 	}
 	u.Log.Warn("counter box for server crashes does not respond", "peer", box, "contents", len(keys), "passed_over", len(silent), "cause", err.Error())
-	if len(silent) < silentMost {
+	if len(silent) < maxSkippedCounters {
 		next := maps.Clone(silent)
 		next[box] = true
 		u.reportToCounters(keys, next)
