--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -178,8 +178,8 @@
 	return true
 }
 
-// askAgain probes the servers whose next probe is due.
-func (u *Tracker) askAgain() {
+// startDueProbes probes the servers whose next probe is due.
+func (u *Tracker) startDueProbes() {
 	now := u.Now()
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -352,7 +352,7 @@
 
 // Tick starts the probes that are due and removes expired state.
 func (u *Tracker) Tick() {
-	u.askAgain()
+	u.startDueProbes()
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now := u.Now()
