--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -248,11 +248,11 @@
 		return
 	}
 	u.telling = true
-	time.AfterFunc(reportDelay, u.tellNow)
+	time.AfterFunc(reportDelay, u.sendReport)
 }
 
-// tellNow sends the scheduled report.
-func (u *Tracker) tellNow() {
+// sendReport sends the scheduled report.
+func (u *Tracker) sendReport() {
 	u.mu.Lock()
 	news, single := u.news, u.single
 	u.telling, u.news, u.single = false, false, nil
