--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -82,7 +82,7 @@
 	register crasher.Register
 	probing   map[crasher.Life]*probing
 	silent   map[crasher.Life]time.Time // servers that didn't respond, and when last
-	telling  bool                       // a report to other boxes is scheduled
+	reportScheduled  bool                       // a report to other boxes is scheduled
 	news     bool                       // it includes changes for all boxes
 	single   []crasher.Key              // contents with one crash, to report to their counter boxes
 	any      atomic.Bool                // the register isn't empty; most of the time it is
@@ -244,10 +244,10 @@
 			u.news = true
 		}
 	}
-	if u.telling || len(u.single) == 0 && !u.news {
+	if u.reportScheduled || len(u.single) == 0 && !u.news {
 		return
 	}
-	u.telling = true
+	u.reportScheduled = true
 	time.AfterFunc(reportDelay, u.sendReport)
 }
 
@@ -255,7 +255,7 @@
 func (u *Tracker) sendReport() {
 	u.mu.Lock()
 	news, single := u.news, u.single
-	u.telling, u.news, u.single = false, false, nil
+	u.reportScheduled, u.news, u.single = false, false, nil
 	u.mu.Unlock()
 	if news {
 		u.Announce()
