--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -120,7 +120,7 @@
 		u.probing[s.Life] = &probing{server: s}
 	}
 	u.mu.Unlock()
-	u.counted(counted, s.ID, "known before")
+	u.logCounted(counted, s.ID, "known before")
 	if ask {
 		go u.probe(s)
 	}
@@ -196,7 +196,7 @@
 	u.mu.Lock()
 	counted := u.register.RecordCrash(u.Now(), s.Life)
 	u.mu.Unlock()
-	u.counted(counted, s.ID, proof)
+	u.logCounted(counted, s.ID, proof)
 }
 
 // RecordGood records good responses to contents, which clear them.
@@ -215,8 +215,8 @@
 	}
 }
 
-// counted logs the contents that a crash was counted against and reports them to other boxes.
-func (u *Tracker) counted(list []crasher.Counted, server string, proof Proof) {
+// logCounted logs the contents that a crash was logCounted against and reports them to other boxes.
+func (u *Tracker) logCounted(list []crasher.Counted, server string, proof Proof) {
 	if len(list) == 0 {
 		return
 	}
