--- a/src/crasher/constants.go
+++ b/src/crasher/constants.go
@@ -4,9 +4,9 @@
 
 // Parameters of when a content is refused.
 const (
-	// barFrom is the number of crashes from which a content is refused: one crash has many suspects, two may be
+	// barThreshold is the number of crashes from which a content is refused: one crash has many suspects, two may be
 	// coincidence, and the users' limit on crashes by one content counts from the third.
-	barFrom = 3
+	barThreshold = 3
 	// IsolationThreshold is the number of crashes from which a content is run separately from others and not retried by this box:
 	// except by coincidence, two crashes have only the guilty content in common.
 	IsolationThreshold = 2
--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -187,7 +187,7 @@
 	}
 	n := e.uncleared()
 	v := Verdict{Ends: n, Seen: len(e.ends)}
-	if left := e.last().Add(barFor(n)).Sub(now); n >= barFrom && left > 0 {
+	if left := e.last().Add(barFor(n)).Sub(now); n >= barThreshold && left > 0 {
 		v.Barred, v.Left = true, left
 	}
 	return v
@@ -218,10 +218,10 @@
 
 // barFor returns how long a content with a number of crashes is refused after the last one.
 func barFor(ends int) time.Duration {
-	if ends < barFrom {
+	if ends < barThreshold {
 		return 0
 	}
-	return min(barMost, barFirst<<min(ends-barFrom, endsKept))
+	return min(barMost, barFirst<<min(ends-barThreshold, endsKept))
 }
 
 // Sweep removes expired state.
