--- a/src/crasher/constants.go
+++ b/src/crasher/constants.go
@@ -10,10 +10,10 @@
 	// IsolationThreshold is the number of crashes from which a content is run separately from others and not retried by this box:
 	// except by coincidence, two crashes have only the guilty content in common.
 	IsolationThreshold = 2
-	// barFirst is how long a content is refused after the third crash, doubled with each further one, up to barMost: longer
+	// firstBarTime is how long a content is refused after the third crash, doubled with each further one, up to barMost: longer
 	// than callers retry by themselves, shorter than it takes to fix and deploy a server. A content that is sent continually
 	// is tried at most three times in the first three and a half hours.
-	barFirst = 30 * time.Minute
+	firstBarTime = 30 * time.Minute
 	barMost  = 24 * time.Hour
 	// suspectLife is how long fewer crashes are remembered: enough to detect a caller that retries once a minute.
 	suspectLife = 10 * time.Minute
--- a/src/crasher/register_test.go
+++ b/src/crasher/register_test.go
@@ -31,16 +31,16 @@
 		crashWith(&r, now, Life(i), k)
 	}
 	v := r.Verdict(now, k)
-	if !v.Barred || v.Left != barFirst {
+	if !v.Barred || v.Left != firstBarTime {
 		t.Errorf("after the third crash: %+v", v)
 	}
-	now = now.Add(barFirst + time.Second)
+	now = now.Add(firstBarTime + time.Second)
 	r.Sweep(now)
 	if v := r.Verdict(now, k); v.Barred || v.Ends != 3 {
 		t.Errorf("after the bar: %+v, want no bar and the same crashes", v)
 	}
 	crashWith(&r, now, 9, k)
-	if v := r.Verdict(now, k); !v.Barred || v.Left != 2*barFirst {
+	if v := r.Verdict(now, k); !v.Barred || v.Left != 2*firstBarTime {
 		t.Errorf("after another crash: %+v, want twice the time", v)
 	}
 }
@@ -164,7 +164,7 @@
 	if news := r.News(began); len(news) != 1 || news[0].Key != guilty {
 		t.Errorf("%d notes, the first of %s", len(news), news[0].Key)
 	}
-	r.Sweep(began.Add(barFirst))
+	r.Sweep(began.Add(firstBarTime))
 	if len(r.entries) != 0 {
 		t.Errorf("%d entries are left", len(r.entries))
 	}
