--- a/src/crasher/constants.go
+++ b/src/crasher/constants.go
@@ -14,7 +14,7 @@
 	// than callers retry by themselves, shorter than it takes to fix and deploy a server. A content that is sent continually
 	// is tried at most three times in the first three and a half hours.
 	firstBarTime = 30 * time.Minute
-	barMost  = 24 * time.Hour
+	maxBarTime  = 24 * time.Hour
 	// suspectLife is how long fewer crashes are remembered: enough to detect a caller that retries once a minute.
 	suspectLife = 10 * time.Minute
 	// goodPeriod: crashes before a good response to a content, or up to this long after it, don't count against the content.
--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -221,7 +221,7 @@
 	if ends < barThreshold {
 		return 0
 	}
-	return min(barMost, firstBarTime<<min(ends-barThreshold, endsKept))
+	return min(maxBarTime, firstBarTime<<min(ends-barThreshold, endsKept))
 }
 
 // Sweep removes expired state.
