--- a/src/crasher/constants.go
+++ b/src/crasher/constants.go
@@ -15,8 +15,8 @@
 	// is tried at most three times in the first three and a half hours.
 	firstBarTime = 30 * time.Minute
 	maxBarTime  = 24 * time.Hour
-	// suspectLife is how long fewer crashes are remembered: enough to detect a caller that retries once a minute.
-	suspectLife = 10 * time.Minute
+	// suspectRetention is how long fewer crashes are remembered: enough to detect a caller that retries once a minute.
+	suspectRetention = 10 * time.Minute
 	// goodPeriod: crashes before a good response to a content, or up to this long after it, don't count against the content.
 	// A content that crashes every server never gets a good response. A popular content gets one within seconds, so that it
 	// isn't refused anywhere when half of a pool is lost (2,500 of 2,500 requests were answered with 6 and with 61 boxes).
@@ -33,7 +33,7 @@
 	brokenMost  = 1024            // incarnations kept with broken exchanges but without proof of a crash
 	keysPerLife = 256             // broken exchanges kept for one incarnation
 	goodsMost   = 8192            // contents with recent good responses in each of two generations; 0.5 MB each
-	goodsFor    = suspectLife / 2 // duration of a generation: a good response between two crashes is still known at the second
+	goodsFor    = suspectRetention / 2 // duration of a generation: a good response between two crashes is still known at the second
 
 	counters  = 2                      // counter boxes of a content
 	freshFor  = 600 * time.Millisecond // time for which a change is in every message: three gossip rounds of a small fleet, one heartbeat
--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -227,7 +227,7 @@
 // Sweep removes expired state.
 func (r *Register) Sweep(now time.Time) {
 	for k, e := range r.entries {
-		if now.Sub(e.last()) > max(suspectLife, 2*barFor(e.uncleared())) {
+		if now.Sub(e.last()) > max(suspectRetention, 2*barFor(e.uncleared())) {
 			delete(r.entries, k)
 		}
 	}
