--- a/src/crasher/constants.go
+++ b/src/crasher/constants.go
@@ -36,7 +36,7 @@
 	goodsFor    = suspectRetention / 2 // duration of a generation: a good response between two crashes is still known at the second
 
 	counters  = 2                      // counter boxes of a content
-	freshFor  = 600 * time.Millisecond // time for which a change is in every message: three gossip rounds of a small fleet, one heartbeat
+	newsPeriod  = 600 * time.Millisecond // time for which a change is in every message: three gossip rounds of a small fleet, one heartbeat
 	newsMost  = 24                     // changes in one message, about 60 bytes each
 	repairs   = 4                      // further notes in a heartbeat, in rotation, for boxes that missed a change
 	MaxNotes = 64                     // notes accepted in one message
--- a/src/crasher/note.go
+++ b/src/crasher/note.go
@@ -30,7 +30,7 @@
 	if len(r.entries) == 0 {
 		return nil
 	}
-	keys := r.keys(func(e *entry) bool { return len(e.ends) >= IsolationThreshold && now.Sub(e.changed) < freshFor })
+	keys := r.keys(func(e *entry) bool { return len(e.ends) >= IsolationThreshold && now.Sub(e.changed) < newsPeriod })
 	return r.notes(now, keys[:min(len(keys), newsMost)])
 }
 
@@ -48,7 +48,7 @@
 // Notes returns the news and a rotating selection of the older notes, for boxes that joined later or missed the news.
 func (r *Register) Notes(now time.Time) []Note {
 	out := r.News(now)
-	keys := r.keys(func(e *entry) bool { return e.uncleared() >= IsolationThreshold && now.Sub(e.changed) >= freshFor })
+	keys := r.keys(func(e *entry) bool { return e.uncleared() >= IsolationThreshold && now.Sub(e.changed) >= newsPeriod })
 	if len(keys) == 0 {
 		return out
 	}
