--- a/src/crasher/constants.go
+++ b/src/crasher/constants.go
@@ -38,6 +38,6 @@
 	counters  = 2                      // counter boxes of a content
 	newsPeriod  = 600 * time.Millisecond // time for which a change is in every message: three gossip rounds of a small fleet, one heartbeat
 	newsMost  = 24                     // changes in one message, about 60 bytes each
-	repairs   = 4                      // further notes in a heartbeat, in rotation, for boxes that missed a change
+	maxRepeatedNotes   = 4                      // further notes in a heartbeat, in rotation, for boxes that missed a change
 	MaxNotes = 64                     // notes accepted in one message
 )
--- a/src/crasher/note.go
+++ b/src/crasher/note.go
@@ -55,8 +55,8 @@
 	if r.turn >= len(keys) {
 		r.turn = 0
 	}
-	turn := keys[r.turn:min(len(keys), r.turn+repairs)]
-	r.turn += repairs
+	turn := keys[r.turn:min(len(keys), r.turn+maxRepeatedNotes)]
+	r.turn += maxRepeatedNotes
 	return append(out, r.notes(now, turn)...)
 }
 
