--- a/src/crasher/constants.go
+++ b/src/crasher/constants.go
@@ -33,7 +33,7 @@
 	brokenMost  = 1024            // incarnations kept with broken exchanges but without proof of a crash
 	keysPerLife = 256             // broken exchanges kept for one incarnation
 	goodsMost   = 8192            // contents with recent good responses in each of two generations; 0.5 MB each
-	goodsFor    = suspectRetention / 2 // duration of a generation: a good response between two crashes is still known at the second
+	generationTime    = suspectRetention / 2 // duration of a generation: a good response between two crashes is still known at the second
 
 	counters  = 2                      // counter boxes of a content
 	newsPeriod  = 600 * time.Millisecond // time for which a change is in every message: three gossip rounds of a small fleet, one heartbeat
--- a/src/crasher/recent.go
+++ b/src/crasher/recent.go
@@ -27,7 +27,7 @@
 
 // sweep starts a new generation when the newer one is older than goodsFor.
 func (r *recent) sweep(now time.Time) {
-	if now.Sub(r.since) >= goodsFor {
+	if now.Sub(r.since) >= generationTime {
 		r.rotate(now)
 	}
 }
