--- a/src/crasher/constants.go
+++ b/src/crasher/constants.go
@@ -35,7 +35,7 @@
 	goodsMost   = 8192            // contents with recent good responses in each of two generations; 0.5 MB each
 	generationTime    = suspectRetention / 2 // duration of a generation: a good response between two crashes is still known at the second
 
-	counters  = 2                      // counter boxes of a content
+	counterBoxes  = 2                      // counter boxes of a content
 	newsPeriod  = 600 * time.Millisecond // time for which a change is in every message: three gossip rounds of a small fleet, one heartbeat
 	newsMost  = 24                     // changes in one message, about 60 bytes each
 	maxRepeatedNotes   = 4                      // further notes in a heartbeat, in rotation, for boxes that missed a change
--- a/src/crasher/note.go
+++ b/src/crasher/note.go
@@ -66,7 +66,7 @@
 	ranked := slices.SortedFunc(slices.Values(boxes), func(a, b string) int {
 		return cmp.Or(cmp.Compare(rank(k, b), rank(k, a)), cmp.Compare(a, b))
 	})
-	return ranked[:min(len(ranked), counters)]
+	return ranked[:min(len(ranked), counterBoxes)]
 }
 
 // rank returns the rendezvous hash of a box for a key.
