--- a/src/crasher/note.go
+++ b/src/crasher/note.go
@@ -110,15 +110,15 @@
 func (r *Register) Merge(now time.Time, notes []Note) []Counted {
 	var out []Counted
 	for _, n := range notes[:min(len(notes), MaxNotes)] {
-		if r.hear(now, n) {
+		if r.mergeNote(now, n) {
 			out = append(out, Counted{Key: n.Key, Verdict: r.Verdict(now, n.Key)})
 		}
 	}
 	return out
 }
 
-// hear merges one note and reports whether it changed anything.
-func (r *Register) hear(now time.Time, n Note) bool {
+// mergeNote merges one note and reports whether it changed anything.
+func (r *Register) mergeNote(now time.Time, n Note) bool {
 	changed := false
 	for _, x := range n.Ends[:min(len(n.Ends), endsKept)] {
 		if x.Age >= 0 && x.Age < maxBarTime && r.addEnd(now, n.Key, end{life: x.Life, at: now.Add(-x.Age)}) {
