--- a/src/crasher/note.go
+++ b/src/crasher/note.go
@@ -52,11 +52,11 @@
 	if len(keys) == 0 {
 		return out
 	}
-	if r.turn >= len(keys) {
-		r.turn = 0
+	if r.rotation >= len(keys) {
+		r.rotation = 0
 	}
-	turn := keys[r.turn:min(len(keys), r.turn+maxRepeatedNotes)]
-	r.turn += maxRepeatedNotes
+	turn := keys[r.rotation:min(len(keys), r.rotation+maxRepeatedNotes)]
+	r.rotation += maxRepeatedNotes
 	return append(out, r.notes(now, turn)...)
 }
 
--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -33,7 +33,7 @@
 	broken  map[Life][]brokenExchange // broken exchanges without proof of a crash
 	ended   map[Life]time.Time  // crashes, and when they were proven
 	goods   recent
-	turn    int // position in the rotation of Notes
+	rotation    int // position in the rotation of Notes
 }
 
 // entry is a content with at least one crash.
