--- a/src/crasher/recent.go
+++ b/src/crasher/recent.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// recent holds the contents with recent good responses in two generations; the older one is dropped as a whole.
-type recent struct {
+// recentGood holds the contents with recentGood good responses in two generations; the older one is dropped as a whole.
+type recentGood struct {
 	current, previous map[Key]time.Time
 	since       time.Time // start of the newer generation
 }
 
 // add records a good response to a content.
-func (r *recent) add(now time.Time, k Key) {
+func (r *recentGood) add(now time.Time, k Key) {
 	if r.current == nil || len(r.current) >= goodsMost {
 		r.rotate(now)
 	}
@@ -17,7 +17,7 @@
 }
 
 // at returns the time of the last good response to a content, if it is recent.
-func (r *recent) at(k Key) (time.Time, bool) {
+func (r *recentGood) at(k Key) (time.Time, bool) {
 	if at, ok := r.current[k]; ok {
 		return at, true
 	}
@@ -26,12 +26,12 @@
 }
 
 // sweep starts a new generation when the newer one is older than goodsFor.
-func (r *recent) sweep(now time.Time) {
+func (r *recentGood) sweep(now time.Time) {
 	if now.Sub(r.since) >= generationTime {
 		r.rotate(now)
 	}
 }
 
-func (r *recent) rotate(now time.Time) {
+func (r *recentGood) rotate(now time.Time) {
 	r.current, r.previous, r.since = map[Key]time.Time{}, r.current, now
 }
--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -32,7 +32,7 @@
 	entries map[Key]*entry
 	broken  map[Life][]brokenExchange // broken exchanges without proof of a crash
 	ended   map[Life]time.Time  // crashes, and when they were proven
-	goods   recent
+	goods   recentGood
 	rotation    int // position in the rotation of Notes
 }
 
