--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -127,7 +127,7 @@
 	if known >= 0 {
 		return false
 	}
-	e.ends = e.ends[max(0, len(e.ends)-endsKept):]
+	e.ends = e.ends[max(0, len(e.ends)-maxEnds):]
 	if at, ok := r.goods.at(k); ok && at.After(e.goodAt) {
 		e.goodAt = at
 	}
@@ -221,7 +221,7 @@
 	if ends < barThreshold {
 		return 0
 	}
-	return min(maxBarTime, firstBarTime<<min(ends-barThreshold, endsKept))
+	return min(maxBarTime, firstBarTime<<min(ends-barThreshold, maxEnds))
 }
 
 // Sweep removes expired state.
