--- a/src/crasher/constants.go
+++ b/src/crasher/constants.go
@@ -29,7 +29,7 @@
 // Limits of what is stored and reported.
 const (
 	maxEnds    = 16              // latest crashes kept for one content
-	entriesMost = 4096            // contents kept: those running in two full failure domains of the largest fleet seen; 0.8 MB
+	maxEntries = 4096            // contents kept: those running in two full failure domains of the largest fleet seen; 0.8 MB
 	brokenMost  = 1024            // incarnations kept with broken exchanges but without proof of a crash
 	keysPerLife = 256             // broken exchanges kept for one incarnation
 	goodsMost   = 8192            // contents with recent good responses in each of two generations; 0.5 MB each
--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -144,7 +144,7 @@
 	if e != nil {
 		return e
 	}
-	if len(r.entries) >= entriesMost {
+	if len(r.entries) >= maxEntries {
 		r.evict()
 	}
 	e = &entry{changed: now}
--- a/src/crasher/register_test.go
+++ b/src/crasher/register_test.go
@@ -155,10 +155,10 @@
 	guilty := keyOf(-1)
 	crashWith(&r, began, 1, guilty)
 	crashWith(&r, began, 2, guilty)
-	for i := range entriesMost + 500 {
+	for i := range maxEntries + 500 {
 		crashWith(&r, began, Life(100+i/keysPerLife), keyOf(i))
 	}
-	if len(r.entries) > entriesMost || r.Verdict(began, guilty).Ends != 2 {
+	if len(r.entries) > maxEntries || r.Verdict(began, guilty).Ends != 2 {
 		t.Errorf("%d entries, the verdict on the guilty one: %+v", len(r.entries), r.Verdict(began, guilty))
 	}
 	if news := r.News(began); len(news) != 1 || news[0].Key != guilty {
