--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -71,7 +71,7 @@
 		r.broken = map[Life][]brokenExchange{}
 	}
 	list, known := r.broken[life]
-	if !known && len(r.broken) >= brokenMost {
+	if !known && len(r.broken) >= maxBroken {
 		return nil
 	}
 	list = append(list, brokenExchangesAt(now, keys)...)
