--- a/src/crasher/recent.go
+++ b/src/crasher/recent.go
@@ -10,7 +10,7 @@
 
 // add records a good response to a content.
 func (r *recentGood) add(now time.Time, k Key) {
-	if r.current == nil || len(r.current) >= goodsMost {
+	if r.current == nil || len(r.current) >= maxGood {
 		r.rotate(now)
 	}
 	r.current[k] = now
