--- a/src/crasher/constants.go
+++ b/src/crasher/constants.go
@@ -37,7 +37,7 @@
 
 	counterBoxes  = 2                      // counter boxes of a content
 	newsPeriod  = 600 * time.Millisecond // time for which a change is in every message: three gossip rounds of a small fleet, one heartbeat
-	newsMost  = 24                     // changes in one message, about 60 bytes each
+	maxNews  = 24                     // changes in one message, about 60 bytes each
 	maxRepeatedNotes   = 4                      // further notes in a heartbeat, in rotation, for boxes that missed a change
 	MaxNotes = 64                     // notes accepted in one message
 )
--- a/src/crasher/note.go
+++ b/src/crasher/note.go
@@ -31,7 +31,7 @@
 		return nil
 	}
 	keys := r.keys(func(e *entry) bool { return len(e.ends) >= IsolationThreshold && now.Sub(e.changed) < newsPeriod })
-	return r.notes(now, keys[:min(len(keys), newsMost)])
+	return r.notes(now, keys[:min(len(keys), maxNews)])
 }
 
 // NotesOf returns the notes on the given contents that are known.
