--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -16,7 +16,7 @@
 	InputBytes  float64         // size of its inputs
 	Exclude     map[string]bool // ids of servers already tried
 	LeastLoaded bool            // prefer the server with the fewest requests; prompt cache and domain come second
-	Producers      map[string]int  // number of servers in each domain that produce its large inputs; nil if it has none
+	Producers   map[string]int  // number of servers in each domain that produce its large inputs; nil if it has none
 
 	Within *catalog.Confines // failure domains that it may run in; nil for any
 
@@ -48,7 +48,7 @@
 type LoadReport struct {
 	Server uint64
 	Load   Load
-	Paused  bool // the box has paused the server after failures
+	Paused bool // the box has paused the server after failures
 }
 
 // boxReport is the last report of a box on this pool.
@@ -64,9 +64,9 @@
 	own             Load      // of this box
 	peers           Load      // sum of other boxes' current reports
 	broken          int       // consecutive broken exchanges
-	failureRate           float64   // moving average of the failure rate
-	pauses           int       // pauses since the last success
-	pausedUntil           time.Time // end of the current pause
+	failureRate     float64   // moving average of the failure rate
+	pauses          int       // pauses since the last success
+	pausedUntil     time.Time // end of the current pause
 	probing         bool      // a request has been sent to see whether it has recovered
 	pace            float64   // moving average of measured over expected time
 	seenAt          time.Time // end of this box's last exchange with it
@@ -82,21 +82,21 @@
 	Limits func(*catalog.Server) bool
 	Boxes  int // number of boxes including this one; 0 to count only those that send reports
 
-	reports   map[string]boxReport    // reports of other boxes, by name
-	names   map[uint64]*server // servers by the hash of their ids
-	busy    map[string]*server // servers with requests of this box
-	paused map[string]*server // servers that are paused or were until recently
-	scale   float64            // factor from the reported loads to those of all boxes
-	servers map[string]*server
-	domains map[string]int                  // number of servers by failure domain
-	cached    map[uint64]map[uint64]time.Time // by hash of a prompt part and of a server: when the server processed the part
-	freshReads   []freshRead                     // recent reads to report to other boxes
-	picks   uint64                          // number of choices made
-	asked   popularity
-	failureRate   float64   // moving average of the failure rate of the whole pool
-	doubtSince time.Time // when this box last found a server absent or rejecting requests
-	salt    uint64    // specific to this box, for choices among servers of the same cost
-	ranks   []uint64  // scratch space
+	reports     map[string]boxReport // reports of other boxes, by name
+	names       map[uint64]*server   // servers by the hash of their ids
+	busy        map[string]*server   // servers with requests of this box
+	paused      map[string]*server   // servers that are paused or were until recently
+	scale       float64              // factor from the reported loads to those of all boxes
+	servers     map[string]*server
+	domains     map[string]int                  // number of servers by failure domain
+	cached      map[uint64]map[uint64]time.Time // by hash of a prompt part and of a server: when the server processed the part
+	freshReads  []freshRead                     // recent reads to report to other boxes
+	picks       uint64                          // number of choices made
+	asked       popularity
+	failureRate float64   // moving average of the failure rate of the whole pool
+	doubtSince  time.Time // when this box last found a server absent or rejecting requests
+	salt        uint64    // specific to this box, for choices among servers of the same cost
+	ranks       []uint64  // scratch space
 }
 
 // NewPool returns a pool without servers for a box in a failure domain.
@@ -328,7 +328,7 @@
 	return first, ok
 }
 
-// FirstRestToEnd returns the resting server that accepts requests again first, and when (see RestEnds).
+// FirstRestToEnd returns the resting server that accepts requests again first, and when (see EarliestRestEnd).
 func (p *Pool) FirstRestToEnd(now time.Time, w *Request) (catalog.Server, time.Time, bool) {
 	var first time.Time
 	var server *catalog.Server
--- a/src/balance/balance_test.go
+++ b/src/balance/balance_test.go
@@ -191,7 +191,9 @@
 
 func TestNewReportReplacesTheOldOne(t *testing.T) {
 	p := testPool("a", 2)
-	note := func(id string, n int) []LoadReport { return []LoadReport{{Server: catalog.Hash(id), Load: Load{Requests: n}}} }
+	note := func(id string, n int) []LoadReport {
+		return []LoadReport{{Server: catalog.Hash(id), Load: Load{Requests: n}}}
+	}
 	p.SetBoxLoads(start, "b", note("s0", 5))
 	p.SetBoxLoads(start, "c", note("s0", 2))
 	p.SetBoxLoads(start, "b", note("s1", 1))
--- a/src/balance/constants.go
+++ b/src/balance/constants.go
@@ -4,31 +4,31 @@
 
 // Parameters of the choice.
 const (
-	reportLifetime  = 1500 * time.Millisecond // lifetime of another box's load report
-	cacheLifetime        = 10 * time.Second        // time for which a processed prompt part is assumed to be cached
-	maxCachedParts        = 4096                    // prompt parts remembered for one pool
-	tokensPerMs     = 50.0                    // prompt tokens that an engine processes per millisecond, roughly
-	runningPenalty  = 3.0                     // ms for each running request, at a server of 64 slots
-	jitterMs        = 1.0                     // largest random ms added to the cost
-	otherDomainPenalty      = 8.0                     // ms for a server in another failure domain than the box
-	reprocessPenalty   = 0.12                    // ms for processing a shared token again, in addition to the time it takes
-	bytesPerMs      = 27000.0                 // input bytes from another domain that cost one ms
-	minCopyTokens     = 512                     // fewest shared tokens that are worth copying from another server
-	reportReadsFor       = 450 * time.Millisecond  // time for which a read is reported to other boxes: two gossip rounds
-	minProducerWeight     = 0.05                    // minimum weight of a domain without producers, so that it can have homes if it is the only one
-	homesFactor = 2.0                     // a popular prompt part gets this times its share of all tokens as its share of the servers
-	popularityDecay  = 5 * time.Second         // decay time of the token counts
-	popularityReportLifetime         = 10 * time.Second        // lifetime of another box's token counts; in a fleet of 300 a box hears from half of the others in that time
-	popularityReportParts        = 16                      // prompt parts in one message; a box of such a fleet gets requests for about ten in popularityLife
-	failurePause    = 600 * time.Millisecond  // after repeated failures; doubled with each further pause
-	maxDoublings    = 4                       // of failurePause
-	replacedPause   = 10 * time.Second        // for a server whose address another server has taken: longer than the list of servers lags
-	doubtPeriod       = 3 * time.Second         // time for which unused servers are doubted after one was found absent; the list drops a silent server after three heartbeats
-	doubtPenalty    = 150.0                   // ms for a doubted server: the time to process 7,500 prompt tokens
-	maxConsecutiveBroken    = 2                       // consecutive broken exchanges after which a server is paused
-	failureRateWeight = 0.15                    // weight of a new outcome in the failure rate
-	excessFailureRate       = 0.3                     // failure rate above the pool's at which a server is paused
-	paceLearning    = 0.2                     // weight of a new sample in the pace of a server
+	reportLifetime           = 1500 * time.Millisecond // lifetime of another box's load report
+	cacheLifetime            = 10 * time.Second        // time for which a processed prompt part is assumed to be cached
+	maxCachedParts           = 4096                    // prompt parts remembered for one pool
+	tokensPerMs              = 50.0                    // prompt tokens that an engine processes per millisecond, roughly
+	runningPenalty           = 3.0                     // ms for each running request, at a server of 64 slots
+	jitterMs                 = 1.0                     // largest random ms added to the cost
+	otherDomainPenalty       = 8.0                     // ms for a server in another failure domain than the box
+	reprocessPenalty         = 0.12                    // ms for processing a shared token again, in addition to the time it takes
+	bytesPerMs               = 27000.0                 // input bytes from another domain that cost one ms
+	minCopyTokens            = 512                     // fewest shared tokens that are worth copying from another server
+	reportReadsFor           = 450 * time.Millisecond  // time for which a read is reported to other boxes: two gossip rounds
+	minProducerWeight        = 0.05                    // minimum weight of a domain without producers, so that it can have homes if it is the only one
+	homesFactor              = 2.0                     // a popular prompt part gets this times its share of all tokens as its share of the servers
+	popularityDecay          = 5 * time.Second         // decay time of the token counts
+	popularityReportLifetime = 10 * time.Second        // lifetime of another box's token counts; in a fleet of 300 a box hears from half of the others in that time
+	popularityReportParts    = 16                      // prompt parts in one message; a box of such a fleet gets requests for about ten in popularityDecay
+	failurePause             = 600 * time.Millisecond  // after repeated failures; doubled with each further pause
+	maxDoublings             = 4                       // of failurePause
+	replacedPause            = 10 * time.Second        // for a server whose address another server has taken: longer than the list of servers lags
+	doubtPeriod              = 3 * time.Second         // time for which unused servers are doubted after one was found absent; the list drops a silent server after three heartbeats
+	doubtPenalty             = 150.0                   // ms for a doubted server: the time to process 7,500 prompt tokens
+	maxConsecutiveBroken     = 2                       // consecutive broken exchanges after which a server is paused
+	failureRateWeight        = 0.15                    // weight of a new outcome in the failure rate
+	excessFailureRate        = 0.3                     // failure rate above the pool's at which a server is paused
+	paceLearning             = 0.2                     // weight of a new sample in the pace of a server
 
 	leastLoadedPenalty = 30.0 // further ms for each running request if the least loaded server is wanted: the time to process 1,500 tokens
 	limitedPenalty     = 1e4  // ms for a rate-limited server for requests without a permit there: more than any other cost
--- a/src/balance/popularity.go
+++ b/src/balance/popularity.go
@@ -15,15 +15,15 @@
 // all boxes that reported recently. In a large fleet a box gets too few requests for its own counts to be meaningful: of
 // ten requests each would look like a tenth of all.
 //
-// A message has up to askNotes parts, and as many are stored for each box heard from in askLife.
+// A message has up to popularityReportParts parts, and as many are stored for each box heard from in popularityReportLifetime.
 type popularity struct {
 	own     map[uint64]float64 // tokens by hash of the first part
 	total   float64            // tokens of all requests of this box
 	decayed time.Time          // when the counts last decayed
 
-	reports map[string]popularityReport // of other boxes
-	reported    map[uint64]float64   // sums of the reports, by hash of the first part
-	reportedTotal float64              // sum of the reports' totals
+	reports       map[string]popularityReport // of other boxes
+	reported      map[uint64]float64          // sums of the reports, by hash of the first part
+	reportedTotal float64                     // sum of the reports' totals
 }
 
 // popularityReport is another box's report of its counts.
--- a/src/balance/prompt.go
+++ b/src/balance/prompt.go
@@ -44,7 +44,7 @@
 	return all, shared
 }
 
-// wasRead reports whether a server, given by hash, has processed a part within keptLife.
+// wasRead reports whether a server, given by hash, has processed a part within cacheLifetime.
 func wasRead(now time.Time, servers map[uint64]time.Time, id uint64) bool {
 	if len(servers) == 0 {
 		return false
--- a/src/balance/source_test.go
+++ b/src/balance/source_test.go
@@ -52,8 +52,10 @@
 // Copying from a server that is removed, failing or slow would delay the request.
 func TestNoCopyFromUnhealthyServer(t *testing.T) {
 	for name, spoil := range map[string]func(p *Pool, reader string){
-		"broken":  func(p *Pool, reader string) { p.Ended(start, reader, &Request{}, Broken) },
-		"resting": func(p *Pool, reader string) { p.SetBoxLoads(start, "b", []LoadReport{{Server: catalog.Hash(reader), Paused: true}}) },
+		"broken": func(p *Pool, reader string) { p.Ended(start, reader, &Request{}, Broken) },
+		"resting": func(p *Pool, reader string) {
+			p.SetBoxLoads(start, "b", []LoadReport{{Server: catalog.Hash(reader), Paused: true}})
+		},
 		"slow": func(p *Pool, reader string) {
 			for range 20 {
 				p.RecordPace(reader, 10*time.Second, time.Second)
--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -99,7 +99,7 @@
 }
 
 // form builds a call for a server from the most urgent pieces that fit. Jobs due later than patience from now may be
-// left out (see timely).
+// left out (see piecesInTime).
 func (s *Scheduler) form(now time.Time, v *serverState, queue []*job, patience time.Duration) (Call, bool) {
 	limit := s.pool.Batch.Size
 	room := s.room(now, v)
--- a/src/batch/handover.go
+++ b/src/batch/handover.go
@@ -49,7 +49,7 @@
 			continue
 		}
 		v.pausedUntil = now.Add(2*b.Left + handoverSlack) // or until the call is reported as ended
-		v.used += b.Bytes                           // until the results themselves are reported
+		v.used += b.Bytes                                 // until the results themselves are reported
 		s.handles[callAt(b.Server)] = held{server: b.Server, incarnation: v.Incarnation, bytes: b.Bytes, until: v.pausedUntil}
 	}
 	for _, id := range h.Idle {
--- a/src/batch/message.go
+++ b/src/batch/message.go
@@ -54,7 +54,7 @@
 	Gone                          // an input is no longer available
 	Errors                        // its pieces failed too often
 	NoPool                        // the scheduler doesn't know the pool
-	Withdrawn                       // withdrawn by the owner
+	Withdrawn                     // withdrawn by the owner
 	Moved                         // another box schedules the pool now
 	Barred                        // its content crashes the pool's servers
 	Unreachable                   // the scheduler refused the connection; set by the owner's box
--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -10,35 +10,35 @@
 // job is a job and its progress in the scheduler.
 type job struct {
 	*Job
-	since    time.Time // when it was accepted
-	pending  []int     // pieces that are in no call
-	running  int       // number of pieces in calls
-	handles  []string  // result of each piece
-	places   []string  // server of each result
-	domains  []string  // failure domain of each result
-	failures int
-	ended    bool
-	resubmitted bool      // stays here even if another box schedules the pool
-	sent     time.Time // when a piece was last put in a call
-	read     bool      // its owner was told that the inputs have been read
+	since         time.Time // when it was accepted
+	pending       []int     // pieces that are in no call
+	running       int       // number of pieces in calls
+	handles       []string  // result of each piece
+	places        []string  // server of each result
+	domains       []string  // failure domain of each result
+	failures      int
+	ended         bool
+	resubmitted   bool      // stays here even if another box schedules the pool
+	sent          time.Time // when a piece was last put in a call
+	read          bool      // its owner was told that the inputs have been read
 	roomUncertain bool      // some of its pieces are at a server that may lack room for them
 }
 
 // serverState is a server as seen by the scheduler.
 type serverState struct {
 	catalog.Server
-	call      uint64    // number of the running call, 0 for none
-	expectedEnd     time.Time // expected end of the running call
-	pausedUntil     time.Time // no call before
-	failures  int       // consecutive
-	ratio     float64   // moving average of measured over expected call time
-	probed    time.Time // when it last got a call although slow
-	freedAt   time.Time // when results were last freed there
+	call        uint64    // number of the running call, 0 for none
+	expectedEnd time.Time // expected end of the running call
+	pausedUntil time.Time // no call before
+	failures    int       // consecutive
+	ratio       float64   // moving average of measured over expected call time
+	probed      time.Time // when it last got a call although slow
+	freedAt     time.Time // when results were last freed there
 	handedTo    string    // scheduler that was told of the running call
-	used      float64   // bytes of known results stored there
-	unknown   float64   // bytes of results there without known handles, as estimated at unknownAt
-	unknownAt time.Time
-	listed    bool // takes new work
+	used        float64   // bytes of known results stored there
+	unknown     float64   // bytes of results there without known handles, as estimated at unknownAt
+	unknownAt   time.Time
+	listed      bool // takes new work
 }
 
 // runningCall is a call that has not ended.
@@ -59,7 +59,7 @@
 	incarnation catalog.Incarnation // of the server
 	bytes       float64
 	until       time.Time // expiry
-	handedTo        string    // scheduler that it was handed over to
+	handedTo    string    // scheduler that it was handed over to
 }
 
 // endedJob is the endedJob of a job, kept to answer repeated submissions.
@@ -71,7 +71,7 @@
 // Scheduler forms the calls of one pool. It does no I/O and reads no clock: methods take the time and return Actions.
 // It is not safe for concurrent use.
 type Scheduler struct {
-	Self  string                            // name of this box
+	Self      string                            // name of this box
 	VerdictOf func(crasher.Key) crasher.Verdict // returns the crashes attributed to a content; nil for none
 
 	// RestsUntil returns until when a server wants no calls, as it said itself; nil if no server rests.
@@ -80,19 +80,19 @@
 	// LimitOf returns a server's limit in requests per second, 0 for none; nil if no server has a limit.
 	LimitOf func(*catalog.Server) float64
 
-	pool    catalog.Pool
-	jobs    map[JobID]*job
-	ended   map[JobID]endedJob
-	servers map[string]*serverState
-	calls   map[uint64]*runningCall
-	handles map[string]held
-	freeing map[string][]string  // handles to free, by server
-	holdUntil   time.Time            // no call before, to wait for a handover
-	idle    []string             // servers whose handed-over calls have ended since
-	freedEarly   map[string]time.Time // handles that were freed before this scheduler knew them, by time
-	pieces  map[string]float64   // learned factor on ItemTime, by class
-	pace    float64              // moving average of one server's pieces per second while work waits; 0 if never measured
-	next    uint64               // number of the last call
+	pool       catalog.Pool
+	jobs       map[JobID]*job
+	ended      map[JobID]endedJob
+	servers    map[string]*serverState
+	calls      map[uint64]*runningCall
+	handles    map[string]held
+	freeing    map[string][]string  // handles to free, by server
+	holdUntil  time.Time            // no call before, to wait for a handover
+	idle       []string             // servers whose handed-over calls have ended since
+	freedEarly map[string]time.Time // handles that were freed before this scheduler knew them, by time
+	pieces     map[string]float64   // learned factor on ItemTime, by class
+	pace       float64              // moving average of one server's pieces per second while work waits; 0 if never measured
+	next       uint64               // number of the last call
 }
 
 // NewScheduler returns a scheduler for a pool, running in box self.
--- a/src/crasher/constants.go
+++ b/src/crasher/constants.go
@@ -10,11 +10,11 @@
 	// IsolationThreshold is the number of crashes from which a content is run separately from others and not retried by this box:
 	// except by coincidence, two crashes have only the guilty content in common.
 	IsolationThreshold = 2
-	// firstBarTime is how long a content is refused after the third crash, doubled with each further one, up to barMost: longer
+	// firstBarTime is how long a content is refused after the third crash, doubled with each further one, up to maxBarTime: longer
 	// than callers retry by themselves, shorter than it takes to fix and deploy a server. A content that is sent continually
 	// is tried at most three times in the first three and a half hours.
 	firstBarTime = 30 * time.Minute
-	maxBarTime  = 24 * time.Hour
+	maxBarTime   = 24 * time.Hour
 	// suspectRetention is how long fewer crashes are remembered: enough to detect a caller that retries once a minute.
 	suspectRetention = 10 * time.Minute
 	// goodPeriod: crashes before a good response to a content, or up to this long after it, don't count against the content.
@@ -28,16 +28,16 @@
 
 // Limits of what is stored and reported.
 const (
-	maxEnds    = 16              // latest crashes kept for one content
-	maxEntries = 4096            // contents kept: those running in two full failure domains of the largest fleet seen; 0.8 MB
-	maxBroken  = 1024            // incarnations kept with broken exchanges but without proof of a crash
-	keysPerLife = 256             // broken exchanges kept for one incarnation
-	maxGood   = 8192            // contents with recent good responses in each of two generations; 0.5 MB each
-	generationTime    = suspectRetention / 2 // duration of a generation: a good response between two crashes is still known at the second
+	maxEnds        = 16                   // latest crashes kept for one content
+	maxEntries     = 4096                 // contents kept: those running in two full failure domains of the largest fleet seen; 0.8 MB
+	maxBroken      = 1024                 // incarnations kept with broken exchanges but without proof of a crash
+	keysPerLife    = 256                  // broken exchanges kept for one incarnation
+	maxGood        = 8192                 // contents with recent good responses in each of two generations; 0.5 MB each
+	generationTime = suspectRetention / 2 // duration of a generation: a good response between two crashes is still known at the second
 
-	counterBoxes  = 2                      // counter boxes of a content
-	newsPeriod  = 600 * time.Millisecond // time for which a change is in every message: three gossip rounds of a small fleet, one heartbeat
-	maxNews  = 24                     // changes in one message, about 60 bytes each
-	maxRepeatedNotes   = 4                      // further notes in a heartbeat, in rotation, for boxes that missed a change
-	MaxNotes = 64                     // notes accepted in one message
+	counterBoxes     = 2                      // counter boxes of a content
+	newsPeriod       = 600 * time.Millisecond // time for which a change is in every message: three gossip rounds of a small fleet, one heartbeat
+	maxNews          = 24                     // changes in one message, about 60 bytes each
+	maxRepeatedNotes = 4                      // further notes in a heartbeat, in rotation, for boxes that missed a change
+	MaxNotes         = 64                     // notes accepted in one message
 )
--- a/src/crasher/note.go
+++ b/src/crasher/note.go
@@ -22,7 +22,7 @@
 	Age  time.Duration `msgpack:"a"`
 }
 
-// News returns the notes that changed within freshFor, for all boxes, those with the most crashes first. It includes only
+// News returns the notes that changed within newsPeriod, for all boxes, those with the most crashes first. It includes only
 // contents with at least two crashes; those with one are reported to two counter boxes (see Counters). Otherwise, when
 // half a pool fails with a thousand running requests, each box would receive notes on all of them: 44 and 60 kB/s per box
 // with 6 and 61 boxes over 12 s, instead of 3.6 and 1.5 kB/s (simulated).
--- a/src/crasher/recent.go
+++ b/src/crasher/recent.go
@@ -5,7 +5,7 @@
 // recentGood holds the contents with recentGood good responses in two generations; the older one is dropped as a whole.
 type recentGood struct {
 	current, previous map[Key]time.Time
-	since       time.Time // start of the newer generation
+	since             time.Time // start of the newer generation
 }
 
 // add records a good response to a content.
@@ -25,7 +25,7 @@
 	return at, ok
 }
 
-// sweep starts a new generation when the newer one is older than goodsFor.
+// sweep starts a new generation when the newer one is older than generationTime.
 func (r *recentGood) sweep(now time.Time) {
 	if now.Sub(r.since) >= generationTime {
 		r.rotate(now)
--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -29,11 +29,11 @@
 
 // Register holds what one box knows about contents that may crash servers. The zero value is ready to use.
 type Register struct {
-	entries map[Key]*entry
-	broken  map[Life][]brokenExchange // broken exchanges without proof of a crash
-	ended   map[Life]time.Time  // crashes, and when they were proven
-	goods   recentGood
-	rotation    int // position in the rotation of Notes
+	entries  map[Key]*entry
+	broken   map[Life][]brokenExchange // broken exchanges without proof of a crash
+	ended    map[Life]time.Time        // crashes, and when they were proven
+	goods    recentGood
+	rotation int // position in the rotation of Notes
 }
 
 // entry is a content with at least one crash.
--- a/src/pushback/constants.go
+++ b/src/pushback/constants.go
@@ -22,9 +22,9 @@
 	// permitLifetime is how long a permit is valid. It covers a new connection and a scheduling delay. A permit used later would
 	// add to those of the following window.
 	permitLifetime = 250 * time.Millisecond
-	// limitRampPeriod is how long a limit still applies after its end, doubled with each liftStep.
-	limitRampPeriod  = 6 * time.Second
-	limitRampStep = time.Second
+	// limitRampPeriod is how long a limit still applies after its end, doubled with each limitRampStep.
+	limitRampPeriod = 6 * time.Second
+	limitRampStep   = time.Second
 	// permitCountWindow is the window in which used permits are counted, to decide how many to request at once.
 	permitCountWindow = 50 * time.Millisecond
 	// urgentDecrease is the fraction of a limit below which a new one is reported at once rather than with the next heartbeat.
--- a/src/pushback/limits.go
+++ b/src/pushback/limits.go
@@ -22,7 +22,7 @@
 	permits []permit
 	next    time.Time // no permit is available before, according to the server's coordinator
 	used    int       // permits used since usedAt
-	usedAt  time.Time // start of the current wantsOver window
+	usedAt  time.Time // start of the current permitCountWindow window
 }
 
 // permit is the right to send one request.
@@ -131,7 +131,7 @@
 	return true
 }
 
-// LimitNotes returns at most NotesMost notes on servers' limits to send to other boxes: half of them the latest changes, the
+// LimitNotes returns at most MaxNotes notes on servers' limits to send to other boxes: half of them the latest changes, the
 // others in rotation, so that a box that missed a change receives it later.
 func (r *Register) LimitNotes() []LimitNote {
 	ids := slices.SortedFunc(maps.Keys(r.limits), func(a, b string) int {
--- a/src/pushback/register.go
+++ b/src/pushback/register.go
@@ -55,9 +55,9 @@
 // The register does no I/O. Times passed to it must come from a clock that advances while the machine is suspended. It is
 // not safe for concurrent use.
 type Register struct {
-	departures   map[string]departure // by server id, as are the others
-	rests  map[string]rest
-	limits map[string]limit
+	departures map[string]departure // by server id, as are the others
+	rests      map[string]rest
+	limits     map[string]limit
 	rotation   int // position in the rotation of Limits
 }
 
@@ -180,7 +180,7 @@
 	return ok
 }
 
-// LeavingServers returns at most NotesMost leaving incarnations that are still listed as taking work, to report to other boxes.
+// LeavingServers returns at most MaxNotes leaving incarnations that are still listed as taking work, to report to other boxes.
 func (r *Register) LeavingServers(works func(id string) bool) []Server {
 	var out []Server
 	for id, d := range r.departures {
@@ -212,4 +212,6 @@
 }
 
 // Empty reports whether the register holds nothing.
-func (r *Register) Empty() bool { return len(r.departures) == 0 && len(r.rests) == 0 && len(r.limits) == 0 }
+func (r *Register) Empty() bool {
+	return len(r.departures) == 0 && len(r.rests) == 0 && len(r.limits) == 0
+}
--- a/src/pushback/word.go
+++ b/src/pushback/signals.go
@@ -22,13 +22,13 @@
 // learn that the limit has ended.
 const (
 	MinLimit = 0.1
-	MaxLimit  = 1e5
+	MaxLimit = 1e5
 )
 
 // InvalidLimit stands for a limit that can't be parsed. It neither sets a limit nor ends one.
 const InvalidLimit = -1
 
-// ParseLimit parses the limits given in one response and returns the lowest, 0 if there is none, or NoSense.
+// ParseLimit parses the limits given in one response and returns the lowest, 0 if there is none, or InvalidLimit.
 func ParseLimit(values []string) float64 {
 	if len(values) == 0 {
 		return 0
--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -78,14 +78,14 @@
 	// Counted, if set, is called with the number of contents that a crash was counted against, for metrics.
 	Counted func(contents int)
 
-	mu       sync.Mutex
-	register crasher.Register
-	probing   map[crasher.Life]*probing
-	silent   map[crasher.Life]time.Time // servers that didn't respond, and when last
-	reportScheduled  bool                       // a report to other boxes is scheduled
-	news     bool                       // it includes changes for all boxes
-	single   []crasher.Key              // contents with one crash, to report to their counter boxes
-	any      atomic.Bool                // the register isn't empty; most of the time it is
+	mu              sync.Mutex
+	register        crasher.Register
+	probing         map[crasher.Life]*probing
+	silent          map[crasher.Life]time.Time // servers that didn't respond, and when last
+	reportScheduled bool                       // a report to other boxes is scheduled
+	news            bool                       // it includes changes for all boxes
+	single          []crasher.Key              // contents with one crash, to report to their counter boxes
+	any             atomic.Bool                // the register isn't empty; most of the time it is
 }
 
 // probing is a server that is being probed after broken exchanges.
@@ -232,7 +232,7 @@
 	u.scheduleReport(list)
 }
 
-// scheduleReport schedules a report of changed contents to other boxes, which collects all changes of tellAfter: contents with two
+// scheduleReport schedules a report of changed contents to other boxes, which collects all changes of reportDelay: contents with two
 // crashes or more go to all boxes, the others to their counter boxes.
 func (u *Tracker) scheduleReport(list []crasher.Counted) {
 	u.mu.Lock()
