--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -212,8 +212,8 @@
 	delete(p.reports, box)
 }
 
-// SetBoxLoads replaces the load report of another box. Servers of other pools are ignored, and servers that aren't named have
-// no load from that box. The cost is proportional to the number of notes, not of servers.
+// SetBoxLoads replaces the load report of another box. Servers of other pools are ignored, and servers that aren't named
+// have no load from that box. The cost is proportional to the number of notes, not of servers.
 func (p *Pool) SetBoxLoads(now time.Time, box string, notes []LoadReport) {
 	p.dropReport(box)
 	w := boxReport{at: now}
--- a/src/balance/popularity.go
+++ b/src/balance/popularity.go
@@ -15,7 +15,8 @@
 // all boxes that reported recently. In a large fleet a box gets too few requests for its own counts to be meaningful: of
 // ten requests each would look like a tenth of all.
 //
-// A message has up to popularityReportParts parts, and as many are stored for each box heard from in popularityReportLifetime.
+// A message has up to popularityReportParts parts, and as many are stored for each box heard from in
+// popularityReportLifetime.
 type popularity struct {
 	own     map[uint64]float64 // tokens by hash of the first part
 	total   float64            // tokens of all requests of this box
@@ -139,8 +140,8 @@
 	p.asked.setReport(now, box, total, parts)
 }
 
-// homeCount returns how many servers should process a first prompt part, in proportion to its share of all tokens. The number
-// is rounded up to a power of two so that boxes with slightly different estimates agree.
+// homeCount returns how many servers should process a first prompt part, in proportion to its share of all tokens. The
+// number is rounded up to a power of two so that boxes with slightly different estimates agree.
 func (p *Pool) homeCount(first uint64) int {
 	n := int(math.Ceil(homesFactor * p.asked.share(first) * float64(len(p.servers))))
 	if n > 1 {
--- a/src/pushback/register.go
+++ b/src/pushback/register.go
@@ -43,7 +43,7 @@
 // Open reports whether a request may be sent to the server.
 func (v Verdict) Open() bool { return v.State == Open }
 
-// Register holds what servers have said about themselves to one box, and decides by it: Judge is used when a server is
+// Register holds what servers have said about themselves to one box, and decides by it: Check is used when a server is
 // chosen, and Begin just before the first byte of a request is sent.
 //
 // A server's own statements take precedence over any list of servers. They are stored separately, so that a rewritten
@@ -58,7 +58,7 @@
 	departures map[string]departure // by server id, as are the others
 	rests      map[string]rest
 	limits     map[string]limit
-	rotation   int // position in the rotation of Limits
+	rotation   int // position in the rotation of LimitNotes
 }
 
 // departure is an incarnation that announced that it takes no new work.
@@ -180,7 +180,8 @@
 	return ok
 }
 
-// LeavingServers returns at most MaxNotes leaving incarnations that are still listed as taking work, to report to other boxes.
+// LeavingServers returns at most MaxNotes leaving incarnations that are still listed as taking work, to report to other
+// boxes.
 func (r *Register) LeavingServers(works func(id string) bool) []Server {
 	var out []Server
 	for id, d := range r.departures {
--- a/src/pushback/signals.go
+++ b/src/pushback/signals.go
@@ -15,7 +15,7 @@
 type Signals struct {
 	Leaving bool          // the server takes no new work
 	Rest    time.Duration // time for which it wants no requests from this box, 0 for none
-	Limit   float64       // requests per second from all boxes together, 0 if none is given; see LimitOf
+	Limit   float64       // requests per second from all boxes together, 0 if none is given; see ParseLimit
 }
 
 // Range of limits accepted from responses, in requests per second. With a lower one too few requests would be sent to
