--- a/src/batch/incarnation.go
+++ b/src/batch/incarnation.go
@@ -28,13 +28,13 @@
 		s.requeue(now, rc, nil, CallWithheld, out)
 	}
 	for _, t := range s.sorted(now) {
-		s.makeAgain(now, t, v.ID, out)
+		s.requeueLost(now, t, v.ID, out)
 	}
 }
 
-// makeAgain requeues the pieces of a job whose results were lost with a server. If the inputs are already freed the
+// requeueLost requeues the pieces of a job whose results were lost with a server. If the inputs are already freed the
 // job fails, since only the owner can have them produced again.
-func (s *Scheduler) makeAgain(now time.Time, t *job, server string, out *Actions) {
+func (s *Scheduler) requeueLost(now time.Time, t *job, server string, out *Actions) {
 	for i, place := range t.places {
 		if place != server || t.handles[i] == "" {
 			continue
