--- a/src/batch/ending.go
+++ b/src/batch/ending.go
@@ -101,7 +101,7 @@
 		}
 	}
 	if v != nil && refused > 0 {
-		s.refusedRoom(now, v, refused)
+		s.recordNoRoom(now, v, refused)
 	}
 	for _, t := range rc.jobs {
 		if !t.ended && t.running == 0 && len(t.pending) == 0 {
--- a/src/batch/room.go
+++ b/src/batch/room.go
@@ -17,9 +17,9 @@
 	return v.unknown * float64(left) / float64(unknownDecay)
 }
 
-// refusedRoom records that a server had no room for a result of the given bytes, so results that this scheduler doesn't
+// recordNoRoom records that a server had no room for a result of the given bytes, so results that this scheduler doesn't
 // account for are stored there.
-func (s *Scheduler) refusedRoom(now time.Time, v *serverState, size float64) {
+func (s *Scheduler) recordNoRoom(now time.Time, v *serverState, size float64) {
 	v.unknown = max(0, s.pool.Batch.RoomBytes-v.used-size)
 	v.unknownAt = now
 }
