--- a/src/batch/ending.go
+++ b/src/batch/ending.go
@@ -105,7 +105,7 @@
 	}
 	for _, t := range rc.jobs {
 		if !t.ended && t.running == 0 && len(t.pending) == 0 {
-			s.end(now, t, Message{Done: &Done{ID: t.ID, Handles: t.handles, Servers: t.places, Domain: commonest(t.domains)}}, out)
+			s.end(now, t, Message{Done: &Done{ID: t.ID, Handles: t.handles, Servers: t.places, Domain: mostFrequent(t.domains)}}, out)
 		}
 	}
 }
--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -213,8 +213,8 @@
 	return t.running == 0 && now.Add(call).After(t.Due)
 }
 
-// commonest returns the most frequent string, the lexically first one on a tie.
-func commonest(words []string) string {
+// mostFrequent returns the most frequent string, the lexically first one on a tie.
+func mostFrequent(words []string) string {
 	count := map[string]int{}
 	best := ""
 	for _, w := range words {
