--- a/src/batch/handover.go
+++ b/src/batch/handover.go
@@ -50,22 +50,22 @@
 		}
 		v.pausedUntil = now.Add(2*b.Left + handoverSlack) // or until the call is reported as ended
 		v.used += b.Bytes                                 // until the results themselves are reported
-		s.handles[callAt(b.Server)] = held{server: b.Server, incarnation: v.Incarnation, bytes: b.Bytes, until: v.pausedUntil}
+		s.handles[placeholderHandle(b.Server)] = held{server: b.Server, incarnation: v.Incarnation, bytes: b.Bytes, until: v.pausedUntil}
 	}
 	for _, id := range h.Idle {
 		v := s.servers[id]
-		r, ok := s.handles[callAt(id)]
+		r, ok := s.handles[placeholderHandle(id)]
 		if v == nil || !ok {
 			continue
 		}
-		delete(s.handles, callAt(id))
+		delete(s.handles, placeholderHandle(id))
 		v.used = max(0, v.used-r.bytes)
 		v.pausedUntil = now
 	}
 }
 
-// callAt returns the placeholder handle for the results of another scheduler's running call at a server.
-func callAt(server string) string { return "call at " + server }
+// placeholderHandle returns the placeholder handle for the results of another scheduler's running call at a server.
+func placeholderHandle(server string) string { return "call at " + server }
 
 // HoldUntil forms no calls before t, so that a new scheduler of a pool can wait for the handover of the previous one.
 func (s *Scheduler) HoldUntil(t time.Time) { s.holdUntil = t }
