--- a/src/batch/suspects.go
+++ b/src/batch/suspects.go
@@ -23,14 +23,14 @@
 // fitsCall reports whether a job may be added to a call, given the jobs already in it.
 func (s *Scheduler) fitsCall(t *job, rc *runningCall) bool {
 	alone := s.verdict(t).Ends >= crasher.IsolationThreshold
-	if alone && s.atWork(t.Content) {
+	if alone && s.isRunning(t.Content) {
 		return false
 	}
 	return len(rc.jobs) == 0 || !alone && !rc.alone || rc.jobs[0].Content == t.Content
 }
 
-// atWork reports whether a content is in a running call.
-func (s *Scheduler) atWork(k crasher.Key) bool {
+// isRunning reports whether a content is in a running call.
+func (s *Scheduler) isRunning(k crasher.Key) bool {
 	for _, rc := range s.calls {
 		for _, t := range rc.jobs {
 			if t.Content == k {
