--- a/src/batch/incarnation.go
+++ b/src/batch/incarnation.go
@@ -35,7 +35,7 @@
 // requeueLost requeues the pieces of a job whose results were lost with a server. If the inputs are already freed the
 // job fails, since only the owner can have them produced again.
 func (s *Scheduler) requeueLost(now time.Time, t *job, server string, out *Actions) {
-	for i, place := range t.places {
+	for i, place := range t.resultServers {
 		if place != server || t.handles[i] == "" {
 			continue
 		}
@@ -43,7 +43,7 @@
 			s.end(now, t, Message{Failed: &Failed{ID: t.ID, Reason: Gone}}, out)
 			return
 		}
-		t.handles[i], t.places[i], t.domains[i] = "", "", ""
+		t.handles[i], t.resultServers[i], t.domains[i] = "", "", ""
 		if !slices.Contains(t.pending, i) {
 			t.pending = append(t.pending, i)
 		}
