--- a/src/batch/ending.go
+++ b/src/batch/ending.go
@@ -86,7 +86,7 @@
 			}
 			t.handles[rc.pieces[i]], t.resultServers[rc.pieces[i]] = r.Handle, rc.server
 			if v != nil {
-				t.domains[rc.pieces[i]] = v.Domain
+				t.resultDomains[rc.pieces[i]] = v.Domain
 			}
 			continue
 		}
@@ -105,7 +105,7 @@
 	}
 	for _, t := range rc.jobs {
 		if !t.ended && t.running == 0 && len(t.pending) == 0 {
-			s.end(now, t, Message{Done: &Done{ID: t.ID, Handles: t.handles, Servers: t.resultServers, Domain: mostFrequent(t.domains)}}, out)
+			s.end(now, t, Message{Done: &Done{ID: t.ID, Handles: t.handles, Servers: t.resultServers, Domain: mostFrequent(t.resultDomains)}}, out)
 		}
 	}
 }
--- a/src/batch/incarnation.go
+++ b/src/batch/incarnation.go
@@ -43,7 +43,7 @@
 			s.end(now, t, Message{Failed: &Failed{ID: t.ID, Reason: Gone}}, out)
 			return
 		}
-		t.handles[i], t.resultServers[i], t.domains[i] = "", "", ""
+		t.handles[i], t.resultServers[i], t.resultDomains[i] = "", "", ""
 		if !slices.Contains(t.pending, i) {
 			t.pending = append(t.pending, i)
 		}
--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -15,7 +15,7 @@
 	running       int       // number of pieces in calls
 	handles       []string  // result of each piece
 	resultServers        []string  // server of each result
-	domains       []string  // failure domain of each result
+	resultDomains       []string  // failure domain of each result
 	failures      int
 	ended         bool
 	resubmitted   bool      // stays here even if another box schedules the pool
@@ -186,7 +186,7 @@
 		s.ended[id] = endedJob{message: moved, at: now}
 		return Actions{Replies: []Reply{{Box: id.Box, Message: moved}}}
 	}
-	t := &job{Job: j, since: now, resubmitted: insisted, handles: make([]string, j.Pieces), resultServers: make([]string, j.Pieces), domains: make([]string, j.Pieces)}
+	t := &job{Job: j, since: now, resubmitted: insisted, handles: make([]string, j.Pieces), resultServers: make([]string, j.Pieces), resultDomains: make([]string, j.Pieces)}
 	for i := range j.Pieces {
 		t.pending = append(t.pending, i)
 	}
