--- a/src/balance/health.go
+++ b/src/balance/health.go
@@ -146,7 +146,7 @@
 	if v == nil || expected <= 0 {
 		return
 	}
-	v.pace += paceLearning * (float64(took)/float64(expected) - v.pace)
+	v.pace += paceWeight * (float64(took)/float64(expected) - v.pace)
 }
 
 // Outcomes of an exchange.
