--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -92,7 +92,7 @@
 	cached      map[uint64]map[uint64]time.Time // by hash of a prompt part and of a server: when the server processed the part
 	freshReads  []freshRead                     // recent reads to report to other boxes
 	picks       uint64                          // number of choices made
-	asked       popularity
+	popularity       popularity
 	failureRate float64   // moving average of the failure rate of the whole pool
 	doubtSince  time.Time // when this box last found a server absent or rejecting requests
 	salt        uint64    // specific to this box, for choices among servers of the same cost
@@ -101,7 +101,7 @@
 
 // NewPool returns a pool without servers for a box in a failure domain.
 func NewPool(box, domain string) *Pool {
-	return &Pool{Box: box, Domain: domain, salt: catalog.Hash(box), reports: map[string]boxReport{}, names: map[uint64]*server{}, busy: map[string]*server{}, paused: map[string]*server{}, servers: map[string]*server{}, domains: map[string]int{}, cached: map[uint64]map[uint64]time.Time{}, asked: newPopularity()}
+	return &Pool{Box: box, Domain: domain, salt: catalog.Hash(box), reports: map[string]boxReport{}, names: map[uint64]*server{}, busy: map[string]*server{}, paused: map[string]*server{}, servers: map[string]*server{}, domains: map[string]int{}, cached: map[uint64]map[uint64]time.Time{}, popularity: newPopularity()}
 }
 
 // Configure sets the complete list of servers that take new work.
@@ -256,7 +256,7 @@
 func (p *Pool) Pick(now time.Time, w *Request) (catalog.Server, string, bool) {
 	var best *server
 	bestCost, why := 0.0, ""
-	p.asked.note(now, w)
+	p.popularity.note(now, w)
 	p.scale = p.dropExpiredReports(now)
 	p.picks++
 	home, kept := p.home(w), p.cachedParts(w)
--- a/src/balance/balance_test.go
+++ b/src/balance/balance_test.go
@@ -226,9 +226,9 @@
 // A domain gets prompts with large inputs in proportion to the number of its servers that produce them.
 func TestHomesFollowProducersOfLargeInputs(t *testing.T) {
 	p := testPool("a", 12)
-	p.asked.total = 1
+	p.popularity.total = 1
 	for i := range 40 { // every first part is popular enough to have all servers as homes
-		p.asked.own[catalog.Hash(fmt.Sprint("common", i))] = 1
+		p.popularity.own[catalog.Hash(fmt.Sprint("common", i))] = 1
 	}
 	even, domains := homesOf(p, nil)
 	if n := domains["d0"]; n < 100 || n > 170 {
@@ -261,7 +261,7 @@
 	for i := range pools {
 		pools[i] = testPool(fmt.Sprint("box", i), 64)
 	}
-	ask := func(p *Pool, first string) { p.asked.note(start, &Request{Parts: prompt(first, "book", "own")}) }
+	ask := func(p *Pool, first string) { p.popularity.note(start, &Request{Parts: prompt(first, "book", "own")}) }
 	for i, p := range pools { // half of the requests have the same first part
 		for n := range 3 {
 			ask(p, "common")
@@ -286,9 +286,9 @@
 		}
 	}
 	p := pools[0]
-	p.asked.decay(start.Add(popularityReportLifetime + popularityDecay))
-	if len(p.asked.reports) > 0 || p.asked.reportedTotal > 0 || len(p.asked.reported) > 0 {
-		t.Errorf("expired reports are still counted: %v", p.asked)
+	p.popularity.decay(start.Add(popularityReportLifetime + popularityDecay))
+	if len(p.popularity.reports) > 0 || p.popularity.reportedTotal > 0 || len(p.popularity.reported) > 0 {
+		t.Errorf("expired reports are still counted: %v", p.popularity)
 	}
 }
 
--- a/src/balance/popularity.go
+++ b/src/balance/popularity.go
@@ -112,8 +112,8 @@
 
 // PopularityReport returns this box's counts to report to other boxes: all tokens, and those of the most requested parts.
 func (p *Pool) PopularityReport(now time.Time) (total float64, parts []PartTokens) {
-	p.asked.decay(now)
-	for part, n := range p.asked.own {
+	p.popularity.decay(now)
+	for part, n := range p.popularity.own {
 		parts = append(parts, PartTokens{Part: part, Tokens: uint32(min(n, math.MaxUint32))})
 	}
 	slices.SortFunc(parts, func(a, b PartTokens) int {
@@ -122,7 +122,7 @@
 		}
 		return compareHashes(a.Part, b.Part)
 	})
-	return p.asked.total, parts[:min(len(parts), popularityReportParts)]
+	return p.popularity.total, parts[:min(len(parts), popularityReportParts)]
 }
 
 func compareHashes(a, b uint64) int {
@@ -137,13 +137,13 @@
 
 // SetBoxPopularity records another box's counts.
 func (p *Pool) SetBoxPopularity(now time.Time, box string, total float64, parts []PartTokens) {
-	p.asked.setReport(now, box, total, parts)
+	p.popularity.setReport(now, box, total, parts)
 }
 
 // homeCount returns how many servers should process a first prompt part, in proportion to its share of all tokens. The
 // number is rounded up to a power of two so that boxes with slightly different estimates agree.
 func (p *Pool) homeCount(first uint64) int {
-	n := int(math.Ceil(homesFactor * p.asked.share(first) * float64(len(p.servers))))
+	n := int(math.Ceil(homesFactor * p.popularity.share(first) * float64(len(p.servers))))
 	if n > 1 {
 		n = 1 << bits.Len(uint(n-1))
 	}
