--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -21,7 +21,7 @@
 	Within *catalog.Confines // failure domains that it may run in; nil for any
 
 	Only      string // id of the only server to choose, where a permit is reserved for it; "" for any
-	Unlimited bool   // prefer servers without a request limit
+	AvoidLimited bool   // prefer servers without a request limit
 }
 
 // barred reports whether the request excludes a server, whatever the server's load.
@@ -379,7 +379,7 @@
 	if p.doubted(now, v, l) {
 		cost += doubtPenalty
 	}
-	if w.Unlimited && p.limited(v) {
+	if w.AvoidLimited && p.limited(v) {
 		cost += limitedPenalty
 	}
 	cost *= max(1, v.pace)
--- a/src/balance/resting_test.go
+++ b/src/balance/resting_test.go
@@ -67,7 +67,7 @@
 		t.Errorf("%s, which limits its requests, is a source of prompt parts", s.ID)
 	}
 	for range 20 {
-		if s, _, ok := p.Pick(start, &Request{Unlimited: true}); !ok || s.ID != "b" {
+		if s, _, ok := p.Pick(start, &Request{AvoidLimited: true}); !ok || s.ID != "b" {
 			t.Fatalf("%q was chosen for a request without a permit", s.ID)
 		}
 	}
--- a/src/gateway/limits.go
+++ b/src/gateway/limits.go
@@ -150,7 +150,7 @@
 // those without a limit come first, and a permit ahead of time is asked for at the next that has one.
 func (v *visit) permitted(ctx context.Context, s catalog.Server) bool {
 	now, patience := v.gateway.now(), time.Duration(0)
-	if v.wish.Unlimited {
+	if v.wish.AvoidLimited {
 		patience = v.permitPatience(now)
 	}
 	begin, ok := v.gateway.takePermit(ctx, s, v.request.ID, patience)
@@ -159,6 +159,6 @@
 		return true
 	}
 	v.asked++
-	v.wish.Unlimited = v.asked >= limitsTried
+	v.wish.AvoidLimited = v.asked >= limitsTried
 	return false
 }
