--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -20,7 +20,7 @@
 
 	Within *catalog.Confines // failure domains that it may run in; nil for any
 
-	Only      string // id of the only server to choose, where a permit is reserved for it; "" for any
+	Only         string // id of the only server to choose, where a permit is reserved for it; "" for any
 	AvoidLimited bool   // prefer servers without a request limit
 }
 
@@ -92,7 +92,7 @@
 	cached      map[uint64]map[uint64]time.Time // by hash of a prompt part and of a server: when the server processed the part
 	freshReads  []freshRead                     // recent reads to report to other boxes
 	picks       uint64                          // number of choices made
-	popularity       popularity
+	popularity  popularity
 	failureRate float64   // moving average of the failure rate of the whole pool
 	doubtSince  time.Time // when this box last found a server absent or rejecting requests
 	salt        uint64    // specific to this box, for choices among servers of the same cost
--- a/src/balance/constants.go
+++ b/src/balance/constants.go
@@ -28,7 +28,7 @@
 	maxConsecutiveBroken     = 2                       // consecutive broken exchanges after which a server is paused
 	failureRateWeight        = 0.15                    // weight of a new outcome in the failure rate
 	excessFailureRate        = 0.3                     // failure rate above the pool's at which a server is paused
-	paceWeight             = 0.2                     // weight of a new sample in the pace of a server
+	paceWeight               = 0.2                     // weight of a new sample in the pace of a server
 
 	leastLoadedPenalty = 30.0 // further ms for each running request if the least loaded server is wanted: the time to process 1,500 tokens
 	limitedPenalty     = 1e4  // ms for a rate-limited server for requests without a permit there: more than any other cost
--- a/src/balance/doubt_test.go
+++ b/src/balance/doubt_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// runWithCrashedServers simulates a box with 30 servers of which every third has crashed but is still listed. Other boxes report their
-// load at the live ones. It returns how many of 20 requests, 50 ms apart, were sent to a crashed server, and the number of
+// runWithCrashedServers simulates a box with 30 servers of which every third has crashed but is still listed. Other
+// boxes report their load at the live ones. It returns how many of 20 requests, 50 ms apart, were sent to a crashed server, and the number of
 // the other requests at each server.
 func runWithCrashedServers(t *testing.T) (met int, at map[string]int) {
 	p := testPool("a", 30)
--- a/src/balance/prompt.go
+++ b/src/balance/prompt.go
@@ -74,8 +74,8 @@
 	return best
 }
 
-// domainWeight returns the domainWeight of a domain's servers in the choice of a home: the domain's share of the servers that produce
-// the request's large inputs, or 1 if it has none.
+// domainWeight returns the weight of a domain's servers in the choice of a home: the domain's share of the servers that
+// produce the request's large inputs, or 1 if it has none.
 func (p *Pool) domainWeight(w *Request, domain string) float64 {
 	makers := 0
 	for _, n := range w.Producers {
--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -14,8 +14,8 @@
 	pending       []int     // pieces that are in no call
 	running       int       // number of pieces in calls
 	handles       []string  // result of each piece
-	resultServers        []string  // server of each result
-	resultDomains       []string  // failure domain of each result
+	resultServers []string  // server of each result
+	resultDomains []string  // failure domain of each result
 	failures      int
 	ended         bool
 	resubmitted   bool      // stays here even if another box schedules the pool
@@ -62,7 +62,7 @@
 	handedTo    string    // scheduler that it was handed over to
 }
 
-// endedJob is the endedJob of a job, kept to answer repeated submissions.
+// endedJob is the outcome of a job, kept to answer repeated submissions.
 type endedJob struct {
 	message Message
 	at      time.Time
--- a/src/crasher/recent.go
+++ b/src/crasher/recent.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// recentGood holds the contents with recentGood good responses in two generations; the older one is dropped as a whole.
+// recentGood holds the contents with recent good responses in two generations; the older one is dropped as a whole.
 type recentGood struct {
 	current, previous map[Key]time.Time
 	since             time.Time // start of the newer generation
--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// brokenExchangesAt returns the breakages of contents at one time.
+// brokenExchangesAt returns the broken exchanges of contents at one time.
 func brokenExchangesAt(now time.Time, keys []Key) []brokenExchange {
 	out := make([]brokenExchange, len(keys))
 	for i, k := range keys {
@@ -101,7 +101,7 @@
 	return r.addEnds(now, life, list)
 }
 
-// addEnds counts a crash against the contents of recent breakages and returns them.
+// addEnds counts a crash against the contents of recent broken exchanges and returns them.
 func (r *Register) addEnds(now time.Time, life Life, list []brokenExchange) []Counted {
 	var out []Counted
 	for _, b := range list {
--- a/src/pushback/constants.go
+++ b/src/pushback/constants.go
@@ -11,16 +11,16 @@
 	trialTimeout = time.Second
 	// returnRecheckDelay is the delay before a returning server is checked again: a quick service has responded by then.
 	returnRecheckDelay = 20 * time.Millisecond
-	// maxReturnWindow is the number of concurrent requests above which a returning server is no longer limited: the slots of the
-	// largest engines seen. Without the gradual increase a box would send all waiting requests when the rest ends.
+	// maxReturnWindow is the number of concurrent requests above which a returning server is no longer limited: the slots
+	// of the largest engines seen. Without the gradual increase a box would send all waiting requests when the rest ends.
 	maxReturnWindow = 64
 	// restRetention is how long a rest is kept after its end if nothing is sent to the server.
 	restRetention = time.Minute
 	// departureRetention is how long a departure is kept after the server was last listed: leaving servers were seen to serve
 	// for many more seconds, and the lists of other boxes lag by a second or two.
 	departureRetention = time.Minute
-	// permitLifetime is how long a permit is valid. It covers a new connection and a scheduling delay. A permit used later would
-	// add to those of the following window.
+	// permitLifetime is how long a permit is valid. It covers a new connection and a scheduling delay. A permit used later
+	// would add to those of the following window.
 	permitLifetime = 250 * time.Millisecond
 	// limitRampPeriod is how long a limit still applies after its end, doubled with each limitRampStep.
 	limitRampPeriod = 6 * time.Second
--- a/src/pushback/limits.go
+++ b/src/pushback/limits.go
@@ -22,7 +22,7 @@
 	permits []permit
 	next    time.Time // no permit is available before, according to the server's coordinator
 	used    int       // permits used since usedAt
-	usedAt  time.Time // start of the current permitCountWindow window
+	usedAt  time.Time // start of the current permitCountWindow
 }
 
 // permit is the right to send one request.
@@ -40,7 +40,7 @@
 	Ended     bool
 }
 
-// appliesTo reports whether the limit is appliesTo force for a server's incarnation.
+// appliesTo reports whether the limit is in force for a server's incarnation.
 func (l limit) appliesTo(now time.Time, s Server) bool {
 	if l.incarnation > 0 && s.Incarnation > l.incarnation {
 		return false
--- a/src/pushback/register.go
+++ b/src/pushback/register.go
@@ -81,8 +81,8 @@
 	return p.begun < p.window || now.Sub(p.round) >= trialTimeout
 }
 
-// RecordLeaving records that a server's incarnation takes no new work, as announced by itself or reported by another box. It
-// reports whether that is new.
+// RecordLeaving records that a server's incarnation takes no new work, as announced by itself or reported by another
+// box. It reports whether that is new.
 func (r *Register) RecordLeaving(now time.Time, s Server) bool {
 	d, known := r.departures[s.ID]
 	if known && d.incarnation == 0 {
@@ -98,8 +98,8 @@
 	return true
 }
 
-// earlierThan reports whether the departed incarnation is earlier than that of s. If either is unknown (0) they count as the
-// same: skipping a server costs less than sending requests to one that is leaving.
+// earlierThan reports whether the departed incarnation is earlier than that of s. If either is unknown (0) they count as
+// the same: skipping a server costs less than sending requests to one that is leaving.
 func (d departure) earlierThan(s Server) bool {
 	return d.incarnation > 0 && s.Incarnation > d.incarnation
 }
@@ -154,7 +154,7 @@
 	return r.checkLimit(now, s)
 }
 
-// Begin is Judge for the moment before the first byte of a request is sent. If the request may be sent it consumes a
+// Begin is Check for the moment before the first byte of a request is sent. If the request may be sent it consumes a
 // permit and counts the request. owner identifies the request for which a permit was reserved.
 func (r *Register) Begin(now time.Time, s Server, owner string) Verdict {
 	v := r.Check(now, s)
--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -215,7 +215,7 @@
 	}
 }
 
-// logCounted logs the contents that a crash was logCounted against and reports them to other boxes.
+// logCounted logs the contents that a crash was counted against and reports them to other boxes.
 func (u *Tracker) logCounted(list []crasher.Counted, server string, proof Proof) {
 	if len(list) == 0 {
 		return
@@ -232,7 +232,7 @@
 	u.scheduleReport(list)
 }
 
-// scheduleReport schedules a report of changed contents to other boxes, which collects all changes of reportDelay: contents with two
+// scheduleReport schedules a report to other boxes that collects the contents changed within reportDelay: those with two
 // crashes or more go to all boxes, the others to their counter boxes.
 func (u *Tracker) scheduleReport(list []crasher.Counted) {
 	u.mu.Lock()
@@ -263,8 +263,8 @@
 	u.reportToCounters(single, map[string]bool{})
 }
 
-// reportToCounters sends this box's notes on contents to their counter boxes. A box that doesn't respond is replaced by the next
-// one: in a fleet of 61 boxes that had just lost both counter boxes of a content, 3 servers crashed instead of 21, and 8
+// reportToCounters sends this box's notes on contents to their counter boxes. A box that doesn't respond is replaced by
+// the next one: in a fleet of 61 boxes that had just lost both counter boxes of a content, 3 servers crashed instead of 21, and 8
 // late sends were avoided.
 func (u *Tracker) reportToCounters(keys []crasher.Key, silent map[string]bool) {
 	boxes := slices.DeleteFunc(slices.Clone(u.Boxes()), func(box string) bool { return silent[box] })
