--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -1,5 +1,5 @@
-// Package balance picks the backend server of a request: by the work that all boxes have there, by
-// what it keeps of the request's prompt, by where it lies, and by how it answered lately.
+// Package balance chooses the backend server for a request by the load that all boxes have there, the parts of the
+// request's prompt that it has cached, its failure domain and the outcomes of its recent requests.
 package balance
 
 import (
@@ -9,28 +9,28 @@
 	"github.com/stilemast/stilemast/src/catalog"
 )
 
-// Wish describes a request to be placed.
-type Wish struct {
-	Parts       []Part          // of the prompt, in order; the last is its own
-	Domain      string          // where its inputs lie, "" for none
-	InputBytes  float64         // size of the inputs
-	Exclude     map[string]bool // servers tried already
-	LeastLoaded bool            // the server with the fewest requests; prompts and places come second
-	Makers      map[string]int  // servers by domain that make its large inputs; nil when it has none
+// Request describes the request for which to choose a server.
+type Request struct {
+	Parts       []Part          // parts of the prompt, in order; the last is not shared with other requests
+	Domain      string          // failure domain of its inputs, "" for none
+	InputBytes  float64         // size of its inputs
+	Exclude     map[string]bool // ids of servers already tried
+	LeastLoaded bool            // prefer the server with the fewest requests; prompt cache and domain come second
+	Producers   map[string]int  // number of servers in each domain that produce its large inputs; nil if it has none
 
-	Within *catalog.Confines // where it may run; nil for anywhere
+	Within *catalog.Confines // failure domains that it may run in; nil for any
 
-	Only      string // the one server where a permit is reserved for it, "" for none
-	Unlimited bool   // servers that limit their requests come last
+	Only         string // id of the only server to choose, where a permit is reserved for it; "" for any
+	AvoidLimited bool   // prefer servers without a request limit
 }
 
-// barred says whether a request may not be given to a server, whatever its load.
-func (w *Wish) barred(v *server) bool {
+// barred reports whether the request excludes a server, whatever the server's load.
+func (w *Request) barred(v *server) bool {
 	return w.Exclude[v.ID] || !w.Within.Allow(v.Domain) || w.Only != "" && w.Only != v.ID
 }
 
-// Tokens counts the prompt's tokens.
-func (w *Wish) Tokens() int {
+// Tokens returns the number of tokens in the prompt.
+func (w *Request) Tokens() int {
 	n := 0
 	for _, p := range w.Parts {
 		n += p.Tokens
@@ -38,72 +38,73 @@
 	return n
 }
 
-// Load is what one box has at a server.
+// Load is the load at a server.
 type Load struct {
 	Requests int
-	Tokens   int // of prompts that are still to be read
+	Tokens   int // prompt tokens that have not been processed
 }
 
-// Note is another box's word on its load at a server, which is named by the hash of its id.
-type Note struct {
+// LoadReport is the load that a box reports for a server, which is identified by the hash of its id.
+type LoadReport struct {
 	Server uint64
 	Load   Load
-	Rests  bool // the server failed there
+	Paused bool // the box has paused the server after failures
 }
 
-// word is what one box told of this pool, and when.
-type word struct {
+// boxReport is the last report of a box on this pool.
+type boxReport struct {
 	at    time.Time
-	notes []Note
+	notes []LoadReport
 }
 
+// server is a server of the pool as seen by this box.
 type server struct {
-	*catalog.Server        // shared with the list, must not be changed
-	hash            uint64 // of the id
-	own             Load
-	peers           Load    // what other boxes told of lately, together
-	broken          int     // broken exchanges in a row
-	share           float64 // of failures, moving
-	rests           int     // times it was rested without a success between
-	until           time.Time
-	probing         bool
-	pace            float64   // measured time over the pool's, moving
-	seenAt          time.Time // when this box last had an exchange with it
+	*catalog.Server           // shared with the catalog, must not be modified
+	hash            uint64    // of the id
+	own             Load      // of this box
+	peers           Load      // sum of other boxes' current reports
+	broken          int       // consecutive broken exchanges
+	failureRate     float64   // moving average of the failure rate
+	pauses          int       // pauses since the last success
+	pausedUntil     time.Time // end of the current pause
+	probing         bool      // a request has been sent to see whether it has recovered
+	pace            float64   // moving average of measured over expected time
+	seenAt          time.Time // end of this box's last exchange with it
 }
 
-// Pool picks among the servers of one pool. It is pure: time comes in. Not safe for concurrent use.
+// Pool chooses among the servers of one pool. It does no I/O and reads no clock. It is not safe for concurrent use.
 type Pool struct {
 	Box    string
 	Domain string // of this box
-	// RestsUntil is until when a server wants nothing from this box, by its own word; nil knows of none.
+	// RestsUntil returns until when a server wants no requests from this box, as it said itself; nil if none rests.
 	RestsUntil func(*catalog.Server) time.Time
-	// Limits says whether a server limits its requests; nil knows of none.
+	// Limits reports whether a server limits its request rate; nil if none does.
 	Limits func(*catalog.Server) bool
-	Boxes  int // that there are, this one among them; 0 when only those heard of count
-
-	words   map[string]word    // of other boxes, by name
-	names   map[uint64]*server // by the hash of their ids
-	busy    map[string]*server // that this box has requests at
-	resting map[string]*server // that rest, or rested a moment ago
-	scale   float64            // by which the loads that were told stand for all
-	servers map[string]*server
-	domains map[string]int                  // servers by failure domain
-	kept    map[uint64]map[uint64]time.Time // hash of a prompt part to those of servers that read it, and when
-	fresh   []freshRead                     // of which other boxes are still told
-	picks   uint64
-	asked   popularity
-	share   float64   // of failures in the whole pool, moving
-	doubtAt time.Time // when this box last found a server gone or turning requests away
-	salt    uint64    // of this box, for choices among servers that cost the same
-	ranks   []uint64  // scratch space
+	Boxes  int // number of boxes including this one; 0 to count only those that send reports
+
+	reports     map[string]boxReport // reports of other boxes, by name
+	names       map[uint64]*server   // servers by the hash of their ids
+	busy        map[string]*server   // servers with requests of this box
+	paused      map[string]*server   // servers that are paused or were until recently
+	scale       float64              // factor from the reported loads to those of all boxes
+	servers     map[string]*server
+	domains     map[string]int                  // number of servers by failure domain
+	cached      map[uint64]map[uint64]time.Time // by hash of a prompt part and of a server: when the server processed the part
+	freshReads  []freshRead                     // recent reads to report to other boxes
+	picks       uint64                          // number of choices made
+	popularity  popularity
+	failureRate float64   // moving average of the failure rate of the whole pool
+	doubtSince  time.Time // when this box last found a server absent or rejecting requests
+	salt        uint64    // specific to this box, for choices among servers of the same cost
+	ranks       []uint64  // scratch space
 }
 
-// NewPool knows no server yet.
+// NewPool returns a pool without servers for a box in a failure domain.
 func NewPool(box, domain string) *Pool {
-	return &Pool{Box: box, Domain: domain, salt: catalog.Hash(box), words: map[string]word{}, names: map[uint64]*server{}, busy: map[string]*server{}, resting: map[string]*server{}, servers: map[string]*server{}, domains: map[string]int{}, kept: map[uint64]map[uint64]time.Time{}, asked: newPopularity()}
+	return &Pool{Box: box, Domain: domain, salt: catalog.Hash(box), reports: map[string]boxReport{}, names: map[uint64]*server{}, busy: map[string]*server{}, paused: map[string]*server{}, servers: map[string]*server{}, domains: map[string]int{}, cached: map[uint64]map[uint64]time.Time{}, popularity: newPopularity()}
 }
 
-// Configure takes all servers that are listed and take new work.
+// Configure sets the complete list of servers that take new work.
 func (p *Pool) Configure(list []*catalog.Server) {
 	seen := make(map[string]bool, len(list))
 	for _, v := range list {
@@ -115,11 +116,11 @@
 			gone = append(gone, id)
 		}
 	}
-	p.Change(list, gone)
+	p.UpdateServers(list, gone)
 }
 
-// Change takes servers that take new work now, or are listed otherwise, and those that take none any more.
-func (p *Pool) Change(put []*catalog.Server, gone []string) {
+// UpdateServers adds or updates servers that take new work (put) and removes those that no longer do (gone).
+func (p *Pool) UpdateServers(put []*catalog.Server, gone []string) {
 	for _, v := range put {
 		st := p.servers[v.ID]
 		if st != nil && st.Incarnation != v.Incarnation {
@@ -144,41 +145,41 @@
 	}
 }
 
-// drop forgets a server.
+// drop removes a server.
 func (p *Pool) drop(v *server) {
 	delete(p.servers, v.ID)
 	delete(p.names, v.hash)
 	delete(p.busy, v.ID)
-	delete(p.resting, v.ID)
+	delete(p.paused, v.ID)
 	p.domains[v.Domain]--
 }
 
-// forgetIncarnation drops all that was believed of a server which has started again: loads, failures, what it keeps of prompts.
+// forgetIncarnation drops the state of a server's previous incarnation: loads, failures and cached prompt parts.
 func (p *Pool) forgetIncarnation(v *server) {
 	delete(p.busy, v.ID)
-	delete(p.resting, v.ID)
-	for _, m := range p.kept {
+	delete(p.paused, v.ID)
+	for _, m := range p.cached {
 		delete(m, v.hash)
 	}
-	p.fresh = slices.DeleteFunc(p.fresh, func(r freshRead) bool { return r.Server == v.hash })
-	for box, w := range p.words {
-		w.notes = slices.DeleteFunc(w.notes, func(n Note) bool { return n.Server == v.hash })
-		p.words[box] = w
+	p.freshReads = slices.DeleteFunc(p.freshReads, func(r freshRead) bool { return r.Server == v.hash })
+	for box, w := range p.reports {
+		w.notes = slices.DeleteFunc(w.notes, func(n LoadReport) bool { return n.Server == v.hash })
+		p.reports[box] = w
 	}
 }
 
-// Current says whether a server as it was chosen is the one that is listed now: an exchange with an earlier life says
-// nothing of it.
+// Current reports whether the incarnation of s is the one listed now. An exchange with an earlier incarnation says
+// nothing about the current one.
 func (p *Pool) Current(s catalog.Server) bool {
 	v := p.servers[s.ID]
 	return v != nil && v.Incarnation == s.Incarnation
 }
 
-// Size counts the servers.
+// Size returns the number of servers.
 func (p *Pool) Size() int { return len(p.servers) }
 
-// load sums what all boxes have at a server. In a large fleet few tell in time; the others are taken to
-// have as much as they.
+// load estimates the load of all boxes at a server. In a large fleet only some boxes have reported recently; the others
+// are assumed to have the same load on average.
 func (p *Pool) load(v *server) Load {
 	return Load{
 		Requests: v.own.Requests + int(p.scale*float64(v.peers.Requests)),
@@ -186,36 +187,36 @@
 	}
 }
 
-// unheard drops words that are too old and gives by how much the boxes heard of lately stand for all.
-func (p *Pool) unheard(now time.Time) float64 {
-	for box, w := range p.words {
-		if now.Sub(w.at) >= noteLife {
-			p.forgetWord(box)
+// dropExpiredReports drops expired reports and returns the factor by which to scale the remaining ones to all boxes.
+func (p *Pool) dropExpiredReports(now time.Time) float64 {
+	for box, w := range p.reports {
+		if now.Sub(w.at) >= reportLifetime {
+			p.dropReport(box)
 		}
 	}
-	n := len(p.words)
+	n := len(p.reports)
 	if n == 0 || p.Boxes-1 <= n {
 		return 1
 	}
 	return float64(p.Boxes-1) / float64(n)
 }
 
-// forgetWord takes what a box told out of the sums.
-func (p *Pool) forgetWord(box string) {
-	for _, n := range p.words[box].notes {
+// dropReport removes a box's report and subtracts it from the sums.
+func (p *Pool) dropReport(box string) {
+	for _, n := range p.reports[box].notes {
 		if v := p.names[n.Server]; v != nil {
 			v.peers.Requests = max(0, v.peers.Requests-n.Load.Requests)
 			v.peers.Tokens = max(0, v.peers.Tokens-n.Load.Tokens)
 		}
 	}
-	delete(p.words, box)
+	delete(p.reports, box)
 }
 
-// Hear takes all that another box tells of its loads; servers of other pools are passed over, and a
-// server that is not named has nothing of that box. The work grows with the notes, not the servers.
-func (p *Pool) Hear(now time.Time, box string, notes []Note) {
-	p.forgetWord(box)
-	w := word{at: now}
+// SetBoxLoads replaces the load report of another box. Servers of other pools are ignored, and servers that aren't named
+// have no load from that box. The cost is proportional to the number of notes, not of servers.
+func (p *Pool) SetBoxLoads(now time.Time, box string, notes []LoadReport) {
+	p.dropReport(box)
+	w := boxReport{at: now}
 	for _, n := range notes {
 		v := p.names[n.Server]
 		if v == nil {
@@ -224,15 +225,15 @@
 		v.peers.Requests += n.Load.Requests
 		v.peers.Tokens += n.Load.Tokens
 		w.notes = append(w.notes, n)
-		if n.Rests && v.rests == 0 {
-			p.rest(now, v)
+		if n.Paused && v.pauses == 0 {
+			p.pause(now, v)
 		}
 	}
-	p.words[box] = w
+	p.reports[box] = w
 }
 
-// Own gives this box's load at each server where it has any.
-func (p *Pool) Own() map[string]Load {
+// OwnLoads returns this box's load at each server where it has any.
+func (p *Pool) OwnLoads() map[string]Load {
 	out := make(map[string]Load, len(p.busy))
 	for id, v := range p.busy {
 		out[id] = v.own
@@ -240,9 +241,9 @@
 	return out
 }
 
-// Busy says how many requests all boxes have in the pool and how many places it has.
-func (p *Pool) Busy(now time.Time) (requests, places int) {
-	p.scale = p.unheard(now)
+// Occupancy returns the requests of all boxes in the pool and the number of its slots.
+func (p *Pool) Occupancy(now time.Time) (requests, places int) {
+	p.scale = p.dropExpiredReports(now)
 	for _, v := range p.servers {
 		requests += p.load(v).Requests
 		places += v.Slots
@@ -250,15 +251,15 @@
 	return requests, places
 }
 
-// Pick chooses a server and counts the request there; Ended must follow. The second result names
-// why the choice fell so, for logs.
-func (p *Pool) Pick(now time.Time, w *Wish) (catalog.Server, string, bool) {
+// Pick chooses a server and adds the request to its load; the caller must call Ended when the request ends. The second
+// result is the reason for the choice, for logs.
+func (p *Pool) Pick(now time.Time, w *Request) (catalog.Server, string, bool) {
 	var best *server
 	bestCost, why := 0.0, ""
-	p.asked.note(now, w)
-	p.scale = p.unheard(now)
+	p.popularity.note(now, w)
+	p.scale = p.dropExpiredReports(now)
 	p.picks++
-	home, kept := p.home(w), p.keptParts(w)
+	home, kept := p.home(w), p.cachedParts(w)
 	sparing := p.fewCold(now)
 	for pass := range 2 {
 		for _, v := range p.servers {
@@ -285,24 +286,24 @@
 	default:
 		why = "least cost"
 	}
-	if best.rests > 0 {
+	if best.pauses > 0 {
 		best.probing = true
 	}
 	best.own.Requests++
 	p.busy[best.ID] = best
-	unread, _ := p.unread(now, best, w, kept, home)
+	unread, _ := p.uncachedTokens(now, best, w, kept, home)
 	best.own.Tokens += unread
 	return *best.Server, why, true
 }
 
-// wantsRest says whether a server asked for rest. It is kept even where no other server is left: just when all ask for
-// it, a box that asks the one it knows best sent 2,080 of 2,500 requests into rests (TestAServerThatAsksForRestHasIt).
+// wantsRest reports whether a server has asked for no requests now. That is respected even if no other server is left:
+// when boxes still used the best server while all asked for it, 2,080 of 2,500 requests were sent to resting servers.
 func (p *Pool) wantsRest(now time.Time, v *server) bool {
 	return p.RestsUntil != nil && now.Before(p.RestsUntil(v.Server))
 }
 
-// Awake says whether some server that a request may still be given to wants no rest.
-func (p *Pool) Awake(now time.Time, w *Wish) bool {
+// AnyAccepting reports whether some server that the request doesn't exclude accepts requests now.
+func (p *Pool) AnyAccepting(now time.Time, w *Request) bool {
 	if p.RestsUntil == nil {
 		return true
 	}
@@ -314,21 +315,21 @@
 	return false
 }
 
-// Rests says whether a server wants rest.
-func (p *Pool) Rests(now time.Time, id string) bool {
+// IsResting reports whether a server has asked for no requests now.
+func (p *Pool) IsResting(now time.Time, id string) bool {
 	v := p.servers[id]
 	return v != nil && p.wantsRest(now, v)
 }
 
-// RestEnds is when the first of the servers that want rest, of those where a request may run, can be asked; false when none of
-// them does.
-func (p *Pool) RestEnds(now time.Time, w *Wish) (time.Time, bool) {
-	_, first, ok := p.FirstToWake(now, w)
+// EarliestRestEnd returns when the first resting server in the request's domains accepts requests again, or false if none
+// rests.
+func (p *Pool) EarliestRestEnd(now time.Time, w *Request) (time.Time, bool) {
+	_, first, ok := p.FirstRestToEnd(now, w)
 	return first, ok
 }
 
-// FirstToWake is the server of which RestEnds tells.
-func (p *Pool) FirstToWake(now time.Time, w *Wish) (catalog.Server, time.Time, bool) {
+// FirstRestToEnd returns the resting server that accepts requests again first, and when (see EarliestRestEnd).
+func (p *Pool) FirstRestToEnd(now time.Time, w *Request) (catalog.Server, time.Time, bool) {
 	var first time.Time
 	var server *catalog.Server
 	if p.RestsUntil == nil {
@@ -349,25 +350,25 @@
 	return *server, first, true
 }
 
-// jitter spreads requests over servers that cost the same.
+// jitter spreads requests over servers of the same cost.
 func (p *Pool) jitter(v *server) float64 {
 	return jitterMs * float64(mix(p.salt+p.picks, v.hash)%1024) / 1024
 }
 
-// cost estimates in milliseconds how much later the request would be answered at a server.
-func (p *Pool) cost(now time.Time, v *server, w *Wish, kept keptParts, home string) float64 {
+// cost estimates by how many milliseconds a request would be delayed at a server.
+func (p *Pool) cost(now time.Time, v *server, w *Request, kept cachedParts, home string) float64 {
 	l := p.load(v)
 	slots := float64(max(1, v.Slots))
 	cost := runningPenalty * float64(l.Requests) * 64 / slots
 	if v.Domain != p.Domain {
-		cost += farPenalty
+		cost += otherDomainPenalty
 	}
 	if over := float64(l.Requests) - slots; over >= 0 {
 		cost += 50 * (over + 1)
 	}
 	if len(w.Parts) > 0 {
-		all, shared := p.unread(now, v, w, kept, home)
-		cost += float64(l.Tokens+all)/tokensPerMs + againPerToken*float64(shared)
+		all, shared := p.uncachedTokens(now, v, w, kept, home)
+		cost += float64(l.Tokens+all)/tokensPerMs + reprocessPenalty*float64(shared)
 	}
 	if w.Domain != "" && v.Domain != w.Domain {
 		cost += w.InputBytes / bytesPerMs
@@ -375,10 +376,10 @@
 	if v.pace > slowRatio {
 		cost += 100 * v.pace
 	}
-	if p.doubtful(now, v, l) {
+	if p.doubted(now, v, l) {
 		cost += doubtPenalty
 	}
-	if w.Unlimited && p.limited(v) {
+	if w.AvoidLimited && p.limited(v) {
 		cost += limitedPenalty
 	}
 	cost *= max(1, v.pace)
@@ -388,7 +389,7 @@
 	return cost
 }
 
-// Domains counts the servers of each failure domain that has some.
+// Domains returns the number of servers in each failure domain that has some.
 func (p *Pool) Domains() map[string]int {
 	out := make(map[string]int, len(p.domains))
 	for d, n := range p.domains {
--- a/src/balance/confined_test.go
+++ b/src/balance/confined_test.go
@@ -8,9 +8,9 @@
 	"github.com/stilemast/stilemast/src/catalog"
 )
 
-// A confined request is given to servers inside, also when they are busier, and has its home and its copies there; it does not count
-// servers outside as ones that it could go to.
-func TestAConfinedRequestStaysInside(t *testing.T) {
+// A confined request runs only at servers in its domains, even if they are busier, and has its home and copy sources there.
+// Servers outside don't count as available to it.
+func TestConfinedRequestStaysInItsDomains(t *testing.T) {
 	p := NewPool("box", "out")
 	var list []catalog.Server
 	for i := range 8 {
@@ -19,7 +19,7 @@
 	p.Configure(pointers(list))
 	inside := &catalog.Confines{Domains: []string{"in"}}
 	for i := range 64 {
-		w := &Wish{Within: inside, Exclude: map[string]bool{}, Parts: []Part{{ID: "a", Tokens: 500}, {ID: fmt.Sprint("s", i%5), Tokens: 4000}, {ID: fmt.Sprint(i), Tokens: 100}}}
+		w := &Request{Within: inside, Exclude: map[string]bool{}, Parts: []Part{{ID: "a", Tokens: 500}, {ID: fmt.Sprint("s", i%5), Tokens: 4000}, {ID: fmt.Sprint(i), Tokens: 100}}}
 		if d := p.HomeDomain(w); d != "in" {
 			t.Errorf("the home of request %d is in %q", i, d)
 		}
@@ -27,8 +27,8 @@
 		if !ok || s.Domain != "in" {
 			t.Fatalf("request %d went to %q", i, s.ID)
 		}
-		p.Kept(start, "out0", w.Parts)
-		if from, ok := p.Source(start, s.ID, w); ok && from.Domain != "in" {
+		p.RecordCached(start, "out0", w.Parts)
+		if from, ok := p.CopySource(start, s.ID, w); ok && from.Domain != "in" {
 			t.Errorf("request %d copies from %s", i, from.ID)
 		}
 	}
@@ -38,25 +38,25 @@
 		}
 		return time.Time{}
 	}
-	w := &Wish{Within: inside, Exclude: map[string]bool{}}
-	if _, _, ok := p.Pick(start, w); ok || p.Awake(start, w) {
-		t.Error("a server outside counts where all inside rest")
+	w := &Request{Within: inside, Exclude: map[string]bool{}}
+	if _, _, ok := p.Pick(start, w); ok || p.AnyAccepting(start, w) {
+		t.Error("a server outside counts as available while all inside rest")
 	}
-	if end, ok := p.RestEnds(start, w); !ok || !end.Equal(start.Add(time.Second)) {
+	if end, ok := p.EarliestRestEnd(start, w); !ok || !end.Equal(start.Add(time.Second)) {
 		t.Errorf("the rest ends at %v", end)
 	}
 }
 
-// Servers that take no new work any more are given none, and count in no failure domain.
-func TestAServerThatGoesIsForgotten(t *testing.T) {
+// Servers that no longer take new work are not chosen, and don't count in their failure domain.
+func TestRemovedServerIsForgotten(t *testing.T) {
 	p := NewPool("box", "d")
 	list := []catalog.Server{{ID: "a", Domain: "d", Slots: 4}, {ID: "b", Domain: "e", Slots: 4}}
-	p.Change(pointers(list), nil)
-	p.Change([]*catalog.Server{{ID: "b", Domain: "f", Slots: 4}}, []string{"a", "never there"})
+	p.UpdateServers(pointers(list), nil)
+	p.UpdateServers([]*catalog.Server{{ID: "b", Domain: "f", Slots: 4}}, []string{"a", "never there"})
 	if d := p.Domains(); p.Size() != 1 || len(d) != 1 || d["f"] != 1 {
 		t.Errorf("%d servers are left, by failure domain %v", p.Size(), d)
 	}
-	if s, _, ok := p.Pick(start, &Wish{}); !ok || s.ID != "b" {
-		t.Errorf("%q is chosen", s.ID)
+	if s, _, ok := p.Pick(start, &Request{}); !ok || s.ID != "b" {
+		t.Errorf("%q was chosen", s.ID)
 	}
 }
--- a/src/balance/health.go
+++ b/src/balance/health.go
@@ -4,26 +4,28 @@
 	"time"
 )
 
+// usable reports whether a server is neither paused nor being probed after a pause.
 func (v *server) usable(now time.Time) bool {
-	if now.Before(v.until) {
+	if now.Before(v.pausedUntil) {
 		return false
 	}
-	return v.rests == 0 || !v.probing
+	return v.pauses == 0 || !v.probing
 }
 
-// doubtful says whether a server may be gone or turn requests away: others were found to a moment ago, and nobody is known to
-// have work there nor had an answer from it since. A server that is gone looks idle, and would be everyone's next choice: without
-// this 18 of 20 requests met a crashed server first where a third had crashed, with it 2 at most (TestAfterOneServer...).
-func (p *Pool) doubtful(now time.Time, v *server, l Load) bool {
-	return now.Sub(p.doubtAt) < goneDoubt && l.Requests == 0 && now.Sub(v.seenAt) >= goneDoubt
+// doubted reports whether a server may be absent or rejecting requests: another server was found so recently, and no box
+// is known to have requests at this one or to have had an answer since. An absent server looks idle and would be chosen
+// first: without this check, with a third of the servers crashed, 18 of 20 requests were first sent to a crashed server,
+// with it at most 2.
+func (p *Pool) doubted(now time.Time, v *server, l Load) bool {
+	return now.Sub(p.doubtSince) < doubtPeriod && l.Requests == 0 && now.Sub(v.seenAt) >= doubtPeriod
 }
 
-// cold says whether a server bears little, since it has just started.
+// cold reports whether a server has just started and can take only little load.
 func (v *server) cold(now time.Time) bool { return now.Before(v.ColdUntil) }
 
-// fewCold says whether cold servers can be passed over: fewer than half are. A cold server that looks
-// idle would get the next request of every box at once, and falls over; where most are cold, requests
-// spread over them.
+// fewCold reports whether fewer than half of the servers are cold, so that cold servers can be skipped. An idle cold
+// server would otherwise get the next request of every box at once and be overloaded. If most are cold, requests spread
+// over them.
 func (p *Pool) fewCold(now time.Time) bool {
 	n := 0
 	for _, v := range p.servers {
@@ -34,7 +36,7 @@
 	return 2*n < len(p.servers)
 }
 
-// Outcome says how an exchange with a server ended.
+// Outcome is the outcome of an exchange with a server.
 type Outcome uint8
 
 // String names the outcome for logs.
@@ -60,8 +62,8 @@
 	return "unknown"
 }
 
-// Ended takes the end of a request's exchange. It says whether the server now rests.
-func (p *Pool) Ended(now time.Time, id string, w *Wish, o Outcome) bool {
+// Ended records the end of a request's exchange with a server. It reports whether the server was paused.
+func (p *Pool) Ended(now time.Time, id string, w *Request, o Outcome) bool {
 	v := p.servers[id]
 	if v == nil {
 		return false
@@ -78,82 +80,83 @@
 	if o != Absent && o != Replaced {
 		v.seenAt = now
 	}
-	if o == AsksRest { // it is not ill: its own time for its rest counts, in place of our guess
+	if o == AsksRest { // not a failure: the rest that the server asked for applies instead of a pause
 		v.probing = false
-		p.doubtAt = now // of 2,500 requests 2 are refused where 3 of 5 servers turn all away, 23 without (TestAServerThatAsksForRestHasIt)
+		p.doubtSince = now // with 3 of 5 servers rejecting all requests, 2 of 2,500 were refused, 23 without this
 		return false
 	}
 	bad := 0.0
 	if o != Good {
 		bad = 1
 	}
-	v.share += failureLearning * (bad - v.share)
-	p.share += failureLearning / float64(max(1, len(p.servers))) * (bad - p.share)
+	v.failureRate += failureRateWeight * (bad - v.failureRate)
+	p.failureRate += failureRateWeight / float64(max(1, len(p.servers))) * (bad - p.failureRate)
 	switch o {
 	case Good:
 		v.broken = 0
-		if v.probing || v.share < greyShare {
-			v.rests = 0
+		if v.probing || v.failureRate < excessFailureRate {
+			v.pauses = 0
 		}
 		v.probing = false
 		return false
 	case Broken, Full:
 		v.broken++
 	case Absent:
-		p.doubtAt = now
-		p.rest(now, v)
+		p.doubtSince = now
+		p.pause(now, v)
 		return true
 	case Replaced:
-		p.doubtAt = now
-		p.rest(now, v)
-		v.until = now.Add(replacedPause)
+		p.doubtSince = now
+		p.pause(now, v)
+		v.pausedUntil = now.Add(replacedPause)
 		return true
 	}
-	if v.probing || v.broken >= hardFailures || v.share > p.share+greyShare {
-		p.rest(now, v)
+	if v.probing || v.broken >= maxConsecutiveBroken || v.failureRate > p.failureRate+excessFailureRate {
+		p.pause(now, v)
 		return true
 	}
 	return false
 }
 
-func (p *Pool) rest(now time.Time, v *server) {
-	v.until = now.Add(failurePause << min(v.rests, maxDoublings))
-	p.resting[v.ID] = v
-	v.rests++
+// pause pauses a server, longer with each pause since the last success.
+func (p *Pool) pause(now time.Time, v *server) {
+	v.pausedUntil = now.Add(failurePause << min(v.pauses, maxDoublings))
+	p.paused[v.ID] = v
+	v.pauses++
 	v.broken, v.probing = 0, false
-	v.share = min(v.share, p.share+greyShare/2)
+	v.failureRate = min(v.failureRate, p.failureRate+excessFailureRate/2)
 }
 
-// Resting lists the servers that get no work now.
-func (p *Pool) Resting(now time.Time) []string {
+// PausedServers returns the ids of the servers that are paused after failures.
+func (p *Pool) PausedServers(now time.Time) []string {
 	var out []string
-	for id, v := range p.resting {
-		if now.Before(v.until) {
+	for id, v := range p.paused {
+		if now.Before(v.pausedUntil) {
 			out = append(out, id)
 		} else {
-			delete(p.resting, id)
+			delete(p.paused, id)
 		}
 	}
 	return out
 }
 
-// Pace takes the time a server took for a request against the time that was expected of it.
-func (p *Pool) Pace(id string, took, expected time.Duration) {
+// RecordPace records the time that a server took for a request and the time that was expected.
+func (p *Pool) RecordPace(id string, took, expected time.Duration) {
 	v := p.servers[id]
 	if v == nil || expected <= 0 {
 		return
 	}
-	v.pace += paceLearning * (float64(took)/float64(expected) - v.pace)
+	v.pace += paceWeight * (float64(took)/float64(expected) - v.pace)
 }
 
-// The outcomes.
+// Outcomes of an exchange.
 const (
-	Good     Outcome = iota + 1 // an answer that was no failure
-	Failed                      // a failure that the server stated
-	Full                        // the server took nothing
-	Broken                      // no connection, no answer, or one that makes no sense
+	Good     Outcome = iota + 1 // a response that is not a failure
+	Failed                      // a failure response from the server
+	Full                        // the server rejected the request for lack of capacity
+	Broken                      // no connection, no response or an invalid one
 	Absent                      // no process listens at its address
-	Replaced                    // another server has its address
-	AsksRest                    // the server took nothing and said for how long it wants nothing
-	Dropped                     // given up for reasons of ours; says nothing of the server
+	Replaced                    // another server answers at its address
+	AsksRest                    // the server rejected the request and said for how long to send none
+	Dropped                     // cancelled by this box; says nothing about the server
 )
--- a/src/batch/ending.go
+++ b/src/batch/ending.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// CallEnded takes the end of a call. results has an entry for each item when the outcome is CallDone.
+// CallEnded processes the end of call n. With CallDone, results has one entry for each item.
 func (s *Scheduler) CallEnded(now time.Time, n uint64, outcome CallOutcome, results []ItemResult) Actions {
 	var out Actions
 	rc := s.calls[n]
@@ -14,10 +14,10 @@
 	delete(s.calls, n)
 	v := s.servers[rc.server]
 	if v != nil {
-		if v.handed != "" {
+		if v.handedTo != "" {
 			s.idle = append(s.idle, rc.server)
 		}
-		v.call, v.handed = 0, ""
+		v.call, v.handedTo = 0, ""
 	}
 	if outcome == CallDone && len(results) != len(rc.jobs) {
 		outcome = CallBroken
@@ -25,7 +25,7 @@
 	if outcome == CallDone {
 		s.takeResults(now, rc, v, results, &out)
 	} else {
-		s.giveBack(now, rc, v, outcome, &out)
+		s.requeue(now, rc, v, outcome, &out)
 	}
 	if v != nil && !v.listed {
 		delete(s.servers, rc.server)
@@ -36,17 +36,17 @@
 	return out
 }
 
-// fails says whether a call that gave nothing speaks against its server and counts as a failure of its pieces.
+// fails reports whether the outcome counts as a failure of the server and of the call's jobs.
 func (o CallOutcome) fails() bool { return o != CallFull && o != CallWithheld }
 
-// giveBack returns the pieces of a call that did not run and lets the server rest.
-func (s *Scheduler) giveBack(now time.Time, rc *runningCall, v *serverState, outcome CallOutcome, out *Actions) {
+// requeue requeues the pieces of a call that produced nothing and pauses the server.
+func (s *Scheduler) requeue(now time.Time, rc *runningCall, v *serverState, outcome CallOutcome, out *Actions) {
 	if v != nil {
 		v.used = max(0, v.used-rc.bytes)
 		if !outcome.fails() {
-			v.pause = now.Add(fullPause)
+			v.pausedUntil = now.Add(fullPause)
 		} else {
-			v.pause = now.Add(failurePause << min(v.failures, maxDoublings))
+			v.pausedUntil = now.Add(failurePause << min(v.failures, maxDoublings))
 			v.failures++
 		}
 	}
@@ -65,15 +65,16 @@
 			counted[t] = true
 			t.failures++
 		}
-		if t.failures >= pieceFailures {
+		if t.failures >= maxJobFailures {
 			s.end(now, t, Message{Failed: &Failed{ID: t.ID, Reason: Errors}}, out)
 		}
 	}
 }
 
+// takeResults stores the handles of a completed call, handles its failed items and ends the jobs that are complete.
 func (s *Scheduler) takeResults(now time.Time, rc *runningCall, v *serverState, results []ItemResult, out *Actions) {
 	s.learn(now, rc, v)
-	refused := 0.0 // size of the smallest result for which there was no room
+	refused := 0.0 // bytes of the smallest result that the server had no room for
 	for i, r := range results {
 		t := rc.jobs[i]
 		t.running--
@@ -83,9 +84,9 @@
 				s.release(now, []string{r.Handle})
 				continue
 			}
-			t.handles[rc.pieces[i]], t.places[rc.pieces[i]] = r.Handle, rc.server
+			t.handles[rc.pieces[i]], t.resultServers[rc.pieces[i]] = r.Handle, rc.server
 			if v != nil {
-				t.domains[rc.pieces[i]] = v.Domain
+				t.resultDomains[rc.pieces[i]] = v.Domain
 			}
 			continue
 		}
@@ -96,21 +97,21 @@
 			refused = t.ResultBytes
 		}
 		if !t.ended {
-			s.missed(now, t, rc.pieces[i], r.Reason, v, out)
+			s.itemFailed(now, t, rc.pieces[i], r.Reason, v, out)
 		}
 	}
 	if v != nil && refused > 0 {
-		s.refusedRoom(now, v, refused)
+		s.recordNoRoom(now, v, refused)
 	}
 	for _, t := range rc.jobs {
 		if !t.ended && t.running == 0 && len(t.pending) == 0 {
-			s.end(now, t, Message{Done: &Done{ID: t.ID, Handles: t.handles, Servers: t.places, Domain: commonest(t.domains)}}, out)
+			s.end(now, t, Message{Done: &Done{ID: t.ID, Handles: t.handles, Servers: t.resultServers, Domain: mostFrequent(t.resultDomains)}}, out)
 		}
 	}
 }
 
-// missed deals with a piece that a server did not make.
-func (s *Scheduler) missed(now time.Time, t *job, piece int, why ItemReason, v *serverState, out *Actions) {
+// itemFailed requeues a piece that the server did not produce, or fails its job.
+func (s *Scheduler) itemFailed(now time.Time, t *job, piece int, why ItemReason, v *serverState, out *Actions) {
 	switch why {
 	case ItemLate:
 		s.end(now, t, Message{Failed: &Failed{ID: t.ID, Reason: Late}}, out)
@@ -118,16 +119,16 @@
 	case ItemGone:
 		s.end(now, t, Message{Failed: &Failed{ID: t.ID, Reason: Gone}}, out)
 		return
-	case ItemNoRoom: // no fault of the piece; see refusedRoom
+	case ItemNoRoom: // doesn't count against the job; see refusedRoom
 	default:
 		t.failures++
 	}
-	if t.read { // its inputs were given up: only its owner can make them again
+	if t.read { // its inputs were freed: only the owner can have them produced again
 		s.end(now, t, Message{Failed: &Failed{ID: t.ID, Reason: Gone}}, out)
 		return
 	}
 	t.pending = append(t.pending, piece)
-	if t.failures >= pieceFailures {
+	if t.failures >= maxJobFailures {
 		s.end(now, t, Message{Failed: &Failed{ID: t.ID, Reason: Errors}}, out)
 	}
 }
--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -7,19 +7,19 @@
 	"github.com/stilemast/stilemast/src/crasher"
 )
 
-// sorted lists the jobs with those first that should be served first: jobs that can still be in
-// time by how soon they are due, then the others by their deadline.
+// sorted returns the jobs in the order in which to serve them: those that can still be in time by due time, then
+// the others by deadline.
 func (s *Scheduler) sorted(now time.Time) []*job {
 	list := make([]*job, 0, len(s.jobs))
 	for _, t := range s.jobs {
 		list = append(list, t)
 	}
-	hopeless := func(t *job) bool { return s.hopeless(now, t) }
+	hopeless := func(t *job) bool { return s.cannotBeInTime(now, t) }
 	rank := func(t *job) time.Time {
 		if hopeless(t) {
 			return t.Deadline
 		}
-		return Place(t.Due, t.Priority)
+		return EffectiveDue(t.Due, t.Priority)
 	}
 	sort.Slice(list, func(i, j int) bool {
 		a, b := list[i], list[j]
@@ -34,11 +34,11 @@
 	return list
 }
 
-// free lists the servers that can take a call, the best first.
-func (s *Scheduler) free(now time.Time) []*serverState {
+// freeServers returns the servers that can take a call now, the best first.
+func (s *Scheduler) freeServers(now time.Time) []*serverState {
 	var out []*serverState
 	for _, v := range s.servers {
-		if v.listed && v.call == 0 && !now.Before(v.pause) && s.restLeft(now, v) == 0 {
+		if v.listed && v.call == 0 && !now.Before(v.pausedUntil) && s.restLeft(now, v) == 0 {
 			out = append(out, v)
 		}
 	}
@@ -55,23 +55,23 @@
 	return out
 }
 
-// dispatch gives every free server a call, as long as there is work that fits it.
+// dispatch forms a call for every free server that has matching work.
 func (s *Scheduler) dispatch(now time.Time) Actions {
 	var out Actions
-	if s.pool.Batch == nil || len(s.jobs) == 0 || now.Before(s.holds) {
+	if s.pool.Batch == nil || len(s.jobs) == 0 || now.Before(s.holdUntil) {
 		return out
 	}
 	s.endBarred(now, &out)
-	s.endNowhere(now, &out)
+	s.endUnplaceable(now, &out)
 	s.endResting(now, &out)
-	s.endCrowded(now, &out)
-	free := s.free(now)
+	s.endOverLimit(now, &out)
+	free := s.freeServers(now)
 	if len(free) == 0 {
 		return out
 	}
 	queue, patience := s.sorted(now), s.patience(now)
 	for _, v := range free {
-		if v.ratio > slowRatio && !s.worthSlow(now, v) {
+		if v.ratio > slowRatio && !s.useSlowServer(now, v) {
 			continue
 		}
 		if c, ok := s.form(now, v, queue, patience); ok {
@@ -81,10 +81,10 @@
 	return out
 }
 
-// worthSlow says whether a slow server should get a call: when work has piled up beyond what the
-// others can take soon, or now and then to see whether it is slow still.
-func (s *Scheduler) worthSlow(now time.Time, v *serverState) bool {
-	sound, pending := s.sound(now), 0
+// useSlowServer reports whether a slow server should get a call: if more work is queued than the other servers can take
+// soon, and once per slowProbe to measure its speed again.
+func (s *Scheduler) useSlowServer(now time.Time, v *serverState) bool {
+	sound, pending := s.healthyServers(now), 0
 	for _, t := range s.jobs {
 		pending += len(t.pending)
 	}
@@ -98,12 +98,13 @@
 	return pending > int(v.ratio)*sound*s.pool.Batch.Size
 }
 
-// form makes a call of the most urgent pieces that fit a server. Jobs with some patience may be left out of it.
+// form builds a call for a server from the most urgent pieces that fit. Jobs due later than patience from now may be
+// left out (see piecesInTime).
 func (s *Scheduler) form(now time.Time, v *serverState, queue []*job, patience time.Duration) (Call, bool) {
 	limit := s.pool.Batch.Size
 	room := s.room(now, v)
 	c := Call{Server: v.Server}
-	var due time.Time // of the job in the call that is due first; zero while none can be in time
+	var due time.Time // earliest due time in the call; zero while no job in it can be in time
 	rc := &runningCall{server: v.ID, incarnation: v.Incarnation, began: now, expected: s.pool.Batch.CallTime}
 	for _, t := range queue {
 		if t.ended || len(t.pending) == 0 || len(c.Items) >= limit {
@@ -112,11 +113,11 @@
 		if !t.Within.Allow(v.Domain) || !s.fitsDomain(now, t, v) || !s.fitsCall(t, rc) {
 			continue
 		}
-		n := min(len(t.pending), limit-len(c.Items), s.timely(now, t, rc, v, due, patience))
+		n := min(len(t.pending), limit-len(c.Items), s.piecesInTime(now, t, rc, v, due, patience))
 		if t.ResultBytes > 0 {
 			n = min(n, int(room/t.ResultBytes))
 		}
-		if n <= 0 || n < len(t.pending) && now.Sub(t.since) < splitAfter && len(t.pending) <= limit && s.roomFor(t) {
+		if n <= 0 || n < len(t.pending) && now.Sub(t.since) < splitAfter && len(t.pending) <= limit && s.fitsOneServer(t) {
 			continue
 		}
 		for _, piece := range t.pending[:n] {
@@ -124,14 +125,14 @@
 			rc.jobs, rc.pieces = append(rc.jobs, t), append(rc.pieces, piece)
 			rc.expected += s.pieceTime(t.Class)
 		}
-		if due.IsZero() && !s.hopeless(now, t) || t.Due.Before(due) {
+		if due.IsZero() && !s.cannotBeInTime(now, t) || t.Due.Before(due) {
 			due = t.Due
 		}
-		rc.alone = rc.alone || s.judge(t).Ends >= crasher.AloneFrom
+		rc.alone = rc.alone || s.verdict(t).Ends >= crasher.IsolationThreshold
 		t.pending = t.pending[n:]
 		t.running += n
 		t.sent = now
-		t.doubtful = t.doubtful || s.inDoubt(now, v)
+		t.roomUncertain = t.roomUncertain || s.roomUncertain(now, v)
 		room -= float64(n) * t.ResultBytes
 		rc.bytes += float64(n) * t.ResultBytes
 	}
@@ -147,17 +148,17 @@
 	}
 	expected := time.Duration(float64(rc.expected) * max(1, v.ratio))
 	c.Timeout = time.Duration(float64(expected)*timeoutFactor) + timeoutFloor
-	v.call, v.until = c.N, now.Add(expected)
+	v.call, v.expectedEnd = c.N, now.Add(expected)
 	v.used += rc.bytes
 	s.calls[c.N] = rc
 	return c, true
 }
 
-// timely is how many pieces of a job may be added to a call that is to end before a job in it is due. A full call would make the
-// urgent late, which go on to the next pools of their chain. Only a job with time for all that waits, and for a call after it, is left out:
-// where a pool falls behind it catches up by full calls.
-func (s *Scheduler) timely(now time.Time, t *job, rc *runningCall, v *serverState, due time.Time, patience time.Duration) int {
-	if due.IsZero() || t.Due.Sub(now) < patience || s.limitOf(v) > 0 { // a server that limits its calls does most by full ones
+// piecesInTime returns how many pieces of a job may be added to a call without making the most urgent job in it late, since
+// that job may have further stages to run. It limits only jobs that can wait for everything queued and for a call
+// after that: a pool that falls behind needs full calls to catch up.
+func (s *Scheduler) piecesInTime(now time.Time, t *job, rc *runningCall, v *serverState, due time.Time, patience time.Duration) int {
+	if due.IsZero() || t.Due.Sub(now) < patience || s.limitOf(v) > 0 { // full calls make the most of a rate limit
 		return len(t.pending)
 	}
 	slow := max(1, v.ratio)
@@ -165,54 +166,55 @@
 	return max(0, int(float64(spare)/(slow*float64(s.pieceTime(t.Class)))))
 }
 
-// patience is the time until due from which on a job can wait for all others and for its own call.
+// patience returns the time until due from which a job can wait for all others and for its own call.
 func (s *Scheduler) patience(now time.Time) time.Duration { return s.Waits(now).All + 2*s.fullCall() }
 
-// roomFor says whether some server's room could hold all of a job's results at once.
-func (s *Scheduler) roomFor(t *job) bool {
-	return float64(len(t.pending))*t.ResultBytes <= s.pool.Batch.RoomBytes*roomPart
+// fitsOneServer reports whether the results of a job's pending pieces fit in an empty server's result memory.
+func (s *Scheduler) fitsOneServer(t *job) bool {
+	return float64(len(t.pending))*t.ResultBytes <= s.pool.Batch.RoomBytes*usableRoomFraction
 }
 
-// fitsDomain keeps a job near its inputs for a while, as long as there is a sound server there.
+// fitsDomain reports whether a server may take a job given where its inputs are. A job waits for a limited time for
+// the domain of its inputs, provided a healthy server is there.
 func (s *Scheduler) fitsDomain(now time.Time, t *job, v *serverState) bool {
-	wait := foreignAfter
-	if t.Due.Sub(now) > s.pool.Batch.CallTime+foreignSlack {
-		wait = foreignAfterSlack
+	wait := leaveDomainAfter
+	if t.Due.Sub(now) > s.pool.Batch.CallTime+leaveDomainSlack {
+		wait = leaveDomainAfterSlack
 	}
-	if t.InputDomain == "" || t.InputDomain == v.Domain || t.CrossBytes < smallCross || now.Sub(t.since) >= wait {
+	if t.InputDomain == "" || t.InputDomain == v.Domain || t.CrossBytes < smallCrossBytes || now.Sub(t.since) >= wait {
 		return true
 	}
 	for _, o := range s.servers {
-		if o.sound() && o.Domain == t.InputDomain && t.Within.Allow(o.Domain) && s.restLeft(now, o) == 0 {
+		if o.healthy() && o.Domain == t.InputDomain && t.Within.Allow(o.Domain) && s.restLeft(now, o) == 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// sound counts the servers that work as they should.
-func (s *Scheduler) sound(now time.Time) int {
+// healthyServers counts the healthy servers that accept calls now.
+func (s *Scheduler) healthyServers(now time.Time) int {
 	n := 0
 	for _, v := range s.servers {
-		if v.sound() && s.restLeft(now, v) == 0 {
+		if v.healthy() && s.restLeft(now, v) == 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// sound says whether a server is listed, answers and is not slow.
-func (v *serverState) sound() bool { return v.listed && v.failures == 0 && v.ratio <= slowRatio }
+// healthy reports whether a server is listed, has no recent failure and is not slow.
+func (v *serverState) healthy() bool { return v.listed && v.failures == 0 && v.ratio <= slowRatio }
 
-// hopeless says whether a job can't be in time any more.
-func (s *Scheduler) hopeless(now time.Time, t *job) bool {
+// cannotBeInTime reports whether a job that isn't running can no longer be in time.
+func (s *Scheduler) cannotBeInTime(now time.Time, t *job) bool {
 	b := s.pool.Batch
-	call := b.CallTime + time.Duration(hopelessFill*float64(b.Size))*b.ItemTime
+	call := b.CallTime + time.Duration(minCallFill*float64(b.Size))*b.ItemTime
 	return t.running == 0 && now.Add(call).After(t.Due)
 }
 
-// commonest gives the word that occurs most often; the first by order among equals.
-func commonest(words []string) string {
+// mostFrequent returns the most frequent string, the lexically first one on a tie.
+func mostFrequent(words []string) string {
 	count := map[string]int{}
 	best := ""
 	for _, w := range words {
--- a/src/box/suspects.go
+++ b/src/box/suspects.go
@@ -18,10 +18,10 @@
 	u.Self, u.Now, u.Log = b.ID.Name, b.now, b.Log
 	u.Probe = b.askServer
 	u.Boxes, u.Announce = b.fleet.usable, b.announceSuspects
-	u.Ask = func(ctx context.Context, box string, notes []crasher.Note) ([]crasher.Note, error) {
+	u.Exchange = func(ctx context.Context, box string, notes []crasher.Note) ([]crasher.Note, error) {
 		a, err := b.Peers.Ask(ctx, b.fleet.addressOf(core.BoxID{Name: box}), port.Question{Suspects: &port.Suspects{From: b.ID.Name, Notes: notes}})
 		if err == nil && a.Suspects == nil {
-			err = suspects.ErrAddsNothingUp
+			err = suspects.ErrUnsupported
 		}
 		if err != nil {
 			return nil, err
@@ -70,7 +70,7 @@
 
 // barred is the refusal of a request whose content crashes the servers of a stage, nil when it may run there.
 func (f *flight) barred(s *config.Stage) *code.Error {
-	d := f.box.suspects.Judge(f.content.At(s.Pool()))
+	d := f.box.suspects.Verdict(f.content.At(s.Pool()))
 	if !d.Barred {
 		return nil
 	}
@@ -93,11 +93,11 @@
 	life := b.lifeOf(stage.Pool(), server.Name())
 	switch {
 	case err == nil:
-		b.suspects.Good(f.content.At(stage.Pool()))
+		b.suspects.RecordGood(f.content.At(stage.Pool()))
 	case err.Refused:
-		b.suspects.Ended(life, suspects.Refused)
+		b.suspects.RecordCrash(life, suspects.Refused)
 	case err.Failure == core.Broken && !server.Leaving():
-		b.suspects.Broke(life, f.content.At(stage.Pool()))
+		b.suspects.RecordBroken(life, f.content.At(stage.Pool()))
 	}
 }
 
@@ -117,6 +117,6 @@
 // takeLife takes from a report that a server began a new life.
 func (b *Box) takeLife(server string, before, now core.Report) {
 	if before.Incarnation != 0 && now.Incarnation > before.Incarnation {
-		b.suspects.Ended(serverLife(server, before.Incarnation), suspects.Report)
+		b.suspects.RecordCrash(serverLife(server, before.Incarnation), suspects.Report)
 	}
 }
--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -356,7 +356,7 @@
 // AsksRest takes for how long a server wants nothing from this box, as it said when it turned a call away.
 func (p *Pool) AsksRest(now time.Time, name string, length time.Duration) {
 	if s := p.servers[name]; s != nil && length > 0 {
-		p.words.HearRest(now, name, length)
+		p.words.RecordRest(now, name, length)
 		s.asked = true
 		s.stale()
 	}
@@ -404,13 +404,13 @@
 		}
 		s.succeeded()
 		s.learn(now, r, u)
-		p.words.Answered(now, name)
-		s.asked = p.words.Remembers(name)
+		p.words.RecordResponse(now, name)
+		s.asked = p.words.HasRest(name)
 	case Leaving:
 		s.answeredLeaving(now)
 	case Busy:
 		s.window = max(s.share(), windowCut*s.window)
-		if p.words.Judge(now, pushback.Server{ID: name}).State != pushback.Resting { // its own time counts in place of our guess
+		if p.words.Check(now, pushback.Server{ID: name}).State != pushback.Resting { // its own time counts in place of our guess
 			s.failed(now)
 		}
 	case Wrong:
--- a/src/crasher/recent.go
+++ b/src/crasher/recent.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// recent remembers the contents that had a good answer lately, in two halves of which the older is dropped as a whole.
-type recent struct {
-	now, before map[Key]time.Time
-	since       time.Time // when the newer half was begun
+// recentGood holds the contents with recent good responses in two generations; the older one is dropped as a whole.
+type recentGood struct {
+	current, previous map[Key]time.Time
+	since             time.Time // start of the newer generation
 }
 
-// add notes a good answer.
-func (r *recent) add(now time.Time, k Key) {
-	if r.now == nil || len(r.now) >= goodsMost {
-		r.turnOver(now)
+// add records a good response to a content.
+func (r *recentGood) add(now time.Time, k Key) {
+	if r.current == nil || len(r.current) >= maxGood {
+		r.rotate(now)
 	}
-	r.now[k] = now
+	r.current[k] = now
 }
 
-// at is when a content had its last good answer, if that was lately.
-func (r *recent) at(k Key) (time.Time, bool) {
-	if at, ok := r.now[k]; ok {
+// at returns the time of the last good response to a content, if it is recent.
+func (r *recentGood) at(k Key) (time.Time, bool) {
+	if at, ok := r.current[k]; ok {
 		return at, true
 	}
-	at, ok := r.before[k]
+	at, ok := r.previous[k]
 	return at, ok
 }
 
-// sweep begins a new half when the newer one is old enough.
-func (r *recent) sweep(now time.Time) {
-	if now.Sub(r.since) >= goodsFor {
-		r.turnOver(now)
+// sweep starts a new generation when the newer one is older than generationTime.
+func (r *recentGood) sweep(now time.Time) {
+	if now.Sub(r.since) >= generationTime {
+		r.rotate(now)
 	}
 }
 
-func (r *recent) turnOver(now time.Time) {
-	r.now, r.before, r.since = map[Key]time.Time{}, r.now, now
+func (r *recentGood) rotate(now time.Time) {
+	r.current, r.previous, r.since = map[Key]time.Time{}, r.current, now
 }
--- a/src/gateway/bench_test.go
+++ b/src/gateway/bench_test.go
@@ -87,10 +87,10 @@
 			g := benchGateway(b, n, 0)
 			p := g.pools.get("model").picker
 			for i := 0; b.Loop(); i++ {
-				w := balance.Wish{Parts: []balance.Part{{ID: "a", Tokens: 500}, {ID: fmt.Sprint("s", i%500), Tokens: 4000}, {ID: fmt.Sprint(i), Tokens: 900}}, Exclude: map[string]bool{}}
+				w := balance.Request{Parts: []balance.Part{{ID: "a", Tokens: 500}, {ID: fmt.Sprint("s", i%500), Tokens: 4000}, {ID: fmt.Sprint(i), Tokens: 900}}, Exclude: map[string]bool{}}
 				p.HomeDomain(&w)
 				s, _, _ := p.Pick(g.now(), &w)
-				p.Read(g.now(), s.ID, &w)
+				p.RecordRead(g.now(), s.ID, &w)
 				p.Ended(g.now(), s.ID, &w, balance.Good)
 			}
 		})
@@ -117,11 +117,11 @@
 		b.Run(fmt.Sprint(limited, " of 600"), func(b *testing.B) {
 			g := benchGateway(b, 600, 0)
 			for i := range limited {
-				g.hear(catalog.Server{ID: fmt.Sprintf("i-%08x", i), Pool: "model"}, pushback.Word{Limit: 4}, "bench", g.now())
+				g.hear(catalog.Server{ID: fmt.Sprintf("i-%08x", i), Pool: "model"}, pushback.Signals{Limit: 4}, "bench", g.now())
 			}
 			e := g.pools.get("model")
 			for b.Loop() {
-				w := balance.Wish{Exclude: map[string]bool{}}
+				w := balance.Request{Exclude: map[string]bool{}}
 				s, _, _ := e.picker.Pick(g.now(), &w)
 				e.picker.Ended(g.now(), s.ID, &w, balance.Good)
 			}
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -164,7 +164,7 @@
 	var out []core.AskNote
 	for _, p := range g.pools.list() {
 		p.mu.Lock()
-		total, parts := p.picker.Asked(now)
+		total, parts := p.picker.PopularityReport(now)
 		p.mu.Unlock()
 		if len(parts) == 0 {
 			continue
@@ -184,11 +184,11 @@
 		if n.Pool != catalog.Hash(p.name) || len(n.Parts) != len(n.Tokens) {
 			continue
 		}
-		parts := make([]balance.Asked, len(n.Parts))
+		parts := make([]balance.PartTokens, len(n.Parts))
 		for i, part := range n.Parts {
-			parts[i] = balance.Asked{Part: part, Tokens: n.Tokens[i]}
+			parts[i] = balance.PartTokens{Part: part, Tokens: n.Tokens[i]}
 		}
-		p.picker.HearAsked(now, box, float64(n.Total), parts)
+		p.picker.SetBoxPopularity(now, box, float64(n.Total), parts)
 	}
 }
 
@@ -202,7 +202,7 @@
 	}
 	for _, p := range g.pools.list() {
 		p.mu.Lock()
-		own, resting := p.picker.Own(), p.picker.Resting(now)
+		own, resting := p.picker.OwnLoads(), p.picker.PausedServers(now)
 		p.mu.Unlock()
 		for id, l := range own {
 			out = append(out, core.BackendNote{Server: catalog.Hash(id), Requests: uint16(l.Requests), Tokens: uint32(l.Tokens), Resting: slices.Contains(resting, id)})
@@ -260,7 +260,7 @@
 	}
 	g.hearNotes(m)
 	g.hearUnanswered(m.Unanswered)
-	g.suspects.Hear(m.Suspects, m.From.ID.Name)
+	g.suspects.Merge(m.Suspects, m.From.ID.Name)
 	g.hearDepartures(m.Leavings, m.From.ID.Name)
 	g.hearLimits(m.Limits, m.From.ID.Name)
 	g.takeLoads(now, m)
@@ -268,9 +268,9 @@
 
 func (g *Gateway) takeLoads(now time.Time, m core.Beat) {
 	boxes := len(g.fleet.usable())
-	notes := make([]balance.Note, len(m.Backends))
+	notes := make([]balance.LoadReport, len(m.Backends))
 	for i, n := range m.Backends {
-		notes[i] = balance.Note{Server: n.Server, Load: loadOf(n), Rests: n.Resting}
+		notes[i] = balance.LoadReport{Server: n.Server, Load: loadOf(n), Paused: n.Resting}
 	}
 	reads := make([]balance.Read, len(m.Reads))
 	for i, r := range m.Reads {
@@ -279,8 +279,8 @@
 	for _, e := range g.pools.list() {
 		e.mu.Lock()
 		e.picker.Boxes = boxes
-		e.picker.Hear(now, m.From.ID.Name, notes)
-		e.picker.HearReads(now, reads)
+		e.picker.SetBoxLoads(now, m.From.ID.Name, notes)
+		e.picker.RecordReads(now, reads)
 		e.hearAsked(now, m.From.ID.Name, m.Asked)
 		e.mu.Unlock()
 	}
@@ -449,7 +449,7 @@
 func (g *Gateway) TakeQuestion(ctx context.Context, q port.Question) port.Answer {
 	switch {
 	case q.Suspects != nil:
-		return port.Answer{Suspects: &port.Suspects{From: g.ID.Name, Notes: g.suspects.AddUp(q.Suspects.Notes, q.Suspects.From)}}
+		return port.Answer{Suspects: &port.Suspects{From: g.ID.Name, Notes: g.suspects.HandleReport(q.Suspects.Notes, q.Suspects.From)}}
 	case q.Publish != nil:
 		return port.Answer{Publish: g.give(q.Publish)}
 	case q.Permits != nil:
--- a/src/gateway/limits.go
+++ b/src/gateway/limits.go
@@ -25,13 +25,13 @@
 func (g *Gateway) hearLimit(s catalog.Server, perSecond float64, sent time.Time, what string) {
 	now := g.now()
 	news := false
-	var l pushback.Limited
+	var l pushback.ActiveLimit
 	g.words.with(func(r *pushback.Register) {
-		if news = r.HearLimit(now, sent, wordLife(s), perSecond); news {
+		if news = r.RecordLimit(now, sent, wordLife(s), perSecond); news {
 			l, _ = r.LimitOf(now, wordLife(s))
 		}
 	})
-	if perSecond == pushback.NoSense {
+	if perSecond == pushback.InvalidLimit {
 		g.Log.Warn("limit of a server that can't be read", "server", s.ID, "pool", s.Pool, "what", what)
 	}
 	if !news {
@@ -49,7 +49,7 @@
 	}
 	var out []core.LimitNote
 	g.words.with(func(r *pushback.Register) {
-		for _, n := range r.Limits() {
+		for _, n := range r.LimitNotes() {
 			out = append(out, noteOf(n))
 		}
 	})
@@ -64,8 +64,8 @@
 	now := g.now()
 	var news []core.LimitNote
 	g.words.with(func(r *pushback.Register) {
-		for _, n := range notes[:min(len(notes), pushback.NotesMost)] {
-			if r.HearNote(now, noteFrom(n)) {
+		for _, n := range notes[:min(len(notes), pushback.MaxNotes)] {
+			if r.MergeNote(now, noteFrom(n)) {
 				news = append(news, n)
 			}
 		}
@@ -95,9 +95,9 @@
 	if !g.words.any.Load() {
 		return plain
 	}
-	var limited []pushback.Limited
+	var limited []pushback.ActiveLimit
 	now := g.now()
-	g.words.with(func(r *pushback.Register) { limited = r.InForce(now) })
+	g.words.with(func(r *pushback.Register) { limited = r.ActiveLimits(now) })
 	for i, l := range limited {
 		if i == notesPerBeat/2 {
 			break
@@ -150,7 +150,7 @@
 // those without a limit come first, and a permit ahead of time is asked for at the next that has one.
 func (v *visit) permitted(ctx context.Context, s catalog.Server) bool {
 	now, patience := v.gateway.now(), time.Duration(0)
-	if v.wish.Unlimited {
+	if v.wish.AvoidLimited {
 		patience = v.permitPatience(now)
 	}
 	begin, ok := v.gateway.takePermit(ctx, s, v.request.ID, patience)
@@ -159,6 +159,6 @@
 		return true
 	}
 	v.asked++
-	v.wish.Unlimited = v.asked >= limitsTried
+	v.wish.AvoidLimited = v.asked >= limitsTried
 	return false
 }
--- a/src/gateway/limits_propagation_test.go
+++ b/src/gateway/limits_propagation_test.go
@@ -95,7 +95,7 @@
 				}{{"named", 4, 2 * limitKnownAfter}, {"falls", 1, 2 * limitKnownAfter}, {"ends", 0, 2 * limitKnownAfter}} {
 					time.Sleep(2 * time.Second)
 					began := time.Now()
-					s.f.box("box0").hear(server, pushback.Word{Limit: step.says}, "a request", began)
+					s.f.box("box0").hear(server, pushback.Signals{Limit: step.says}, "a request", began)
 					last := time.Duration(0)
 					for time.Since(began) < 4*time.Second && last == 0 {
 						time.Sleep(5 * time.Millisecond)
@@ -221,8 +221,8 @@
 	}{
 		{"is there in every other answer", func(i int) float64 { return float64(i%2) * 20 }, 0},
 		{"rises and falls", func(i int) float64 { return []float64{40, 20, 80, 30}[i%4] }, 0},
-		{"is invalid", func(int) float64 { return pushback.NoSense }, 0.99},
-		{"is huge", func(int) float64 { return pushback.MostLimit }, 0.99},
+		{"is invalid", func(int) float64 { return pushback.InvalidLimit }, 0.99},
+		{"is huge", func(int) float64 { return pushback.MaxLimit }, 0.99},
 		{"is near nothing at one of five", func(int) float64 { return math.Inf(1) }, 0.99},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -241,7 +241,7 @@
 					if r.Said.Limit = c.says(n); math.IsInf(r.Said.Limit, 1) {
 						r.Said.Limit = 0
 						if call.Server.ID == "model0" {
-							r.Said.Limit = pushback.LeastLimit
+							r.Said.Limit = pushback.MinLimit
 						}
 					}
 					return r, err
--- a/src/gateway/prompt_source_test.go
+++ b/src/gateway/prompt_source_test.go
@@ -39,10 +39,10 @@
 		first := f.box("box0")
 		p := first.pools.get("model")
 		p.mu.Lock()
-		wish := balance.Wish{Parts: prompt("none")}
+		wish := balance.Request{Parts: prompt("none")}
 		home, _, _ := p.picker.Pick(first.now(), &wish)
 		p.picker.Ended(first.now(), home.ID, &wish, balance.Dropped)
-		p.picker.Hear(first.now(), "busy", []balance.Note{{Server: catalog.Hash(home.ID), Load: balance.Load{Requests: 500}}})
+		p.picker.SetBoxLoads(first.now(), "busy", []balance.LoadReport{{Server: catalog.Hash(home.ID), Load: balance.Load{Requests: 500}}})
 		p.mu.Unlock()
 		f.ask("box0", "/draft/x", "one", ask)
 		time.Sleep(300 * time.Millisecond)
--- a/src/gateway/pushback_site_test.go
+++ b/src/gateway/pushback_site_test.go
@@ -75,7 +75,7 @@
 
 // recordArrival records a message that reached a server and returns what its answer says, and whether the message
 // is refused.
-func (s *pushbackSite) recordArrival(box, server string, requests ...string) (pushback.Word, bool) {
+func (s *pushbackSite) recordArrival(box, server string, requests ...string) (pushback.Signals, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now, key := time.Now(), [2]string{box, server}
@@ -96,7 +96,7 @@
 			r.arrived++
 		}
 	}
-	w := pushback.Word{Leaving: s.leaving[server], Limit: s.limits.recordArrival(now, box, server)}
+	w := pushback.Signals{Leaving: s.leaving[server], Limit: s.limits.recordArrival(now, box, server)}
 	shed := now.Before(s.shedUntil[server])
 	if shed {
 		w.Rest = s.restFor
@@ -105,7 +105,7 @@
 }
 
 // recordAnswer records an answer that a box got.
-func (s *pushbackSite) recordAnswer(box, server string, w pushback.Word) {
+func (s *pushbackSite) recordAnswer(box, server string, w pushback.Signals) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now, key := time.Now(), [2]string{box, server}
@@ -165,7 +165,7 @@
 	return PieceReply{Outcome: batch.CallDone, Results: resultsOf(c.Server, c.Items), Said: w}
 }
 
-func (s *pushbackSite) free(box string, v catalog.Server) pushback.Word {
+func (s *pushbackSite) free(box string, v catalog.Server) pushback.Signals {
 	w, _ := s.recordArrival(box, v.ID)
 	w.Rest = 0
 	s.recordAnswer(box, v.ID, w)
--- a/src/gateway/resting.go
+++ b/src/gateway/resting.go
@@ -51,22 +51,22 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	v.turnedAway = slices.DeleteFunc(v.turnedAway, func(id string) bool {
-		over := !e.picker.Rests(now, id)
+		over := !e.picker.IsResting(now, id)
 		if over {
 			delete(v.wish.Exclude, id)
 		}
 		return over
 	})
-	if e.picker.Awake(now, &v.wish) {
+	if e.picker.AnyAccepting(now, &v.wish) {
 		return time.Time{}, false
 	}
-	return e.picker.RestEnds(now, &v.wish)
+	return e.picker.EarliestRestEnd(now, &v.wish)
 }
 
 // nextPermit is the server that can be asked first, where all want rest or have no permit free, if it has a limit.
 func (v *visit) nextPermit(e *pool, now time.Time) (catalog.Server, bool) {
 	e.mu.Lock()
-	s, _, ok := e.picker.FirstToWake(now, &v.wish)
+	s, _, ok := e.picker.FirstRestToEnd(now, &v.wish)
 	e.mu.Unlock()
 	if !ok {
 		return s, false
@@ -82,7 +82,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.picker.Awake(now, &v.wish)
+	return e.picker.AnyAccepting(now, &v.wish)
 }
 
 // tooLong says whether a request can't wait for a server until a time: what is left then would not do for its run or, unless the
@@ -123,7 +123,7 @@
 // noServer is the refusal of a request that no server is left for.
 func (v *visit) noServer(e *pool, now time.Time) *code.Error {
 	e.mu.Lock()
-	end, resting := e.picker.RestEnds(now, &v.wish)
+	end, resting := e.picker.EarliestRestEnd(now, &v.wish)
 	e.mu.Unlock()
 	if resting {
 		return v.resting(now, end)
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -56,7 +56,7 @@
 		return s
 	}
 	s = &scheduler{core: batch.NewScheduler(d.gateway.ID.Name, *p), pool: pool, foreign: true}
-	s.core.Judge, s.core.RestsUntil, s.core.LimitOf = d.gateway.suspects.Judge, d.gateway.restsUntil, d.gateway.limitRate
+	s.core.VerdictOf, s.core.RestsUntil, s.core.LimitOf = d.gateway.suspects.Verdict, d.gateway.restsUntil, d.gateway.limitRate
 	d.all[pool] = s
 	d.mu.Unlock()
 	d.open(s, *p)
@@ -103,7 +103,7 @@
 	for _, s := range d.list() {
 		if limits, ok := d.limitsOf(s.pool); ok {
 			s.mu.Lock()
-			a := s.core.Limit(d.gateway.now(), limits)
+			a := s.core.SetLimits(d.gateway.now(), limits)
 			s.mu.Unlock()
 			d.carry(s, a)
 		}
@@ -119,7 +119,7 @@
 		return
 	}
 	s.mu.Lock()
-	a := s.core.Change(d.gateway.now(), c.put, c.gone)
+	a := s.core.UpdateServers(d.gateway.now(), c.put, c.gone)
 	s.mu.Unlock()
 	d.carry(s, a)
 }
@@ -248,7 +248,7 @@
 
 func (d *desk) hold(h batch.Held) {
 	d.with(h.Pool, func(now time.Time, s *batch.Scheduler) batch.Actions {
-		s.Hold(now, h.Results)
+		s.AddHeld(now, h.Results)
 		return batch.Actions{}
 	})
 }
@@ -342,7 +342,7 @@
 	case batch.CallBroken:
 		g.brokeAt(c.Server, contentsOf(c.Items)...)
 	case batch.CallAbsent:
-		g.suspects.Ended(lifeOf(c.Server), suspects.Refused)
+		g.suspects.RecordCrash(lifeOf(c.Server), suspects.Refused)
 	case batch.CallDone:
 		var made []batch.Item
 		for i, r := range results[:min(len(results), len(c.Items))] {
@@ -350,7 +350,7 @@
 				made = append(made, c.Items[i])
 			}
 		}
-		g.suspects.Good(contentsOf(made)...)
+		g.suspects.RecordGood(contentsOf(made)...)
 	}
 }
 
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -32,11 +32,11 @@
 	limitedBy  string // what set the deadline: the caller or the pipeline
 	made       *results
 	stages     *stageRun
-	wish       balance.Wish
+	wish       balance.Request
 	attempts   int
 	remade     bool
 	maybeRan   bool
-	said       pushback.Word // by the server of the attempt that is at work
+	said       pushback.Signals // by the server of the attempt that is at work
 	turnedAway []string      // servers that asked for rest in place of taking this request
 	withheld   bool          // from a server that asked for rest since it was chosen, or had no permit left
 	asked      int           // times that it found no permit, or waited for one, at servers with limits
@@ -179,7 +179,7 @@
 		v.refuse(err)
 		return
 	}
-	v.wish = balance.Wish{Parts: v.request.Parts, Exclude: map[string]bool{}, Makers: g.makersOf(p), Within: v.confines}
+	v.wish = balance.Request{Parts: v.request.Parts, Exclude: map[string]bool{}, Producers: g.makersOf(p), Within: v.confines}
 	if err := v.checkRest(e); err != nil {
 		v.refuse(err)
 		return
--- a/src/gateway/suspects.go
+++ b/src/gateway/suspects.go
@@ -21,10 +21,10 @@
 			return suspects.PresenceOf(probe(ctx, s.Address))
 		}
 	}
-	u.Ask = func(ctx context.Context, box string, notes []crasher.Note) ([]crasher.Note, error) {
+	u.Exchange = func(ctx context.Context, box string, notes []crasher.Note) ([]crasher.Note, error) {
 		a, err := g.Peers.Ask(ctx, g.fleet.addressOf(box), port.Question{Suspects: &port.Suspects{From: g.ID.Name, Notes: notes}})
 		if err == nil && a.Suspects == nil {
-			err = suspects.ErrAddsNothingUp
+			err = suspects.ErrUnsupported
 		}
 		if err != nil {
 			return nil, err
@@ -41,7 +41,7 @@
 // brokeAt tells that exchanges of contents with a server broke. One that left as planned speaks against nobody.
 func (g *Gateway) brokeAt(s catalog.Server, keys ...crasher.Key) {
 	if !g.hasLeft(s) {
-		g.suspects.Broke(lifeOf(s), keys...)
+		g.suspects.RecordBroken(lifeOf(s), keys...)
 	}
 }
 
@@ -54,11 +54,11 @@
 	}
 	for _, id := range change.Gone {
 		if s := change.Before[id]; !lapsed[id] && s.Works() && !g.leaves(*s) {
-			g.suspects.Ended(lifeOf(*s), suspects.Listed)
+			g.suspects.RecordCrash(lifeOf(*s), suspects.Listed)
 		}
 	}
 	for _, r := range effects.Restarted {
-		g.suspects.Ended(lifeOf(r.Before), suspects.Listed)
+		g.suspects.RecordCrash(lifeOf(r.Before), suspects.Listed)
 	}
 }
 
@@ -93,7 +93,7 @@
 // barredAt is the refusal of a content at one pool, nil when it may run there. It says what happened and when a further try
 // makes sense: by then a mended server may be there.
 func (g *Gateway) barredAt(c crasher.Content, pool string) *code.Error {
-	d := g.suspects.Judge(c.At(pool))
+	d := g.suspects.Verdict(c.At(pool))
 	if !d.Barred {
 		return nil
 	}
--- a/src/pushback/limit_test.go
+++ b/src/pushback/limit_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestNumbersThatServersName(t *testing.T) {
+func TestParseLimit(t *testing.T) {
 	for _, c := range []struct {
 		values []string
 		want   float64
@@ -12,19 +12,19 @@
 		{[]string{" 1.25 "}, 1.25},
 		{[]string{"4", "2"}, 2},
 		{[]string{"x", "2"}, 2},
-		{[]string{"0"}, LeastLimit},
-		{[]string{"0.1"}, LeastLimit},
-		{[]string{"1e-300"}, LeastLimit},
-		{[]string{"1e9"}, MostLimit},
-		{[]string{"1e999"}, MostLimit},
-		{[]string{"+Inf"}, MostLimit},
-		{[]string{"-1"}, NoSense},
-		{[]string{"-Inf"}, NoSense},
-		{[]string{"NaN"}, NoSense},
-		{[]string{""}, NoSense},
-		{[]string{"2 a second"}, NoSense},
+		{[]string{"0"}, MinLimit},
+		{[]string{"0.1"}, MinLimit},
+		{[]string{"1e-300"}, MinLimit},
+		{[]string{"1e9"}, MaxLimit},
+		{[]string{"1e999"}, MaxLimit},
+		{[]string{"+Inf"}, MaxLimit},
+		{[]string{"-1"}, InvalidLimit},
+		{[]string{"-Inf"}, InvalidLimit},
+		{[]string{"NaN"}, InvalidLimit},
+		{[]string{""}, InvalidLimit},
+		{[]string{"2 a second"}, InvalidLimit},
 	} {
-		if got := LimitOf(c.values); got != c.want {
+		if got := ParseLimit(c.values); got != c.want {
 			t.Errorf("%q: %g, want %g", c.values, got, c.want)
 		}
 	}
--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -1,8 +1,9 @@
-// Package suspects keeps one box's register of contents that may crash servers (package crasher, which decides) and carries it
-// out: it finds out whether a server under which an exchange broke has ended, and tells the other boxes what they need to know.
+// Package suspects runs one box's register of contents that may crash servers (package crasher): it finds out whether a
+// server has crashed after a broken exchange, and exchanges reports with other boxes.
 //
-// One end of a server's life speaks against all that ran there, mostly innocents; it is told to two boxes that add such ends
-// up. What two ends or more speak against is told to all.
+// A crash counts against every content that was running at the server, most of them innocent. Contents with one crash are
+// reported only to two counter boxes, which add up the reports of all boxes; contents with two or more are reported to
+// all.
 package suspects
 
 import (
@@ -19,31 +20,31 @@
 	"github.com/stilemast/stilemast/src/crasher"
 )
 
-// Proof says what showed that a server's life has ended.
+// Proof is the evidence that an incarnation of a server has ended.
 type Proof string
 
-// The proofs.
+// Kinds of evidence.
 const (
 	Refused Proof = "connection refused" // no process listens at its address
-	Silent  Proof = "no connection"      // its address does not answer, alone of all
-	Listed  Proof = "list of servers"    // its entry went without a word before, or tells of another life
-	Report  Proof = "report"             // its own report tells of another life
+	Silent  Proof = "no connection"      // it is the only server whose address doesn't respond
+	Listed  Proof = "list of servers"    // its entry was removed without notice, or has another incarnation
+	Report  Proof = "report"             // its own report has another incarnation
 )
 
-// ErrAddsNothingUp is the answer of a box of an earlier release, which knows nothing of suspects.
-var ErrAddsNothingUp = errors.New("the box adds nothing up")
+// ErrUnsupported is returned for a box of an earlier release that doesn't support suspect reports.
+var ErrUnsupported = errors.New("the box does not support suspect reports")
 
-// Presence is what came of asking a server.
+// Presence is the result of probing a server.
 type Presence uint8
 
-// The presences.
+// Results of a probe.
 const (
-	Present  Presence = iota + 1 // a process is there
+	Present  Presence = iota + 1 // a process accepts connections
 	Absent                       // the connection was refused: no process listens
-	NoAnswer                     // nothing came
+	NoAnswer                     // no response, or another error
 )
 
-// PresenceOf says what the error of opening a connection tells of the process there.
+// PresenceOf returns the probe result for the error of opening a connection.
 func PresenceOf(err error) Presence {
 	switch {
 	case err == nil:
@@ -54,94 +55,94 @@
 	return NoAnswer
 }
 
-// Server is one life of a backend server.
+// Server is one incarnation of a backend server.
 type Server struct {
 	ID      string
 	Address string
 	Life    crasher.Life
 }
 
-// Tracker is the register of one box, under its lock. Set the exported fields before use.
+// Tracker is the register of one box. It is safe for concurrent use; set the exported fields before.
 type Tracker struct {
-	Self string
-	Now  func() time.Time // never steps
+	Self string           // name of this box
+	Now  func() time.Time // must be monotonic
 	Log  *slog.Logger
-	// Probe looks whether a server's process is there; nil asks nobody.
+	// Probe checks whether a server's process exists; nil disables probes.
 	Probe func(ctx context.Context, s Server) Presence
-	// Boxes lists those that take work, this one among them.
+	// Boxes returns the boxes that take work, including this one.
 	Boxes func() []string
-	// Ask tells another box what this one knows of some contents, and gives what that box knows of them.
-	Ask func(ctx context.Context, box string, notes []crasher.Note) ([]crasher.Note, error)
-	// Announce has all boxes told what is new (News), those of a large fleet by way of others.
+	// Exchange sends another box this box's notes on some contents and returns that box's notes on them.
+	Exchange func(ctx context.Context, box string, notes []crasher.Note) ([]crasher.Note, error)
+	// Announce sends the latest changes (see Notes) to all boxes, in a large fleet through other boxes.
 	Announce func()
-	// Counted is told of ends that were counted against so many contents, for metrics; nil is passed over.
+	// Counted, if set, is called with the number of contents that a crash was counted against, for metrics.
 	Counted func(contents int)
 
-	mu       sync.Mutex
-	register crasher.Register
-	asking   map[crasher.Life]*asking
-	silent   map[crasher.Life]time.Time // servers whose addresses did not answer, and when last
-	telling  bool                       // a message to other boxes is due
-	news     bool                       // it goes to all
-	single   []crasher.Key              // contents with one end, which the boxes that add them up are told
-	any      atomic.Bool                // whether anything is known: most of the time nothing is
+	mu              sync.Mutex
+	register        crasher.Register
+	probing         map[crasher.Life]*probing
+	silent          map[crasher.Life]time.Time // servers that didn't respond, and when last
+	reportScheduled bool                       // a report to other boxes is scheduled
+	news            bool                       // it includes changes for all boxes
+	single          []crasher.Key              // contents with one crash, to report to their counter boxes
+	any             atomic.Bool                // the register isn't empty; most of the time it is
 }
 
-// asking is a server under which exchanges broke and whose address is tried.
-type asking struct {
+// probing is a server that is being probed after broken exchanges.
+type probing struct {
 	server Server
 	tries  int
-	due    time.Time // of the next try; zero while one is at work
+	due    time.Time // time of the next probe; zero while one is running
 }
 
-// Judge says what speaks against a content at a pool.
-func (u *Tracker) Judge(k crasher.Key) crasher.Verdict {
+// Verdict returns the crashes attributed to a content at a pool.
+func (u *Tracker) Verdict(k crasher.Key) crasher.Verdict {
 	if !u.any.Load() {
 		return crasher.Verdict{}
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.register.Judge(u.Now(), k)
+	return u.register.Verdict(u.Now(), k)
 }
 
-// Broke takes that exchanges of contents with a server broke, and finds out whether it ended.
-func (u *Tracker) Broke(s Server, keys ...crasher.Key) {
+// RecordBroken records that exchanges of contents with a server broke, and probes whether the server has crashed.
+func (u *Tracker) RecordBroken(s Server, keys ...crasher.Key) {
 	if len(keys) == 0 {
 		return
 	}
 	u.mu.Lock()
-	counted := u.register.Broke(u.Now(), s.Life, keys...)
-	ask := len(counted) == 0 && u.asking[s.Life] == nil && u.Probe != nil
+	counted := u.register.RecordBroken(u.Now(), s.Life, keys...)
+	ask := len(counted) == 0 && u.probing[s.Life] == nil && u.Probe != nil
 	if ask {
-		if u.asking == nil {
-			u.asking = map[crasher.Life]*asking{}
+		if u.probing == nil {
+			u.probing = map[crasher.Life]*probing{}
 		}
-		u.asking[s.Life] = &asking{server: s}
+		u.probing[s.Life] = &probing{server: s}
 	}
 	u.mu.Unlock()
-	u.counted(counted, s.ID, "known before")
+	u.logCounted(counted, s.ID, "known before")
 	if ask {
-		go u.ask(s)
+		go u.probe(s)
 	}
 }
 
-// ask tries the address of a server under which exchanges broke: a process that is gone refuses connections at once. The
-// list tells as much, but only when three heartbeats are missing, and by then a content could have ended several more.
-func (u *Tracker) ask(s Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), probeTime)
+// probe probes a server: connections to a terminated process are refused at once. The list of servers shows the crash too,
+// but only after three missed heartbeats, and by then the content could have crashed several more servers.
+func (u *Tracker) probe(s Server) {
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	p := u.Probe(ctx, s)
 	cancel()
-	last := u.asked(s, p)
+	last := u.recordProbe(s, p)
 	switch {
 	case p == Absent:
-		u.Ended(s, Refused)
+		u.RecordCrash(s, Refused)
 	case p == NoAnswer && last && u.onlySilent(s):
-		u.Ended(s, Silent)
+		u.RecordCrash(s, Silent)
 	}
 }
 
-// asked notes what came of a try and says whether it was the last.
-func (u *Tracker) asked(s Server, p Presence) (last bool) {
+// recordProbe records the result of a probe and reports whether it was the last.
+func (u *Tracker) recordProbe(s Server, p Presence) (last bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now := u.Now()
@@ -151,21 +152,21 @@
 		}
 		u.silent[s.Life] = now
 	}
-	a := u.asking[s.Life]
+	a := u.probing[s.Life]
 	if a == nil {
 		return true
 	}
 	a.tries++
-	a.due = now.Add(probeAgain)
+	a.due = now.Add(probeInterval)
 	last = p == Absent || a.tries >= probeTries
 	if last {
-		delete(u.asking, s.Life)
+		delete(u.probing, s.Life)
 	}
 	return last
 }
 
-// onlySilent says whether a server's address is the only one that does not answer. Of several it may be this box that is cut
-// off, and their lives go on.
+// onlySilent reports whether no other server was unresponsive recently. If several are, this box may be disconnected and
+// the servers may be running.
 func (u *Tracker) onlySilent(s Server) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -177,94 +178,95 @@
 	return true
 }
 
-// askAgain tries the addresses whose next try is due.
-func (u *Tracker) askAgain() {
+// startDueProbes probes the servers whose next probe is due.
+func (u *Tracker) startDueProbes() {
 	now := u.Now()
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for _, a := range u.asking {
+	for _, a := range u.probing {
 		if !a.due.IsZero() && !now.Before(a.due) {
 			a.due = time.Time{}
-			go u.ask(a.server)
+			go u.probe(a.server)
 		}
 	}
 }
 
-// Ended takes that a life of a server ended other than as planned.
-func (u *Tracker) Ended(s Server, proof Proof) {
+// RecordCrash records that an incarnation of a server ended unplanned.
+func (u *Tracker) RecordCrash(s Server, proof Proof) {
 	u.mu.Lock()
-	counted := u.register.Ended(u.Now(), s.Life)
+	counted := u.register.RecordCrash(u.Now(), s.Life)
 	u.mu.Unlock()
-	u.counted(counted, s.ID, proof)
+	u.logCounted(counted, s.ID, proof)
 }
 
-// Good takes that contents had a good answer.
-func (u *Tracker) Good(keys ...crasher.Key) {
+// RecordGood records good responses to contents, which clear them.
+func (u *Tracker) RecordGood(keys ...crasher.Key) {
 	u.mu.Lock()
 	var cleared []crasher.Counted
 	for _, k := range keys {
-		if u.register.Good(u.Now(), k) {
-			cleared = append(cleared, crasher.Counted{Key: k, Verdict: u.register.Judge(u.Now(), k)})
+		if u.register.RecordGood(u.Now(), k) {
+			cleared = append(cleared, crasher.Counted{Key: k, Verdict: u.register.Verdict(u.Now(), k)})
 		}
 	}
 	u.mu.Unlock()
 	if len(cleared) > 0 {
-		u.Log.Info("contents cleared by good answers", "contents", len(cleared), "key", cleared[0].Key.String())
-		u.tell(cleared)
+		u.Log.Info("contents cleared by good responses", "contents", len(cleared), "key", cleared[0].Key.String())
+		u.scheduleReport(cleared)
 	}
 }
 
-// counted logs what was counted against contents and tells the other boxes.
-func (u *Tracker) counted(list []crasher.Counted, server string, proof Proof) {
+// logCounted logs the contents that a crash was counted against and reports them to other boxes.
+func (u *Tracker) logCounted(list []crasher.Counted, server string, proof Proof) {
 	if len(list) == 0 {
 		return
 	}
 	u.any.Store(true)
 	for i, c := range list {
-		if i < linesOfOneEnd {
-			u.Log.Warn("server ended under a request", "key", c.Key.String(), "server", server, "proof", string(proof), "ends", c.Verdict.Ends, "barred", c.Verdict.Barred, "suspects", len(list))
+		if i < maxLogLines {
+			u.Log.Warn("server crashed while running a request", "key", c.Key.String(), "server", server, "proof", string(proof), "ends", c.Verdict.Ends, "barred", c.Verdict.Barred, "suspects", len(list))
 		}
 	}
 	if u.Counted != nil {
 		u.Counted(len(list))
 	}
-	u.tell(list)
+	u.scheduleReport(list)
 }
 
-// tell has other boxes told in a moment, all that changes until then together: every box of contents under which two servers
-// ended, the boxes that add them up of the others.
-func (u *Tracker) tell(list []crasher.Counted) {
+// scheduleReport schedules a report to other boxes that collects the contents changed within reportDelay: those with two
+// crashes or more go to all boxes, the others to their counter boxes.
+func (u *Tracker) scheduleReport(list []crasher.Counted) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, c := range list {
-		if c.Verdict.Seen < crasher.AloneFrom {
+		if c.Verdict.Seen < crasher.IsolationThreshold {
 			u.single = append(u.single, c.Key)
 		} else {
 			u.news = true
 		}
 	}
-	if u.telling || len(u.single) == 0 && !u.news {
+	if u.reportScheduled || len(u.single) == 0 && !u.news {
 		return
 	}
-	u.telling = true
-	time.AfterFunc(tellAfter, u.tellNow)
+	u.reportScheduled = true
+	time.AfterFunc(reportDelay, u.sendReport)
 }
 
-func (u *Tracker) tellNow() {
+// sendReport sends the scheduled report.
+func (u *Tracker) sendReport() {
 	u.mu.Lock()
 	news, single := u.news, u.single
-	u.telling, u.news, u.single = false, false, nil
+	u.reportScheduled, u.news, u.single = false, false, nil
 	u.mu.Unlock()
 	if news {
 		u.Announce()
 	}
-	u.tellCounters(single, map[string]bool{})
+	u.reportToCounters(single, map[string]bool{})
 }
 
-// tellCounters tells the boxes that add up the ends under contents what this one knows of them. A box that does not answer is
-// passed over for the next: of a fleet of 61 in which both have just been lost, 21 servers ended otherwise, with 8 late sends, and
-// 3 so (TestARequestThatCrashesServersIsNotSentOnWhenWhoCountsIsLost of the gateway).
-func (u *Tracker) tellCounters(keys []crasher.Key, silent map[string]bool) {
+// reportToCounters sends this box's notes on contents to their counter boxes. A box that doesn't respond is replaced by
+// the next one: in a fleet of 61 boxes that had just lost both counter boxes of a content, 3 servers crashed instead of 21, and 8
+// late sends were avoided.
+func (u *Tracker) reportToCounters(keys []crasher.Key, silent map[string]bool) {
 	boxes := slices.DeleteFunc(slices.Clone(u.Boxes()), func(box string) bool { return silent[box] })
 	to := map[string][]crasher.Key{}
 	for _, k := range keys {
@@ -274,36 +276,37 @@
 	}
 	delete(to, u.Self)
 	for box, keys := range to {
-		for part := range slices.Chunk(keys, crasher.NotesMost) {
-			go u.tellCounter(box, part, silent)
+		for part := range slices.Chunk(keys, crasher.MaxNotes) {
+			go u.reportToCounter(box, part, silent)
 		}
 	}
 }
 
-func (u *Tracker) tellCounter(box string, keys []crasher.Key, silent map[string]bool) {
+// reportToCounter sends notes to one counter box and records the notes in its response.
+func (u *Tracker) reportToCounter(box string, keys []crasher.Key, silent map[string]bool) {
 	u.mu.Lock()
 	notes := u.register.NotesOf(u.Now(), keys)
 	u.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), answerTime)
+	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
-	known, err := u.Ask(ctx, box, notes)
+	known, err := u.Exchange(ctx, box, notes)
 	if err == nil {
-		u.Hear(known, box)
+		u.Merge(known, box)
 		return
 	}
-	u.Log.Warn("box that adds up the ends of servers does not answer", "peer", box, "contents", len(keys), "passed_over", len(silent), "cause", err.Error())
-	if len(silent) < silentMost {
+	u.Log.Warn("counter box for server crashes does not respond", "peer", box, "contents", len(keys), "passed_over", len(silent), "cause", err.Error())
+	if len(silent) < maxSkippedCounters {
 		next := maps.Clone(silent)
 		next[box] = true
-		u.tellCounters(keys, next)
+		u.reportToCounters(keys, next)
 	}
 }
 
-// AddUp takes what another box saw of contents whose ends this one adds up, and gives what it knows of them.
-func (u *Tracker) AddUp(notes []crasher.Note, from string) []crasher.Note {
-	u.Hear(notes, from)
+// HandleReport records another box's notes on contents that this box is a counter of, and returns this box's notes on them.
+func (u *Tracker) HandleReport(notes []crasher.Note, from string) []crasher.Note {
+	u.Merge(notes, from)
 	keys := make([]crasher.Key, 0, len(notes))
-	for _, n := range notes[:min(len(notes), crasher.NotesMost)] {
+	for _, n := range notes[:min(len(notes), crasher.MaxNotes)] {
 		keys = append(keys, n.Key)
 	}
 	u.mu.Lock()
@@ -311,30 +314,30 @@
 	return u.register.NotesOf(u.Now(), keys)
 }
 
-// Hear takes what another box tells.
-func (u *Tracker) Hear(notes []crasher.Note, from string) {
+// Merge records the notes of another box.
+func (u *Tracker) Merge(notes []crasher.Note, from string) {
 	if len(notes) == 0 {
 		return
 	}
 	u.mu.Lock()
-	changed := u.register.Hear(u.Now(), notes)
+	changed := u.register.Merge(u.Now(), notes)
 	u.mu.Unlock()
 	if len(changed) == 0 {
 		return
 	}
 	u.any.Store(true)
-	var news []crasher.Counted // one end is no news: this box adds them up
+	var news []crasher.Counted // a first crash is not passed on: this box is the counter
 	for _, c := range changed {
-		if c.Verdict.Seen < crasher.AloneFrom {
+		if c.Verdict.Seen < crasher.IsolationThreshold {
 			continue
 		}
 		news = append(news, c)
-		u.Log.Info("content told of that may crash servers", "key", c.Key.String(), "ends", c.Verdict.Ends, "barred", c.Verdict.Barred, "from", from)
+		u.Log.Info("another box reported a content that may crash servers", "key", c.Key.String(), "ends", c.Verdict.Ends, "barred", c.Verdict.Barred, "from", from)
 	}
-	u.tell(news)
+	u.scheduleReport(news)
 }
 
-// Notes are what this box tells of suspects: in news only what changed a moment ago.
+// Notes returns the notes to send to other boxes; with news only the latest changes.
 func (u *Tracker) Notes(news bool) []crasher.Note {
 	if !u.any.Load() {
 		return nil
@@ -347,9 +350,9 @@
 	return u.register.Notes(u.Now())
 }
 
-// Tick tries the addresses whose next try is due, and forgets what is over.
+// Tick starts the probes that are due and removes expired state.
 func (u *Tracker) Tick() {
-	u.askAgain()
+	u.startDueProbes()
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now := u.Now()
