--- a/src/catalog/registry.go
+++ b/src/catalog/registry.go
@@ -39,7 +39,7 @@
 // whatever list it comes in. A missing entry means that the server left, unless the platform was just unreachable for
 // all boxes (Feed.Returned). If failed calls of single boxes counted as an outage, and their lists were passed on, a
 // removed server would be used for another 2.0 to 2.6 s, or for as long as calls fail now and then, instead of under
-// 1 s (virtual time, 6 and 61 boxes, leaving_test.go of the gateway).
+// 1 s (virtual time, 6 and 61 boxes, the gateway's tests of leaving servers).
 //
 // After a restore of the store, a list of the new era may be older than what is known until the lost entries are
 // written again. In the first such list, a missing entry may not have been rewritten yet, and a server that had left
--- a/src/exchange/exchange.go
+++ b/src/exchange/exchange.go
@@ -1,6 +1,5 @@
-// Package exchange carries one HTTP/1.1 request and its answer over a pooled connection. Unlike the
-// standard library's transport it never sends a request a second time by itself, tells whether any
-// byte left this process, and skips an answer that belongs to an earlier request.
+// Package exchange is an HTTP/1.1 client with pooled connections. Unlike the transport of the standard library it never
+// retries a request, reports whether any byte of it was sent, and skips responses that belong to earlier requests.
 package exchange
 
 import (
@@ -20,65 +19,64 @@
 	"github.com/stilemast/stilemast/src/clock"
 )
 
-// Tunables of connections to servers.
+// Parameters of connections to servers.
 const (
-	dialPatience    = 700 * time.Millisecond // for a connection to open
-	idleLimit       = 4 * time.Second        // a connection unused this long is not used again
-	freshLimit      = 300 * time.Millisecond // nor, by a request that can't be repeated, one unused this long
-	idleMargin      = time.Second            // kept from the idle time that the server announces
-	userTimeout     = 1500 * time.Millisecond
-	keepAliveIdle   = time.Second
-	keepAlivePeriod = 500 * time.Millisecond
-	keepAliveProbes = 3
-	tcpUserTimeout  = 0x12 // TCP_USER_TIMEOUT of Linux
-	readBuffer      = 4 << 10
-	inlineWrite     = 4 << 10 // bytes that any connection takes at once
-	staleBodyLimit  = 1 << 20 // of an answer that belongs to an earlier request
-	maxStale        = 2       // earlier answers skipped before a connection is given up
+	dialTimeout       = 700 * time.Millisecond // timeout for opening a connection
+	maxIdle           = 4 * time.Second        // maximum idle time of a connection that is reused
+	maxFreshIdle      = 300 * time.Millisecond // the same for requests that can't be repeated
+	idleMargin        = time.Second            // subtracted from the idle time that the server announces
+	userTimeout       = 1500 * time.Millisecond
+	keepAliveIdle     = time.Second
+	keepAlivePeriod   = 500 * time.Millisecond
+	keepAliveProbes   = 3
+	tcpUserTimeout    = 0x12 // socket option TCP_USER_TIMEOUT of Linux
+	readBuffer        = 4 << 10
+	maxInlineWrite    = 4 << 10 // bytes that can be written to any idle connection without blocking
+	maxStaleBody      = 1 << 20 // bytes of a skipped response's body
+	maxStaleResponses = 2       // responses of earlier requests that are skipped on one connection
 )
 
-// NotSent is an error before the first byte of a request left this process.
+// NotSent is an error that occurred before the first byte of a request was sent.
 type NotSent struct{ Cause error }
 
 // Error implements error.
 func (e *NotSent) Error() string { return "not sent: " + e.Cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *NotSent) Unwrap() error { return e.Cause }
 
-// Refused says whether an error means that no process listens at the address: the answer came at once, and nothing
-// was sent.
+// Refused reports whether an error means that the connection was refused, i.e. no process listens at the address.
 func Refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// ErrNoConnection says that the address has as many connections as it may have.
+// ErrNoConnection is returned if the address already has the maximum number of connections.
 var ErrNoConnection = errors.New("all connections are in use")
 
-// ErrForeign says that the answers on a connection belong to other requests.
-var ErrForeign = errors.New("the answer belongs to another request")
+// ErrForeign is returned if the responses on a connection belong to other requests.
+var ErrForeign = errors.New("the response belongs to another request")
 
-// Request is one request. Header is written as it is.
+// Request is one HTTP request. Header is written unchanged.
 type Request struct {
 	Method string
 	Target string // path and query as they go onto the wire
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Owns says whether an answer belongs to this request; nil takes the first.
+	// Owns reports whether a response belongs to this request; nil accepts the first one.
 	Owns func(http.Header) bool
-	// Fresh asks for a connection that is new or was used just now, for requests that must not meet
-	// one that the server is closing.
+	// Fresh requires a connection that is new or was used very recently, for requests that can't be repeated if the
+	// server happens to close an idle connection.
 	Fresh bool
-	// Start is asked when the connection is there, just before the first byte; an error ends the exchange and
-	// nothing is sent. nil asks nobody.
+	// Start is called once a connection is available, just before the first byte is sent. If it returns an error,
+	// nothing is sent. May be nil.
 	Start func() error
-	// Silence is the longest time without a byte of the answer, 0 for any; the head may take Head where
-	// that is longer.
+	// Silence is the maximum time without receiving a byte of the response, 0 for no limit. While waiting for the
+	// header, Head applies if it is longer.
 	Silence, Head time.Duration
 }
 
-// Client keeps connections to servers. Set its fields before use.
+// Client sends requests and keeps idle connections to servers. Set its fields before use.
 type Client struct {
-	PerAddress int // open connections to one address at most; 0 means no bound
+	PerAddress int // maximum open connections to one address; 0 means no limit
 
 	mu     sync.Mutex
 	idle   map[string][]*conn
@@ -89,47 +87,47 @@
 
 type conn struct {
 	net.Conn
-	client  *Client
-	address string
-	reader  *bufio.Reader
-	usable  time.Time // until when it may be used again; a sleep of the machine counts, in which the server may have closed it
-	fresh   time.Time // until when a request that can't be repeated may use it
-	once    sync.Once
-	silence time.Duration // that a read may take, 0 for any
+	client      *Client
+	address     string
+	reader      *bufio.Reader
+	idleUntil   time.Time // until when it may be reused; includes time in which the machine was suspended
+	freshUntil  time.Time // until when a request that can't be repeated may use it
+	once        sync.Once
+	readTimeout time.Duration // timeout of each read, 0 for none
 }
 
-// Read reads as net.Conn does, within the silence that the request allows.
+// Read is net.Conn's Read with the read timeout of the current request.
 func (cn *conn) Read(b []byte) (int, error) {
-	if cn.silence > 0 {
-		if err := cn.SetReadDeadline(time.Now().Add(cn.silence)); err != nil {
+	if cn.readTimeout > 0 {
+		if err := cn.SetReadDeadline(time.Now().Add(cn.readTimeout)); err != nil {
 			return 0, err
 		}
 	}
 	return cn.Conn.Read(b)
 }
 
-// Answer is an answer whose body is still to be read. Close must be called.
+// Answer is a response whose body has not been read yet. Close must be called.
 type Answer struct {
 	*http.Response
 	conn *conn
 	stop func() bool
 }
 
-// Do sends a request once and gives the head of its answer. The connection is cut when the context
-// ends. An error is NotSent when no byte left.
+// Do sends a request once and returns its response. The connection is closed when the context ends. The error is a
+// NotSent if no byte was sent.
 func (c *Client) Do(ctx context.Context, address string, r *Request) (*Answer, error) {
-	cn, err := c.take(ctx, address, r.Fresh)
+	cn, err := c.acquire(ctx, address, r.Fresh)
 	if err != nil {
 		return nil, &NotSent{Cause: err}
 	}
-	if err := r.start(); err != nil {
-		cn.giveBack()
+	if err := r.callStart(); err != nil {
+		cn.releaseUnused()
 		return nil, &NotSent{Cause: err}
 	}
 	stop := context.AfterFunc(ctx, func() { cn.drop() })
-	cn.silence = max(r.Silence, r.Head)
-	resp, sent, err := cn.converse(r)
-	cn.silence = r.Silence
+	cn.readTimeout = max(r.Silence, r.Head)
+	resp, sent, err := cn.roundTrip(r)
+	cn.readTimeout = r.Silence
 	if err != nil {
 		stop()
 		cn.drop()
@@ -141,40 +139,40 @@
 	return &Answer{Response: resp, conn: cn, stop: stop}, nil
 }
 
-// start asks whether the request is still to be sent.
-func (r *Request) start() error {
+// callStart calls Start, if set.
+func (r *Request) callStart() error {
 	if r.Start == nil {
 		return nil
 	}
 	return r.Start()
 }
 
-// written is the end of writing a request.
-type written struct {
+// writeResult is the outcome of writing a request.
+type writeResult struct {
 	n   int
 	err error
 }
 
-// converse writes a request and reads the head of its answer at the same time: a server may answer
-// before it has read a long body. A connection whose request was not written whole is not used again,
-// since the server may still wait for the rest of it. sent says whether any byte left.
-func (cn *conn) converse(r *Request) (resp *http.Response, sent bool, err error) {
+// roundTrip writes a request and concurrently reads the header of its response, since a server may respond before it has
+// read a long body. A connection on which the request was not written completely is not reused, since the server may
+// still wait for the rest. sent reports whether any byte was sent.
+func (cn *conn) roundTrip(r *Request) (resp *http.Response, sent bool, err error) {
 	b := r.bytes()
-	if len(b) <= inlineWrite {
+	if len(b) <= maxInlineWrite {
 		if n, err := cn.Write(b); err != nil {
 			return nil, n > 0, err
 		}
 		resp, err = cn.read(r)
 		return resp, true, err
 	}
-	end := make(chan written, 1)
+	end := make(chan writeResult, 1)
 	go func() {
 		n, err := cn.Write(b)
-		end <- written{n, err}
+		end <- writeResult{n, err}
 	}()
 	resp, err = cn.read(r)
 	if err != nil {
-		cn.drop() // ends the writing
+		cn.drop() // aborts the write
 		w := <-end
 		return nil, w.n > 0, err
 	}
@@ -187,7 +185,7 @@
 	return resp, true, nil
 }
 
-// bytes is the request as it goes onto the wire, in one piece.
+// bytes returns the encoded request.
 func (r *Request) bytes() []byte {
 	var b strings.Builder
 	b.Grow(512 + len(r.Body))
@@ -201,8 +199,8 @@
 	return []byte(b.String())
 }
 
-// read gives the first answer that belongs to the request. Answers of earlier requests are skipped;
-// a connection that brought one is not used again.
+// read returns the first response that belongs to the request. Responses to earlier requests are skipped; a connection
+// that carried one is not reused.
 func (cn *conn) read(r *Request) (*http.Response, error) {
 	for skipped := 0; ; {
 		resp, err := http.ReadResponse(cn.reader, &http.Request{Method: r.Method})
@@ -216,26 +214,27 @@
 			resp.Close = resp.Close || skipped > 0
 			return resp, nil
 		}
-		if skipped++; skipped > maxStale || resp.Close {
+		if skipped++; skipped > maxStaleResponses || resp.Close {
 			return nil, ErrForeign
 		}
-		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, staleBodyLimit))
-		if err != nil || n == staleBodyLimit {
+		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxStaleBody))
+		if err != nil || n == maxStaleBody {
 			return nil, ErrForeign
 		}
 	}
 }
 
-// Close ends the exchange. The connection is kept for others only when whole is true: the body was
-// read to its end without an error.
+// Close ends the exchange. Set whole if the body was read to its end without an error; otherwise the connection is not
+// reused.
 func (a *Answer) Close(whole bool) {
 	if a.stop() && whole && !a.Response.Close && a.conn.reader.Buffered() == 0 {
-		a.conn.keep(a.Header)
+		a.conn.release(a.Header)
 		return
 	}
 	a.conn.drop()
 }
 
+// drop closes a connection and removes it from the count of open ones.
 func (cn *conn) drop() {
 	cn.once.Do(func() {
 		_ = cn.Conn.Close()
@@ -245,41 +244,40 @@
 	})
 }
 
-// keep puts a connection back for others, for as long as the server says it stays open.
-func (cn *conn) keep(h http.Header) {
-	stay := idleLimit
+// release makes a connection available for reuse, for at most as long as the server announces to keep it open.
+func (cn *conn) release(h http.Header) {
+	idle := maxIdle
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		if v, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout="); ok {
 			if s, err := strconv.Atoi(v); err == nil {
-				stay = min(stay, time.Duration(s)*time.Second-idleMargin)
+				idle = min(idle, time.Duration(s)*time.Second-idleMargin)
 			}
 		}
 	}
-	if stay <= 0 {
+	if idle <= 0 {
 		cn.drop()
 		return
 	}
-	if cn.silence > 0 {
-		cn.silence = 0
-		_ = cn.SetReadDeadline(time.Time{}) // a connection that is broken shows it when it is used
+	if cn.readTimeout > 0 {
+		cn.readTimeout = 0
+		_ = cn.SetReadDeadline(time.Time{}) // on failure the next use of the connection fails
 	}
 	now := clock.Now()
-	cn.usable, cn.fresh = now.Add(stay), now.Add(min(stay, freshLimit))
-	cn.shelve()
+	cn.idleUntil, cn.freshUntil = now.Add(idle), now.Add(min(idle, maxFreshIdle))
+	cn.putIdle()
 }
 
-// giveBack puts a connection back on which nothing was sent; one that has just been opened stays usable for as
-// long as any.
-func (cn *conn) giveBack() {
-	if cn.usable.IsZero() {
+// releaseUnused makes a connection available again on which nothing was sent. A new one gets the full idle time.
+func (cn *conn) releaseUnused() {
+	if cn.idleUntil.IsZero() {
 		now := clock.Now()
-		cn.usable, cn.fresh = now.Add(idleLimit), now.Add(freshLimit)
+		cn.idleUntil, cn.freshUntil = now.Add(maxIdle), now.Add(maxFreshIdle)
 	}
-	cn.shelve()
+	cn.putIdle()
 }
 
-// shelve puts a connection where others find it.
-func (cn *conn) shelve() {
+// putIdle adds a connection to the idle ones, or closes it if the client is closed.
+func (cn *conn) putIdle() {
 	c := cn.client
 	c.mu.Lock()
 	closed := c.closed
@@ -292,25 +290,26 @@
 	}
 }
 
-// take gives a kept connection that is still sound, the one used last first, or opens one.
-func (c *Client) take(ctx context.Context, address string, fresh bool) (*conn, error) {
+// acquire returns an idle connection that is still usable, the most recently used one first, or opens a new one.
+func (c *Client) acquire(ctx context.Context, address string, fresh bool) (*conn, error) {
 	for {
-		cn := c.pop(address)
+		cn := c.popIdle(address)
 		if cn == nil {
 			return c.dial(ctx, address)
 		}
-		until := cn.usable
+		until := cn.idleUntil
 		if fresh {
-			until = cn.fresh
+			until = cn.freshUntil
 		}
-		if clock.Now().Before(until) && cn.silent() {
+		if clock.Now().Before(until) && cn.healthy() {
 			return cn, nil
 		}
 		cn.drop()
 	}
 }
 
-func (c *Client) pop(address string) *conn {
+// popIdle removes and returns the most recently used idle connection, or nil.
+func (c *Client) popIdle(address string) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.idle == nil {
@@ -325,8 +324,8 @@
 	return cn
 }
 
-// silent says whether an idle connection is open and brought nothing since it was kept.
-func (cn *conn) silent() bool {
+// healthy reports whether an idle connection is open and has no unread data.
+func (cn *conn) healthy() bool {
 	raw, err := cn.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return false
@@ -365,9 +364,9 @@
 	return cn, nil
 }
 
-// Dial opens a connection that notices a silent peer within seconds.
+// Dial opens a TCP connection that detects an unresponsive peer within seconds.
 func Dial(ctx context.Context, address string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, dialPatience)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	d := net.Dialer{
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAlivePeriod, Count: keepAliveProbes},
@@ -380,7 +379,7 @@
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// Probe opens a connection to an address and closes it again; the error is that of opening.
+// Probe opens a connection to an address and closes it again. It returns the error of opening.
 func Probe(ctx context.Context, address string) error {
 	cn, err := Dial(ctx, address)
 	if err != nil {
@@ -389,18 +388,18 @@
 	return cn.Close()
 }
 
-// Sweep drops the kept connections whose time is over.
+// Sweep closes idle connections that have expired.
 func (c *Client) Sweep() {
 	now := clock.Now()
-	var over []*conn
+	var expired []*conn
 	c.mu.Lock()
 	for a, list := range c.idle {
 		kept := list[:0]
 		for _, cn := range list {
-			if now.Before(cn.usable) {
+			if now.Before(cn.idleUntil) {
 				kept = append(kept, cn)
 			} else {
-				over = append(over, cn)
+				expired = append(expired, cn)
 			}
 		}
 		if c.idle[a] = kept; len(kept) == 0 {
@@ -408,12 +407,12 @@
 		}
 	}
 	c.mu.Unlock()
-	for _, cn := range over {
+	for _, cn := range expired {
 		cn.drop()
 	}
 }
 
-// Forget drops the kept connections to an address.
+// Forget closes the idle connections to an address.
 func (c *Client) Forget(address string) {
 	c.mu.Lock()
 	idle := c.idle[address]
@@ -424,7 +423,7 @@
 	}
 }
 
-// Close drops every kept connection; those in use are dropped when they end.
+// Close closes all idle connections; those in use are closed when their exchange ends.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
--- a/src/exchange/exchange_test.go
+++ b/src/exchange/exchange_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// server runs one function for each connection and counts the requests that arrive.
+// server calls serve for each request and counts the requests that arrive.
 func server(t *testing.T, serve func(c net.Conn, r *http.Request, n int)) (string, *atomic.Int64) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -45,13 +45,17 @@
 	return l.Addr().String(), &arrived
 }
 
-func say(c net.Conn, text string) { _, _ = io.WriteString(c, strings.ReplaceAll(text, "\n", "\r\n")) }
+// writeText writes a response with CRLF line ends.
+func writeText(c net.Conn, text string) {
+	_, _ = io.WriteString(c, strings.ReplaceAll(text, "\n", "\r\n"))
+}
 
 func get(id string) *Request {
 	return &Request{Method: http.MethodGet, Target: "/x?y=%2f", Host: "h", Header: http.Header{"Id": {id}},
 		Owns: func(h http.Header) bool { return h.Get("Id") == "" || h.Get("Id") == id }}
 }
 
+// do sends a request and reads the whole response.
 func do(t *testing.T, c *Client, address string, r *Request) (string, error) {
 	t.Helper()
 	a, err := c.Do(t.Context(), address, r)
@@ -63,9 +67,9 @@
 	return string(b), err
 }
 
-func TestAConnectionIsUsedAgain(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	address, _ := server(t, func(c net.Conn, r *http.Request, _ int) {
-		say(c, "HTTP/1.1 200 OK\nContent-Length: 2\n\nok")
+		writeText(c, "HTTP/1.1 200 OK\nContent-Length: 2\n\nok")
 	})
 	c := &Client{}
 	for range 3 {
@@ -74,18 +78,18 @@
 		}
 	}
 	if n := c.Dials.Load(); n != 1 {
-		t.Errorf("%d connections for three requests", n)
+		t.Errorf("%d connections for three requests, want 1", n)
 	}
 }
 
-// The standard transport sends a GET again when a kept connection turns out closed; this one must not.
-func TestNothingIsSentTwice(t *testing.T) {
+// The standard transport resends a GET if an idle connection turns out to be closed; this one must not.
+func TestRequestIsNeverResent(t *testing.T) {
 	address, arrived := server(t, func(c net.Conn, r *http.Request, n int) {
 		if n == 1 {
-			say(c, "HTTP/1.1 200 OK\nContent-Length: 2\n\nok")
+			writeText(c, "HTTP/1.1 200 OK\nContent-Length: 2\n\nok")
 			return
 		}
-		_ = c.Close() // after the request was read: it may have run
+		_ = c.Close() // the request was read, so it may have run
 	})
 	c := &Client{}
 	if _, err := do(t, c, address, get("a")); err != nil {
@@ -94,17 +98,17 @@
 	_, err := do(t, c, address, get("b"))
 	var notSent *NotSent
 	if err == nil || errors.As(err, &notSent) {
-		t.Errorf("a request that was sent and not answered gave %v", err)
+		t.Errorf("a request that was sent without a response gave %v", err)
 	}
 	if n := arrived.Load(); n != 2 {
 		t.Errorf("%d requests arrived, want 2", n)
 	}
 }
 
-func TestAClosedConnectionIsNotUsed(t *testing.T) {
+func TestClosedConnectionIsNotReused(t *testing.T) {
 	closed := make(chan struct{}, 8)
 	address, arrived := server(t, func(c net.Conn, r *http.Request, _ int) {
-		say(c, "HTTP/1.1 200 OK\nContent-Length: 2\n\nok")
+		writeText(c, "HTTP/1.1 200 OK\nContent-Length: 2\n\nok")
 		_ = c.Close()
 		closed <- struct{}{}
 	})
@@ -120,7 +124,7 @@
 	}
 }
 
-func TestNothingLeftIsSaidSo(t *testing.T) {
+func TestFailedDialIsNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -130,16 +134,16 @@
 	_, err = do(t, &Client{}, address, get("a"))
 	var notSent *NotSent
 	if !errors.As(err, &notSent) {
-		t.Errorf("no connection gave %v, want NotSent", err)
+		t.Errorf("a refused connection gave %v, want NotSent", err)
 	}
 }
 
-func TestAnAnswerOfAnEarlierRequestIsSkippedAndItsConnectionDropped(t *testing.T) {
+func TestStaleResponseIsSkippedAndConnectionDropped(t *testing.T) {
 	address, _ := server(t, func(c net.Conn, r *http.Request, n int) {
 		if n == 2 {
-			say(c, "HTTP/1.1 200 OK\nId: a\nContent-Length: 5\n\nstale")
+			writeText(c, "HTTP/1.1 200 OK\nId: a\nContent-Length: 5\n\nstale")
 		}
-		say(c, "HTTP/1.1 200 OK\nId: "+r.Header.Get("Id")+"\nContent-Length: 1\n\n"+r.Header.Get("Id"))
+		writeText(c, "HTTP/1.1 200 OK\nId: "+r.Header.Get("Id")+"\nContent-Length: 1\n\n"+r.Header.Get("Id"))
 	})
 	c := &Client{}
 	for _, id := range []string{"a", "b", "c"} {
@@ -148,26 +152,26 @@
 		}
 	}
 	if n := c.Dials.Load(); n != 2 {
-		t.Errorf("%d connections, want 2: the one with a stale answer is not used again", n)
+		t.Errorf("%d connections, want 2: one with a stale response must not be reused", n)
 	}
 }
 
-func TestForeignAnswersOnlyAreAnError(t *testing.T) {
+func TestForeignResponseIsAnError(t *testing.T) {
 	address, _ := server(t, func(c net.Conn, r *http.Request, _ int) {
-		say(c, "HTTP/1.1 200 OK\nId: other\nConnection: close\nContent-Length: 1\n\nx")
+		writeText(c, "HTTP/1.1 200 OK\nId: other\nConnection: close\nContent-Length: 1\n\nx")
 	})
 	if _, err := do(t, &Client{}, address, get("a")); !errors.Is(err, ErrForeign) {
-		t.Errorf("a foreign answer gave %v", err)
+		t.Errorf("a foreign response gave %v", err)
 	}
 }
 
-func TestExtraBytesSpoilTheConnection(t *testing.T) {
+func TestConnectionWithExtraBytesIsDropped(t *testing.T) {
 	address, _ := server(t, func(c net.Conn, r *http.Request, n int) {
 		extra := ""
 		if n == 1 {
 			extra = "HTTP/1.1 200 OK\nContent-Length: 5\n\nstale"
 		}
-		say(c, "HTTP/1.1 200 OK\nContent-Length: 2\n\nok"+extra)
+		writeText(c, "HTTP/1.1 200 OK\nContent-Length: 2\n\nok"+extra)
 	})
 	c := &Client{}
 	for range 2 {
@@ -180,25 +184,25 @@
 	}
 }
 
-func TestHalfAnAnswerIsNotWhole(t *testing.T) {
+func TestTruncatedResponseIsAnError(t *testing.T) {
 	for name, text := range map[string]string{
 		"length": "HTTP/1.1 200 OK\nContent-Length: 9\n\nhalf",
 		"chunks": "HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n\n4\nhalf\n",
 	} {
 		address, _ := server(t, func(c net.Conn, r *http.Request, _ int) {
-			say(c, text)
+			writeText(c, text)
 			_ = c.Close()
 		})
 		if b, err := do(t, &Client{}, address, get("a")); err == nil {
-			t.Errorf("%s: half an answer %q was taken for whole", name, b)
+			t.Errorf("%s: the truncated response %q was accepted", name, b)
 		}
 	}
 }
 
-func TestAnAnswerWithoutALengthNeedsACleanEnd(t *testing.T) {
+func TestResponseWithoutLengthNeedsCleanClose(t *testing.T) {
 	for name, linger := range map[string]int{"reset": 0, "clean": -1} {
 		address, _ := server(t, func(c net.Conn, r *http.Request, _ int) {
-			say(c, "HTTP/1.1 200 OK\n\nbody")
+			writeText(c, "HTTP/1.1 200 OK\n\nbody")
 			if linger == 0 {
 				_ = c.(*net.TCPConn).SetLinger(0)
 			}
@@ -211,7 +215,7 @@
 	}
 }
 
-func TestACancelledExchangeClosesItsConnection(t *testing.T) {
+func TestCancelledExchangeClosesItsConnection(t *testing.T) {
 	arrived, gone := make(chan struct{}), make(chan struct{})
 	address, _ := server(t, func(c net.Conn, r *http.Request, _ int) {
 		close(arrived)
@@ -228,7 +232,7 @@
 	<-arrived
 	cancel()
 	if err := <-failed; err == nil {
-		t.Error("a cancelled exchange had an answer")
+		t.Error("a cancelled exchange returned a response")
 	}
 	<-gone
 }
@@ -239,7 +243,7 @@
 	address, _ := server(t, func(c net.Conn, r *http.Request, _ int) {
 		arrivedOnce <- struct{}{}
 		<-hold
-		say(c, "HTTP/1.1 200 OK\nContent-Length: 2\n\nok")
+		writeText(c, "HTTP/1.1 200 OK\nContent-Length: 2\n\nok")
 	})
 	c := &Client{PerAddress: 1}
 	first := make(chan error)
@@ -249,7 +253,7 @@
 	}()
 	<-arrivedOnce
 	if _, err := do(t, c, address, get("b")); !errors.Is(err, ErrNoConnection) {
-		t.Errorf("a connection over the bound gave %v", err)
+		t.Errorf("a connection beyond the limit gave %v", err)
 	}
 	close(hold)
 	if err := <-first; err != nil {
@@ -257,15 +261,15 @@
 	}
 }
 
-// A server may answer a long request before it has read it, and read on later. The answer must come
-// through, and nothing else may be sent where the rest of the body is due.
-func TestAnEarlyAnswerToALongBody(t *testing.T) {
+// A server may respond to a long request before it has read the body, and read on later. The response must be returned,
+// and no other request may be sent on the connection, where it would be read as the rest of the body.
+func TestEarlyResponseToLongBody(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	const body = 32 << 20 // more than the buffers of a connection hold
+	const body = 32 << 20 // exceeds the buffers of a connection
 	read, answered := make(chan int64, 1), make(chan struct{})
 	go func() {
 		c, err := l.Accept()
@@ -277,7 +281,7 @@
 		if _, err := http.ReadRequest(br); err != nil {
 			return
 		}
-		say(c, "HTTP/1.1 503 Busy\nId: a\nContent-Length: 4\n\nbusy")
+		writeText(c, "HTTP/1.1 503 Busy\nId: a\nContent-Length: 4\n\nbusy")
 		<-answered
 		n, _ := io.Copy(io.Discard, br)
 		read <- n
@@ -286,19 +290,19 @@
 	r.Method, r.Body = http.MethodPost, make([]byte, body)
 	c := &Client{}
 	if b, err := do(t, c, l.Addr().String(), r); b != "busy" || err != nil {
-		t.Fatalf("the early answer did not come through: %q, %v", b, err)
+		t.Fatalf("early response: %q, %v", b, err)
 	}
 	close(answered)
 	if n := <-read; n >= body {
-		t.Errorf("%d bytes were read, so that the test pressed nothing", n)
+		t.Errorf("%d bytes were read: the body fits into the buffers, so this tests nothing", n)
 	}
-	if cn := c.pop(l.Addr().String()); cn != nil {
-		t.Error("a connection whose request was not written whole was kept")
+	if cn := c.popIdle(l.Addr().String()); cn != nil {
+		t.Error("a connection whose request was not written completely was kept")
 	}
 }
 
-// An answer that comes slowly is taken; one that stops coming is given up after the silence that is allowed.
-func TestAnAnswerIsLimitedByItsProgress(t *testing.T) {
+// A slow response must be received in full; one that stalls must be aborted after the read timeout.
+func TestResponseIsLimitedByItsProgress(t *testing.T) {
 	const silence = 200 * time.Millisecond
 	for _, c := range []struct {
 		name   string
@@ -306,10 +310,10 @@
 		whole  bool
 	}{{"slow", 8, true}, {"silent after three pieces", 3, false}} {
 		address, _ := server(t, func(conn net.Conn, _ *http.Request, _ int) {
-			say(conn, "HTTP/1.1 200 OK\nContent-Length: 8\n\n")
+			writeText(conn, "HTTP/1.1 200 OK\nContent-Length: 8\n\n")
 			for range c.pieces {
 				time.Sleep(silence / 3)
-				say(conn, "x")
+				writeText(conn, "x")
 			}
 			if c.pieces < 8 {
 				time.Sleep(20 * silence)
@@ -328,12 +332,12 @@
 	}
 }
 
-// The time that a server may take before the head of its answer comes on top.
-func TestTheHeadOfAnAnswerMayTakeLonger(t *testing.T) {
+// The timeout for the response header may be longer than the read timeout, and must not remain on a reused connection.
+func TestResponseHeaderMayTakeLonger(t *testing.T) {
 	const silence = 200 * time.Millisecond
 	address, _ := server(t, func(conn net.Conn, _ *http.Request, n int) {
 		time.Sleep(2 * silence)
-		say(conn, "HTTP/1.1 200 OK\nContent-Length: 1\n\nx")
+		writeText(conn, "HTTP/1.1 200 OK\nContent-Length: 1\n\nx")
 	})
 	c := &Client{}
 	r := get("1")
@@ -341,13 +345,13 @@
 	if body, err := do(t, c, address, r); err != nil || body != "x" {
 		t.Errorf("%q, %v", body, err)
 	}
-	r = get("2") // on the kept connection, whose limit must not stay
+	r = get("2") // on the reused connection
 	if body, err := do(t, c, address, r); err != nil || body != "x" {
-		t.Errorf("on the kept connection: %q, %v", body, err)
+		t.Errorf("on the reused connection: %q, %v", body, err)
 	}
 	r = get("3")
 	r.Silence = silence
 	if _, err := do(t, c, address, r); err == nil {
-		t.Error("a head that took longer than the silence allowed was waited for")
+		t.Error("a header that took longer than the read timeout was accepted")
 	}
 }
--- a/src/exchange/pushback.go
+++ b/src/exchange/retry_after.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// RetryAfter is how long an answer asks to be left alone: the longest time that its Retry-After fields give, in seconds, fractions
-// too, or as a date (RFC 9110, 10.2.3), which is compared with the answer's own Date since clocks of machines differ.
-// What is neither, or not above zero, asks for nothing.
+// RetryAfter returns the longest time of the Retry-After fields of a response: in seconds, including fractions, or as a
+// date (RFC 9110, section 10.2.3), which is compared with the response's own Date since the clocks of machines differ.
+// Invalid values and values not above zero count as 0.
 func RetryAfter(h http.Header) time.Duration {
 	longest := time.Duration(0)
 	for _, v := range h.Values("Retry-After") {
@@ -19,6 +19,7 @@
 	return longest
 }
 
+// retryAfter parses one Retry-After value.
 func retryAfter(v, date string) time.Duration {
 	seconds, err := strconv.ParseFloat(v, 64)
 	if err == nil {
--- a/src/exchange/pushback_test.go
+++ b/src/exchange/retry_after_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestRetryAfterOfAnyWriter(t *testing.T) {
+func TestRetryAfterFormats(t *testing.T) {
 	const date = "Thu, 03 Dec 2026 12:00:00 GMT"
 	for _, c := range []struct {
 		fields []string
@@ -38,7 +38,7 @@
 			h.Set("Date", c.date)
 		}
 		if got := RetryAfter(h); got < 0 || got != c.want && (got-c.want).Abs() > 4096 {
-			t.Errorf("%q of %q gives %s, want %s", c.fields, c.date, got, c.want)
+			t.Errorf("Retry-After %q with Date %q gives %s, want %s", c.fields, c.date, got, c.want)
 		}
 	}
 }
--- a/src/peer/client.go
+++ b/src/peer/client.go
@@ -21,50 +21,50 @@
 
 // The client's limits.
 const (
-	dialWait     = time.Second            // for a connection to open and to be secured
-	connectWait  = 200 * time.Millisecond // for TCP to connect; a lost opening packet is sent again after a second
-	lineQueue    = 256                    // messages waiting for one box; more are dropped
-	beatPatience = time.Second            // for one heartbeat to be written
+	dialTimeout      = time.Second            // timeout of a dial including the TLS handshake
+	connectTimeout   = 200 * time.Millisecond // timeout of the TCP connect; a lost SYN is retransmitted after 1 s
+	queueLength      = 256                    // messages queued for one box; more are dropped
+	beatWriteTimeout = time.Second            // timeout for writing one message
 )
 
-// beatIdle is how long a heartbeat connection stays open unused. A box sends some twelve messages a second to boxes drawn by chance, so
-// that it has a hundred connections at most in a fleet of any size, while most boxes of a fleet of sixty find theirs open.
-const beatIdle = 8 * time.Second
+// beatIdleTimeout is the idle timeout of a heartbeat connection. A box sends about twelve messages a second to random boxes, so
+// it has at most a hundred connections in a fleet of any size, and in a fleet of sixty most messages find an open one.
+const beatIdleTimeout = 8 * time.Second
 
 // Client sends messages to other boxes. Set its fields before use; end it with Close.
 type Client struct {
-	TLS  *tls.Config // nil speaks plain TCP
-	Sent *atomic.Int64
-	// Refused is told of an address that refuses connections: no process listens there. May be nil.
+	TLS  *tls.Config   // nil for plain TCP
+	Sent *atomic.Int64 // bytes sent
+	// Refused is called with an address that refuses connections: no process listens there. May be nil.
 	Refused func(address string)
-	// Dial opens a connection; nil does so over TCP.
+	// Dial opens a connection; nil uses TCP. Not used with TLS.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 
 	mu     sync.Mutex
-	lines  map[string]chan *Message
+	queues map[string]chan *Message
 	closed chan struct{}
 }
 
-// NewClient makes a client.
+// NewClient returns a client that uses TLS with the given configuration, or plain TCP if it is nil.
 func NewClient(cfg *tls.Config) *Client {
-	return &Client{TLS: cfg, Sent: &atomic.Int64{}, lines: map[string]chan *Message{}, closed: make(chan struct{})}
+	return &Client{TLS: cfg, Sent: &atomic.Int64{}, queues: map[string]chan *Message{}, closed: make(chan struct{})}
 }
 
-// Ports gives the client's messages as the box wants them.
+// Ports returns the client's methods as the ports of a box.
 func (c *Client) Ports() port.Peers {
 	return port.Peers{Beat: c.Beat, Batch: c.Batch, Ask: c.Ask, Forward: c.Forward}
 }
 
-// Close ends the heartbeat connections.
+// Close closes the heartbeat connections.
 func (c *Client) Close() { close(c.closed) }
 
 func (c *Client) dial(ctx context.Context, address string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, dialWait)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	if c.TLS != nil {
-		return (&tls.Dialer{Config: c.TLS, NetDialer: &net.Dialer{Timeout: connectWait}}).DialContext(ctx, "tcp", address)
+		return (&tls.Dialer{Config: c.TLS, NetDialer: &net.Dialer{Timeout: connectTimeout}}).DialContext(ctx, "tcp", address)
 	}
-	ctx, cancelConnect := context.WithTimeout(ctx, connectWait)
+	ctx, cancelConnect := context.WithTimeout(ctx, connectTimeout)
 	defer cancelConnect()
 	if c.Dial != nil {
 		return c.Dial(ctx, address)
@@ -72,29 +72,30 @@
 	return exchange.Dial(ctx, address)
 }
 
-// Beat queues a heartbeat; it is dropped when the box does not take its earlier ones.
-func (c *Client) Beat(address string, b core.Beat) { c.queue(address, &Message{Beat: &b}) }
+// Beat queues a heartbeat. It is dropped if the queue for that box is full.
+func (c *Client) Beat(address string, b core.Beat) { c.enqueue(address, &Message{Beat: &b}) }
 
-// Batch queues a message on jobs; like a heartbeat it may be lost.
-func (c *Client) Batch(address string, m batch.Message) { c.queue(address, &Message{Batch: &m}) }
+// Batch queues a message about batch jobs; like a heartbeat it may be lost.
+func (c *Client) Batch(address string, m batch.Message) { c.enqueue(address, &Message{Batch: &m}) }
 
-func (c *Client) queue(address string, m *Message) {
+func (c *Client) enqueue(address string, m *Message) {
 	c.mu.Lock()
-	line := c.lines[address]
-	if line == nil {
-		line = make(chan *Message, lineQueue)
-		c.lines[address] = line
-		go c.runLine(address, line)
+	queue := c.queues[address]
+	if queue == nil {
+		queue = make(chan *Message, queueLength)
+		c.queues[address] = queue
+		go c.sendLoop(address, queue)
 	}
 	c.mu.Unlock()
 	select {
-	case line <- m:
+	case queue <- m:
 	default:
 	}
 }
 
-// runLine writes one box's heartbeats over one connection, opened again as needed.
-func (c *Client) runLine(address string, line chan *Message) {
+// sendLoop writes the messages queued for one box over one connection, which it reopens as needed. It ends after an idle
+// timeout.
+func (c *Client) sendLoop(address string, queue chan *Message) {
 	var conn net.Conn
 	defer func() {
 		if conn != nil {
@@ -102,27 +103,28 @@
 		}
 	}()
 	for {
-		idle := time.NewTimer(beatIdle)
+		idle := time.NewTimer(beatIdleTimeout)
 		select {
 		case <-c.closed:
 			idle.Stop()
 			return
 		case <-idle.C:
 			c.mu.Lock()
-			if len(line) == 0 {
-				delete(c.lines, address)
+			if len(queue) == 0 {
+				delete(c.queues, address)
 				c.mu.Unlock()
 				return
 			}
 			c.mu.Unlock()
-		case m := <-line:
+		case m := <-queue:
 			idle.Stop()
-			conn = c.writeLine(conn, address, m)
+			conn = c.send(conn, address, m)
 		}
 	}
 }
 
-func (c *Client) writeLine(conn net.Conn, address string, m *Message) net.Conn {
+// send writes a message and returns the open connection, nil if it failed twice.
+func (c *Client) send(conn net.Conn, address string, m *Message) net.Conn {
 	for range 2 {
 		if conn == nil {
 			fresh, err := c.dial(context.Background(), address)
@@ -131,9 +133,9 @@
 				return nil
 			}
 			conn = fresh
-			go c.watchLine(address, conn)
+			go c.watchConnection(address, conn)
 		}
-		_ = conn.SetWriteDeadline(time.Now().Add(beatPatience))
+		_ = conn.SetWriteDeadline(time.Now().Add(beatWriteTimeout))
 		n, err := WriteFrame(conn, m)
 		c.Sent.Add(int64(n))
 		if err == nil {
@@ -145,12 +147,12 @@
 	return nil
 }
 
-// watchLine waits until the other side ends a heartbeat connection, on which it never writes, and then
-// looks whether a process listens there still: a box that was killed is noticed without a time-out.
-func (c *Client) watchLine(address string, conn net.Conn) {
+// watchConnection waits until the peer closes a heartbeat connection, on which it never writes, and then checks whether
+// a process still listens there. So a killed box is detected without a timeout.
+func (c *Client) watchConnection(address string, conn net.Conn) {
 	var b [1]byte
 	if _, err := conn.Read(b[:]); errors.Is(err, net.ErrClosed) {
-		return // by this side
+		return // closed by this side
 	}
 	probe, err := c.dial(context.Background(), address)
 	if err != nil {
@@ -166,7 +168,7 @@
 	}
 }
 
-// open connects and sends one message; a failure before the first byte is a NotConnected.
+// open connects and sends one message. If connecting fails, the error is a NotConnected.
 func (c *Client) open(ctx context.Context, address string, m *Message) (net.Conn, func() bool, error) {
 	conn, err := c.dial(ctx, address)
 	if err != nil {
@@ -178,12 +180,12 @@
 	if err != nil {
 		stop()
 		_ = conn.Close()
-		return nil, nil, eris.Wrap(err, "message broke off")
+		return nil, nil, eris.Wrap(err, "send message")
 	}
 	return conn, stop, nil
 }
 
-// Ask sends a question on a connection of its own and waits for the answer.
+// Ask sends a question on its own connection and waits for the answer.
 func (c *Client) Ask(ctx context.Context, address string, q port.Question) (port.Answer, error) {
 	conn, stop, err := c.open(ctx, address, &Message{Question: &q})
 	if err != nil {
@@ -193,7 +195,7 @@
 	defer stop()
 	m, err := ReadFrame(conn)
 	if err != nil {
-		return port.Answer{}, eris.Wrap(err, "no answer")
+		return port.Answer{}, eris.Wrap(err, "read answer")
 	}
 	if m.Answer == nil {
 		return port.Answer{}, code.New(code.FrameInvalid, "frame", "not an answer")
@@ -201,8 +203,8 @@
 	return *m.Answer, nil
 }
 
-// Forward sends a request on a connection of its own and gives each event until the end event. A
-// connection that breaks before the end event is an error: the request may be running.
+// Forward sends a request on its own connection and calls emit for each event up to the end event. If the connection
+// breaks before the end event it returns an error; the request may still be running.
 func (c *Client) Forward(ctx context.Context, address string, f port.Forward, emit func(port.ForwardEvent)) error {
 	conn, stop, err := c.open(ctx, address, &Message{Forward: &f})
 	if err != nil {
@@ -216,7 +218,7 @@
 			err = io.ErrUnexpectedEOF
 		}
 		if err != nil {
-			return eris.Wrap(err, "answer broke off")
+			return eris.Wrap(err, "read event")
 		}
 		if m.Event == nil {
 			return code.New(code.FrameInvalid, "frame", "not an event")
--- a/src/peer/client_test.go
+++ b/src/peer/client_test.go
@@ -11,8 +11,7 @@
 	"github.com/stilemast/stilemast/src/core"
 )
 
-// fullListener gives an address whose queue of new connections is full: opening packets are dropped there, as
-// before a box without power.
+// fullListener returns an address whose accept queue is full, so that SYN packets are dropped as by a host without power.
 func fullListener(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -38,13 +37,12 @@
 		}
 		t.Cleanup(func() { _ = conn.Close() })
 	}
-	t.Fatal("this kernel does not drop opening packets before a full queue")
+	t.Fatal("this kernel does not drop SYN packets when the accept queue is full")
 	return ""
 }
 
-// A box that comes back is met within a fraction of a second, though the opening packet that was sent to it
-// before is repeated only after one.
-func TestAConnectionThatDoesNotOpenIsGivenUpSoon(t *testing.T) {
+// A box that comes back must be reached within a fraction of a second, though a lost SYN is retransmitted only after 1 s.
+func TestConnectTimeoutIsShort(t *testing.T) {
 	c := NewClient(nil)
 	defer c.Close()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
@@ -53,14 +51,14 @@
 	conn, err := c.dial(ctx, fullListener(t))
 	if err == nil {
 		_ = conn.Close()
-		t.Fatal("connected to a full queue")
+		t.Fatal("connected despite a full accept queue")
 	}
-	if ctx.Err() != nil || connectWait >= time.Second {
-		t.Errorf("given up after %s, by its caller; the packet is sent again after a second", time.Since(began))
+	if ctx.Err() != nil || connectTimeout >= time.Second {
+		t.Errorf("aborted after %s by the caller; a SYN is retransmitted after 1 s", time.Since(began))
 	}
 }
 
-func TestABoxWhoseProcessEndsIsNoticed(t *testing.T) {
+func TestEndedProcessIsDetected(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -79,9 +77,9 @@
 	select {
 	case a := <-refused:
 		if a != l.Addr().String() {
-			t.Errorf("%s refuses, want %s", a, l.Addr())
+			t.Errorf("%s refuses connections, want %s", a, l.Addr())
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("nobody noticed that the box is gone, and no message is under way to find out")
+		t.Fatal("the end of the process was not detected without another message")
 	}
 }
--- a/src/peer/frame.go
+++ b/src/peer/frame.go
@@ -1,4 +1,4 @@
-// Package peer carries messages between boxes: msgpack in length-prefixed frames over TCP.
+// Package peer exchanges messages between boxes as msgpack in length-prefixed frames over TCP.
 package peer
 
 import (
@@ -14,26 +14,26 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// MaxFrame is the longest frame that is read or written: a configuration fits whole.
+// MaxFrame is the maximum size of a frame's body in bytes, large enough for a whole configuration.
 const MaxFrame = 4 << 20
 
 // headerBytes is the size of a frame's length prefix.
 const headerBytes = 4
 
-// readPiece bounds how much is allocated before the bytes are there.
-const readPiece = 64 << 10
+// readChunk bounds the memory that is allocated before any bytes have arrived.
+const readChunk = 64 << 10
 
-// Message is one frame between boxes; exactly one field is set.
+// Message is the body of one frame; exactly one field is set.
 type Message struct {
-	Beat     *core.Beat         `msgpack:"b,omitempty"`
-	Batch    *batch.Message     `msgpack:"j,omitempty"`
-	Question *port.Question     `msgpack:"q,omitempty"`
-	Answer   *port.Answer       `msgpack:"a,omitempty"`
-	Forward  *port.Forward      `msgpack:"f,omitempty"`
-	Event    *port.ForwardEvent `msgpack:"e,omitempty"`
+	Beat     *core.Beat         `msgpack:"b,omitempty"` // heartbeat
+	Batch    *batch.Message     `msgpack:"j,omitempty"` // message about batch jobs
+	Question *port.Question     `msgpack:"q,omitempty"` // request to the peer
+	Answer   *port.Answer       `msgpack:"a,omitempty"` // response to a Question
+	Forward  *port.Forward      `msgpack:"f,omitempty"` // caller's request forwarded to the peer
+	Event    *port.ForwardEvent `msgpack:"e,omitempty"` // part of the response to a Forward
 }
 
-// WriteFrame encodes and writes one message and gives the bytes written.
+// WriteFrame encodes and writes one message and returns the number of bytes written.
 func WriteFrame(w io.Writer, m *Message) (int, error) {
 	var buf bytes.Buffer
 	buf.Write(make([]byte, headerBytes))
@@ -49,8 +49,8 @@
 	return w.Write(b)
 }
 
-// ReadFrame reads and decodes one message. A length over MaxFrame is refused before any memory is
-// taken for it. The error is io.EOF between frames.
+// ReadFrame reads and decodes one message. A length over MaxFrame is rejected before memory is allocated for it. At the
+// end of the stream between frames the error is io.EOF.
 func ReadFrame(r io.Reader) (*Message, error) {
 	var head [headerBytes]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -67,10 +67,10 @@
 	return DecodeMessage(body)
 }
 
-// readBody takes memory only as bytes arrive, so that a false length costs nothing.
+// readBody reads n bytes. It allocates memory as bytes arrive, so that a false length costs nothing.
 func readBody(r io.Reader, n int) ([]byte, error) {
 	var buf bytes.Buffer
-	buf.Grow(min(n, readPiece))
+	buf.Grow(min(n, readChunk))
 	got, err := io.CopyN(&buf, r, int64(n))
 	if err == io.EOF && got < int64(n) {
 		err = io.ErrUnexpectedEOF
@@ -84,7 +84,7 @@
 // DecodeMessage decodes a frame's body.
 func DecodeMessage(body []byte) (m *Message, err error) {
 	defer func() {
-		if recover() != nil { // a library fault on hostile bytes must not end the box
+		if recover() != nil { // a panic of the decoder on malicious input must not crash the box
 			m, err = nil, code.New(code.FrameInvalid, "frame", "can't be decoded")
 		}
 	}()
--- a/src/peer/frame_test.go
+++ b/src/peer/frame_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestBadFramesAreNumberedErrors(t *testing.T) {
+func TestInvalidFramesReturnFrameInvalid(t *testing.T) {
 	long := binary.BigEndian.AppendUint32(nil, MaxFrame+1)
 	if _, err := ReadFrame(bytes.NewReader(long)); code.Of(err).Code != code.FrameInvalid || code.Of(err).Field != "frame.length" {
 		t.Errorf("too long: %v", err)
@@ -66,20 +66,20 @@
 	}
 }
 
-// A length that promises four megabytes and sends three bytes must not take four megabytes.
-func TestFalseLengthTakesNoMemory(t *testing.T) {
+// A frame that claims 4 MiB but sends three bytes must not allocate 4 MiB.
+func TestFalseLengthAllocatesLittle(t *testing.T) {
 	cut := append(binary.BigEndian.AppendUint32(nil, MaxFrame), 1, 2, 3)
 	allocs := testing.Benchmark(func(b *testing.B) {
 		for b.Loop() {
 			_, _ = ReadFrame(bytes.NewReader(cut))
 		}
 	}).AllocedBytesPerOp()
-	if allocs > 4*readPiece {
-		t.Errorf("%d bytes taken for a false length", allocs)
+	if allocs > 4*readChunk {
+		t.Errorf("%d bytes allocated for a false length", allocs)
 	}
 }
 
-func TestForwardTellsUnsentFromBroken(t *testing.T) {
+func TestForwardDistinguishesUnsentFromBroken(t *testing.T) {
 	c := NewClient(nil)
 	defer c.Close()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -91,7 +91,7 @@
 		conn, err := l.Accept()
 		if err == nil {
 			_, _ = ReadFrame(conn)
-			_ = conn.Close() // takes the request, never answers
+			_ = conn.Close() // reads the request but sends no answer
 		}
 	}()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -99,7 +99,7 @@
 	var never *port.NotConnected
 	err = c.Forward(ctx, address, port.Forward{}, func(port.ForwardEvent) {})
 	if err == nil || errorsAs(err, &never) {
-		t.Errorf("a forward that was taken and not answered: %v", err)
+		t.Errorf("a forward that was received but not answered: %v", err)
 	}
 	_ = l.Close()
 	if err = c.Forward(ctx, address, port.Forward{}, func(port.ForwardEvent) {}); !errorsAs(err, &never) {
@@ -126,10 +126,10 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, err := DecodeMessage(b)
 		if (m == nil) == (err == nil) {
-			t.Fatal("neither or both of a message and an error")
+			t.Fatal("got both a message and an error, or neither")
 		}
 		if err != nil && code.Of(err).Code != code.FrameInvalid {
-			t.Fatalf("error without its number: %v", err)
+			t.Fatalf("error without code FRAME_INVALID: %v", err)
 		}
 	})
 }
--- a/src/peer/idle_test.go
+++ b/src/peer/idle_test.go
@@ -15,10 +15,10 @@
 	"github.com/stilemast/stilemast/src/core"
 )
 
-// pipeEnd ends as a connection of the network does when this side closes it.
-type pipeEnd struct{ net.Conn }
+// pipeConn is a net.Pipe whose Read returns net.ErrClosed after a local close, like a network connection.
+type pipeConn struct{ net.Conn }
 
-func (p pipeEnd) Read(b []byte) (int, error) {
+func (p pipeConn) Read(b []byte) (int, error) {
 	n, err := p.Conn.Read(b)
 	if errors.Is(err, io.ErrClosedPipe) {
 		err = net.ErrClosed
@@ -26,9 +26,9 @@
 	return n, err
 }
 
-// openLines has a client send twelve heartbeats a second to boxes drawn by chance, as a box of a fleet does, and gives the most connections
-// that were open at once and how many were opened in all.
-func openLines(t *testing.T, boxes int) (most, dials int64) {
+// countConnections lets a client send twelve heartbeats a second to random boxes for a minute, as a box of a fleet does,
+// and returns the maximum number of connections open at once and the number of dials.
+func countConnections(t *testing.T, boxes int) (most, dials int64) {
 	synctest.Test(t, func(t *testing.T) {
 		var open, opened atomic.Int64
 		c := NewClient(nil)
@@ -45,7 +45,7 @@
 					}
 				}
 			}()
-			return pipeEnd{here}, nil
+			return pipeConn{here}, nil
 		}
 		r := rand.New(rand.NewPCG(1, uint64(boxes)))
 		for range 12 * 60 {
@@ -60,19 +60,19 @@
 	return most, dials
 }
 
-// mostOpen is as many connections as a small box can keep to others beside those of its callers and servers.
-const mostOpen = 128
+// maxOpen is how many connections to other boxes a small box can afford besides those of its callers and servers.
+const maxOpen = 128
 
-// The connections that a box keeps to others are bounded whatever the fleet's size, and in a small fleet none is opened twice.
-func TestConnectionsToOtherBoxesAreBoundedInAnyFleet(t *testing.T) {
-	if most, dials := openLines(t, 6); most != 6 || dials != 6 {
+// Guards against a box holding a connection to every other box of a large fleet, and against reconnecting in a small one.
+func TestPeerConnectionsAreBoundedInAnyFleet(t *testing.T) {
+	if most, dials := countConnections(t, 6); most != 6 || dials != 6 {
 		t.Errorf("6 boxes: %d connections were open at once, %d opened, want 6", most, dials)
 	}
 	for _, boxes := range []int{61, 985, 1970} {
-		most, dials := openLines(t, boxes)
+		most, dials := countConnections(t, boxes)
 		t.Logf("%d boxes: %d open at once, %d opened in a minute", boxes, most, dials)
-		if most > mostOpen {
-			t.Errorf("%d boxes: %d connections were open at once, want %d at most", boxes, most, mostOpen)
+		if most > maxOpen {
+			t.Errorf("%d boxes: %d connections were open at once, want %d at most", boxes, most, maxOpen)
 		}
 	}
 }
--- a/src/peer/server.go
+++ b/src/peer/server.go
@@ -14,23 +14,23 @@
 
 // The server's limits.
 const (
-	firstFrameWait = 5 * time.Second  // for the first frame of a connection
-	beatSilence    = 60 * time.Second // a heartbeat connection silent this long closes
-	writePatience  = 10 * time.Second // for one event to be taken
-	maxConnections = 2048
+	firstFrameTimeout = 5 * time.Second  // timeout for the first frame of a connection
+	beatReadTimeout   = 60 * time.Second // idle timeout of a heartbeat connection
+	writeTimeout      = 10 * time.Second // timeout for writing one frame
+	maxConnections    = 2048
 )
 
-// Handlers are what the box does with messages of other boxes.
+// Handlers process the messages of other boxes.
 type Handlers struct {
 	Beat    func(core.Beat)
-	Batch   func(batch.Message) // nil where no opaque requests are served
+	Batch   func(batch.Message) // nil if batch messages are not supported
 	Ask     func(ctx context.Context, q port.Question) port.Answer
 	Forward func(ctx context.Context, f port.Forward, emit func(port.ForwardEvent) error)
 }
 
-// Server takes messages of other boxes. Set its fields before Serve.
+// Server receives messages of other boxes. Set its fields before Serve.
 type Server struct {
-	TLS      *tls.Config // nil speaks plain TCP
+	TLS      *tls.Config // nil for plain TCP
 	Handlers Handlers
 
 	mu    sync.Mutex
@@ -38,7 +38,8 @@
 	wg    sync.WaitGroup
 }
 
-// Serve accepts until the listener closes, then ends what is open and waits for it.
+// Serve accepts connections until the listener is closed or the context ends. Then it closes all connections and waits
+// for their handlers.
 func (s *Server) Serve(ctx context.Context, l net.Listener) {
 	if s.TLS != nil {
 		l = tls.NewListener(l, s.TLS)
@@ -64,6 +65,7 @@
 	s.wg.Wait()
 }
 
+// track registers a connection. It closes it and returns false if there are too many.
 func (s *Server) track(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,6 +81,7 @@
 	return true
 }
 
+// handle serves one connection; its first frame determines the kind.
 func (s *Server) handle(ctx context.Context, c net.Conn) {
 	defer s.wg.Done()
 	defer func() {
@@ -87,25 +90,25 @@
 		delete(s.conns, c)
 		s.mu.Unlock()
 	}()
-	_ = c.SetReadDeadline(time.Now().Add(firstFrameWait))
+	_ = c.SetReadDeadline(time.Now().Add(firstFrameTimeout))
 	m, err := ReadFrame(c)
 	if err != nil {
 		return
 	}
 	switch {
 	case m.Beat != nil, m.Batch != nil:
-		s.line(c, m)
+		s.receiveLoop(c, m)
 	case m.Question != nil:
 		a := s.Handlers.Ask(ctx, *m.Question)
-		_ = c.SetWriteDeadline(time.Now().Add(writePatience))
+		_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
 		_, _ = WriteFrame(c, &Message{Answer: &a})
 	case m.Forward != nil:
 		s.forward(ctx, c, *m.Forward)
 	}
 }
 
-// line takes heartbeats and messages on jobs until the connection ends.
-func (s *Server) line(c net.Conn, m *Message) {
+// receiveLoop handles heartbeats and batch messages until the connection ends.
+func (s *Server) receiveLoop(c net.Conn, m *Message) {
 	for {
 		switch {
 		case m.Beat != nil:
@@ -115,7 +118,7 @@
 		default:
 			return
 		}
-		_ = c.SetReadDeadline(time.Now().Add(beatSilence))
+		_ = c.SetReadDeadline(time.Now().Add(beatReadTimeout))
 		next, err := ReadFrame(c)
 		if err != nil {
 			return
@@ -124,7 +127,7 @@
 	}
 }
 
-// forward runs a forwarded request; a sender that goes away stops only its own watching.
+// forward serves a forwarded request. If the sender disconnects, only the delivery of events stops.
 func (s *Server) forward(ctx context.Context, c net.Conn, f port.Forward) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -135,7 +138,7 @@
 		cancel()
 	}()
 	s.Handlers.Forward(ctx, f, func(e port.ForwardEvent) error {
-		_ = c.SetWriteDeadline(time.Now().Add(writePatience))
+		_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
 		_, err := WriteFrame(c, &Message{Event: &e})
 		return err
 	})
--- a/src/rpc/auth.go
+++ b/src/rpc/auth.go
@@ -1,5 +1,5 @@
-// Package rpc serves callers and operators over gRPC. zrpc, which wraps the same library, brings an
-// outside coordination client along and is therefore not used; see docs/DESIGN.md.
+// Package rpc serves callers and operators over gRPC. It does not use go-zero's zrpc, which wraps the same library but
+// depends on the client of an external coordination service; see docs/DESIGN.md.
 package rpc
 
 import (
@@ -17,15 +17,15 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// principal is who a call comes from, as far as its credentials show.
+// principal is the identity of a caller according to its credentials.
 type principal struct {
-	tokenHash   string
-	certificate string
+	tokenHash   string // hex SHA-256 of the bearer token, "" for none
+	certificate string // common name of the verified client certificate, "" for none
 }
 
 const bearer = "Bearer "
 
-// principalOf reads the credentials of a call.
+// principalOf returns the principal of a call.
 func principalOf(ctx context.Context) principal {
 	var p principal
 	if md, ok := metadata.FromIncomingContext(ctx); ok {
@@ -44,16 +44,17 @@
 	return p
 }
 
+// none reports whether a call has no credentials.
 func (p principal) none() bool { return p.tokenHash == "" && p.certificate == "" }
 
-// listed says whether a token or certificate is among those given.
+// listed reports whether the principal's token or certificate is among those given.
 func (p principal) listed(tokens, certificates []string) bool {
 	return p.tokenHash != "" && slices.Contains(tokens, p.tokenHash) ||
 		p.certificate != "" && slices.Contains(certificates, p.certificate)
 }
 
-// mayUse says why a principal may not use a workspace, or nil. An unknown workspace passes here and
-// is refused by the box, but only to those whose credentials are known.
+// mayUse returns an error if the principal may not use a workspace. For principals with known credentials an unknown
+// workspace passes here and is rejected by the box.
 func (p principal) mayUse(c *config.Config, workspace string, anyone bool) *code.Error {
 	if c == nil {
 		return nil // the box refuses as not ready
@@ -75,7 +76,7 @@
 	return code.New(code.NotYourWorkspace, "workspace", "the credentials are bound to another workspace")
 }
 
-// mayOperate says why a principal may not call Operations, or nil.
+// mayOperate returns an error if the principal may not call Operations.
 func (p principal) mayOperate(s config.OperatorSettings) *code.Error {
 	switch {
 	case s.Anyone, p.listed(s.TokensSHA256, s.CertificateNames):
--- a/src/rpc/operations.go
+++ b/src/rpc/operations.go
@@ -13,13 +13,14 @@
 	"github.com/stilemast/stilemast/src/core"
 )
 
-// Operations serves operators. Set its fields before registering it.
+// Operations implements the gRPC service for operators. Set its fields before registering it.
 type Operations struct {
 	pb.UnimplementedOperationsServer
 	Box       *box.Box
-	BeginStop func() int // begins the planned stop of the process; gives the requests that run
+	BeginStop func() int // begins a graceful shutdown of the process; returns the number of running requests
 }
 
+// authorize returns a gRPC error if the caller is not an operator.
 func (o *Operations) authorize(ctx context.Context) error {
 	if err := principalOf(ctx).mayOperate(o.Box.Settings.Operators); err != nil {
 		return Status(err, false)
@@ -27,7 +28,7 @@
 	return nil
 }
 
-// Validate implements the schema's Validate.
+// Validate checks a configuration and returns its faults.
 func (o *Operations) Validate(ctx context.Context, r *pb.ValidateRequest) (*pb.ValidateReply, error) {
 	if err := o.authorize(ctx); err != nil {
 		return nil, err
@@ -48,7 +49,7 @@
 	return out
 }
 
-// Plan implements the schema's Plan.
+// Plan returns the differences between the configuration in force and a new one.
 func (o *Operations) Plan(ctx context.Context, r *pb.PlanRequest) (*pb.PlanReply, error) {
 	if err := o.authorize(ctx); err != nil {
 		return nil, err
@@ -69,7 +70,7 @@
 	return reply, nil
 }
 
-// Status implements the schema's Status.
+// Status returns the state of this box and its view of other boxes and backend servers.
 func (o *Operations) Status(ctx context.Context, _ *pb.StatusRequest) (*pb.StatusReply, error) {
 	if err := o.authorize(ctx); err != nil {
 		return nil, err
@@ -113,7 +114,7 @@
 	}
 }
 
-// age is how long ago something was, -1 s for never.
+// age returns the time since an event, -1 s if it never happened.
 func age(now, at time.Time) *durationpb.Duration {
 	if at.IsZero() {
 		return durationpb.New(-time.Second)
@@ -121,7 +122,7 @@
 	return durationpb.New(now.Sub(at))
 }
 
-// Drain implements the schema's Drain.
+// Drain begins a graceful shutdown.
 func (o *Operations) Drain(ctx context.Context, _ *pb.DrainRequest) (*pb.DrainReply, error) {
 	if err := o.authorize(ctx); err != nil {
 		return nil, err
@@ -129,14 +130,14 @@
 	return &pb.DrainReply{Running: uint32(o.BeginStop())}, nil
 }
 
-// Explain implements the schema's Explain.
+// Explain returns how a recent request was placed on backend servers.
 func (o *Operations) Explain(ctx context.Context, r *pb.ExplainRequest) (*pb.ExplainReply, error) {
 	if err := o.authorize(ctx); err != nil {
 		return nil, err
 	}
 	e, ok := o.Box.Explain(r.GetKey())
 	if !ok {
-		return nil, Status(code.New(code.NotFound, "key", "box %s ended no such request lately", o.Box.ID.Name), false)
+		return nil, Status(code.New(code.NotFound, "key", "box %s has no record of such a request", o.Box.ID.Name), false)
 	}
 	reply := &pb.ExplainReply{Key: e.Key, Box: o.Box.ID.Name, Outcome: e.Outcome}
 	for _, p := range e.Placements {
@@ -158,7 +159,7 @@
 	return out
 }
 
-// CostByStage implements the schema's CostByStage.
+// CostByStage returns the resources that each stage has consumed since the start of the box.
 func (o *Operations) CostByStage(ctx context.Context, _ *pb.CostByStageRequest) (*pb.CostByStageReply, error) {
 	if err := o.authorize(ctx); err != nil {
 		return nil, err
@@ -174,7 +175,7 @@
 	return reply, nil
 }
 
-// Burn implements the schema's Burn.
+// Burn returns the burn rates of the error budgets of the service levels.
 func (o *Operations) Burn(ctx context.Context, _ *pb.BurnRequest) (*pb.BurnReply, error) {
 	if err := o.authorize(ctx); err != nil {
 		return nil, err
--- a/src/rpc/pipelines.go
+++ b/src/rpc/pipelines.go
@@ -14,17 +14,18 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// Pipelines serves callers. Set its fields before registering it.
+// Pipelines implements the gRPC service for callers. Set its fields before registering it.
 type Pipelines struct {
 	pb.UnimplementedPipelinesServer
 	Box *box.Box
 }
 
+// authorize returns an error if the caller may not use a workspace.
 func (p *Pipelines) authorize(ctx context.Context, workspace string) *code.Error {
 	return principalOf(ctx).mayUse(p.Box.Config(), workspace, p.Box.Settings.Callers.Anyone)
 }
 
-// Run implements the schema's Run.
+// Run runs a request and streams its answer.
 func (p *Pipelines) Run(r *pb.RunRequest, out grpc.ServerStreamingServer[pb.RunEvent]) error {
 	if err := p.authorize(out.Context(), r.GetWorkspace()); err != nil {
 		return Status(err, false)
@@ -40,7 +41,7 @@
 	return s.result(err)
 }
 
-// Attach implements the schema's Attach.
+// Attach streams the answer of a running or finished request again, from an offset.
 func (p *Pipelines) Attach(r *pb.AttachRequest, out grpc.ServerStreamingServer[pb.RunEvent]) error {
 	if err := p.authorize(out.Context(), r.GetWorkspace()); err != nil {
 		return Status(err, false)
@@ -52,7 +53,7 @@
 	return s.result(p.Box.Attach(out.Context(), r.GetWorkspace(), r.GetAttachToken(), int(r.GetOffset()), s.emit))
 }
 
-// Cancel implements the schema's Cancel.
+// Cancel stops a running request.
 func (p *Pipelines) Cancel(ctx context.Context, r *pb.CancelRequest) (*pb.CancelReply, error) {
 	if err := p.authorize(ctx, r.GetWorkspace()); err != nil {
 		return nil, Status(err, false)
@@ -64,7 +65,7 @@
 	return &pb.CancelReply{Stopped: stopped}, nil
 }
 
-// IssueTickets implements the schema's IssueTickets.
+// IssueTickets returns new tickets, which are keys of requests bound to this box.
 func (p *Pipelines) IssueTickets(ctx context.Context, r *pb.IssueTicketsRequest) (*pb.IssueTicketsReply, error) {
 	if err := p.authorize(ctx, r.GetWorkspace()); err != nil {
 		return nil, Status(err, false)
@@ -76,12 +77,13 @@
 	return &pb.IssueTicketsReply{Tickets: tickets}, nil
 }
 
-// sender turns the box's events into the schema's and keeps the end.
+// sender converts the events of a box into gRPC messages, and keeps the end event.
 type sender struct {
 	out grpc.ServerStreamingServer[pb.RunEvent]
 	end *port.End
 }
 
+// emit sends one event. An end event with an error is only kept; result returns it.
 func (s *sender) emit(e port.ForwardEvent) error {
 	switch {
 	case e.Accepted != nil:
@@ -104,7 +106,7 @@
 	return nil
 }
 
-// result is what the call returns: the end's code, or the stream's own failure.
+// result returns the gRPC error of the call: that of the end event, or the failure of the stream itself.
 func (s *sender) result(err error) error {
 	if s.end != nil && s.end.Err != nil {
 		return Status(s.end.Err, s.end.MayRepeat)
@@ -128,7 +130,7 @@
 	return out
 }
 
-// Status makes the gRPC error of a numbered result, with the Result among its details.
+// Status returns the gRPC error for an error with a result code. Its details contain the Result.
 func Status(e *code.Error, mayRepeat bool) error {
 	entry := e.Code.Entry()
 	st := status.New(entry.GRPC, e.Error())
@@ -145,7 +147,7 @@
 	return st.Err()
 }
 
-// ResultOf finds the Result in a gRPC error, or nil.
+// ResultOf returns the Result in the details of a gRPC error, or nil.
 func ResultOf(err error) *pb.Result {
 	for _, d := range status.Convert(err).Details() {
 		if r, ok := d.(*pb.Result); ok {
