--- a/src/box/once.go
+++ b/src/box/at_most_once.go
@@ -11,37 +11,38 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// The forwarding of requests that may not be repeated.
+// Parameters of forwarding requests that must run at most once.
 const (
-	forwardPause  = 100 * time.Millisecond // between tries after an answer broke off
-	renounceWait  = time.Second            // for all promises that a key never ran
-	comeBackAfter = 500 * time.Millisecond // when a home can't be reached
+	forwardRetryDelay = 100 * time.Millisecond // delay before retrying after a connection broke
+	renounceTimeout   = time.Second            // timeout for the promises of all boxes that a key never ran
+	homeRetryAfter    = 500 * time.Millisecond // retry-after time for callers if the home box can't be reached
 )
 
-// runOnce brings a request that may not be repeated to the one incarnation that may run it.
-func (b *Box) runOnce(ctx context.Context, q *asked, emit Emit) error {
+// runOnce runs a request that must run at most once, or forwards it to the one box incarnation that may run it.
+func (b *Box) runOnce(ctx context.Context, q *checkedRequest, emit Emit) error {
 	if e := b.entryOf(q.key); e != nil {
 		if e.Renounced() && !q.key.Ticket() {
-			return emit(b.unsettled(ctx, q, e.Err()))
+			return emit(b.homeUnsettled(ctx, q, e.Err()))
 		}
-		return b.runHere(ctx, q, emit)
+		return b.runLocally(ctx, q, emit)
 	}
 	if q.key.Ticket() {
 		return b.runTicket(ctx, q, emit)
 	}
-	h := b.docs.judge(q.key, q.workspace.Name())
+	h := b.docs.homeOf(q.key, q.workspace.Name())
 	switch {
 	case h.Me:
-		return b.runHere(ctx, q, emit)
+		return b.runLocally(ctx, q, emit)
 	case h.Err != nil:
-		return emit(b.unsettled(ctx, q, h.Err))
+		return emit(b.homeUnsettled(ctx, q, h.Err))
 	}
 	return b.forwardHome(ctx, q, h.Box, core.BoxID{}, emit)
 }
 
-// known says whether the key is in this box's ledger, whoever ranks first now.
-func (b *Box) known(k core.Key) bool { return b.entryOf(k) != nil }
+// inLedger reports whether the key is in this box's ledger, whichever box is its home now.
+func (b *Box) inLedger(k core.Key) bool { return b.entryOf(k) != nil }
 
+// entryOf returns a copy of the ledger entry of a key, or nil.
 func (b *Box) entryOf(k core.Key) *core.Entry {
 	s := b.shardOf(k)
 	s.mu.Lock()
@@ -53,75 +54,76 @@
 	return nil
 }
 
-// runTicket runs a ticket if this incarnation issued it, and otherwise takes it there.
-func (b *Box) runTicket(ctx context.Context, q *asked, emit Emit) error {
+// runTicket runs a request with a ticket if this incarnation issued the ticket, and otherwise forwards it to
+// the issuer.
+func (b *Box) runTicket(ctx context.Context, q *checkedRequest, emit Emit) error {
 	if age := b.wall().Sub(q.key.Minted()); age > time.Duration(b.Settings.AtMostOnce.LedgerKeep) {
 		return emit(refusal(code.New(code.KeyExpired, "key", "issued %s ago, longer than outcomes are kept", age.Round(time.Second))))
 	}
 	if q.key.Issuer == b.ID {
-		return b.runHere(ctx, q, emit)
+		return b.runLocally(ctx, q, emit)
 	}
-	if b.imported.has(q.key.Issuer) {
-		return emit(b.neverSpent(q.key))
+	if b.importedLedgers.has(q.key.Issuer) {
+		return emit(b.unusedTicket(q.key))
 	}
 	return b.forwardHome(ctx, q, q.key.Issuer.Name, q.key.Issuer, emit)
 }
 
-// neverSpent answers a ticket of a closed incarnation whose whole ledger is here and has no such
-// ticket: it never ran, and now never will.
-func (b *Box) neverSpent(k core.Key) port.ForwardEvent {
+// unusedTicket answers a request with a ticket of a stopped incarnation whose complete ledger this box took
+// over and which does not contain the ticket: the request never ran and never will.
+func (b *Box) unusedTicket(k core.Key) port.ForwardEvent {
 	s := b.shardOf(k)
 	s.mu.Lock()
 	promised := s.ledger.Renounce(b.now(), k)
 	s.mu.Unlock()
-	err := code.New(code.TicketHolderGone, "key", "box %s stopped as planned before the ticket was used", k.Issuer)
+	err := code.New(code.TicketHolderGone, "key", "box %s was shut down before the ticket was used", k.Issuer)
 	if promised {
 		err = err.WithRan(code.RanNo)
 	}
 	return refusal(err)
 }
 
-// forwardHome forwards a request to the box that may run it. The same key can be forwarded again
-// after a broken answer, since that box runs it once.
-func (b *Box) forwardHome(ctx context.Context, q *asked, name string, holder core.BoxID, emit Emit) error {
+// forwardHome forwards a request to the box that may run it. After a broken connection it forwards the same
+// key again, which is safe since that box runs the key at most once.
+func (b *Box) forwardHome(ctx context.Context, q *checkedRequest, name string, holder core.BoxID, emit Emit) error {
 	f := port.Forward{
 		From: b.ID, Key: q.key, Holder: holder, Workspace: q.workspace.Name(), Pipeline: q.pipeline.Name(),
 		Input: q.input, MaxTokens: q.maxTokens, Offset: q.offset,
 	}
 	reached := false
 	for {
-		address, domain := b.fleet.find(name, holder)
+		address, domain := b.fleet.locate(name, holder)
 		if address == "" {
 			return emit(b.holderGone(q.key, name, holder))
 		}
 		if domain != "" && !config.MayEnter(q.workspace, q.conf.DomainIndex(domain)) {
-			return emit(refusal(code.New(code.BoxOutsideBoundary, "workspace", "the key's home %s lies outside the boundary", name).WithRan(code.RanUnknown)))
+			return emit(refusal(code.New(code.BoxOutsideBoundary, "workspace", "home box %s is outside the boundary of the workspace", name).WithRan(code.RanUnknown)))
 		}
 		f.TimeLeft = q.deadline.Sub(b.now())
 		if f.TimeLeft <= 0 {
-			return emit(refusal(code.New(code.OutcomeUnknown, "", "the deadline came while box %s could not be heard", name)))
+			return emit(refusal(code.New(code.OutcomeUnknown, "", "deadline exceeded while box %s was unreachable", name)))
 		}
 		end, err := b.forwardOnce(ctx, address, &f, emit)
 		if end != nil {
-			return emit(b.refuted(ctx, q, *end))
+			return emit(b.proveNotRun(ctx, q, *end))
 		}
 		if err == nil || ctx.Err() != nil {
 			return ctx.Err()
 		}
 		var never *port.NotConnected
 		if errors.As(err, &never) && !reached {
-			return emit(refusal(code.New(code.HomeUnreachable, "key", "box %s can't be reached from here", name).After(comeBackAfter)))
+			return emit(refusal(code.New(code.HomeUnreachable, "key", "box %s can't be reached from here", name).After(homeRetryAfter)))
 		}
 		reached = true
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(forwardPause):
+		case <-time.After(forwardRetryDelay):
 		}
 	}
 }
 
-// forwardOnce sends a forward and passes its events on, but for the end, which it gives back.
+// forwardOnce forwards a request once and emits its events, except the end event, which it returns.
 func (b *Box) forwardOnce(ctx context.Context, address string, f *port.Forward, emit Emit) (*port.End, error) {
 	ctx, cancel := context.WithTimeout(ctx, f.TimeLeft+core.OnceGrace)
 	defer cancel()
@@ -133,7 +135,7 @@
 		case e.End != nil:
 			end = e.End
 		case e.Chunk != nil && e.Chunk.Offset != f.Offset:
-			gone = code.New(code.FrameInvalid, "frame", "a piece of the answer is out of place")
+			gone = code.New(code.FrameInvalid, "frame", "unexpected offset of an answer chunk")
 			cancel()
 		default:
 			if e.Chunk != nil {
@@ -147,25 +149,25 @@
 	return end, err
 }
 
-// holderGone answers when no member answers to the name, or its incarnation is another one.
+// holderGone answers a request whose box is not a member, or has another incarnation now.
 func (b *Box) holderGone(k core.Key, name string, holder core.BoxID) port.ForwardEvent {
 	if holder.Incarnation == 0 {
-		return refusal(code.New(code.HomeUnreachable, "key", "box %s is not known here", name).After(comeBackAfter))
+		return refusal(code.New(code.HomeUnreachable, "key", "box %s is unknown", name).After(homeRetryAfter))
 	}
 	return refusal(code.New(code.TicketHolderGone, "key", "box %s is gone", holder))
 }
 
-// refuted turns another box's "not settled" into "not run" where that can be proved.
-func (b *Box) refuted(ctx context.Context, q *asked, end port.End) port.ForwardEvent {
+// proveNotRun turns another box's HOME_UNSETTLED into "not run" if that can be proved.
+func (b *Box) proveNotRun(ctx context.Context, q *checkedRequest, end port.End) port.ForwardEvent {
 	if end.Err == nil || end.Err.Code != code.HomeUnsettled || end.Err.DidRun() != code.RanUnknown {
 		return port.ForwardEvent{End: &end}
 	}
-	return b.unsettled(ctx, q, end.Err)
+	return b.homeUnsettled(ctx, q, end.Err)
 }
 
-// unsettled answers a key of which no box can prove to be the home. If every box that might think
-// itself home promises that the key never ran and never will, the answer is "not run".
-func (b *Box) unsettled(ctx context.Context, q *asked, err *code.Error) port.ForwardEvent {
+// homeUnsettled answers a request for which no box can prove to be the home. If all boxes that might consider
+// themselves the home promise that the key never ran and never will, the answer is "not run".
+func (b *Box) homeUnsettled(ctx context.Context, q *checkedRequest, err *code.Error) port.ForwardEvent {
 	if err.Code != code.HomeUnsettled {
 		return refusal(err)
 	}
@@ -176,8 +178,9 @@
 	return refusal(err.WithRan(code.RanNo))
 }
 
+// allRenounce reports whether all named boxes promise that a key never ran and never will.
 func (b *Box) allRenounce(ctx context.Context, k core.Key, names []string) bool {
-	ctx, cancel := context.WithTimeout(ctx, renounceWait)
+	ctx, cancel := context.WithTimeout(ctx, renounceTimeout)
 	defer cancel()
 	answers := make(chan bool, len(names))
 	for _, n := range names {
@@ -196,7 +199,7 @@
 	if name == b.ID.Name {
 		return b.renounce(port.Renounce{Key: k})
 	}
-	address, _ := b.fleet.find(name, core.BoxID{})
+	address, _ := b.fleet.locate(name, core.BoxID{})
 	if address == "" {
 		return false
 	}
@@ -204,10 +207,10 @@
 	return err == nil && a.Renounced
 }
 
-// renounce promises that a key never ran and never will here. A box that started after the key was
-// made can't speak for the life before it, unless that life's ledger was handed over.
+// renounce promises that a key never ran and never will run on this box. A box that started after the key was
+// made can't speak for its previous incarnation, unless it took over that one's ledger.
 func (b *Box) renounce(r port.Renounce) bool {
-	if r.Key.Minted().Before(b.startedAt().Add(time.Duration(b.Settings.AtMostOnce.ClockSkew))) && !b.imported.hasName(b.ID.Name) {
+	if r.Key.Minted().Before(b.startedAt().Add(time.Duration(b.Settings.AtMostOnce.ClockSkew))) && !b.importedLedgers.hasName(b.ID.Name) {
 		return false
 	}
 	s := b.shardOf(r.Key)
@@ -216,16 +219,16 @@
 	return s.ledger.Renounce(b.now(), r.Key)
 }
 
-// startedAt is when this incarnation began.
+// startedAt returns when this incarnation started.
 func (b *Box) startedAt() time.Time { return time.Unix(0, int64(b.ID.Incarnation)) }
 
-// takeForward serves a request that another box forwarded.
-func (b *Box) takeForward(ctx context.Context, f port.Forward, emit Emit) error {
+// serveForward serves a request or an attach that another box forwarded.
+func (b *Box) serveForward(ctx context.Context, f port.Forward, emit Emit) error {
 	if f.Attach {
-		if !b.holds(f.Holder) {
+		if !b.answersFor(f.Holder) {
 			return emit(refusal(code.New(code.NotFound, "attach_token", "box %s is gone", f.Holder)))
 		}
-		return b.attachHere(ctx, f.Workspace, core.AttachToken{Key: f.Key, Holder: f.Holder}, f.Offset, emit)
+		return b.attachLocally(ctx, f.Workspace, core.AttachToken{Key: f.Key, Holder: f.Holder}, f.Offset, emit)
 	}
 	q, err := b.check(Request{Workspace: f.Workspace, Pipeline: f.Pipeline, Key: f.Key.String(), Input: f.Input, MaxTokens: f.MaxTokens})
 	if err != nil {
@@ -236,40 +239,41 @@
 	}
 	q.deadline = b.now().Add(f.TimeLeft)
 	q.offset = f.Offset
-	if b.known(q.key) {
-		return b.runHere(ctx, q, emit)
+	if b.inLedger(q.key) {
+		return b.runLocally(ctx, q, emit)
 	}
 	if q.key.Ticket() {
-		return b.takeTicket(ctx, q, emit)
+		return b.serveTicket(ctx, q, emit)
 	}
-	if h := b.docs.judge(q.key, q.workspace.Name()); !h.Me {
+	if h := b.docs.homeOf(q.key, q.workspace.Name()); !h.Me {
 		if h.Err == nil {
-			h.Err = code.New(code.HomeUnsettled, "key", "box %s holds that box %s is the key's home", b.ID.Name, h.Box)
+			h.Err = code.New(code.HomeUnsettled, "key", "according to box %s the home of the key is box %s", b.ID.Name, h.Box)
 		}
 		return emit(refusal(h.Err))
 	}
-	return b.runHere(ctx, q, emit)
+	return b.runLocally(ctx, q, emit)
 }
 
-func (b *Box) takeTicket(ctx context.Context, q *asked, emit Emit) error {
+// serveTicket serves a forwarded request with a ticket.
+func (b *Box) serveTicket(ctx context.Context, q *checkedRequest, emit Emit) error {
 	switch {
 	case q.key.Issuer == b.ID:
 		return b.runTicket(ctx, q, emit)
-	case b.imported.has(q.key.Issuer):
-		return emit(b.neverSpent(q.key))
+	case b.importedLedgers.has(q.key.Issuer):
+		return emit(b.unusedTicket(q.key))
 	}
 	return emit(refusal(code.New(code.TicketHolderGone, "key", "box %s is gone", q.key.Issuer)))
 }
 
-// forwardTo forwards an attach to the incarnation that holds the request.
+// forwardTo forwards an attach to the box incarnation that holds the request.
 func (b *Box) forwardTo(ctx context.Context, holder core.BoxID, f port.Forward, emit Emit) error {
-	address, domain := b.fleet.find(holder.Name, holder)
+	address, domain := b.fleet.locate(holder.Name, holder)
 	if address == "" {
 		return emit(refusal(code.New(code.NotFound, "attach_token", "box %s is gone", holder)))
 	}
 	c := b.Config()
 	if w := c.Workspace(f.Workspace); w != nil && !config.MayEnter(w, c.DomainIndex(domain)) {
-		return emit(refusal(code.New(code.BoxOutsideBoundary, "attach_token", "box %s lies outside the boundary", holder.Name).WithRan(code.RanUnknown)))
+		return emit(refusal(code.New(code.BoxOutsideBoundary, "attach_token", "box %s is outside the boundary of the workspace", holder.Name).WithRan(code.RanUnknown)))
 	}
 	f.TimeLeft = config.LongestDeadline
 	end, err := b.forwardOnce(ctx, address, &f, emit)
@@ -279,7 +283,7 @@
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	e := code.New(code.AnswerInterrupted, "attach_token", "box %s can't be heard", holder.Name).WithRan(code.RanUnknown).After(comeBackAfter)
+	e := code.New(code.AnswerInterrupted, "attach_token", "connection to box %s was lost", holder.Name).WithRan(code.RanUnknown).After(homeRetryAfter)
 	if err == nil {
 		return e
 	}
--- a/src/box/bench_test.go
+++ b/src/box/bench_test.go
@@ -15,8 +15,8 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// quietBox is a box whose ports reach nobody.
-func quietBox(tb testing.TB) *Box {
+// isolatedBox returns a box without peers.
+func isolatedBox(tb testing.TB) *Box {
 	tb.Helper()
 	s := config.DefaultSettings()
 	s.Box, s.FailureDomain, s.Listen.Peers = "box-001", "west-1", "127.0.0.1:1"
@@ -28,7 +28,8 @@
 	return b
 }
 
-// documents of about 10 KB and 1 MB, and each with one workspace's weight changed.
+// documentPair returns a configuration of about 10 KB, or 1 MB if large, and the next version with the weight
+// of one workspace changed.
 func documentPair(tb testing.TB, large bool) (before, after []byte) {
 	tb.Helper()
 	d := config.ExamplePageworks()
@@ -47,12 +48,12 @@
 	return before, after
 }
 
-// BenchmarkConfigChange is what one new configuration costs a box, from its bytes to in force.
+// BenchmarkConfigChange measures putting a new configuration in force.
 func BenchmarkConfigChange(b *testing.B) {
 	for _, large := range []bool{false, true} {
 		before, _ := documentPair(b, large)
 		b.Run(fmt.Sprintf("bytes=%d", len(before)), func(b *testing.B) {
-			box := quietBox(b)
+			box := isolatedBox(b)
 			raws := make([][]byte, 64)
 			for i := range raws {
 				raws[i] = bytes.Replace(before, []byte("version = 1\n"), []byte(fmt.Sprintf("version = %d\n", i+1)), 1)
@@ -60,16 +61,17 @@
 			i := 0
 			for b.Loop() {
 				if i == len(raws) {
-					box, i = quietBox(b), 0
+					box, i = isolatedBox(b), 0
 				}
-				box.docs.offer(raws[i], time.Now())
+				box.docs.offerConfig(raws[i], time.Now())
 				i++
 			}
 		})
 	}
 }
 
-// BenchmarkPack is what a box spends to hand one changed configuration on, and how many bytes travel.
+// BenchmarkPack measures compressing a changed configuration for another box, whole and as a difference, and
+// its size.
 func BenchmarkPack(b *testing.B) {
 	for _, large := range []bool{false, true} {
 		before, after := documentPair(b, large)
@@ -99,28 +101,28 @@
 		}
 	}
 	if _, err := pack.Unpack([]byte("hello"), nil); err == nil {
-		t.Error("took what is not packed")
+		t.Error("accepted data that is not packed")
 	}
 	if _, err := pack.Unpack(pack.Pack(after, before), bytes.ToUpper(before)); err == nil {
-		t.Error("took a difference to another version")
+		t.Error("accepted a difference from another version")
 	}
 	if _, err := pack.Unpack(pack.Pack(after, before), nil); err == nil {
-		t.Error("took a difference without what it differs from")
+		t.Error("accepted a difference without its base")
 	}
 	if n := len(pack.Pack(after, before)); n > 2000 {
-		t.Errorf("one changed weight travels as %d bytes", n)
+		t.Errorf("the difference of one changed weight has %d bytes", n)
 	}
 }
 
-// BenchmarkBeatBytes gives the size of one heartbeat of a box that watches its whole subset.
+// BenchmarkBeatBytes reports the size of a heartbeat of a box that polls its whole subset of servers.
 func BenchmarkBeatBytes(b *testing.B) {
-	box := quietBox(b)
+	box := isolatedBox(b)
 	_, after := documentPair(b, true)
-	box.docs.offer(after, time.Now())
+	box.docs.offerConfig(after, time.Now())
 	for i := range 419 {
 		box.TakeBeat(core.Beat{From: core.Rumour{ID: core.BoxID{Name: fmt.Sprintf("box-%03d", i+2), Incarnation: uint64(time.Now().UnixNano())}, Address: "10.0.0.1:7001", Domain: "west-1", State: core.MemberAlive}})
 	}
-	fill := box.news(time.Now())
+	fill := box.beatFiller(time.Now())
 	n := 0
 	for b.Loop() {
 		m := core.Beat{From: core.Rumour{ID: box.ID, Address: "10.0.0.1:7001", Domain: "west-1", State: core.MemberAlive}, Seq: 9}
@@ -136,7 +138,7 @@
 	b.ReportMetric(float64(n), "beat_bytes")
 }
 
-// BenchmarkLedgerEntry gives the memory of one remembered key whose answer was let go.
+// BenchmarkLedgerEntry measures the memory of a ledger entry without its answer.
 func BenchmarkLedgerEntry(b *testing.B) {
 	l := core.NewLedger()
 	l.AnswerKeep, l.Keep = 0, time.Hour
@@ -152,22 +154,22 @@
 	}
 }
 
-// A configuration with thousands of placements is put in force while a request is served elsewhere;
-// here only that a box without any peers serves on its own after settling.
+// Guards against a box without peers never becoming ready, and against becoming ready before it has the box
+// list.
 func TestLoneBoxBecomesReady(t *testing.T) {
-	b := quietBox(t)
+	b := isolatedBox(t)
 	before, _ := documentPair(t, false)
 	list, err := msgpack.Marshal(port.BoxList{Revision: 1, Boxes: []core.ListedBox{{Name: "box-001", Address: "a", FailureDomain: "west-1"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.docs.offer(before, b.now())
-	if b.docs.settle(b.now()); b.Ready() {
-		t.Error("ready before the box list was read")
+	b.docs.offerConfig(before, b.now())
+	if b.docs.updateReadiness(b.now()); b.Ready() {
+		t.Error("ready before the box list is known")
 	}
 	b.docs.offerList(list, b.now())
-	if b.docs.settle(b.now()); !b.Ready() {
-		t.Error("not ready with configuration, list and nobody to hear from")
+	if b.docs.updateReadiness(b.now()); !b.Ready() {
+		t.Error("not ready with configuration, list and no other boxes")
 	}
 	if err := b.Serve(context.Background(), Request{Workspace: "x"}, func(e port.ForwardEvent) error { return nil }); err != nil {
 		t.Error(err)
--- a/src/box/box.go
+++ b/src/box/box.go
@@ -1,11 +1,11 @@
-// Package box is the shell around the decision core: it holds the state in shards, drives the core
-// with events and carries out the actions that come back through the ports.
+// Package box runs the decision logic of package core: it keeps the state in shards, passes events to the
+// core and carries out the resulting actions through the ports.
 //
-//	callers ─► serve.go ─► once.go (home, forward) ─► flight.go ─► pools.go ─► Backends
-//	                                                     ▲
-//	platform ─► documents.go ─► configuration, list ─────┤
-//	peers ────► beats.go ─► membership, versions ────────┤
-//	servers ──► watch.go ─► reports, events, orders ─────┘
+//	callers ─► serve.go ─► at_most_once.go (home, forward) ─► flight.go ─► pools.go ─► Backends
+//	                                                             ▲
+//	platform ─► documents.go ─► configuration, list ─────────────┤
+//	peers ────► membership.go ─► membership, versions ───────────┤
+//	servers ──► polling.go ─► reports, events, orders ───────────┘
 package box
 
 import (
@@ -27,73 +27,77 @@
 	"github.com/stilemast/stilemast/src/suspects"
 )
 
-// shardCount is how many locks the requests are spread over.
+// shardCount is the number of shards, each with its own lock, that requests are distributed over.
 const shardCount = 16
 
-// Box is one entry box. Set the exported fields before Run.
+// Box is one box of the fleet: it receives callers' requests and runs them on backend servers. Set the
+// exported fields before Run.
 type Box struct {
 	Settings *config.Settings
 	ID       core.BoxID
-	Release  string // version of the program
+	Release  string // version of the software
 	Backends port.Backends
 	Platform port.Platform
 	Peers    port.Peers
 	Log      *slog.Logger
-	Clock    func() time.Time // never steps; measures what goes by inside this process
-	Wall     func() time.Time // may be ahead or behind; compared with the times in keys
+	Clock    func() time.Time // monotonic; measures durations inside this process
+	Wall     func() time.Time // wall time, may be wrong; compared with the times in keys
 	Rand     *rand.Rand
-	Entropy  io.Reader // of ids; crypto/rand's when nil
+	Entropy  io.Reader // source of random ids; crypto/rand if nil
 	Watch    Watcher
-	Gate     func() // called before every piece of work; tests stop a box here as SIGSTOP would
-
-	est     *core.Estimates
-	cost    *core.Cost
-	burn    *core.Burn
-	shards  [shardCount]shard
-	pools   poolSet
-	conf    atomic.Pointer[config.Config]
-	docs    documents
-	fleet   fleet
-	entries admissions
-	orders  orderDesk
-	past    history
-
-	visits     int // servers asked for reports so far; only pollReports uses it
-	draining   atomic.Bool
-	ready      atomic.Bool
-	lastTick   atomic.Int64 // unix nanoseconds
-	wokenAt    atomic.Int64 // when the last pause ended, 0 for none
-	imported   closedLives
-	suspects   suspects.Tracker
-	background sync.WaitGroup
+	Gate     func() // called before each unit of work; tests block here to simulate SIGSTOP
+
+	estimates    *core.Estimates
+	cost         *core.Cost
+	burn         *core.Burn
+	shards       [shardCount]shard
+	pools        poolSet
+	activeConfig atomic.Pointer[config.Config]
+	docs         documents
+	fleet        fleet
+	admission    admissionControl
+	orders       orderState
+	history      history
+
+	polls           int // servers polled so far; only pollReports uses it
+	draining        atomic.Bool
+	ready           atomic.Bool
+	lastTick        atomic.Int64 // Unix nanoseconds
+	resumedAt       atomic.Int64 // when the last pause of the process ended in Unix nanoseconds, 0 for none
+	importedLedgers ledgerOwners
+	suspects        suspects.Tracker
+	background      sync.WaitGroup
 }
 
-// Watcher is told what happened, for metrics. Nil fields are skipped.
+// Watcher receives events for metrics. Nil fields are skipped.
 type Watcher struct {
-	Ended    func(p *config.Pipeline, err *code.Error, took, firstOut time.Duration)
-	Settled  func(pool string, f core.Failure, took time.Duration)
-	Waited   func(pool string, d time.Duration)
-	Stale    func(n int)
-	Platform func(document string, ok bool)
+	Ended    func(p *config.Pipeline, err *code.Error, took, firstOut time.Duration) // a request ended
+	Settled  func(pool string, f core.Failure, took time.Duration)                   // a call to a server ended
+	Waited   func(pool string, d time.Duration)                                      // a call was granted a server after d
+	Stale    func(n int)                                                             // n stale replies were discarded
+	Platform func(document string, ok bool)                                          // the platform was read
 }
 
+// shard is the part of the requests and of the ledger under one lock.
 type shard struct {
 	mu      sync.Mutex
 	ledger  *core.Ledger
 	flights map[uuid.UUID]*flight
 }
 
-type admissions struct {
+// admissionControl is the core's admission control under its lock.
+type admissionControl struct {
 	mu   sync.Mutex
 	core *core.Admission
 }
 
-type orderDesk struct {
+// orderState is the core's state of the orders to model engines under its lock.
+type orderState struct {
 	mu   sync.Mutex
 	core *core.Orders
 }
 
-// Init fills what Run needs; tests that drive a box by hand call it themselves.
+// Init sets defaults and initializes the state. Run calls it; tests that don't use Run call it themselves.
 func (b *Box) Init() {
 	if b.Clock == nil {
 		b.Clock = time.Now
@@ -111,30 +115,30 @@
 		b.Rand = rand.New(rand.NewPCG(b.ID.Incarnation, 1))
 	}
 	s := b.Settings
-	b.est, b.cost, b.burn = core.NewEstimates(), core.NewCost(), core.NewBurn()
+	b.estimates, b.cost, b.burn = core.NewEstimates(), core.NewCost(), core.NewBurn()
 	for i := range b.shards {
 		l := core.NewLedger()
-		// A key made by a clock that is ahead must be expired before it is forgotten.
+		// A key from a clock that is ahead must expire before its entry is dropped.
 		l.Keep = time.Duration(s.AtMostOnce.LedgerKeep) + 2*time.Duration(s.AtMostOnce.ClockSkew)
 		l.AnswerKeep = time.Duration(s.Answers.Keep)
 		l.MaxBytes = s.Answers.MaxBytes / shardCount
 		b.shards[i].ledger = l
 		b.shards[i].flights = map[uuid.UUID]*flight{}
 	}
-	b.entries.core = core.NewAdmission()
-	b.entries.core.Off = s.Policy.NoAdmission
-	b.entries.core.Boxes = b.fleet.size
+	b.admission.core = core.NewAdmission()
+	b.admission.core.Off = s.Policy.NoAdmission
+	b.admission.core.Boxes = b.fleet.size
 	b.orders.core = core.NewOrders(b.ID.Name)
 	b.pools.init(b)
 	b.docs.init(b)
 	b.fleet.init(b)
-	b.past.init()
-	b.imported.init()
+	b.history.init()
+	b.importedLedgers.init()
 	b.initSuspects()
 	b.lastTick.Store(b.Clock().UnixNano())
 }
 
-// Run works until the context ends. A planned stop is Drain first, then the end of the context.
+// Run runs the box until the context ends. For a graceful shutdown call Drain before ending the context.
 func (b *Box) Run(ctx context.Context) {
 	b.Init()
 	b.Start(ctx)
@@ -142,20 +146,20 @@
 	b.background.Wait()
 }
 
-// Start begins the background work of a box that Init prepared; it ends with the context.
+// Start starts the background tasks of an initialized box; they end with the context.
 func (b *Box) Start(ctx context.Context) {
 	b.every(ctx, core.TickEvery, b.tick)
-	b.every(ctx, core.HeartbeatEvery, b.beat)
-	b.every(ctx, core.NewsEvery, b.tellLoads)
+	b.every(ctx, core.HeartbeatEvery, b.sendHeartbeats)
+	b.every(ctx, core.NewsEvery, b.sendLoads)
 	b.every(ctx, core.TickEvery, b.docs.step)
-	b.every(ctx, reportEvery, b.pollReports)
-	b.every(ctx, sweepEvery, b.sweep)
+	b.every(ctx, pollInterval, b.pollReports)
+	b.every(ctx, sweepInterval, b.sweep)
 }
 
-// sweepEvery is the pace of forgetting what is old.
-const sweepEvery = 5 * time.Second
+// sweepInterval is how often expired ledger entries are dropped.
+const sweepInterval = 5 * time.Second
 
-// every runs fn at a pace until the context ends; a run that takes long delays the next.
+// every runs fn periodically until the context ends; a slow run delays the next one.
 func (b *Box) every(ctx context.Context, pace time.Duration, fn func(context.Context)) {
 	b.background.Add(1)
 	go func() {
@@ -186,41 +190,42 @@
 
 func (b *Box) wall() time.Time { return b.Wall() }
 
-// tick watches for pauses of this process and lets waiting calls be judged again.
+// tick detects pauses of this process and re-evaluates waiting calls.
 func (b *Box) tick(context.Context) {
 	now := b.now()
 	last := time.Unix(0, b.lastTick.Swap(now.UnixNano()))
 	if now.Sub(last) > core.PauseLimit {
-		b.wokenAt.Store(now.UnixNano())
+		b.resumedAt.Store(now.UnixNano())
 		b.Log.Warn("process was paused", "gap", now.Sub(last).String())
 	}
 	b.pools.kickAll()
 	b.suspects.Tick()
 }
 
-// awake says whether this process can trust what it believed: it was not paused since its
-// configuration was last confirmed. It looks at the clock itself, since after a pause a sender may
-// run before the tick does.
-func (b *Box) awake() bool {
+// confirmedSincePause reports whether this process may rely on its state: it was not paused since its
+// configuration was last confirmed. It reads the clock itself, since after a pause a sender may run before
+// the next tick.
+func (b *Box) confirmedSincePause() bool {
 	now := b.now()
 	if now.Sub(time.Unix(0, b.lastTick.Load())) > core.PauseLimit {
 		return false
 	}
-	woken := b.wokenAt.Load()
+	woken := b.resumedAt.Load()
 	if woken == 0 {
 		return true
 	}
-	if b.docs.confirmed().UnixNano() >= woken || now.Sub(time.Unix(0, woken)) > wakeWait {
-		b.wokenAt.CompareAndSwap(woken, 0)
+	if b.docs.confirmed().UnixNano() >= woken || now.Sub(time.Unix(0, woken)) > resumeWait {
+		b.resumedAt.CompareAndSwap(woken, 0)
 		return true
 	}
 	return false
 }
 
-// wakeWait is how long a box that was paused holds its calls back to confirm its configuration; with
-// the service down for long it then serves on with what it has, as any cut-off box does.
-const wakeWait = 2 * time.Second
+// resumeWait is how long a box that was paused holds calls back until its configuration is confirmed. If the
+// platform is down for longer, it goes on with what it has, like any disconnected box.
+const resumeWait = 2 * time.Second
 
+// sweep drops expired ledger entries.
 func (b *Box) sweep(context.Context) {
 	now := b.now()
 	for i := range b.shards {
@@ -229,16 +234,16 @@
 		s.ledger.Expire(now)
 		s.mu.Unlock()
 	}
-	b.imported.expire(now, 2*time.Duration(b.Settings.AtMostOnce.LedgerKeep))
+	b.importedLedgers.expire(now, 2*time.Duration(b.Settings.AtMostOnce.LedgerKeep))
 }
 
 func (b *Box) shardOf(k core.Key) *shard { return &b.shards[k.Hash()%shardCount] }
 
-// Config is the configuration in force, or nil.
-func (b *Box) Config() *config.Config { return b.conf.Load() }
+// Config returns the configuration in force, or nil.
+func (b *Box) Config() *config.Config { return b.activeConfig.Load() }
 
-// Ready says whether the balancer should send callers here.
+// Ready reports whether the load balancer should send callers to this box.
 func (b *Box) Ready() bool { return b.ready.Load() && !b.draining.Load() }
 
-// domainOf is this box's failure domain in a configuration, or -1.
+// domainOf returns the index of this box's failure domain in a configuration, or -1.
 func (b *Box) domainOf(c *config.Config) int { return c.DomainIndex(b.Settings.FailureDomain) }
--- a/src/box/documents.go
+++ b/src/box/documents.go
@@ -16,30 +16,30 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// documents keeps the two published documents: the configuration and the box list. Both come from
-// the platform at a few boxes and from other boxes everywhere else.
+// documents keeps the two published documents, the configuration and the box list, up to date. A few boxes
+// read them from the platform, all others get them from other boxes.
 type documents struct {
 	box *Box
 
-	mu         sync.Mutex
-	config     *core.Spread
-	list       *core.Spread
-	views      *core.Views
-	boxes      port.BoxList
-	holders    config.Holders // who may hold what, by the configuration in force
-	rawList    []byte
-	past       [][]byte // earlier configurations, to make differences against, newest first
-	older      string   // digest of a version older than the one in force, not to be parsed again
-	refusal    string   // why the newest published configuration was refused
-	begun      time.Time
-	packing    sync.Mutex // held while packing, and for lastPacked
-	lastPacked port.Pulled
-	reading    [2]bool
-	pulling    [2]bool
+	mu          sync.Mutex
+	config      *core.Spread
+	list        *core.Spread
+	views       *core.Views
+	boxes       port.BoxList
+	holders     config.Holders // which boxes may hold which data according to the configuration in force
+	rawList     []byte
+	past        [][]byte // earlier configurations as bases of differences, newest first
+	olderDigest string   // digest of a rejected version that is not newer, to avoid parsing it again
+	refusal     string   // why the newest published configuration was rejected
+	startedAt   time.Time
+	packMu      sync.Mutex // guards lastPacked and serializes packing
+	lastPacked  port.Pulled
+	reading     [2]bool
+	pulling     [2]bool
 }
 
-// pastKept is how many earlier configurations are kept for differences.
-const pastKept = 2
+// maxPast is the number of earlier configurations kept as bases of differences.
+const maxPast = 2
 
 func (d *documents) init(b *Box) {
 	d.box = b
@@ -51,33 +51,35 @@
 	d.views.ListLag = time.Duration(s.ListLag)
 	d.views.ClockSkew = time.Duration(s.ClockSkew)
 	d.views.LedgerKeep = time.Duration(s.LedgerKeep)
-	d.begun = b.now()
+	d.startedAt = b.now()
 }
 
-// judge says which box is home to a key.
-func (d *documents) judge(k core.Key, workspace string) core.Homing {
+// homeOf returns which box is the home of a key.
+func (d *documents) homeOf(k core.Key, workspace string) core.Homing {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	// Confirmations were timed by a clock that doesn't step; keys carry wall time.
+	// Confirmations are timed by the monotonic clock, keys contain wall time.
 	step := d.box.wall().Sub(d.box.now())
 	d.views.Confirm(d.list.Confirmed().Add(step), d.config.Confirmed().Add(step))
 	return d.views.Judge(d.box.wall(), k, workspace)
 }
 
+// witnesses returns the boxes that might consider themselves the home of a key; false if this box can't name
+// them all.
 func (d *documents) witnesses(k core.Key, workspace string) ([]string, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.views.Witnesses(k, workspace)
 }
 
-// confirmed is when the configuration in force was last known to be the newest.
+// confirmed returns when the configuration in force was last known to be the newest.
 func (d *documents) confirmed() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.config.Confirmed()
 }
 
-// step reads, pulls and settles as is due.
+// step starts the reads and pulls that are due, and updates readiness.
 func (d *documents) step(ctx context.Context) {
 	now := d.box.now()
 	live := d.box.fleet.regions(d.box.Config())
@@ -96,12 +98,12 @@
 	}
 	d.startPull(ctx, 0, d.config)
 	d.startPull(ctx, 1, d.list)
-	d.settle(now)
+	d.updateReadiness(now)
 }
 
-// settle makes a fresh box ready: once it has a configuration and has either heard from every box it
-// knows of or waited long enough for them, so that it does not serve on an older version than they.
-func (d *documents) settle(now time.Time) {
+// updateReadiness makes a new box ready once it has a configuration and has either heard from every known box
+// or waited long enough for them, so that it does not serve with an older version than the others.
+func (d *documents) updateReadiness(now time.Time) {
 	b := d.box
 	if b.ready.Load() || b.Config() == nil {
 		return
@@ -110,16 +112,17 @@
 	behind := d.config.Newest() > d.config.Held().Version
 	listed := d.list.Held().Version > 0
 	d.mu.Unlock()
-	waited := now.Sub(d.begun)
+	waited := now.Sub(d.startedAt)
 	if behind && waited < 4*core.SettleWait {
 		return
 	}
-	if listed && b.fleet.allHeard() || waited >= core.SettleWait {
+	if listed && b.fleet.allAnswered() || waited >= core.SettleWait {
 		b.ready.Store(true)
 		b.Log.Info("ready", "config_version", b.Config().Version(), "waited", waited.String())
 	}
 }
 
+// readConfig reads the configuration from the platform.
 func (d *documents) readConfig(ctx context.Context) {
 	defer d.readEnded(0)
 	at := d.box.now()
@@ -131,10 +134,10 @@
 		d.mu.Unlock()
 		return
 	}
-	d.offer(raw, at)
+	d.offerConfig(raw, at)
 }
 
-// noteRead tells metrics of a read of the platform.
+// noteRead reports a read of the platform to the metrics and the log.
 func (d *documents) noteRead(document string, err error) {
 	if d.box.Watch.Platform != nil {
 		d.box.Watch.Platform(document, err == nil)
@@ -150,9 +153,9 @@
 	d.mu.Unlock()
 }
 
-// offer checks a configuration from anywhere and puts it in force if its version is higher. readAt is
-// when the platform showed it, or zero when another box did.
-func (d *documents) offer(raw []byte, readAt time.Time) {
+// offerConfig validates a configuration and puts it in force if its version is higher. readAt is when it was
+// read from the platform, zero if it came from another box.
+func (d *documents) offerConfig(raw []byte, readAt time.Time) {
 	digest := config.Digest(raw)
 	d.mu.Lock()
 	held := d.config.Held()
@@ -162,47 +165,48 @@
 		return
 	}
 	d.config.Served(readAt, 0, "")
-	refused := d.config.Refused(digest) || digest == d.older
+	refused := d.config.Refused(digest) || digest == d.olderDigest
 	d.mu.Unlock()
 	if refused {
 		return
 	}
 	c, faults := config.Parse(raw)
 	if len(faults) > 0 {
-		d.refuse(digest, faults)
+		d.rejectConfig(digest, faults)
 		return
 	}
-	d.adopt(c, readAt)
+	d.adoptConfig(c, readAt)
 }
 
-func (d *documents) refuse(digest string, faults config.Faults) {
+// rejectConfig records an invalid configuration.
+func (d *documents) rejectConfig(digest string, faults config.Faults) {
 	d.mu.Lock()
 	d.config.Refuse(digest)
 	d.refusal = faults.Error()
 	d.mu.Unlock()
-	d.box.Log.Error("configuration refused, the last good one stays in force", "digest", digest, "faults", len(faults), "first", faults[0].Error())
+	d.box.Log.Error("configuration refused, the last valid one stays in force", "digest", digest, "faults", len(faults), "first", faults[0].Error())
 }
 
-// adopt puts a checked configuration in force everywhere in the box.
-func (d *documents) adopt(c *config.Config, readAt time.Time) {
+// adoptConfig puts a valid configuration in force if its version is higher.
+func (d *documents) adoptConfig(c *config.Config, readAt time.Time) {
 	b := d.box
 	d.mu.Lock()
 	if !d.config.Offer(c.Version(), c.Digest()) {
 		conflict := d.config.Conflict()
-		d.older = c.Digest()
+		d.olderDigest = c.Digest()
 		d.mu.Unlock()
 		if conflict == c.Version() {
-			b.Log.Error("a version was published again with other content", "version", conflict)
+			b.Log.Error("a version was published twice with different content", "version", conflict)
 		}
 		return
 	}
-	if old := b.conf.Load(); old != nil {
-		d.past = append([][]byte{old.Raw()}, d.past[:min(len(d.past), pastKept-1)]...)
+	if old := b.activeConfig.Load(); old != nil {
+		d.past = append([][]byte{old.Raw()}, d.past[:min(len(d.past), maxPast-1)]...)
 	}
 	d.config.Adopt(c.Version(), c.Digest(), readAt)
 	d.refusal = ""
 	d.setRegion(c)
-	b.conf.Store(c)
+	b.activeConfig.Store(c)
 	if h := c.Holders(); !h.Same(d.holders) {
 		d.holders = h
 		d.views.Observe(b.wall(), d.boxes.Boxes, h.May)
@@ -220,6 +224,7 @@
 	}
 }
 
+// readList reads the box list from the platform.
 func (d *documents) readList(ctx context.Context) {
 	defer d.readEnded(1)
 	at := d.box.now()
@@ -253,7 +258,7 @@
 	if fresh {
 		d.list.Adopt(l.Revision, digest, readAt)
 		d.boxes, d.rawList = l, raw
-		if d.box.Config() != nil { // without one nobody could be a home, which is no view of the fleet
+		if d.box.Config() != nil { // without a configuration no box could be a home
 			d.views.Observe(d.box.wall(), l.Boxes, d.holders.May)
 		}
 	}
@@ -263,8 +268,8 @@
 	}
 }
 
-// hear takes what another box's heartbeat says of the documents.
-func (d *documents) hear(now time.Time, from string, b core.Beat, askedAt time.Time) {
+// handleBeat applies the statements on documents in another box's heartbeat.
+func (d *documents) handleBeat(now time.Time, from string, b core.Beat, askedAt time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.config.Hear(now, from, b.Config, askedAt)
@@ -274,15 +279,15 @@
 	}
 }
 
-// say fills a heartbeat.
-func (d *documents) say(now time.Time, b *core.Beat) {
+// fillBeat adds the statements on documents to a heartbeat.
+func (d *documents) fillBeat(now time.Time, b *core.Beat) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	b.Config = d.config.Say(now)
 	b.List = d.list.Say(now)
 }
 
-// startPull fetches a newer document that another box told of.
+// startPull starts to fetch a newer document from another box, if one is known.
 func (d *documents) startPull(ctx context.Context, i int, s *core.Spread) {
 	d.mu.Lock()
 	from, want := "", core.Statement{}
@@ -303,11 +308,12 @@
 	}()
 }
 
+// pull fetches a document from another box and offers it.
 func (d *documents) pull(ctx context.Context, i int, s *core.Spread, from string, want core.Statement, have string) {
 	ctx, cancel := context.WithTimeout(ctx, core.PullTimeout)
 	defer cancel()
 	name := []string{port.DocumentConfig, port.DocumentList}[i]
-	address, _ := d.box.fleet.find(from, core.BoxID{})
+	address, _ := d.box.fleet.locate(from, core.BoxID{})
 	q := port.Pull{Document: name, Version: want.Version, Digest: want.Digest, HaveDigest: have}
 	var raw []byte
 	a, err := d.box.Peers.Ask(ctx, address, port.Question{Pull: &q})
@@ -322,21 +328,22 @@
 		return
 	}
 	if i == 0 {
-		d.offer(raw, time.Time{})
+		d.offerConfig(raw, time.Time{})
 		return
 	}
 	d.offerList(raw, time.Time{})
 }
 
+// unpack decompresses a pulled document.
 func (d *documents) unpack(p *port.Pulled) ([]byte, error) {
 	base := d.base(p.Base)
 	if p.Base != "" && base == nil {
-		return nil, eris.New("the version it differs from is not here")
+		return nil, eris.New("base version of the difference is not available")
 	}
 	return pack.Unpack(p.Packed, base)
 }
 
-// base finds the document that a difference was made against.
+// base returns the document that a difference is based on, nil if this box does not have it.
 func (d *documents) base(digest string) []byte {
 	if c := d.box.Config(); c != nil && digest != "" && c.Digest() == digest {
 		return c.Raw()
@@ -344,7 +351,7 @@
 	return nil
 }
 
-// answerPull gives a document to another box, as a difference if it has a version known here.
+// answerPull returns a document to another box, as a difference if that box has a version that is kept here.
 func (d *documents) answerPull(q port.Pull) port.Answer {
 	d.mu.Lock()
 	raw, held := d.rawList, d.list.Held()
@@ -362,7 +369,7 @@
 	}
 	d.mu.Unlock()
 	if len(raw) == 0 || held.Version < q.Version {
-		return port.Answer{Err: code.New(code.NotFound, "document", "version %d of %s is not here", q.Version, q.Document)}
+		return port.Answer{Err: code.New(code.NotFound, "document", "version %d of %s is not available", q.Version, q.Document)}
 	}
 	p := &port.Pulled{Version: held.Version, Digest: held.Digest}
 	if base != nil {
@@ -372,11 +379,11 @@
 	return port.Answer{Pull: p}
 }
 
-// packed packs a document, or takes the bytes of the last such answer: after a change many boxes ask
-// for the same difference within seconds.
+// packed compresses a document, or returns the cached result: after a change many boxes request the same
+// difference within seconds.
 func (d *documents) packed(p *port.Pulled, raw, base []byte) []byte {
-	d.packing.Lock()
-	defer d.packing.Unlock()
+	d.packMu.Lock()
+	defer d.packMu.Unlock()
 	if d.lastPacked.Digest != p.Digest || d.lastPacked.Base != p.Base {
 		d.lastPacked = port.Pulled{Digest: p.Digest, Base: p.Base, Packed: pack.Pack(raw, base)}
 	}
--- a/src/box/flight.go
+++ b/src/box/flight.go
@@ -12,13 +12,13 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// flight is a request under way. Events are queued and stepped one after another by whichever
-// goroutine finds the queue idle, so actions come out in order and no lock is held while they run.
+// flight is a request in flight. Events are queued and processed one by one by whichever goroutine finds the
+// queue idle, so that actions are carried out in order and without holding a lock.
 type flight struct {
-	box   *Box
-	req   *core.Request // stepped only by the goroutine that has stepping set
-	conf  *config.Config
-	begun time.Time
+	box       *Box
+	req       *core.Request // used only by the goroutine that has set stepping
+	conf      *config.Config
+	startedAt time.Time
 
 	content crasher.Content
 
@@ -39,21 +39,21 @@
 
 func newFlight(b *Box, req *core.Request, c *config.Config) *flight {
 	return &flight{
-		box: b, req: req, conf: c, begun: b.now(), changed: make(chan struct{}),
+		box: b, req: req, conf: c, startedAt: b.now(), changed: make(chan struct{}),
 		calls: map[core.Attempt]context.CancelFunc{}, sentAt: map[core.Attempt]time.Time{},
 	}
 }
 
-// start lets an admitted request run.
+// start runs an admitted request.
 func (f *flight) start() {
 	f.mu.Lock()
 	f.admitted = true
-	f.deadline = time.AfterFunc(f.req.GiveUp(f.begun).Sub(f.box.now()), func() { f.post(core.DeadlineOver{}) })
+	f.deadline = time.AfterFunc(f.req.GiveUp(f.startedAt).Sub(f.box.now()), func() { f.post(core.DeadlineOver{}) })
 	f.mu.Unlock()
 	f.post(core.Begin{})
 }
 
-// post queues an event and steps the queue unless somebody already does.
+// post queues an event, and processes the queue unless another goroutine already does.
 func (f *flight) post(ev core.Event) {
 	f.mu.Lock()
 	f.queue = append(f.queue, ev)
@@ -74,19 +74,20 @@
 	f.mu.Unlock()
 }
 
+// step processes one event and carries out the resulting actions.
 func (f *flight) step(ev core.Event) {
 	f.box.gate()
 	stale := f.req.Stale()
 	for _, a := range f.req.Step(f.box.now(), ev) {
-		f.do(a)
+		f.execute(a)
 	}
 	if n := f.req.Stale() - stale; n > 0 && f.box.Watch.Stale != nil {
 		f.box.Watch.Stale(n)
 	}
 }
 
-// do carries out one action.
-func (f *flight) do(a core.Action) {
+// execute carries out one action.
+func (f *flight) execute(a core.Action) {
 	switch a := a.(type) {
 	case core.Enqueue:
 		f.enqueue(a.Call)
@@ -109,7 +110,7 @@
 	case core.Emit:
 		f.emit(a.Data)
 	case core.Settle:
-		f.settle(a)
+		f.callEnded(a)
 	case core.Finish:
 		f.finish(a.Err)
 	case core.Amend:
@@ -120,6 +121,7 @@
 	}
 }
 
+// enqueue queues a call in its pool.
 func (f *flight) enqueue(c *core.Call) {
 	if err := f.barred(c.Stage); err != nil {
 		f.post(core.Refused{Attempt: c.Attempt, Err: err.WithRan(code.RanUnknown)})
@@ -135,7 +137,7 @@
 	}
 }
 
-// send dispatches a call on a goroutine of its own.
+// send makes a call in its own goroutine.
 func (f *flight) send(a core.Send) {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.mu.Lock()
@@ -152,50 +154,50 @@
 	}()
 }
 
-// call makes the call if everything that was decided still holds at this moment, and posts its end.
+// call makes the call if the placement is still valid, and posts its outcome.
 func (f *flight) call(ctx context.Context, a core.Send) {
-	server, why := f.check(ctx, a)
+	server, why := f.recheck(ctx, a)
 	if why != 0 {
 		f.post(core.Failed{Attempt: a.Attempt, Failure: why})
 		return
 	}
 	stage := f.req.Pipeline().Stages()[a.Attempt.Stage]
-	ctx, cancel := context.WithTimeout(ctx, f.req.CallLimit(f.box.now(), f.begun, a.Attempt))
+	ctx, cancel := context.WithTimeout(ctx, f.req.CallLimit(f.box.now(), f.startedAt, a.Attempt))
 	defer cancel()
-	stall := newStallWatch(stage, a.Attempt.N, cancel)
-	defer stall.end()
+	stall := newStallTimer(stage, a.Attempt.N, cancel)
+	defer stall.stop()
 	emit := func(offset int, data []byte) {
-		stall.alive()
+		stall.progress()
 		f.post(core.Chunk{Attempt: a.Attempt, Offset: offset, Data: data})
 	}
 	res, err := f.box.Backends.Call(ctx, server, f.request(a, stage), emit)
 	f.noteCall(server, stage, err)
 	if err != nil {
-		f.hearRest(server, stage, err)
+		f.noteRest(server, stage, err)
 		f.post(core.Failed{Attempt: a.Attempt, Failure: err.Failure, Message: err.Message})
 		return
 	}
 	if res.Stream && stage.Kind() == config.Generate {
-		f.box.est.LearnTokens(f.box.now(), f.req.Pipeline(), stage, res.Length/standardTokenBytes, stage.MaxTokens())
+		f.box.estimates.LearnTokens(f.box.now(), f.req.Pipeline(), stage, res.Length/approxTokenBytes, stage.MaxTokens())
 	}
 	f.post(core.Done{Attempt: a.Attempt, Output: res.Output, Length: res.Length, Stream: res.Stream, Use: res.Use})
 }
 
-// hearRest takes for how long a server wants nothing that turned a call away.
-func (f *flight) hearRest(s *config.BackendServer, stage *config.Stage, err *port.CallError) {
+// noteRest applies the time for which a server that rejected a call asks for no further calls.
+func (f *flight) noteRest(s *config.BackendServer, stage *config.Stage, err *port.CallError) {
 	if p := f.box.pools.get(stage.Pool()); p != nil && err.Rest > 0 {
 		f.box.Log.Info("server asks for rest", "server", s.Name(), "pool", stage.Pool(), "asks_ms", err.Rest.Milliseconds())
 		p.locked(func(c *core.Pool) { c.AsksRest(f.box.now(), s.Name(), err.Rest) })
 	}
 }
 
-// standardTokenBytes is the rough size of a token in an output.
-const standardTokenBytes = 4
+// approxTokenBytes is the approximate size of an output token in bytes.
+const approxTokenBytes = 4
 
-// check looks once more at what the placement rested on: this process was not paused since, and the
-// configuration in force now still lets the stage run there. Nothing has been sent when it fails.
-func (f *flight) check(ctx context.Context, a core.Send) (*config.BackendServer, core.Failure) {
-	for !f.box.awake() {
+// recheck verifies just before sending that the placement is still valid: this process was not paused since,
+// and the configuration now in force still allows the stage to run there. If it fails, nothing has been sent.
+func (f *flight) recheck(ctx context.Context, a core.Send) (*config.BackendServer, core.Failure) {
+	for !f.box.confirmedSincePause() {
 		select {
 		case <-ctx.Done():
 			return nil, core.NotSent
@@ -229,6 +231,7 @@
 	return nil
 }
 
+// request returns the request to the backend server for a call.
 func (f *flight) request(a core.Send, s *config.Stage) port.CallRequest {
 	r := port.CallRequest{
 		Attempt: a.Attempt.Wire(f.box.ID), Kind: string(s.Kind()), Input: a.Input, Offset: a.Offset,
@@ -237,34 +240,36 @@
 	}
 	if s.Kind() == config.Generate {
 		r.Continue = a.Continue
-		r.MaxTokens = f.req.TokenLimit(s) - len(a.Continue)/standardTokenBytes
+		r.MaxTokens = f.req.TokenLimit(s) - len(a.Continue)/approxTokenBytes
 		r.Prefix = core.PrefixBlocks(f.req.Workspace().Name(), a.Input)
 	}
 	return r
 }
 
-// stallWatch cancels a stream that stays silent.
-type stallWatch struct{ t *time.Timer }
+// stallTimer cancels a stream that makes no progress; it does nothing for other kinds of calls.
+type stallTimer struct{ t *time.Timer }
 
-func newStallWatch(s *config.Stage, attempt int, cancel func()) *stallWatch {
+func newStallTimer(s *config.Stage, attempt int, cancel func()) *stallTimer {
 	if s.Kind() != config.Generate {
-		return &stallWatch{}
+		return &stallTimer{}
 	}
-	return &stallWatch{t: time.AfterFunc(core.FirstPieceLimit(attempt), cancel)}
+	return &stallTimer{t: time.AfterFunc(core.FirstPieceLimit(attempt), cancel)}
 }
 
-func (w *stallWatch) alive() {
+// progress notes that the stream made progress.
+func (w *stallTimer) progress() {
 	if w.t != nil {
 		w.t.Reset(core.StallLimit)
 	}
 }
 
-func (w *stallWatch) end() {
+func (w *stallTimer) stop() {
 	if w.t != nil {
 		w.t.Stop()
 	}
 }
 
+// stop cancels a call and tells the server to stop working on it.
 func (f *flight) stop(a core.Stop) {
 	f.mu.Lock()
 	cancel := f.calls[a.Attempt]
@@ -279,17 +284,17 @@
 	f.box.background.Add(1)
 	go func() {
 		defer f.box.background.Done()
-		ctx, done := context.WithTimeout(context.Background(), stopWait)
+		ctx, done := context.WithTimeout(context.Background(), cancelTimeout)
 		defer done()
 		f.box.Backends.Stop(ctx, server, a.Attempt.Wire(f.box.ID))
 	}()
 }
 
-// stopWait bounds the message that cancels a call.
-const stopWait = time.Second
+// cancelTimeout is the timeout of the message that cancels a call.
+const cancelTimeout = time.Second
 
-// settle tells the pool and the cost account how a call ended.
-func (f *flight) settle(a core.Settle) {
+// settle records the outcome of a call in its pool, the costs and the metrics.
+func (f *flight) callEnded(a core.Settle) {
 	now := f.box.now()
 	f.mu.Lock()
 	took := now.Sub(f.sentAt[a.Attempt])
@@ -306,6 +311,7 @@
 	}
 }
 
+// emit appends data to the answer.
 func (f *flight) emit(data []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -315,15 +321,16 @@
 	}
 	f.lastOut = now
 	f.answer = append(f.answer, data...)
-	f.wakeLocked()
+	f.notifyLocked()
 }
 
-func (f *flight) wakeLocked() {
+// notifyLocked wakes all goroutines in follow. The caller holds the lock.
+func (f *flight) notifyLocked() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// finish gives the final answer at once: to the ledger first, so that no copy runs after a refusal.
+// finish ends the request. The ledger is updated first, so that no copy of the request runs after a refusal.
 func (f *flight) finish(err *code.Error) {
 	b := f.box
 	key := f.req.Key()
@@ -343,14 +350,14 @@
 		f.deadline.Stop()
 	}
 	f.mu.Unlock()
-	b.closeAccounts(f, err, admitted) // before the end is told: whoever has the answer may ask for its account
+	b.recordOutcome(f, err, admitted) // before the end is published: a caller that has the answer may query Explain at once
 	f.mu.Lock()
 	f.ended, f.end = true, end
-	f.wakeLocked()
+	f.notifyLocked()
 	f.mu.Unlock()
 }
 
-// follow gives events of the answer from an offset on, until the end or until ctx is done.
+// follow emits the events of the answer from an offset on, until its end or until ctx is done.
 func (f *flight) follow(ctx context.Context, offset int, emit func(port.ForwardEvent) error) error {
 	for {
 		f.mu.Lock()
--- a/src/box/flight_test.go
+++ b/src/box/flight_test.go
@@ -9,10 +9,10 @@
 	"github.com/stilemast/stilemast/src/core"
 )
 
-// A caller that has its answer may ask at once how the request was placed, so the accounts are closed before
-// the answer's end goes out.
-func TestAccountsAreClosedBeforeTheCallerIsTold(t *testing.T) {
-	b := quietBox(t)
+// A caller that has its answer may query Explain at once, so the outcome must be recorded before the end is
+// published.
+func TestOutcomeIsRecordedBeforeEndIsPublished(t *testing.T) {
+	b := isolatedBox(t)
 	raw, _ := documentPair(t, false)
 	c, faults := config.Parse(raw)
 	if len(faults) > 0 {
@@ -20,21 +20,21 @@
 	}
 	key := core.Key{ID: b.newID()}
 	p := c.Pipeline("caption")
-	f := newFlight(b, core.NewRequest(key, c.Workspace("lakeside"), p, []byte("x"), b.now().Add(time.Second), 0, b.est), c)
-	closed := 0
+	f := newFlight(b, core.NewRequest(key, c.Workspace("lakeside"), p, []byte("x"), b.now().Add(time.Second), 0, b.estimates), c)
+	recorded := 0
 	b.Watch.Ended = func(*config.Pipeline, *code.Error, time.Duration, time.Duration) {
-		closed++
+		recorded++
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if f.ended {
-			t.Error("the caller was told of the end before the accounts were closed")
+			t.Error("the end was published before the outcome was recorded")
 		}
 		if _, ok := b.Explain(key.String()); !ok {
 			t.Error("the ended request can't be explained")
 		}
 	}
 	f.finish(nil)
-	if !f.ended || closed != 1 {
-		t.Errorf("ended %v, accounts closed %d times", f.ended, closed)
+	if !f.ended || recorded != 1 {
+		t.Errorf("ended %v, outcome recorded %d times", f.ended, recorded)
 	}
 }
--- a/src/box/beats.go
+++ b/src/box/membership.go
@@ -13,19 +13,19 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// fleet is the membership under its lock.
+// fleet is the membership of the fleet under its lock.
 type fleet struct {
 	box *Box
 
-	mu       sync.Mutex
-	core     *core.Members
-	leavings map[string]core.LeavingNote
-	repeats  map[string]int
-	told     []core.LoadNote // the last loads told, and when; only tellLoads uses them
-	toldAt   time.Time
+	mu             sync.Mutex
+	core           *core.Members
+	leavingServers map[string]core.LeavingNote
+	repeatsLeft    map[string]int
+	sentLoads      []core.LoadNote // the loads sent last, and when; only sendLoads uses them
+	sentLoadsAt    time.Time
 }
 
-// leavingRepeats is how many beats pass on that a server is leaving.
+// leavingRepeats is the number of heartbeats that announce that a server is leaving.
 const leavingRepeats = 20
 
 func (f *fleet) init(b *Box) {
@@ -36,16 +36,16 @@
 	}
 	self := core.Rumour{ID: b.ID, Address: address, Domain: b.Settings.FailureDomain}
 	f.core = core.NewMembers(self, b.Rand)
-	f.leavings = map[string]core.LeavingNote{}
-	f.repeats = map[string]int{}
+	f.leavingServers = map[string]core.LeavingNote{}
+	f.repeatsLeft = map[string]int{}
 }
 
-// beat sends the heartbeats that are due.
-func (b *Box) beat(context.Context) {
+// sendHeartbeats sends the heartbeats that are due.
+func (b *Box) sendHeartbeats(context.Context) {
 	f := &b.fleet
 	now := b.now()
 	f.mu.Lock()
-	f.core.Expect = b.news(now)
+	f.core.Expect = b.beatFiller(now)
 	out := append(f.core.Tick(now), f.core.Indirect(now)...)
 	changed := f.core.Changed()
 	f.mu.Unlock()
@@ -53,42 +53,43 @@
 		b.Peers.Beat(o.Address, o.Beat)
 	}
 	if changed {
-		b.membersChanged()
+		b.updateMembers()
 	}
 }
 
-// tellLoads gives every box of a small fleet this box's loads, more often than heartbeats go round:
-// how freshly boxes know of one another's calls decides how well they share engines. What does not
-// change is told again only before it would be taken for stale.
-func (b *Box) tellLoads(context.Context) {
+// sendLoads sends this box's loads to every box of a small fleet, more often than heartbeats do: how well
+// boxes share engines depends on how recently they learned of each other's calls. Unchanged loads are sent
+// again only before they would count as stale.
+func (b *Box) sendLoads(context.Context) {
 	f := &b.fleet
 	f.mu.Lock()
 	to, self := f.core.Near(), f.core.Self
 	f.mu.Unlock()
 	loads := b.loadNotes(b.now())
 	now := b.now()
-	if len(to) == 0 || slices.Equal(loads, f.told) && (len(loads) == 0 || now.Sub(f.toldAt) < core.TellAgain) {
+	if len(to) == 0 || slices.Equal(loads, f.sentLoads) && (len(loads) == 0 || now.Sub(f.sentLoadsAt) < core.TellAgain) {
 		return
 	}
-	f.told, f.toldAt = loads, now
+	f.sentLoads, f.sentLoadsAt = loads, now
 	for _, address := range to {
 		b.Peers.Beat(address, core.Beat{From: self, News: true, Loads: loads})
 	}
 }
 
-// news fills heartbeats with what other parts of the box tell; the fleet's lock is held.
-func (b *Box) news(now time.Time) func(*core.Beat) {
+// beatFiller returns a function that adds the state of other parts of the box to a heartbeat. The caller
+// holds the fleet's lock.
+func (b *Box) beatFiller(now time.Time) func(*core.Beat) {
 	loads := b.loadNotes(now)
 	return func(m *core.Beat) {
-		b.docs.say(now, m)
+		b.docs.fillBeat(now, m)
 		m.Loads = loads
 		m.Leavings = b.fleet.leavingNotes()
 		m.Suspects = b.suspects.Notes(m.News)
 	}
 }
 
-// loadNotes says how many calls this box has at each server where it has any; a server that is left
-// out has none, which keeps a heartbeat small whatever the number of servers.
+// loadNotes returns how many calls this box has at each server. Servers without calls are left out, which keeps
+// heartbeats small whatever the number of servers.
 func (b *Box) loadNotes(now time.Time) []core.LoadNote {
 	var out []core.LoadNote
 	for _, p := range b.pools.list() {
@@ -103,32 +104,33 @@
 	return out
 }
 
+// leavingNotes returns the announcements of leaving servers, and counts their repetitions down.
 func (f *fleet) leavingNotes() []core.LeavingNote {
 	var out []core.LeavingNote
-	for name, n := range f.leavings {
+	for name, n := range f.leavingServers {
 		out = append(out, n)
-		if f.repeats[name]--; f.repeats[name] <= 0 {
-			delete(f.leavings, name)
-			delete(f.repeats, name)
+		if f.repeatsLeft[name]--; f.repeatsLeft[name] <= 0 {
+			delete(f.leavingServers, name)
+			delete(f.repeatsLeft, name)
 		}
 	}
 	return out
 }
 
-// tellLeaving passes on that a server is leaving.
-func (f *fleet) tellLeaving(server string, r core.Report) {
+// announceLeaving announces in the next heartbeats that a server is leaving.
+func (f *fleet) announceLeaving(server string, r core.Report) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.leavings[server] = core.LeavingNote{Server: server, Incarnation: r.Incarnation, Seq: r.Seq}
-	f.repeats[server] = leavingRepeats
+	f.leavingServers[server] = core.LeavingNote{Server: server, Incarnation: r.Incarnation, Seq: r.Seq}
+	f.repeatsLeft[server] = leavingRepeats
 }
 
-// TakeBeat takes a heartbeat of another box.
+// TakeBeat handles a heartbeat of another box.
 func (b *Box) TakeBeat(m core.Beat) {
 	f := &b.fleet
 	now := b.now()
 	f.mu.Lock()
-	f.core.Expect = b.news(now)
+	f.core.Expect = b.beatFiller(now)
 	h := f.core.Receive(now, m)
 	changed := f.core.Changed()
 	f.mu.Unlock()
@@ -136,17 +138,17 @@
 		b.Peers.Beat(o.Address, o.Beat)
 	}
 	if !m.News {
-		b.docs.hear(now, m.From.ID.Name, m, h.AskedAt)
+		b.docs.handleBeat(now, m.From.ID.Name, m, h.AskedAt)
 	}
 	b.suspects.Hear(m.Suspects, m.From.ID.Name)
-	b.takeLoads(now, m)
+	b.applyServerNotes(now, m)
 	if changed {
-		b.membersChanged()
+		b.updateMembers()
 	}
 }
 
-// takeLoads takes another box's notes on servers.
-func (b *Box) takeLoads(now time.Time, m core.Beat) {
+// applyServerNotes applies another box's loads and announcements of leaving servers.
+func (b *Box) applyServerNotes(now time.Time, m core.Beat) {
 	notes := make(map[uint32]uint16, len(m.Loads))
 	for _, n := range m.Loads {
 		notes[n.Server] = n.N
@@ -163,8 +165,9 @@
 	}
 }
 
-// membersChanged works out again which servers this box uses and with how many others.
-func (b *Box) membersChanged() {
+// updateMembers recomputes which servers this box uses and how many other boxes share them, and drops the
+// state of boxes that are gone.
+func (b *Box) updateMembers() {
 	c := b.Config()
 	if c == nil {
 		return
@@ -177,7 +180,7 @@
 	for _, n := range usable {
 		live[n] = true
 	}
-	for _, m := range b.fleet.each() {
+	for _, m := range b.fleet.members() {
 		if !live[m.ID().Name] {
 			b.docs.forget(m.ID().Name)
 			for _, p := range b.pools.list() {
@@ -208,8 +211,8 @@
 
 func (f *fleet) size() int { return len(f.usable()) }
 
-// each copies the members, for views.
-func (f *fleet) each() []core.Member {
+// members returns copies of all members.
+func (f *fleet) members() []core.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	list := f.core.Each()
@@ -220,8 +223,8 @@
 	return out
 }
 
-// allHeard says whether every box that is not known to be dead has answered once.
-func (f *fleet) allHeard() bool {
+// allAnswered reports whether every box that is not known to be dead has answered at least once.
+func (f *fleet) allAnswered() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range f.core.Each() {
@@ -232,9 +235,10 @@
 	return true
 }
 
-// find gives the address and failure domain of a box: of the incarnation meant, of the one that took
-// over its ledger, or, when no incarnation is meant, of whoever has the name.
-func (f *fleet) find(name string, holder core.BoxID) (address, domain string) {
+// locate returns the address and failure domain of a box: of the given incarnation or the successor that took
+// over its ledger, or, if no incarnation is given, of the current one with that name. The address is "" if
+// there is none.
+func (f *fleet) locate(name string, holder core.BoxID) (address, domain string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if holder.Incarnation != 0 {
@@ -253,11 +257,11 @@
 }
 
 func (f *fleet) addressOf(holder core.BoxID) string {
-	a, _ := f.find(holder.Name, holder)
+	a, _ := f.locate(holder.Name, holder)
 	return a
 }
 
-// regions maps the usable boxes to their regions.
+// regions returns the regions of the usable boxes by name.
 func (f *fleet) regions(c *config.Config) map[string]string {
 	out := map[string]string{}
 	f.mu.Lock()
@@ -280,7 +284,7 @@
 	return out
 }
 
-// TakeQuestion answers another box.
+// TakeQuestion answers a question of another box.
 func (b *Box) TakeQuestion(_ context.Context, q port.Question) port.Answer {
 	switch {
 	case q.Pull != nil:
@@ -288,9 +292,9 @@
 	case q.Renounce != nil:
 		return port.Answer{Renounced: b.renounce(*q.Renounce)}
 	case q.Cancel != nil:
-		return port.Answer{Cancelled: b.holds(q.Cancel.Holder) && b.cancelHere(*q.Cancel)}
+		return port.Answer{Cancelled: b.answersFor(q.Cancel.Holder) && b.cancelLocally(*q.Cancel)}
 	case q.Handover != nil:
-		return port.Answer{Taken: b.takeHandover(*q.Handover)}
+		return port.Answer{Taken: b.acceptHandover(*q.Handover)}
 	}
 	if q.Suspects != nil {
 		return port.Answer{Suspects: &port.Suspects{From: b.ID.Name, Notes: b.suspects.AddUp(q.Suspects.Notes, q.Suspects.From)}}
@@ -300,5 +304,5 @@
 
 // TakeForward serves a request that another box forwarded.
 func (b *Box) TakeForward(ctx context.Context, f port.Forward, emit func(port.ForwardEvent) error) {
-	_ = b.takeForward(ctx, f, emit)
+	_ = b.serveForward(ctx, f, emit)
 }
--- a/src/box/watch.go
+++ b/src/box/polling.go
@@ -8,53 +8,54 @@
 	"github.com/stilemast/stilemast/src/core"
 )
 
-// The watching of backend servers. A box asks a bounded number of servers a second, whatever the
-// size of the fleet: with more servers each is asked less often. Measured with all servers asked
-// every 250 ms and every 2 s, attainment is the same within the spread between seeds, since own calls
-// and the other boxes' notes fill the time between.
+// Polling of backend servers. A box polls a bounded number of servers per second, whatever the size of the
+// fleet: with more servers, each is polled less often. Measured with polls of each server every 250 ms and
+// every 2 s, attainment is the same within the spread between seeds, since the box's own calls and the notes
+// of other boxes fill the gaps.
 const (
-	reportEvery    = 250 * time.Millisecond // pace of the questions
-	reportsAtATime = 4                      // servers asked at each
-	eventsOneIn    = 4                      // visits to an engine on which its cache events are asked for
-	reportWait     = 500 * time.Millisecond // time a server has to report
+	pollInterval  = 250 * time.Millisecond // interval of polls
+	pollBatch     = 4                      // servers per poll
+	eventsEvery   = 4                      // cache events are requested on one in so many visits to an engine
+	reportTimeout = 500 * time.Millisecond // timeout of a report
 )
 
-// watched is one server with the pool it is in.
-type watched struct {
+// polledServer is a server with its pool.
+type polledServer struct {
 	pool *pool
 	view core.ServerView
 }
 
-// pollReports asks the next few servers, in turn, for their load and, at times, their cache events,
+// pollReports polls the next servers in round-robin order for their load and sometimes their cache events,
 // and sends the orders that are due.
 func (b *Box) pollReports(ctx context.Context) {
 	if b.Config() == nil {
 		return
 	}
-	var all []watched
+	var all []polledServer
 	for _, p := range b.pools.list() {
 		p.locked(func(c *core.Pool) {
 			for _, v := range c.View(b.now()) {
-				all = append(all, watched{p, v})
+				all = append(all, polledServer{p, v})
 			}
 		})
 	}
 	usable := b.fleet.usable()
 	var wg sync.WaitGroup
-	for range min(reportsAtATime, len(all)) {
-		w := all[b.visits%len(all)]
-		b.visits++
+	for range min(pollBatch, len(all)) {
+		w := all[b.polls%len(all)]
+		b.polls++
 		wg.Add(1)
 		go func(visit int) {
 			defer wg.Done()
-			b.pollServer(ctx, w.pool, w.view, usable, visit/len(all)%eventsOneIn == 0)
-		}(b.visits)
+			b.pollServer(ctx, w.pool, w.view, usable, visit/len(all)%eventsEvery == 0)
+		}(b.polls)
 	}
 	wg.Wait()
 }
 
+// pollServer polls one server and applies its report.
 func (b *Box) pollServer(ctx context.Context, p *pool, v core.ServerView, usable []string, withEvents bool) {
-	ctx, cancel := context.WithTimeout(ctx, reportWait)
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	r, err := b.Backends.Load(ctx, v.Config)
 	now := b.now()
@@ -64,17 +65,17 @@
 		}
 		return
 	}
-	b.takeLife(v.Name, v.Report, r)
+	b.noteRestart(v.Name, v.Report, r)
 	var fresh bool
 	p.locked(func(c *core.Pool) { fresh = c.Report(now, v.Name, r) })
 	if fresh && r.Leaving && !v.Leaving {
-		b.fleet.tellLeaving(v.Name, r)
+		b.fleet.announceLeaving(v.Name, r)
 	}
 	p.kick()
 	if v.Config.Model() == "" {
 		return
 	}
-	b.order(ctx, v, r, usable)
+	b.sendOrder(ctx, v, r, usable)
 	if !withEvents {
 		return
 	}
@@ -83,16 +84,16 @@
 	}
 }
 
-// lastEvent is the number of the last cache event taken of a server.
+// lastEvent returns the number of the last applied cache event of a server.
 func (p *pool) lastEvent(server string) uint64 {
 	var seq uint64
 	p.locked(func(c *core.Pool) { seq = c.LastEvent(server) })
 	return seq
 }
 
-// order sends the order that an engine needs now, if it is this box's to send.
-func (b *Box) order(ctx context.Context, v core.ServerView, r core.Report, usable []string) {
-	if !b.awake() {
+// sendOrder sends the order that an engine needs now, if this box is responsible for it.
+func (b *Box) sendOrder(ctx context.Context, v core.ServerView, r core.Report, usable []string) {
+	if !b.confirmedSincePause() {
 		return
 	}
 	b.orders.mu.Lock()
--- a/src/box/pools.go
+++ b/src/box/pools.go
@@ -17,13 +17,13 @@
 	all map[string]*pool
 }
 
-// pool is one core pool under its lock, with the flights that wait in it.
+// pool is one core pool under its lock, with the requests whose calls wait in it.
 type pool struct {
-	set     *poolSet
-	mu      sync.Mutex
-	core    *core.Pool
-	flights map[core.Attempt]*flight
-	kicked  bool
+	set             *poolSet
+	mu              sync.Mutex
+	core            *core.Pool
+	flights         map[core.Attempt]*flight
+	dispatchPending bool
 }
 
 func (s *poolSet) init(b *Box) {
@@ -48,7 +48,7 @@
 	return out
 }
 
-// setServers puts a configuration's pools in force.
+// setServers applies the pools of a configuration.
 func (s *poolSet) setServers(c *config.Config) {
 	s.mu.Lock()
 	for name := range c.Pools() {
@@ -68,13 +68,13 @@
 	p := core.NewPool(name)
 	p.Self = s.box.ID.Name
 	p.Room = set.Policy.WaitingRoom
-	p.Estimates = s.box.est
+	p.Estimates = s.box.estimates
 	p.NoAdmission = set.Policy.NoAdmission
 	p.Placement = core.PlacerByName(set.Policy.Placement)
 	return &pool{set: s, core: p, flights: map[core.Attempt]*flight{}}
 }
 
-// setServers gives the pool its part of the servers and how many boxes share each.
+// setServers assigns the pool this box's subset of the servers, and sets how many boxes share each of them.
 func (p *pool) setServers(c *config.Config, usable []string) {
 	b := p.set.box
 	domain := b.domainOf(c)
@@ -93,7 +93,7 @@
 	}
 }
 
-// push lets a call wait, or says why not.
+// push queues a call, or returns why it can't be queued.
 func (p *pool) push(now time.Time, c *core.Call, f *flight) *code.Error {
 	p.mu.Lock()
 	err := p.core.Push(now, c)
@@ -128,23 +128,23 @@
 	p.kick()
 }
 
-// locked runs fn with the core pool.
+// locked runs fn with the core pool under its lock.
 func (p *pool) locked(fn func(*core.Pool)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	fn(p.core)
 }
 
-// kick places what can be placed, on a goroutine of its own so that no flight waits for another.
+// kick dispatches waiting calls in a separate goroutine, so that no request waits for another.
 func (p *pool) kick() {
 	p.mu.Lock()
-	if p.kicked || len(p.flights) == 0 {
+	if p.dispatchPending || len(p.flights) == 0 {
 		p.mu.Unlock()
 		return
 	}
-	p.kicked = true
+	p.dispatchPending = true
 	p.mu.Unlock()
-	go p.pump()
+	go p.dispatch()
 }
 
 func (s *poolSet) kickAll() {
@@ -153,18 +153,19 @@
 	}
 }
 
-func (p *pool) pump() {
+// dispatch assigns servers to waiting calls and drops those that can't run any more.
+func (p *pool) dispatch() {
 	b := p.set.box
 	now := b.now()
 	p.mu.Lock()
-	p.kicked = false
+	p.dispatchPending = false
 	grants, drops := p.core.Next(now)
 	owners := make([]*flight, 0, len(grants)+len(drops))
 	for _, g := range grants {
-		owners = append(owners, p.take(g.Call.Attempt))
+		owners = append(owners, p.removeFlight(g.Call.Attempt))
 	}
 	for _, d := range drops {
-		owners = append(owners, p.take(d.Call.Attempt))
+		owners = append(owners, p.removeFlight(d.Call.Attempt))
 	}
 	p.mu.Unlock()
 	for i, g := range grants {
@@ -179,14 +180,14 @@
 	}
 }
 
-// take removes and gives the flight of a call; the lock is held.
-func (p *pool) take(id core.Attempt) *flight {
+// removeFlight removes and returns the request of a call. The caller holds the lock.
+func (p *pool) removeFlight(id core.Attempt) *flight {
 	f := p.flights[id]
 	delete(p.flights, id)
 	return f
 }
 
-// waitFor tells admission how long a stage's call would wait.
+// waitFor estimates how long a call of a stage would wait, for admission control.
 func (s *poolSet) waitFor(st *config.Stage, class config.Class, deadline time.Time) time.Duration {
 	p := s.get(st.Pool())
 	if p == nil {
@@ -197,7 +198,7 @@
 	return p.core.WaitFor(s.box.now(), class, deadline)
 }
 
-// waiting counts the calls that wait in any pool.
+// waiting returns the number of calls that wait in all pools.
 func (s *poolSet) waiting() int {
 	n := 0
 	for _, p := range s.list() {
--- a/src/box/serve.go
+++ b/src/box/serve.go
@@ -13,21 +13,21 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// Request is what a caller asks for.
+// Request is a caller's request.
 type Request struct {
 	Workspace string
 	Pipeline  string
 	Key       string
 	Input     []byte
-	Deadline  time.Duration // 0 means the pipeline's own
+	Deadline  time.Duration // relative; 0 for the pipeline's default
 	MaxTokens int
 }
 
-// Emit takes the events of an answer; an error means that the caller is gone.
+// Emit receives the events of an answer; it returns an error if the caller has disconnected.
 type Emit func(port.ForwardEvent) error
 
-// asked is a request that passed the checks of its form.
-type asked struct {
+// checkedRequest is a request that was validated.
+type checkedRequest struct {
 	conf      *config.Config
 	workspace *config.Workspace
 	pipeline  *config.Pipeline
@@ -35,11 +35,11 @@
 	input     []byte
 	deadline  time.Time
 	maxTokens int
-	offset    int // bytes of the answer the caller has already
+	offset    int // bytes of the answer that the caller already has
 }
 
-// Serve runs a caller's request; the last event is an End. The error is the caller's absence, which
-// does not stop the request.
+// Serve runs a caller's request and emits its answer; the last event is an End. It returns an error if the
+// caller has disconnected, which does not stop the request.
 func (b *Box) Serve(ctx context.Context, r Request, emit Emit) error {
 	q, err := b.check(r)
 	if err != nil {
@@ -48,32 +48,33 @@
 	if q.pipeline.Once() {
 		return b.runOnce(ctx, q, emit)
 	}
-	if b.draining.Load() && !b.known(q.key) {
+	if b.draining.Load() && !b.inLedger(q.key) {
 		return emit(refusal(code.New(code.Draining, "", "box %s is stopping", b.ID.Name)))
 	}
-	return b.runHere(ctx, q, emit)
+	return b.runLocally(ctx, q, emit)
 }
 
+// refusal returns the end event of a request that was refused.
 func refusal(err *code.Error) port.ForwardEvent {
 	return port.ForwardEvent{End: &port.End{Err: err, MayRepeat: err.DidRun() == code.RanNo}}
 }
 
-// check judges everything about a request that can be judged without running it.
-func (b *Box) check(r Request) (*asked, *code.Error) {
+// check validates a request as far as possible without running it.
+func (b *Box) check(r Request) (*checkedRequest, *code.Error) {
 	c := b.Config()
 	if c == nil || !b.ready.Load() {
 		err := code.New(code.NotReady, "", "box %s has no configuration in force yet", b.ID.Name).After(time.Second)
 		if r.Key != "" {
-			err = err.WithRan(code.RanUnknown) // it may be a copy of a request that runs elsewhere
+			err = err.WithRan(code.RanUnknown) // it may be a copy of a request that runs on another box
 		}
 		return nil, err
 	}
-	q := &asked{conf: c, input: r.Input, maxTokens: r.MaxTokens}
+	q := &checkedRequest{conf: c, input: r.Input, maxTokens: r.MaxTokens}
 	if q.workspace = c.Workspace(r.Workspace); q.workspace == nil {
-		return nil, b.byConfig(code.New(code.UnknownWorkspace, "workspace", "no workspace %q in version %d", r.Workspace, c.Version()))
+		return nil, b.withConfigAge(code.New(code.UnknownWorkspace, "workspace", "no workspace %q in version %d", r.Workspace, c.Version()))
 	}
 	if q.pipeline = c.Pipeline(r.Pipeline); q.pipeline == nil || !q.workspace.May(r.Pipeline) {
-		return nil, b.byConfig(code.New(code.UnknownPipeline, "pipeline", "no pipeline %q for the workspace in version %d", r.Pipeline, c.Version()))
+		return nil, b.withConfigAge(code.New(code.UnknownPipeline, "pipeline", "no pipeline %q for the workspace in version %d", r.Pipeline, c.Version()))
 	}
 	if err := b.checkKey(q, r.Key); err != nil {
 		return nil, err
@@ -93,34 +94,35 @@
 	q.deadline = b.now().Add(r.Deadline)
 	if err := b.checkBoundary(q); err != nil {
 		if q.pipeline.Once() {
-			err = err.WithRan(code.RanUnknown) // another box may have taken another copy
+			err = err.WithRan(code.RanUnknown) // another box may have accepted another copy
 		}
 		return nil, err
 	}
 	return q, nil
 }
 
-// checkBoundary says whether this box may hold the request.
-func (b *Box) checkBoundary(q *asked) *code.Error {
+// checkBoundary returns an error if this box must not hold the request's data.
+func (b *Box) checkBoundary(q *checkedRequest) *code.Error {
 	if !config.MayEnter(q.workspace, b.domainOf(q.conf)) {
-		return b.byConfig(code.New(code.BoxOutsideBoundary, "workspace", "workspace %q may not be entered in failure domain %q", q.workspace.Name(), b.Settings.FailureDomain))
+		return b.withConfigAge(code.New(code.BoxOutsideBoundary, "workspace", "workspace %q does not allow boxes in failure domain %q", q.workspace.Name(), b.Settings.FailureDomain))
 	}
 	if q.workspace.RefuseUnconfirmed() && b.now().Sub(b.docs.confirmed()) > core.UnconfirmedAfter {
-		return b.byConfig(code.New(code.BoundaryUnproven, "workspace", "the configuration was last confirmed too long ago").After(time.Second))
+		return b.withConfigAge(code.New(code.BoundaryUnproven, "workspace", "the configuration was last confirmed too long ago").After(time.Second))
 	}
 	return nil
 }
 
-// byConfig marks a refusal that rests on the configuration: a box that can't confirm its own does not
-// know what a box with a newer one did with another copy.
-func (b *Box) byConfig(err *code.Error) *code.Error {
+// withConfigAge adjusts a refusal that depends on the configuration: if the configuration is not confirmed, a
+// box with a newer one may have run another copy of the request, so it is unknown whether it ran.
+func (b *Box) withConfigAge(err *code.Error) *code.Error {
 	if b.now().Sub(b.docs.confirmed()) > core.UnconfirmedAfter {
 		return err.WithRan(code.RanUnknown)
 	}
 	return err
 }
 
-func (b *Box) checkKey(q *asked, key string) *code.Error {
+// checkKey sets the key of a request: the caller's, or a new one if the request may be repeated.
+func (b *Box) checkKey(q *checkedRequest, key string) *code.Error {
 	if key == "" {
 		if q.pipeline.Once() {
 			return code.New(code.BadKey, "key", "pipeline %q may not be repeated, so its requests need a key", q.pipeline.Name())
@@ -136,14 +138,14 @@
 func (b *Box) newID() uuid.UUID {
 	var random [16]byte
 	if _, err := io.ReadFull(b.Entropy, random[:]); err != nil {
-		panic(err) // the system has no randomness left
+		panic(err) // no entropy source
 	}
 	return core.MintID(b.wall(), random)
 }
 
-// runHere runs a request on this box, or joins the one that runs or ran under its key.
-func (b *Box) runHere(ctx context.Context, q *asked, emit Emit) error {
-	f, entry, err := b.open(q)
+// runLocally runs a request on this box, or attaches to the one that runs or ran under the same key.
+func (b *Box) runLocally(ctx context.Context, q *checkedRequest, emit Emit) error {
+	f, entry, err := b.openEntry(q)
 	if err != nil {
 		return emit(refusal(err))
 	}
@@ -157,12 +159,13 @@
 	return replay(entry, q.offset, emit)
 }
 
-// open enters the key and starts the request if it is the first copy.
-func (b *Box) open(q *asked) (*flight, core.Entry, *code.Error) {
+// open adds the key to the ledger and starts the request if it is the first copy. Otherwise it returns the
+// running request, or a copy of the entry of an ended one.
+func (b *Box) openEntry(q *checkedRequest) (*flight, core.Entry, *code.Error) {
 	s := b.shardOf(q.key)
-	print := core.Fingerprint(q.workspace.Name(), q.pipeline.Name(), q.input)
+	fingerprint := core.Fingerprint(q.workspace.Name(), q.pipeline.Name(), q.input)
 	s.mu.Lock()
-	entry, fresh, err := s.ledger.Open(q.key, q.pipeline.Once(), q.workspace.Name(), q.pipeline.Name(), print)
+	entry, fresh, err := s.ledger.Open(q.key, q.pipeline.Once(), q.workspace.Name(), q.pipeline.Name(), fingerprint)
 	if err != nil {
 		s.mu.Unlock()
 		return nil, core.Entry{}, err
@@ -171,7 +174,7 @@
 		defer s.mu.Unlock()
 		return s.flights[q.key.ID], *entry, nil // copied, since it may still be amended
 	}
-	req := core.NewRequest(q.key, q.workspace, q.pipeline, q.input, q.deadline, q.maxTokens, b.est)
+	req := core.NewRequest(q.key, q.workspace, q.pipeline, q.input, q.deadline, q.maxTokens, b.estimates)
 	f := newFlight(b, req, q.conf)
 	f.content = contentOf(q.workspace.Name(), q.pipeline.Name(), q.input)
 	s.flights[q.key.ID] = f
@@ -188,47 +191,48 @@
 	return f, core.Entry{}, nil
 }
 
-func (b *Box) admit(q *asked) *code.Error {
+// admit applies admission control.
+func (b *Box) admit(q *checkedRequest) *code.Error {
 	if b.draining.Load() {
 		return code.New(code.Draining, "", "box %s is stopping", b.ID.Name).WithRan(code.RanNo)
 	}
-	b.entries.mu.Lock()
-	defer b.entries.mu.Unlock()
-	err := b.entries.core.Enter(b.now(), q.workspace, q.pipeline, q.deadline, b.est, b.pools.waitFor)
+	b.admission.mu.Lock()
+	defer b.admission.mu.Unlock()
+	err := b.admission.core.Enter(b.now(), q.workspace, q.pipeline, q.deadline, b.estimates, b.pools.waitFor)
 	if err != nil {
 		return err.WithRan(code.RanNo)
 	}
 	return nil
 }
 
-// closeAccounts books the end of a request.
-func (b *Box) closeAccounts(f *flight, err *code.Error, admitted bool) {
+// recordOutcome records the end of a request in admission control, service levels, history and metrics.
+func (b *Box) recordOutcome(f *flight, err *code.Error, admitted bool) {
 	now := b.now()
 	if admitted {
-		b.entries.mu.Lock()
-		b.entries.core.Leave(f.req.Workspace().Name())
-		b.entries.mu.Unlock()
+		b.admission.mu.Lock()
+		b.admission.core.Leave(f.req.Workspace().Name())
+		b.admission.mu.Unlock()
 	}
 	p := f.req.Pipeline()
 	sample := core.Sample{Class: p.Class(), Attained: err == nil && !now.After(f.req.Deadline())}
 	f.mu.Lock()
 	first := time.Duration(0)
 	if !f.firstOut.IsZero() {
-		first = f.firstOut.Sub(f.begun)
+		first = f.firstOut.Sub(f.startedAt)
 	}
-	if tokens := len(f.answer) / standardTokenBytes; tokens > 1 && f.lastOut.After(f.firstOut) {
+	if tokens := len(f.answer) / approxTokenBytes; tokens > 1 && f.lastOut.After(f.firstOut) {
 		sample.FirstToken = first
 		sample.BetweenTokens = f.lastOut.Sub(f.firstOut) / time.Duration(tokens-1)
 	}
 	f.mu.Unlock()
 	b.burn.Add(now, sample)
-	b.past.add(f, err)
+	b.history.add(f, err)
 	if b.Watch.Ended != nil {
-		b.Watch.Ended(p, err, now.Sub(f.begun), first)
+		b.Watch.Ended(p, err, now.Sub(f.startedAt), first)
 	}
 }
 
-// replay gives an ended request's answer again.
+// replay emits the kept answer of an ended request.
 func replay(e core.Entry, offset int, emit Emit) error {
 	if e.State() == core.EntryRefused {
 		return emit(port.ForwardEvent{End: &port.End{Err: e.Err(), MayRepeat: e.MayRepeat(), Uses: e.Uses()}})
@@ -239,7 +243,7 @@
 		return emit(port.ForwardEvent{End: &port.End{Err: err, Uses: e.Uses()}})
 	}
 	if offset > len(answer) {
-		return emit(refusal(code.New(code.BadOffset, "offset", "%d is past the end at %d", offset, len(answer))))
+		return emit(refusal(code.New(code.BadOffset, "offset", "offset %d is beyond the end of the answer at %d", offset, len(answer))))
 	}
 	if offset < len(answer) {
 		if err := emit(port.ForwardEvent{Chunk: &port.Chunk{Offset: offset, Data: answer[offset:]}}); err != nil {
@@ -249,7 +253,7 @@
 	return emit(port.ForwardEvent{End: &port.End{Length: len(answer), Uses: e.Uses()}})
 }
 
-// Attach gives a request's answer again from an offset, wherever it runs or ran.
+// Attach emits the answer of a request from an offset on, wherever the request runs or ran.
 func (b *Box) Attach(ctx context.Context, workspace, token string, offset int, emit Emit) error {
 	t, err := core.ParseAttachToken(token)
 	if err != nil {
@@ -258,17 +262,17 @@
 	if b.Config() == nil {
 		return emit(refusal(code.New(code.NotReady, "", "box %s has no configuration in force yet", b.ID.Name).WithRan(code.RanUnknown).After(time.Second)))
 	}
-	if b.holds(t.Holder) {
-		return b.attachHere(ctx, workspace, t, offset, emit)
+	if b.answersFor(t.Holder) {
+		return b.attachLocally(ctx, workspace, t, offset, emit)
 	}
 	f := port.Forward{From: b.ID, Attach: true, Key: t.Key, Holder: t.Holder, Workspace: workspace, Offset: offset}
 	return b.forwardTo(ctx, t.Holder, f, emit)
 }
 
-// holds says whether this box answers for an incarnation: itself, or one whose ledger it took over.
-func (b *Box) holds(id core.BoxID) bool { return id == b.ID || b.imported.has(id) }
+// answersFor reports whether this box answers for a box incarnation: itself, or one whose ledger it took over.
+func (b *Box) answersFor(id core.BoxID) bool { return id == b.ID || b.importedLedgers.has(id) }
 
-func (b *Box) attachHere(ctx context.Context, workspace string, t core.AttachToken, offset int, emit Emit) error {
+func (b *Box) attachLocally(ctx context.Context, workspace string, t core.AttachToken, offset int, emit Emit) error {
 	s := b.shardOf(t.Key)
 	s.mu.Lock()
 	f, found := s.flights[t.Key.ID], s.ledger.Find(t.Key)
@@ -289,15 +293,15 @@
 	return replay(entry, offset, emit)
 }
 
-// Cancel stops a request, wherever it runs; it says whether one was running.
+// Cancel stops a request, wherever it runs. It reports whether it was running.
 func (b *Box) Cancel(ctx context.Context, workspace, token string) (bool, *code.Error) {
 	t, err := core.ParseAttachToken(token)
 	if err != nil {
 		return false, err
 	}
 	c := port.Cancel{Key: t.Key, Holder: t.Holder, Workspace: workspace}
-	if b.holds(t.Holder) {
-		return b.cancelHere(c), nil
+	if b.answersFor(t.Holder) {
+		return b.cancelLocally(c), nil
 	}
 	address := b.fleet.addressOf(t.Holder)
 	if address == "" {
@@ -310,7 +314,7 @@
 	return a.Cancelled, nil
 }
 
-func (b *Box) cancelHere(c port.Cancel) bool {
+func (b *Box) cancelLocally(c port.Cancel) bool {
 	s := b.shardOf(c.Key)
 	s.mu.Lock()
 	f, entry := s.flights[c.Key.ID], s.ledger.Find(c.Key)
@@ -322,10 +326,10 @@
 	return true
 }
 
-// maxTickets is how many tickets one call may take.
+// maxTickets is the maximum number of tickets per call.
 const maxTickets = 1000
 
-// IssueTickets makes tickets bound to this incarnation.
+// IssueTickets returns new tickets that are bound to this incarnation of the box.
 func (b *Box) IssueTickets(workspace string, count int) ([]string, *code.Error) {
 	c := b.Config()
 	if c == nil || !b.ready.Load() {
@@ -339,7 +343,7 @@
 		return nil, code.New(code.Draining, "", "box %s is stopping", b.ID.Name)
 	}
 	if !config.MayEnter(w, b.domainOf(c)) {
-		return nil, code.New(code.BoxOutsideBoundary, "workspace", "workspace %q may not be entered in failure domain %q", workspace, b.Settings.FailureDomain)
+		return nil, code.New(code.BoxOutsideBoundary, "workspace", "workspace %q does not allow boxes in failure domain %q", workspace, b.Settings.FailureDomain)
 	}
 	if count < 1 || count > maxTickets {
 		return nil, code.New(code.BadField, "count", "must be 1 to %d", maxTickets)
--- a/src/box/status.go
+++ b/src/box/status.go
@@ -8,10 +8,10 @@
 	"github.com/stilemast/stilemast/src/core"
 )
 
-// historyKept is how many ended requests can be explained.
-const historyKept = 512
+// historySize is the number of ended requests that can be explained.
+const historySize = 512
 
-// history keeps how the last ended requests were placed. Safe for concurrent use.
+// history keeps the placements of the last ended requests. Safe for concurrent use.
 type history struct {
 	mu   sync.Mutex
 	all  map[string]Explained
@@ -19,7 +19,7 @@
 	next int
 }
 
-// Explained tells how one request was placed.
+// Explained describes how one request was placed on servers.
 type Explained struct {
 	Key        string
 	Outcome    string
@@ -28,7 +28,7 @@
 
 func (h *history) init() {
 	h.all = map[string]Explained{}
-	h.ring = make([]string, historyKept)
+	h.ring = make([]string, historySize)
 }
 
 func (h *history) add(f *flight, err *code.Error) {
@@ -37,26 +37,26 @@
 	key := f.req.Key().String()
 	delete(h.all, h.ring[h.next])
 	h.ring[h.next] = key
-	h.next = (h.next + 1) % historyKept
+	h.next = (h.next + 1) % historySize
 	h.all[key] = Explained{Key: key, Outcome: errorCode(err).String(), Placements: f.req.Trace()}
 }
 
-// Explain finds how a recent request was placed.
+// Explain returns how a recent request was placed; false if it is not in the history.
 func (b *Box) Explain(key string) (Explained, bool) {
-	b.past.mu.Lock()
-	defer b.past.mu.Unlock()
-	e, ok := b.past.all[key]
+	b.history.mu.Lock()
+	defer b.history.mu.Unlock()
+	e, ok := b.history.all[key]
 	return e, ok
 }
 
-// Status is what a box knows, with the age of each fact.
+// Status is the state of a box and its view of the fleet, with the age of each item.
 type Status struct {
 	Draining      bool
 	Ready         bool
 	Config        core.Statement
 	List          core.Statement
-	Conflict      uint64
-	Refusal       string
+	Conflict      uint64 // version that was published twice with different content, or 0
+	Refusal       string // why the newest published configuration was rejected, or ""
 	Members       []core.Member
 	Servers       []core.ServerView
 	Running       int
@@ -66,10 +66,10 @@
 	At            time.Time
 }
 
-// Status gathers what the box knows.
+// Status returns the current status of the box.
 func (b *Box) Status() Status {
 	now := b.now()
-	s := Status{At: now, Draining: b.draining.Load(), Ready: b.Ready(), Members: b.fleet.each(), Running: b.running(), Waiting: b.pools.waiting()}
+	s := Status{At: now, Draining: b.draining.Load(), Ready: b.Ready(), Members: b.fleet.members(), Running: b.running(), Waiting: b.pools.waiting()}
 	b.docs.mu.Lock()
 	s.Config, s.List = b.docs.config.Say(now), b.docs.list.Say(now)
 	s.Conflict, s.Refusal = b.docs.config.Conflict(), b.docs.refusal
@@ -87,8 +87,8 @@
 	return s
 }
 
-// Cost sums what stages consumed since the box started.
+// Cost returns the resources that each stage has consumed since the box started.
 func (b *Box) Cost() []core.StageCost { return b.cost.Sums() }
 
-// Burn reads the service levels.
+// Burn returns the burn rates of the service levels' error budgets.
 func (b *Box) Burn() []core.BurnReading { return b.burn.Read(b.now()) }
--- a/src/box/stop.go
+++ b/src/box/stop.go
@@ -11,18 +11,18 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// The planned stop.
+// Parameters of the planned stop, the graceful shutdown of a box.
 const (
-	handoverRecords = 200             // entries in one message
-	handoverWait    = 3 * time.Second // for one message
-	noticeWait      = 3 * time.Second // for the balancer and other boxes to notice
-	farewellBeats   = 6               // heartbeats that tell who took over
+	handoverBatch   = 200             // ledger entries per message
+	handoverTimeout = 3 * time.Second // timeout of one message
+	minDrainTime    = 3 * time.Second // minimum time for the load balancer and other boxes to notice
+	successorBeats  = 6               // heartbeats that announce the successor
 	drainPoll       = 50 * time.Millisecond
 )
 
-// Drain is the planned stop: the box leaves readiness, lets every running request end, hands its
-// ledger and finished answers to another box, and tells the others. It gives the requests that were
-// still running when ctx ended, 0 after a clean stop. A second call changes nothing.
+// Drain performs the planned stop: the box is no longer ready, lets running requests finish, hands its ledger
+// with the finished answers over to another box, and announces that box to the others. It returns the number
+// of requests still running when ctx ended, 0 after a clean stop. A second call has no effect.
 func (b *Box) Drain(ctx context.Context) int {
 	if b.draining.Swap(true) {
 		return b.running()
@@ -31,7 +31,7 @@
 	b.fleet.core.Leave("")
 	b.fleet.mu.Unlock()
 	b.Log.Info("planned stop begins", "running", b.running())
-	notice := b.now().Add(noticeWait)
+	notice := b.now().Add(minDrainTime)
 	for b.running() > 0 || b.now().Before(notice) {
 		select {
 		case <-ctx.Done():
@@ -45,14 +45,14 @@
 	return 0
 }
 
-// StartDrain begins a planned stop in the background and gives the requests that run now.
+// StartDrain starts Drain in the background and returns the number of running requests.
 func (b *Box) StartDrain(ctx context.Context) int {
 	n := b.running()
 	go b.Drain(ctx)
 	return n
 }
 
-// running counts the requests that have not ended.
+// running returns the number of running requests.
 func (b *Box) running() int {
 	n := 0
 	for i := range b.shards {
@@ -64,14 +64,14 @@
 	return n
 }
 
-// handOver gives the ledger to the first box that takes it whole. Entries go only to a box that may
-// hold their workspace's data; one box that may hold all is preferred, since only a whole ledger
-// lets the successor say "not run" of a ticket that was never used.
+// handOver sends the ledger to the first box that accepts all of it. Only boxes that may hold the data of all
+// workspaces concerned are tried, since only with the complete ledger can the successor answer "not run" for
+// an unused ticket.
 func (b *Box) handOver(ctx context.Context) {
 	records := b.exportAll()
 	for _, m := range b.successors(records) {
-		if b.giveTo(ctx, m, records) {
-			b.farewell(m.ID().Name)
+		if b.sendLedger(ctx, m, records) {
+			b.announceSuccessor(m.ID().Name)
 			b.Log.Info("ledger handed over", "to", m.ID().Name, "entries", len(records))
 			return
 		}
@@ -79,6 +79,7 @@
 	b.Log.Warn("no box took the ledger over", "entries", len(records))
 }
 
+// exportAll returns the entries of all shards.
 func (b *Box) exportAll() []core.Record {
 	var out []core.Record
 	for i := range b.shards {
@@ -90,19 +91,20 @@
 	return out
 }
 
-// successors lists the live boxes inside the boundary of every record, the nearest first.
+// successors returns the live boxes inside the boundaries of all records, those of the same failure domain
+// first.
 func (b *Box) successors(records []core.Record) []core.Member {
 	c := b.Config()
 	if c == nil {
 		return nil
 	}
-	spaces := map[string]bool{}
+	workspaces := map[string]bool{}
 	for _, r := range records {
-		spaces[r.Workspace] = true
+		workspaces[r.Workspace] = true
 	}
 	var near, far []core.Member
-	for _, m := range b.fleet.each() {
-		if m.State() != core.MemberAlive || !holdsAll(c, spaces, m.FailureDomain()) {
+	for _, m := range b.fleet.members() {
+		if m.State() != core.MemberAlive || !mayHoldAll(c, workspaces, m.FailureDomain()) {
 			continue
 		}
 		if m.FailureDomain() == b.Settings.FailureDomain {
@@ -114,8 +116,9 @@
 	return append(near, far...)
 }
 
-func holdsAll(c *config.Config, spaces map[string]bool, domain string) bool {
-	for name := range spaces {
+// mayHoldAll reports whether the data of all given workspaces may be held in a failure domain.
+func mayHoldAll(c *config.Config, workspaces map[string]bool, domain string) bool {
+	for name := range workspaces {
 		w := c.Workspace(name)
 		if w != nil && !config.MayEnter(w, c.DomainIndex(domain)) {
 			return false
@@ -124,11 +127,12 @@
 	return true
 }
 
-func (b *Box) giveTo(ctx context.Context, m core.Member, records []core.Record) bool {
-	for at := 0; ; at += handoverRecords {
-		end := min(at+handoverRecords, len(records))
+// sendLedger sends the records to a box and reports whether it accepted all of them.
+func (b *Box) sendLedger(ctx context.Context, m core.Member, records []core.Record) bool {
+	for at := 0; ; at += handoverBatch {
+		end := min(at+handoverBatch, len(records))
 		h := port.Handover{From: b.ID, Records: records[at:end], Last: end == len(records)}
-		one, cancel := context.WithTimeout(ctx, handoverWait)
+		one, cancel := context.WithTimeout(ctx, handoverTimeout)
 		a, err := b.Peers.Ask(one, m.Address(), port.Question{Handover: &h})
 		cancel()
 		if err != nil || !a.Taken {
@@ -140,20 +144,20 @@
 	}
 }
 
-// farewell tells the others who answers for this incarnation from now on.
-func (b *Box) farewell(successor string) {
+// announceSuccessor tells the other boxes which box answers for this incarnation from now on.
+func (b *Box) announceSuccessor(successor string) {
 	b.fleet.mu.Lock()
 	b.fleet.core.Leave(successor)
 	b.fleet.mu.Unlock()
-	for range farewellBeats {
-		b.beat(context.Background())
+	for range successorBeats {
+		b.sendHeartbeats(context.Background())
 		time.Sleep(drainPoll)
 	}
 }
 
-// takeHandover takes over entries of a box that stops; false when this box is stopping itself or has
-// no configuration yet to hold the entries against.
-func (b *Box) takeHandover(h port.Handover) bool {
+// acceptHandover takes over ledger entries of a stopping box. It returns false if this box is itself
+// stopping, must not hold the data, or has no configuration yet to check that.
+func (b *Box) acceptHandover(h port.Handover) bool {
 	c := b.Config()
 	if c == nil || b.draining.Load() {
 		return false
@@ -169,33 +173,33 @@
 		s.mu.Unlock()
 	}
 	if h.Last {
-		b.imported.add(now, h.From)
+		b.importedLedgers.add(now, h.From)
 	}
 	return true
 }
 
-// closedLives are the incarnations whose whole ledger this box holds.
-type closedLives struct {
+// ledgerOwners records the incarnations whose complete ledger this box took over, and when.
+type ledgerOwners struct {
 	mu  sync.Mutex
 	ids map[core.BoxID]time.Time
 }
 
-func (c *closedLives) init() { c.ids = map[core.BoxID]time.Time{} }
+func (c *ledgerOwners) init() { c.ids = map[core.BoxID]time.Time{} }
 
-func (c *closedLives) add(now time.Time, id core.BoxID) {
+func (c *ledgerOwners) add(now time.Time, id core.BoxID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.ids[id] = now
 }
 
-func (c *closedLives) has(id core.BoxID) bool {
+func (c *ledgerOwners) has(id core.BoxID) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_, ok := c.ids[id]
 	return ok
 }
 
-func (c *closedLives) hasName(name string) bool {
+func (c *ledgerOwners) hasName(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id := range c.ids {
@@ -206,7 +210,7 @@
 	return false
 }
 
-func (c *closedLives) expire(now time.Time, after time.Duration) {
+func (c *ledgerOwners) expire(now time.Time, after time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id, at := range c.ids {
@@ -216,7 +220,7 @@
 	}
 }
 
-// errorCode gives a result's number, 0 for a whole answer.
+// errorCode returns the code of an error, OK for nil.
 func errorCode(err *code.Error) code.Code {
 	if err == nil {
 		return code.OK
--- a/src/box/suspects.go
+++ b/src/box/suspects.go
@@ -11,12 +11,12 @@
 	"github.com/stilemast/stilemast/src/suspects"
 )
 
-// initSuspects gives the tracker of contents that may crash servers what it needs of this box. Whether a server's process is
-// there shows by the calls to it and by its reports.
+// initSuspects connects the tracker of contents that may crash servers to this box. Calls to servers and
+// their reports show whether a server's process still runs.
 func (b *Box) initSuspects() {
 	u := &b.suspects
 	u.Self, u.Now, u.Log = b.ID.Name, b.now, b.Log
-	u.Probe = b.askServer
+	u.Probe = b.probeServer
 	u.Boxes, u.Announce = b.fleet.usable, b.announceSuspects
 	u.Ask = func(ctx context.Context, box string, notes []crasher.Note) ([]crasher.Note, error) {
 		a, err := b.Peers.Ask(ctx, b.fleet.addressOf(core.BoxID{Name: box}), port.Question{Suspects: &port.Suspects{From: b.ID.Name, Notes: notes}})
@@ -30,10 +30,11 @@
 	}
 }
 
-// askServer asks a server under which a call broke for its report. A new life that answers shows that the earlier one ended.
-// Before 24 servers of a pool 4 end under one content with it, 23 to 26 when reports and refused calls alone tell (virtual
-// time, TestWorkThatCrashesServersIsNotSentOn).
-func (b *Box) askServer(ctx context.Context, s suspects.Server) suspects.Presence {
+// probeServer requests a report from a server whose call broke off. If a new incarnation answers, the
+// previous one has ended. With a pool of 24 servers, 4 crash on one content before it is barred; relying only
+// on regular reports and refused calls, 23 to 26 crashes occur (virtual time, the test of crashing work in
+// package faults).
+func (b *Box) probeServer(ctx context.Context, s suspects.Server) suspects.Presence {
 	server := b.Config().BackendServer(s.ID)
 	if server == nil {
 		return suspects.Present
@@ -45,13 +46,14 @@
 	return suspects.PresenceOf(err)
 }
 
-// announceSuspects tells every box of a small fleet, a few of a large one, of contents that may crash servers.
+// announceSuspects sends notes on contents that may crash servers to every box of a small fleet, or to a few
+// boxes of a large one.
 func (b *Box) announceSuspects() {
 	f := &b.fleet
 	f.mu.Lock()
 	to, self := f.core.Near(), f.core.Self
 	if len(to) == 0 {
-		to = f.core.Some(announceTo)
+		to = f.core.Some(announceFanout)
 	}
 	f.mu.Unlock()
 	notes := b.suspects.Notes(true)
@@ -60,24 +62,25 @@
 	}
 }
 
-// announceTo is how many boxes of a large fleet hear of news at once; each tells as many in its turn.
-const announceTo = 6
+// announceFanout is the number of boxes of a large fleet that get an announcement; each passes it on to as
+// many.
+const announceFanout = 6
 
-// contentOf names what a request asks, whatever its key.
+// contentOf identifies the content of a request, independently of its key.
 func contentOf(workspace, pipeline string, input []byte) crasher.Content {
 	return crasher.ContentOf(workspace, "", "", pipeline, input)
 }
 
-// barred is the refusal of a request whose content crashes the servers of a stage, nil when it may run there.
+// barred returns an error if the request's content crashes the servers of a stage, nil if it may run there.
 func (f *flight) barred(s *config.Stage) *code.Error {
 	d := f.box.suspects.Judge(f.content.At(s.Pool()))
 	if !d.Barred {
 		return nil
 	}
-	return code.New(code.CrashesServers, "input", "%d servers of %s ended while they ran this content", d.Ends, s.Pool()).After(d.Left)
+	return code.New(code.CrashesServers, "input", "%d servers of pool %s crashed while they ran this content", d.Ends, s.Pool()).After(d.Left)
 }
 
-// barredAnywhere looks at all stages of a request, before anything of it runs.
+// barredAnywhere checks all stages of a request before any of them runs.
 func (f *flight) barredAnywhere() *code.Error {
 	for _, s := range f.req.Pipeline().Stages() {
 		if err := f.barred(s); err != nil {
@@ -87,7 +90,7 @@
 	return nil
 }
 
-// noteCall tells what the end of a call says of its content.
+// noteCall reports the end of a call to the tracker of suspect contents.
 func (f *flight) noteCall(server *config.BackendServer, stage *config.Stage, err *port.CallError) {
 	b := f.box
 	life := b.lifeOf(stage.Pool(), server.Name())
@@ -101,7 +104,7 @@
 	}
 }
 
-// lifeOf names the life of a server that its last report told of.
+// lifeOf returns the incarnation of a server according to its last report.
 func (b *Box) lifeOf(pool, server string) suspects.Server {
 	var r core.Report
 	if p := b.pools.get(pool); p != nil {
@@ -110,12 +113,13 @@
 	return serverLife(server, r.Incarnation)
 }
 
+// serverLife returns the identity of one incarnation of a server.
 func serverLife(server string, incarnation uint64) suspects.Server {
 	return suspects.Server{ID: server, Life: crasher.LifeOf(server, int64(incarnation))}
 }
 
-// takeLife takes from a report that a server began a new life.
-func (b *Box) takeLife(server string, before, now core.Report) {
+// noteRestart notes that the previous incarnation of a server ended, if its report shows a new one.
+func (b *Box) noteRestart(server string, before, now core.Report) {
 	if before.Incarnation != 0 && now.Incarnation > before.Incarnation {
 		b.suspects.Ended(serverLife(server, before.Incarnation), suspects.Report)
 	}
--- a/src/catalog/boundary.go
+++ b/src/catalog/boundary.go
@@ -20,8 +20,8 @@
 	return c == nil || slices.Contains(c.Domains, domain)
 }
 
-// Confine returns the failure domains inside all given boundaries, where a nil boundary allows everything. A failure
-// domain of unknown region is inside none.
+// Confine returns the failure domains inside all given boundaries, where a nil boundary allows everything. A
+// failure domain of unknown region is inside none.
 func (r Regions) Confine(boundaries ...*Boundary) *Confines {
 	boundaries = slices.DeleteFunc(slices.Clone(boundaries), func(b *Boundary) bool { return b == nil })
 	if len(boundaries) == 0 {
--- a/src/catalog/catalog.go
+++ b/src/catalog/catalog.go
@@ -1,6 +1,6 @@
-// Package catalog holds the documents that the platform publishes: the configuration (pipelines that callers reach
-// by host and path, pools of backend servers, workspaces with their tokens) and the list of backend servers. It also
-// decides how a box keeps both up to date, from the platform or from other boxes.
+// Package catalog holds the documents that the platform publishes: the configuration (pipelines that callers
+// reach by host and path, pools of backend servers, workspaces with their tokens) and the list of backend
+// servers. It also decides how a box keeps both up to date, from the platform or from other boxes.
 package catalog
 
 import (
@@ -35,7 +35,8 @@
 	return "unknown"
 }
 
-// Catalog is one published configuration. It must not be changed once it is indexed; boxes send it to one another whole.
+// Catalog is one published configuration. It must not be changed once it is indexed; boxes send it to one
+// another whole.
 type Catalog struct {
 	Version    uint64      `msgpack:"v"`
 	Pipelines  []Pipeline  `msgpack:"p"`
@@ -160,10 +161,11 @@
 	// Fault names the field that makes the entry unusable, "" for none. Entries may come from other writers.
 	Fault       string      `msgpack:"f,omitempty"`
 	Incarnation Incarnation `msgpack:"b,omitempty"`
-	// Revision is the store revision at which the entry was written, 0 if unknown. It orders the entries of one server
-	// and is not part of their content.
+	// Revision is the store revision at which the entry was written, 0 if unknown. It orders the entries of
+	// one server and is not part of their content.
 	Revision Revision `msgpack:"v,omitempty"`
-	// Cold is for how much longer, at the time of writing, the server could take only a little load after its start.
+	// Cold is for how much longer, at the time of writing, the server could take only a little load after its
+	// start.
 	Cold time.Duration `msgpack:"c,omitempty"`
 	// ColdUntil is when Cold ends on the clock of this process; set by the box that holds the entry.
 	ColdUntil time.Time `msgpack:"-"`
@@ -245,7 +247,8 @@
 	return p.Targets[len(p.Targets)-1].Pool
 }
 
-// Final lists the indexes of the stages whose results the request itself needs: those that no other stage follows.
+// Final lists the indexes of the stages whose results the request itself needs: those that no other stage
+// follows.
 func (p *Pipeline) Final() []int {
 	followed := make([]bool, len(p.Stages))
 	for _, s := range p.Stages {
--- a/src/catalog/catalog_test.go
+++ b/src/catalog/catalog_test.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// Guards against the whole fleet reading the platform at once when its content is no longer confirmed: the first box
-// that succeeds confirms it for the others.
+// Guards against the whole fleet reading the platform at once when its content is no longer confirmed: the
+// first box that succeeds confirms it for the others.
 func TestUnconfirmedBoxesReadInStages(t *testing.T) {
 	start := time.Unix(1000, 0)
 	var boxes []string
--- a/src/catalog/difference.go
+++ b/src/catalog/difference.go
@@ -20,8 +20,8 @@
 	return digestOf(sum)
 }
 
-// digest identifies the content of an entry. Without an incarnation and a fault it is the same as in earlier releases,
-// since all boxes must agree during a rolling upgrade.
+// digest identifies the content of an entry. Without an incarnation and a fault it is the same as in earlier
+// releases, since all boxes must agree during a rolling upgrade.
 func (s *Server) digest() uint64 {
 	words := []string{s.ID, s.Pool, s.Address, s.Domain, strconv.Itoa(s.Slots), strconv.FormatBool(s.Draining), strconv.FormatBool(s.Cold > 0)}
 	if s.Incarnation != 0 || s.Fault != "" {
--- a/src/catalog/difference_test.go
+++ b/src/catalog/difference_test.go
@@ -49,8 +49,8 @@
 	return all
 }
 
-// Property: after any changes, a list gives the difference from every earlier state in its undo log, and applies a
-// difference to any of them.
+// Property: after any changes, a list gives the difference from every earlier state in its undo log, and
+// applies a difference to any of them.
 func TestListDifferencesFromEarlierStates(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		l := NewList()
@@ -88,8 +88,8 @@
 	})
 }
 
-// Guards against unbounded memory: the undo log is bounded in steps and in entries. A state that the list never had is
-// unknown.
+// Guards against unbounded memory: the undo log is bounded in steps and in entries. A state that the list
+// never had is unknown.
 func TestListBoundsItsUndoLog(t *testing.T) {
 	l := NewList()
 	all := fill(l)
--- a/src/catalog/evacuations.go
+++ b/src/catalog/evacuations.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// liftNotifyTime is for how long other boxes are notified of the end of an evacuation. It starts again when a box turns out
-	// to still hold the evacuation.
+	// liftNotifyTime is for how long other boxes are notified of the end of an evacuation. It starts again
+	// when a box turns out to still hold the evacuation.
 	liftNotifyTime = time.Minute
 	// maxEvacuations bounds what notes of other boxes can add; a deployment has tens of failure domains.
 	maxEvacuations = 1000
@@ -16,9 +16,10 @@
 
 // Closures tracks the failure domains that the operator evacuated, as known to one box.
 //
-// Within an era of the store the configuration is complete: a domain that it does not list is not evacuated. A restored
-// store lacks the last writes, so an evacuation that it does not list stays in force until the operator ends it in the
-// new era. Boxes exchange such evacuations, and their ends, as notes, since no document contains them.
+// Within an era of the store the configuration is complete: a domain that it does not list is not evacuated.
+// A restored store lacks the last writes, so an evacuation that it does not list stays in force until the
+// operator ends it in the new era. Boxes exchange such evacuations, and their ends, as notes, since no
+// document contains them.
 //
 // Callers pass the time in. Not safe for concurrent use.
 type Closures struct {
@@ -60,8 +61,8 @@
 	return slices.DeleteFunc(c.Names(), func(d string) bool { return slices.Contains(c.named, d) })
 }
 
-// Take applies the evacuated domains of the configuration at a revision; held is the era of the previous configuration.
-// It reports whether anything changed.
+// Take applies the evacuated domains of the configuration at a revision; held is the era of the previous
+// configuration. It reports whether anything changed.
 func (c *Closures) Take(now time.Time, evacuated []string, at Revision, held Era) (changed bool) {
 	before := c.Names()
 	if c.states == nil {
@@ -99,8 +100,8 @@
 	c.states[domain] = evacuation{at: at, lifted: now}
 }
 
-// Notes returns what the configuration of an era does not contain: evacuations of an earlier era, and recent ends of
-// evacuations that other boxes may still hold. It returns at most so many.
+// Notes returns what the configuration of an era does not contain: evacuations of an earlier era, and recent
+// ends of evacuations that other boxes may still hold. It returns at most so many.
 func (c *Closures) Notes(now time.Time, era Era, most int) []ClosureNote {
 	if era == 0 {
 		return nil
@@ -115,8 +116,8 @@
 	return out[:min(len(out), most)]
 }
 
-// Hear applies another box's note while the held configuration is of an era; the state with the later revision wins. It
-// reports whether anything changed.
+// Hear applies another box's note while the held configuration is of an era; the state with the later
+// revision wins. It reports whether anything changed.
 func (c *Closures) Hear(now time.Time, n ClosureNote, era Era) (changed bool) {
 	w, ok := c.states[n.Domain]
 	switch {
--- a/src/catalog/feed.go
+++ b/src/catalog/feed.go
@@ -15,38 +15,39 @@
 	smallFleet     = 16                      // fleet size up to which all boxes exchange heartbeats constantly
 	selfReadSpread = 400 * time.Millisecond  // range of the per-box offset added to the times of self-reads
 
-	// Time that a box which knows of newer content waits for its peers before it reads the platform itself: together
-	// with a read of 1 s and the spread this stays within 3 s.
+	// Time that a box which knows of newer content waits for its peers before it reads the platform itself:
+	// together with a read of 1 s and the spread this stays within 3 s.
 	behindAfter    = 800 * time.Millisecond
 	firstReadAfter = 400 * time.Millisecond // time that a new box waits for its peers; boxes start within 0.3 s of one another
 	maxReadStages  = 4                      // maximum doublings of the boxes ahead that lengthen a box's wait
 
-	// Time without an answer to any box after which the platform counts as unreachable: three heartbeats of servers,
-	// after which their entries have lapsed. When the platform rejects the readers, some box of a small fleet reads
-	// within 2.8 s of the last answer.
+	// Time without an answer to any box after which the platform counts as unreachable: three heartbeats of
+	// servers, after which their entries have lapsed. When the platform rejects the readers, some box of a
+	// small fleet reads within 2.8 s of the last answer.
 	outageAfter     = 3600 * time.Millisecond
 	answeringWindow = 1600 * time.Millisecond // a watch of 1 s plus the heartbeat that reports its answer
 )
 
 // Feed decides how one published document reaches this box: by reading the platform or from peers.
 //
-// The states of a document are ordered by the revision of the platform's store. A few live boxes read the platform
-// (Readers); the others learn of revisions from heartbeats and pull a newer state from a peer. If the document has a
-// version of its own, which never decreases, it takes precedence, since a restored store shows an older version at a
-// later revision. A statement with age a that answers a question sent at t confirms the same content as of t-a,
-// independently of clock differences and pauses.
+// The states of a document are ordered by the revision of the platform's store. A few live boxes read the
+// platform (Readers); the others learn of revisions from heartbeats and pull a newer state from a peer. If
+// the document has a version of its own, which never decreases, it takes precedence, since a restored store
+// shows an older version at a later revision. A statement with age a that answers a question sent at t
+// confirms the same content as of t-a, independently of clock differences and pauses.
 //
-// Readers that get no answer ask the next boxes to read (relief). A box whose content is not confirmed reads the
-// platform itself, later the more boxes rank before it; if the platform rejects it, it relies on its peers. A box that
-// knows of newer content and does not get it soon reads itself. When the whole fleet starts, only the seeds, which all
-// boxes contact first, read at once.
+// Readers that get no answer ask the next boxes to read (relief). A box whose content is not confirmed reads
+// the platform itself, later the more boxes rank before it; if the platform rejects it, it relies on its
+// peers. A box that knows of newer content and does not get it soon reads itself. When the whole fleet
+// starts, only the seeds, which all boxes contact first, read at once.
 //
 // The number of readers is constant, and each box pulls each change once. Not safe for concurrent use.
 type Feed struct {
 	Self    string
 	Started time.Time // of this box
 	First   bool      // this box is one of the seeds, which every other box contacts first
-	// Restored is true after a restore of the platform's store: statements that don't name the reader then prove nothing.
+	// Restored is true after a restore of the platform's store: statements that don't name the reader then
+	// prove nothing.
 	Restored bool
 	Chosen   []string          // the boxes that read first (see Readers); nil ranks all by hash
 	Links    map[string]uint32 // bandwidth of the boxes' links in Mbit/s, as far as known
@@ -100,8 +101,8 @@
 // Confirmed returns when the held content was last known to be the newest.
 func (f *Feed) Confirmed() time.Time { return f.confirmed }
 
-// Read applies the result of reading the platform at a time: the state and digest, and the document's own version. It
-// reports whether the content changed; a state older than the held one changes nothing.
+// Read applies the result of reading the platform at a time: the state and digest, and the document's own
+// version. It reports whether the content changed; a state older than the held one changes nothing.
 func (f *Feed) Read(at time.Time, asOf State, digest string, content uint64) bool {
 	f.relief.failed, f.ownRead = time.Time{}, at
 	f.noteAnswered(at)
@@ -114,8 +115,8 @@
 	return changed
 }
 
-// Renumber lowers the state of the held content to that of a read, if a higher one was held since before the read began.
-// It reports whether it did.
+// Renumber lowers the state of the held content to that of a read, if a higher one was held since before the
+// read began. It reports whether it did.
 func (f *Feed) Renumber(began time.Time, asOf State) bool {
 	if asOf >= f.asOf || !f.asOfSince.Before(began) {
 		return false
@@ -162,8 +163,9 @@
 	return st
 }
 
-// Hear handles a peer's statement. askedAt is when the question that it answers was sent, zero for an unsolicited one:
-// that may have been delayed and confirms nothing, but shows that some box reads the platform.
+// Hear handles a peer's statement. askedAt is when the question that it answers was sent, zero for an
+// unsolicited one: that may have been delayed and confirms nothing, but shows that some box reads the
+// platform.
 func (f *Feed) Hear(now time.Time, from string, st core.Statement, askedAt time.Time) {
 	f.statements[from] = st
 	if st.Age >= 0 {
@@ -207,15 +209,16 @@
 	f.lastAnswer = at
 }
 
-// Returned returns when the platform came back after an outage, during which no box is known to have had an answer for
-// so long that entries may have lapsed. Failed calls of this box alone don't count: the platform may reject single boxes
-// while it serves the others and removes entries of servers that leave.
+// Returned returns when the platform came back after an outage, during which no box is known to have had an
+// answer for so long that entries may have lapsed. Failed calls of this box alone don't count: the platform
+// may reject single boxes while it serves the others and removes entries of servers that leave.
 func (f *Feed) Returned() time.Time { return f.returned }
 
 // Answering reports whether the platform is known to have answered any box recently.
 func (f *Feed) Answering(now time.Time) bool { return now.Sub(f.lastAnswer) < answeringWindow }
 
-// Woke notes that this process was paused since a time. Having heard of no answer meanwhile does not mean an outage.
+// Woke notes that this process was paused since a time. Having heard of no answer meanwhile does not mean an
+// outage.
 func (f *Feed) Woke(now, since time.Time) {
 	if f.returned.After(since) {
 		f.returned = time.Time{}
@@ -225,8 +228,8 @@
 	}
 }
 
-// Behind returns since when this box has known of newer content that it does not hold, and the state of that content;
-// zero if it knows of none.
+// Behind returns since when this box has known of newer content that it does not hold, and the state of that
+// content; zero if it knows of none.
 func (f *Feed) Behind() (since time.Time, newest State) {
 	if !f.newest.after(f.held()) {
 		return time.Time{}, 0
@@ -248,8 +251,9 @@
 	delete(f.relief.unanswered, box)
 }
 
-// Reads reports whether this box should read the platform now: it is one of the readers, a reader asked it to, it has
-// been behind for a while, or its content has not been confirmed for a while other than by its own reads.
+// Reads reports whether this box should read the platform now: it is one of the readers, a reader asked it
+// to, it has been behind for a while, or its content has not been confirmed for a while other than by its own
+// reads.
 func (f *Feed) Reads(now time.Time, living []string) bool {
 	ahead := f.Ahead(living)
 	if f.asOf == 0 {
--- a/src/catalog/holders_test.go
+++ b/src/catalog/holders_test.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// A box that knows of newer content and does not get it from peers must read the platform within the bound, whatever its
-// rank.
+// A box that knows of newer content and does not get it from peers must read the platform within the bound,
+// whatever its rank.
 func TestBoxThatIsBehindReadsSoon(t *testing.T) {
 	var boxes []string
 	for i := range 300 {
@@ -132,8 +132,8 @@
 	}
 }
 
-// Boxes that held the newest content may be dead without having been detected. The content of live boxes, older but newer
-// than this box's own, must be pulled soon nevertheless.
+// Boxes that held the newest content may be dead without having been detected. The content of live boxes,
+// older but newer than this box's own, must be pulled soon nevertheless.
 func TestDeadHoldersDoNotBlockLiveOnes(t *testing.T) {
 	for i := range 20 {
 		f := NewFeed(fmt.Sprint("box", i))
--- a/src/catalog/list.go
+++ b/src/catalog/list.go
@@ -8,13 +8,13 @@
 
 // List is the list of backend servers that a box holds, as published by the platform.
 //
-// Usually one of thousands of servers changes at a time. The list is therefore changed in place, its digest is the sum
-// of the digests of its entries, and earlier states are kept as an undo log with the previous value of each changed
-// entry. This gives the difference from a recent state, and applies a difference to such a state, without a second copy
-// of the list.
+// Usually one of thousands of servers changes at a time. The list is therefore changed in place, its digest
+// is the sum of the digests of its entries, and earlier states are kept as an undo log with the previous
+// value of each changed entry. This gives the difference from a recent state, and applies a difference to
+// such a state, without a second copy of the list.
 //
-// A change takes time and memory in proportion to what changed. The undo log holds at most half as many entries as the
-// list.
+// A change takes time and memory in proportion to what changed. The undo log holds at most half as many
+// entries as the list.
 //
 // Not safe for concurrent use.
 type List struct {
@@ -25,8 +25,8 @@
 	interned map[string]string // interned names of pools and failure domains
 }
 
-// listStep is one step of the undo log: the digest before the change and the previous values of the changed entries,
-// nil for one that did not exist.
+// listStep is one step of the undo log: the digest before the change and the previous values of the changed
+// entries, nil for one that did not exist.
 type listStep struct {
 	from string
 	was  map[string]*Server
@@ -98,8 +98,8 @@
 	return d
 }
 
-// Rebase takes a difference that is based on an earlier state and returns the one that brings the current list to the
-// same result; false if that state is not in the undo log.
+// Rebase takes a difference that is based on an earlier state and returns the one that brings the current
+// list to the same result; false if that state is not in the undo log.
 func (l *List) Rebase(base string, since Difference) (Difference, bool) {
 	target, known := l.stateAt(base)
 	if !known {
@@ -124,7 +124,8 @@
 	return d, true
 }
 
-// stateAt returns the values that the entries changed since a state had then; false if the state is not in the undo log.
+// stateAt returns the values that the entries changed since a state had then; false if the state is not in
+// the undo log.
 func (l *List) stateAt(digest string) (map[string]*Server, bool) {
 	was := map[string]*Server{}
 	if digest == l.Digest() {
--- a/src/catalog/listing.go
+++ b/src/catalog/listing.go
@@ -1,8 +1,8 @@
 package catalog
 
-// Listing is the list of servers as maintained by a box that reads the platform: a full read, then single changes. It
-// contains exactly what the platform lists, since other boxes adopt it under the platform's revision. Not safe for
-// concurrent use.
+// Listing is the list of servers as maintained by a box that reads the platform: a full read, then single
+// changes. It contains exactly what the platform lists, since other boxes adopt it under the platform's
+// revision. Not safe for concurrent use.
 type Listing struct {
 	listed  map[string]Server
 	sum     uint64          // of the entries' digests
@@ -59,8 +59,8 @@
 // Digest identifies the content of the list.
 func (l *Listing) Digest() string { return digestOf(l.sum) }
 
-// Changes returns the difference since its last call and the digest of the list at that call, "" if anything may have
-// changed.
+// Changes returns the difference since its last call and the digest of the list at that call, "" if anything
+// may have changed.
 func (l *Listing) Changes() (base string, d Difference) {
 	base = l.base
 	for id := range l.since {
--- a/src/catalog/listing_test.go
+++ b/src/catalog/listing_test.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// Property: the returned differences are not affected by later changes, and turn the previous list into the current one.
+// Property: the returned differences are not affected by later changes, and turn the previous list into the
+// current one.
 func TestListingChanges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		l := &Listing{}
@@ -79,7 +80,8 @@
 	})
 }
 
-// Boxes of this and of the earlier release must order states the same way, and derive the same revisions from them.
+// Boxes of this and of the earlier release must order states the same way, and derive the same revisions from
+// them.
 func TestStatesIncreaseWithRevisions(t *testing.T) {
 	for r := range Revision(5) {
 		if s := ListAt(r); s >= ListAt(r+1) || ListRevision(s) != r || ListRevision(s-1) != r {
--- a/src/catalog/readers.go
+++ b/src/catalog/readers.go
@@ -10,8 +10,8 @@
 	Name, Domain string
 }
 
-// Readers chooses the boxes that read the platform: the highest-ranked by hash, in different failure domains as far as
-// possible. Boxes with the same view of the fleet choose the same ones.
+// Readers chooses the boxes that read the platform: the highest-ranked by hash, in different failure domains
+// as far as possible. Boxes with the same view of the fleet choose the same ones.
 func Readers(candidates []Candidate) []string {
 	ranked := slices.Clone(candidates)
 	slices.SortFunc(ranked, func(a, b Candidate) int {
--- a/src/catalog/registry.go
+++ b/src/catalog/registry.go
@@ -7,13 +7,15 @@
 )
 
 const (
-	// lapseGrace is how long after an outage of the platform a server without an entry is still used: live servers renew
-	// entries that lapsed during the outage within about 2 s.
+	// lapseGrace is how long after an outage of the platform a server without an entry is still used: live
+	// servers renew entries that lapsed during the outage within about 2 s.
 	lapseGrace = 2 * time.Second
-	// doubtDuration is how long a server that had left must stay listed after a restore of the store to be used again: three
-	// heartbeats, after which the entry of a dead server has expired, plus the delay of a late list.
+	// doubtDuration is how long a server that had left must stay listed after a restore of the store to be
+	// used again: three heartbeats, after which the entry of a dead server has expired, plus the delay of a
+	// late list.
 	doubtDuration = outageAfter + lapseGrace
-	// departureTTL is how long a departure is remembered: longer than any server was seen to keep serving after it left.
+	// departureTTL is how long a departure is remembered: longer than any server was seen to keep serving
+	// after it left.
 	departureTTL = time.Minute
 )
 
@@ -25,25 +27,25 @@
 	Incarnation Incarnation // that left
 }
 
-// supersedes reports whether an entry is outdated by the departure: it is of an earlier incarnation, or of the departed
-// one, which had announced that it leaves.
+// supersedes reports whether an entry is outdated by the departure: it is of an earlier incarnation, or of
+// the departed one, which had announced that it leaves.
 func (d Departure) supersedes(s Server) bool {
 	return s.Incarnation > 0 && (s.Incarnation < d.Incarnation || s.Incarnation == d.Incarnation && d.Draining && !s.Draining)
 }
 
-// Registry is one box's view of the backend servers, derived from successive lists: which may get new work, which
-// missing entries may only have lapsed, and which incarnations have left. The view is never sent to other boxes; they
-// derive their own from the same lists.
+// Registry is one box's view of the backend servers, derived from successive lists: which may get new work,
+// which missing entries may only have lapsed, and which incarnations have left. The view is never sent to
+// other boxes; they derive their own from the same lists.
 //
-// Entries of a server are ordered by incarnation and by revision, and an older entry never replaces a newer one,
-// whatever list it comes in. A missing entry means that the server left, unless the platform was just unreachable for
-// all boxes (Feed.Returned). If failed calls of single boxes counted as an outage, and their lists were passed on, a
-// removed server would be used for another 2.0 to 2.6 s, or for as long as calls fail now and then, instead of under
-// 1 s (virtual time, 6 and 61 boxes, the gateway's tests of leaving servers).
+// Entries of a server are ordered by incarnation and by revision, and an older entry never replaces a newer
+// one, whatever list it comes in. A missing entry means that the server left, unless the platform was just
+// unreachable for all boxes (Feed.Returned). If failed calls of single boxes counted as an outage, and their
+// lists were passed on, a removed server would be used for another 2.0 to 2.6 s, or for as long as calls fail
+// now and then, instead of under 1 s (virtual time, 6 and 61 boxes, the gateway's tests of leaving servers).
 //
-// After a restore of the store, a list of the new era may be older than what is known until the lost entries are
-// written again. In the first such list, a missing entry may not have been rewritten yet, and a server that had left
-// may be listed as if it had not.
+// After a restore of the store, a list of the new era may be older than what is known until the lost entries
+// are written again. In the first such list, a missing entry may not have been rewritten yet, and a server
+// that had left may be listed as if it had not.
 //
 // Callers pass the time in. Not safe for concurrent use.
 type Registry struct {
@@ -97,8 +99,8 @@
 	Left   Departure
 }
 
-// Take applies the difference between the list at a revision and the previous list. returned is when the platform last
-// came back after an outage, zero for never.
+// Take applies the difference between the list at a revision and the previous list. returned is when the
+// platform last came back after an outage, zero for never.
 func (r *Registry) Take(now time.Time, change Difference, revision Revision, returned time.Time) Effects {
 	if r.known == nil {
 		r.known, r.lapsed, r.left, r.newer = map[string]*Server{}, map[string]lapse{}, map[string]Departure{}, map[string]bool{}
@@ -142,8 +144,8 @@
 	return before
 }
 
-// applyRemoval handles a server that a list lacks. An entry that was written after the list's revision stays until a
-// later list lacks it too.
+// applyRemoval handles a server that a list lacks. An entry that was written after the list's revision stays
+// until a later list lacks it too.
 func (r *Registry) applyRemoval(now time.Time, id string, revision Revision, returned time.Time, t *Effects) {
 	old, known := r.known[id]
 	if known && old.Revision > revision {
@@ -216,8 +218,9 @@
 	}
 }
 
-// contradicts reports whether an entry of a restored list shows a server as working that left in an earlier era, and
-// must be ignored: for good if that incarnation announced that it leaves, otherwise until a lease has expired.
+// contradicts reports whether an entry of a restored list shows a server as working that left in an earlier
+// era, and must be ignored: for good if that incarnation announced that it leaves, otherwise until a lease
+// has expired.
 func (r *Registry) contradicts(now time.Time, s *Server, left Departure, t *Effects) bool {
 	sameLife := s.Incarnation == 0 || left.Incarnation == 0 || s.Incarnation <= left.Incarnation
 	if !s.Works() || !sameLife || left.Revision.Era() == 0 || left.Revision.Era() == r.era {
@@ -252,8 +255,9 @@
 	}
 }
 
-// DropLapsed removes the lapsed servers whose grace period is over and returns them. While the platform does not answer
-// they stay: no entry can be renewed then, and with all servers removed no request could be served.
+// DropLapsed removes the lapsed servers whose grace period is over and returns them. While the platform does
+// not answer they stay: no entry can be renewed then, and with all servers removed no request could be
+// served.
 func (r *Registry) DropLapsed(now time.Time, answering bool) (dropped []Changed) {
 	for id, l := range r.lapsed {
 		until := l.until
@@ -271,8 +275,8 @@
 	return dropped
 }
 
-// EndDoubts returns the servers whose entries have outlasted a lease since the restore: they are alive and accept work
-// again.
+// EndDoubts returns the servers whose entries have outlasted a lease since the restore: they are alive and
+// accept work again.
 func (r *Registry) EndDoubts(now time.Time) (back []Changed) {
 	for id, d := range r.doubted {
 		if now.Before(d.until) {
@@ -290,8 +294,8 @@
 // Settled reports whether entries missing since a restore count as removed: none has come back for lapseGrace.
 func (r *Registry) Settled(now time.Time) bool { return r.restored && !now.Before(r.settleAt) }
 
-// Settle applies another box's notice that a restored list is settled, so that a box that learns late of the restore
-// does not wait again.
+// Settle applies another box's notice that a restored list is settled, so that a box that learns late of the
+// restore does not wait again.
 func (r *Registry) Settle(now time.Time, era Era) {
 	if r.restored && era == r.era && now.Before(r.settleAt) {
 		r.settleAt = now
@@ -320,8 +324,8 @@
 	return out[:min(len(out), most)]
 }
 
-// HearDoubt applies another box's doubt: this box may have started later, or may have missed that the server left. It
-// reports whether the server is doubted now.
+// HearDoubt applies another box's doubt: this box may have started later, or may have missed that the server
+// left. It reports whether the server is doubted now.
 func (r *Registry) HearDoubt(now time.Time, n DoubtNote) (c Changed, changed bool) {
 	s, known := r.known[n.Server]
 	if !known || r.alive[n.Server] || !s.Works() || s.Incarnation != n.Incarnation || n.For <= 0 {
@@ -340,7 +344,8 @@
 	}
 }
 
-// Get returns the known entry of a server, nil for none, and whether it may get new work. The entry must not be changed.
+// Get returns the known entry of a server, nil for none, and whether it may get new work. The entry must not
+// be changed.
 func (r *Registry) Get(id string) (*Server, bool) {
 	if s, ok := r.known[id]; ok {
 		return s, s.Works()
@@ -380,9 +385,9 @@
 	return *s == o
 }
 
-// olderThan reports whether an entry is older than another of the same server: of an earlier incarnation, of an earlier
-// revision, or from before its incarnation announced that it leaves. Without incarnations or revisions to compare, the
-// entry received last counts as newer.
+// olderThan reports whether an entry is older than another of the same server: of an earlier incarnation, of
+// an earlier revision, or from before its incarnation announced that it leaves. Without incarnations or
+// revisions to compare, the entry received last counts as newer.
 func (s Server) olderThan(o Server) bool {
 	switch {
 	case s.Incarnation > 0 && o.Incarnation > 0 && s.Incarnation != o.Incarnation:
--- a/src/catalog/registry_test.go
+++ b/src/catalog/registry_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// Guards against dropping live servers whose entries lapsed during an outage of the platform, and against keeping servers
-// that left without an outage, or were leaving.
+// Guards against dropping live servers whose entries lapsed during an outage of the platform, and against
+// keeping servers that left without an outage, or were leaving.
 func TestMissingServersAreKeptOnlyAfterOutage(t *testing.T) {
 	all := listOf(Server{ID: "a"}, Server{ID: "b"}, Server{ID: "leaving", Draining: true})
 	r := &listFeeder{}
@@ -170,8 +170,8 @@
 	}
 }
 
-// An incarnation that announced that it leaves stays departed even if its entry disappears and comes back; one whose entry
-// only disappeared may return.
+// An incarnation that announced that it leaves stays departed even if its entry disappears and comes back;
+// one whose entry only disappeared may return.
 func TestLeavingIncarnationStaysLeaving(t *testing.T) {
 	r := &listFeeder{}
 	r.take(start, listOf(Server{ID: "said", Incarnation: 20, Draining: true}, Server{ID: "silent", Incarnation: 20}), 1, time.Time{})
--- a/src/catalog/relief.go
+++ b/src/catalog/relief.go
@@ -10,17 +10,17 @@
 const (
 	// Time that a box reads after it was asked to. It is asked again with each failed read, at most every 2 s.
 	reliefDuration = 3 * time.Second
-	// Rounds of boxes that are asked to read: at most 24 boxes in a fleet of any size. If the platform rejects 7 in 10
-	// boxes, the chance that it rejects all of them is 0.02%.
+	// Rounds of boxes that are asked to read: at most 24 boxes in a fleet of any size. If the platform
+	// rejects 7 in 10 boxes, the chance that it rejects all of them is 0.02%.
 	maxReliefRounds = 3
 )
 
 // relief is the state of a Feed about readers that the platform does not answer.
 //
-// A reader that gets no answer tells the other readers of its round. Once all of them have reported the same, they ask
-// the next round in rank, which doubles the number of readers; those read at once and do the same if they get no answer
-// either. Without relief a box would take over only after its content was unconfirmed for a time that grows with the
-// fleet.
+// A reader that gets no answer tells the other readers of its round. Once all of them have reported the same,
+// they ask the next round in rank, which doubles the number of readers; those read at once and do the same if
+// they get no answer either. Without relief a box would take over only after its content was unconfirmed for
+// a time that grows with the fleet.
 type relief struct {
 	round      int                  // in which this box reads for others
 	until      time.Time            // until when it does
@@ -37,15 +37,15 @@
 	First  bool     // Next were not asked before, or not recently
 }
 
-// Unanswered notes that a read of this box failed and returns the boxes to notify. A box that reads only because its
-// content was not confirmed notifies none.
+// Unanswered notes that a read of this box failed and returns the boxes to notify. A box that reads only
+// because its content was not confirmed notifies none.
 func (f *Feed) Unanswered(now time.Time, living []string) Plea {
 	f.relief.failed = now
 	return f.reliefRequest(now, living)
 }
 
-// UnansweredToo returns the boxes to ask after another reader has reported that its reads fail too: if all reads fail at
-// the same time, each box learns of the others only after its own failure.
+// UnansweredToo returns the boxes to ask after another reader has reported that its reads fail too: if all
+// reads fail at the same time, each box learns of the others only after its own failure.
 func (f *Feed) UnansweredToo(now time.Time, living []string) Plea {
 	if f.relief.failed.IsZero() || now.Sub(f.relief.failed) > reliefDuration || !f.relief.asked.Before(f.relief.failed) {
 		return Plea{}
@@ -78,8 +78,8 @@
 	return f.relief.round, now.Before(f.relief.until)
 }
 
-// HearUnanswered handles another box's notice that its reads fail. With a valid round, 1 or more, this box reads in that
-// round for a while.
+// HearUnanswered handles another box's notice that its reads fail. With a valid round, 1 or more, this box
+// reads in that round for a while.
 func (f *Feed) HearUnanswered(now time.Time, from string, round int) {
 	f.relief.unanswered[from] = now
 	if round >= 1 && round <= maxReliefRounds {
@@ -115,7 +115,8 @@
 	return out
 }
 
-// roundOf returns a copy of the ranked boxes that read in a round: three in round 0, then as many as in all rounds before.
+// roundOf returns a copy of the ranked boxes that read in a round: three in round 0, then as many as in all
+// rounds before.
 func roundOf(order []string, round int) []string {
 	from, to := 0, readers
 	if round > 0 {
--- a/src/catalog/relief_test.go
+++ b/src/catalog/relief_test.go
@@ -37,8 +37,8 @@
 	return slices.Compact(asked)
 }
 
-// Readers must ask the next round only if none of them gets an answer. Each round doubles the number of readers, and there
-// are three.
+// Readers must ask the next round only if none of them gets an answer. Each round doubles the number of
+// readers, and there are three.
 func TestUnansweredReadersAskNextRound(t *testing.T) {
 	for _, n := range []int{6, 61, 985} {
 		boxes, feeds := reliefFleet(n)
@@ -93,8 +93,8 @@
 	}
 }
 
-// Readers whose reads fail at the same time learn of each other only afterwards. A reader that has then heard from all
-// others must ask the next round, but only once per failure and not after a successful read.
+// Readers whose reads fail at the same time learn of each other only afterwards. A reader that has then heard
+// from all others must ask the next round, but only once per failure and not after a successful read.
 func TestSimultaneousFailuresAskNextRoundOnce(t *testing.T) {
 	boxes, feeds := reliefFleet(61)
 	now := start.Add(500 * time.Millisecond)
--- a/src/catalog/restored_test.go
+++ b/src/catalog/restored_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// Property: revisions survive encoding and decoding. A box of an earlier release, which knows no eras, orders encoded
-// revisions correctly and sees the store's number until a restore.
+// Property: revisions survive encoding and decoding. A box of an earlier release, which knows no eras, orders
+// encoded revisions correctly and sees the store's number until a restore.
 func TestWireRevisionsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		base := Era(rapid.Uint64Range(0, 9).Draw(rt, "base"))
@@ -51,8 +51,8 @@
 	})
 }
 
-// Guards against going back to an older configuration after a restore, and against refusing newer content whose revision
-// was assigned before: the document's own version counts first, then the era.
+// Guards against going back to an older configuration after a restore, and against refusing newer content
+// whose revision was assigned before: the document's own version counts first, then the era.
 func TestFeedOrdersByVersionThenEra(t *testing.T) {
 	f := NewFeed("a")
 	f.Read(start, ConfigAt(at(1, 44)), "v20", 20)
@@ -74,8 +74,8 @@
 	}
 }
 
-// serverModel is the reference model of one server: whether it ever announced that it leaves, and when it was removed
-// before the last restore.
+// serverModel is the reference model of one server: whether it ever announced that it leaves, and when it was
+// removed before the last restore.
 type serverModel struct {
 	leaves  bool
 	removed time.Time
@@ -87,7 +87,8 @@
 	listed map[string]Server
 }
 
-// history simulates a store that is changed and restored, a box that applies its lists, and the reference model.
+// history simulates a store that is changed and restored, a box that applies its lists, and the reference
+// model.
 type history struct {
 	rt       *rapid.T
 	now      time.Time
@@ -221,8 +222,8 @@
 	}
 }
 
-// Property: across restores, an evacuation stays in force until it is ended in the current era, even if the restored copy
-// does not contain it.
+// Property: across restores, an evacuation stays in force until it is ended in the current era, even if the
+// restored copy does not contain it.
 func TestEvacuationsAcrossRestores(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		boxes := []*Closures{{}, {}}
--- a/src/catalog/revision.go
+++ b/src/catalog/revision.go
@@ -5,16 +5,16 @@
 	"log/slog"
 )
 
-// Era numbers the histories of the platform's store: it increases each time the store is restored from an older copy and
-// assigns revisions again that it assigned before. 0 if the store does not report it.
+// Era numbers the histories of the platform's store: it increases each time the store is restored from an
+// older copy and assigns revisions again that it assigned before. 0 if the store does not report it.
 type Era uint64
 
-// Revision is a point in the history of the platform's store: the era in the high bits and the store's own revision
-// number in the low bits. Later points are greater even after a restore.
+// Revision is a point in the history of the platform's store: the era in the high bits and the store's own
+// revision number in the low bits. Later points are greater even after a restore.
 type Revision uint64
 
-// State is the sequence number of a document's content, derived from a revision at which it was the newest. Later
-// states are greater.
+// State is the sequence number of a document's content, derived from a revision at which it was the newest.
+// Later states are greater.
 type State uint64
 
 // numberBits allows for nine trillion changes per era and half a million eras.
@@ -42,8 +42,9 @@
 // LogValue implements slog.LogValuer.
 func (r Revision) LogValue() slog.Value { return slog.StringValue(r.String()) }
 
-// Told encodes the revision for messages between boxes, relative to a base era. Boxes of earlier releases, which don't
-// know eras, see the store's own numbers until the era increases, and order everything after that as newer.
+// Told encodes the revision for messages between boxes, relative to a base era. Boxes of earlier releases,
+// which don't know eras, see the store's own numbers until the era increases, and order everything after that
+// as newer.
 func (r Revision) Told(from Era) uint64 { return toWire(uint64(r), numberBits, from) }
 
 // RevisionTold decodes a revision that was encoded relative to a base era.
@@ -55,8 +56,8 @@
 	listBits   = numberBits + 1
 )
 
-// statesPerRevision is the number of list states per revision. Boxes of an earlier release use two, and all boxes must
-// order states the same way during a rolling upgrade.
+// statesPerRevision is the number of list states per revision. Boxes of an earlier release use two, and all
+// boxes must order states the same way during a rolling upgrade.
 const statesPerRevision = 1 << (listBits - configBits)
 
 // ConfigAt returns the state of the configuration at a revision.
--- a/src/exchange/exchange.go
+++ b/src/exchange/exchange.go
@@ -1,5 +1,6 @@
-// Package exchange is an HTTP/1.1 client with pooled connections. Unlike the transport of the standard library it never
-// retries a request, reports whether any byte of it was sent, and skips responses that belong to earlier requests.
+// Package exchange is an HTTP/1.1 client with pooled connections. Unlike the transport of the standard
+// library it never retries a request, reports whether any byte of it was sent, and skips responses that
+// belong to earlier requests.
 package exchange
 
 import (
@@ -45,7 +46,8 @@
 // Unwrap returns the cause.
 func (e *NotSent) Unwrap() error { return e.Cause }
 
-// Refused reports whether an error means that the connection was refused, i.e. no process listens at the address.
+// Refused reports whether an error means that the connection was refused, i.e. no process listens at the
+// address.
 func Refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 // ErrNoConnection is returned if the address already has the maximum number of connections.
@@ -63,14 +65,14 @@
 	Body   []byte
 	// Owns reports whether a response belongs to this request; nil accepts the first one.
 	Owns func(http.Header) bool
-	// Fresh requires a connection that is new or was used very recently, for requests that can't be repeated if the
-	// server happens to close an idle connection.
+	// Fresh requires a connection that is new or was used very recently, for requests that can't be repeated
+	// if the server happens to close an idle connection.
 	Fresh bool
-	// Start is called once a connection is available, just before the first byte is sent. If it returns an error,
-	// nothing is sent. May be nil.
+	// Start is called once a connection is available, just before the first byte is sent. If it returns an
+	// error, nothing is sent. May be nil.
 	Start func() error
-	// Silence is the maximum time without receiving a byte of the response, 0 for no limit. While waiting for the
-	// header, Head applies if it is longer.
+	// Silence is the maximum time without receiving a byte of the response, 0 for no limit. While waiting for
+	// the header, Head applies if it is longer.
 	Silence, Head time.Duration
 }
 
@@ -113,8 +115,8 @@
 	stop func() bool
 }
 
-// Do sends a request once and returns its response. The connection is closed when the context ends. The error is a
-// NotSent if no byte was sent.
+// Do sends a request once and returns its response. The connection is closed when the context ends. The error
+// is a NotSent if no byte was sent.
 func (c *Client) Do(ctx context.Context, address string, r *Request) (*Answer, error) {
 	cn, err := c.acquire(ctx, address, r.Fresh)
 	if err != nil {
@@ -153,9 +155,9 @@
 	err error
 }
 
-// roundTrip writes a request and concurrently reads the header of its response, since a server may respond before it has
-// read a long body. A connection on which the request was not written completely is not reused, since the server may
-// still wait for the rest. sent reports whether any byte was sent.
+// roundTrip writes a request and concurrently reads the header of its response, since a server may respond
+// before it has read a long body. A connection on which the request was not written completely is not reused,
+// since the server may still wait for the rest. sent reports whether any byte was sent.
 func (cn *conn) roundTrip(r *Request) (resp *http.Response, sent bool, err error) {
 	b := r.bytes()
 	if len(b) <= maxInlineWrite {
@@ -199,8 +201,8 @@
 	return []byte(b.String())
 }
 
-// read returns the first response that belongs to the request. Responses to earlier requests are skipped; a connection
-// that carried one is not reused.
+// read returns the first response that belongs to the request. Responses to earlier requests are skipped; a
+// connection that carried one is not reused.
 func (cn *conn) read(r *Request) (*http.Response, error) {
 	for skipped := 0; ; {
 		resp, err := http.ReadResponse(cn.reader, &http.Request{Method: r.Method})
@@ -224,8 +226,8 @@
 	}
 }
 
-// Close ends the exchange. Set whole if the body was read to its end without an error; otherwise the connection is not
-// reused.
+// Close ends the exchange. Set whole if the body was read to its end without an error; otherwise the
+// connection is not reused.
 func (a *Answer) Close(whole bool) {
 	if a.stop() && whole && !a.Response.Close && a.conn.reader.Buffered() == 0 {
 		a.conn.release(a.Header)
@@ -267,7 +269,8 @@
 	cn.putIdle()
 }
 
-// releaseUnused makes a connection available again on which nothing was sent. A new one gets the full idle time.
+// releaseUnused makes a connection available again on which nothing was sent. A new one gets the full idle
+// time.
 func (cn *conn) releaseUnused() {
 	if cn.idleUntil.IsZero() {
 		now := clock.Now()
@@ -290,7 +293,8 @@
 	}
 }
 
-// acquire returns an idle connection that is still usable, the most recently used one first, or opens a new one.
+// acquire returns an idle connection that is still usable, the most recently used one first, or opens a new
+// one.
 func (c *Client) acquire(ctx context.Context, address string, fresh bool) (*conn, error) {
 	for {
 		cn := c.popIdle(address)
--- a/src/exchange/exchange_test.go
+++ b/src/exchange/exchange_test.go
@@ -261,8 +261,9 @@
 	}
 }
 
-// A server may respond to a long request before it has read the body, and read on later. The response must be returned,
-// and no other request may be sent on the connection, where it would be read as the rest of the body.
+// A server may respond to a long request before it has read the body, and read on later. The response must be
+// returned, and no other request may be sent on the connection, where it would be read as the rest of the
+// body.
 func TestEarlyResponseToLongBody(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -332,7 +333,8 @@
 	}
 }
 
-// The timeout for the response header may be longer than the read timeout, and must not remain on a reused connection.
+// The timeout for the response header may be longer than the read timeout, and must not remain on a reused
+// connection.
 func TestResponseHeaderMayTakeLonger(t *testing.T) {
 	const silence = 200 * time.Millisecond
 	address, _ := server(t, func(conn net.Conn, _ *http.Request, n int) {
--- a/src/exchange/retry_after.go
+++ b/src/exchange/retry_after.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// RetryAfter returns the longest time of the Retry-After fields of a response: in seconds, including fractions, or as a
-// date (RFC 9110, section 10.2.3), which is compared with the response's own Date since the clocks of machines differ.
-// Invalid values and values not above zero count as 0.
+// RetryAfter returns the longest time of the Retry-After fields of a response: in seconds, including
+// fractions, or as a date (RFC 9110, section 10.2.3), which is compared with the response's own Date since
+// the clocks of machines differ. Invalid values and values not above zero count as 0.
 func RetryAfter(h http.Header) time.Duration {
 	longest := time.Duration(0)
 	for _, v := range h.Values("Retry-After") {
--- a/src/peer/client.go
+++ b/src/peer/client.go
@@ -27,8 +27,9 @@
 	beatWriteTimeout = time.Second            // timeout for writing one message
 )
 
-// beatIdleTimeout is the idle timeout of a heartbeat connection. A box sends about twelve messages a second to random boxes, so
-// it has at most a hundred connections in a fleet of any size, and in a fleet of sixty most messages find an open one.
+// beatIdleTimeout is the idle timeout of a heartbeat connection. A box sends about twelve messages a second
+// to random boxes, so it has at most a hundred connections in a fleet of any size, and in a fleet of sixty
+// most messages find an open one.
 const beatIdleTimeout = 8 * time.Second
 
 // Client sends messages to other boxes. Set its fields before use; end it with Close.
@@ -93,8 +94,8 @@
 	}
 }
 
-// sendLoop writes the messages queued for one box over one connection, which it reopens as needed. It ends after an idle
-// timeout.
+// sendLoop writes the messages queued for one box over one connection, which it reopens as needed. It ends
+// after an idle timeout.
 func (c *Client) sendLoop(address string, queue chan *Message) {
 	var conn net.Conn
 	defer func() {
@@ -147,8 +148,8 @@
 	return nil
 }
 
-// watchConnection waits until the peer closes a heartbeat connection, on which it never writes, and then checks whether
-// a process still listens there. So a killed box is detected without a timeout.
+// watchConnection waits until the peer closes a heartbeat connection, on which it never writes, and then
+// checks whether a process still listens there. So a killed box is detected without a timeout.
 func (c *Client) watchConnection(address string, conn net.Conn) {
 	var b [1]byte
 	if _, err := conn.Read(b[:]); errors.Is(err, net.ErrClosed) {
@@ -203,8 +204,8 @@
 	return *m.Answer, nil
 }
 
-// Forward sends a request on its own connection and calls emit for each event up to the end event. If the connection
-// breaks before the end event it returns an error; the request may still be running.
+// Forward sends a request on its own connection and calls emit for each event up to the end event. If the
+// connection breaks before the end event it returns an error; the request may still be running.
 func (c *Client) Forward(ctx context.Context, address string, f port.Forward, emit func(port.ForwardEvent)) error {
 	conn, stop, err := c.open(ctx, address, &Message{Forward: &f})
 	if err != nil {
--- a/src/peer/client_test.go
+++ b/src/peer/client_test.go
@@ -11,7 +11,8 @@
 	"github.com/stilemast/stilemast/src/core"
 )
 
-// fullListener returns an address whose accept queue is full, so that SYN packets are dropped as by a host without power.
+// fullListener returns an address whose accept queue is full, so that SYN packets are dropped as by a host
+// without power.
 func fullListener(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -41,7 +42,8 @@
 	return ""
 }
 
-// A box that comes back must be reached within a fraction of a second, though a lost SYN is retransmitted only after 1 s.
+// A box that comes back must be reached within a fraction of a second, though a lost SYN is retransmitted
+// only after 1 s.
 func TestConnectTimeoutIsShort(t *testing.T) {
 	c := NewClient(nil)
 	defer c.Close()
--- a/src/peer/frame.go
+++ b/src/peer/frame.go
@@ -49,8 +49,8 @@
 	return w.Write(b)
 }
 
-// ReadFrame reads and decodes one message. A length over MaxFrame is rejected before memory is allocated for it. At the
-// end of the stream between frames the error is io.EOF.
+// ReadFrame reads and decodes one message. A length over MaxFrame is rejected before memory is allocated for
+// it. At the end of the stream between frames the error is io.EOF.
 func ReadFrame(r io.Reader) (*Message, error) {
 	var head [headerBytes]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
--- a/src/peer/idle_test.go
+++ b/src/peer/idle_test.go
@@ -26,8 +26,8 @@
 	return n, err
 }
 
-// countConnections lets a client send twelve heartbeats a second to random boxes for a minute, as a box of a fleet does,
-// and returns the maximum number of connections open at once and the number of dials.
+// countConnections lets a client send twelve heartbeats a second to random boxes for a minute, as a box of a
+// fleet does, and returns the maximum number of connections open at once and the number of dials.
 func countConnections(t *testing.T, boxes int) (most, dials int64) {
 	synctest.Test(t, func(t *testing.T) {
 		var open, opened atomic.Int64
@@ -60,10 +60,12 @@
 	return most, dials
 }
 
-// maxOpen is how many connections to other boxes a small box can afford besides those of its callers and servers.
+// maxOpen is how many connections to other boxes a small box can afford besides those of its callers and
+// servers.
 const maxOpen = 128
 
-// Guards against a box holding a connection to every other box of a large fleet, and against reconnecting in a small one.
+// Guards against a box holding a connection to every other box of a large fleet, and against reconnecting in
+// a small one.
 func TestPeerConnectionsAreBoundedInAnyFleet(t *testing.T) {
 	if most, dials := countConnections(t, 6); most != 6 || dials != 6 {
 		t.Errorf("6 boxes: %d connections were open at once, %d opened, want 6", most, dials)
--- a/src/peer/server.go
+++ b/src/peer/server.go
@@ -38,8 +38,8 @@
 	wg    sync.WaitGroup
 }
 
-// Serve accepts connections until the listener is closed or the context ends. Then it closes all connections and waits
-// for their handlers.
+// Serve accepts connections until the listener is closed or the context ends. Then it closes all connections
+// and waits for their handlers.
 func (s *Server) Serve(ctx context.Context, l net.Listener) {
 	if s.TLS != nil {
 		l = tls.NewListener(l, s.TLS)
--- a/src/rpc/auth.go
+++ b/src/rpc/auth.go
@@ -1,5 +1,5 @@
-// Package rpc serves callers and operators over gRPC. It does not use go-zero's zrpc, which wraps the same library but
-// depends on the client of an external coordination service; see docs/DESIGN.md.
+// Package rpc serves callers and operators over gRPC. It does not use go-zero's zrpc, which wraps the same
+// library but depends on the client of an external coordination service; see docs/DESIGN.md.
 package rpc
 
 import (
@@ -53,8 +53,8 @@
 		p.certificate != "" && slices.Contains(certificates, p.certificate)
 }
 
-// mayUse returns an error if the principal may not use a workspace. For principals with known credentials an unknown
-// workspace passes here and is rejected by the box.
+// mayUse returns an error if the principal may not use a workspace. For principals with known credentials an
+// unknown workspace passes here and is rejected by the box.
 func (p principal) mayUse(c *config.Config, workspace string, anyone bool) *code.Error {
 	if c == nil {
 		return nil // the box refuses as not ready
