--- a/src/catalog/catalog.go
+++ b/src/catalog/catalog.go
@@ -138,7 +138,7 @@
 	IdleTime    time.Duration `msgpack:"i"`
 }
 
-// Incarnation tells processes that ran under the same server id apart: the start time of the process in Unix
+// Incarnation distinguishes processes that ran under the same server id: the start time of the process in Unix
 // milliseconds, 0 if the server does not report it.
 type Incarnation int64
 
--- a/src/catalog/evacuations.go
+++ b/src/catalog/evacuations.go
@@ -29,9 +29,9 @@
 
 // evacuation is the newest known state of a failure domain.
 type evacuation struct {
-	closed bool
+	active bool
 	at     Revision  // at which the state was written
-	lifted time.Time // when this box last learned that the end needs to be announced, zero if it has not ended
+	endedAt time.Time // when this box last learned that the end needs to be announced, zero if it has not ended
 }
 
 // ClosureNote tells another box the newest state of a failure domain that no document contains.
@@ -42,13 +42,13 @@
 }
 
 // Closed reports whether a failure domain is evacuated.
-func (c *Closures) Closed(domain string) bool { return c.states[domain].closed }
+func (c *Closures) Closed(domain string) bool { return c.states[domain].active }
 
 // Names returns the evacuated failure domains, sorted.
 func (c *Closures) Names() []string {
 	var out []string
-	for d, w := range c.states {
-		if w.closed {
+	for d, s := range c.states {
+		if s.active {
 			out = append(out, d)
 		}
 	}
@@ -68,17 +68,17 @@
 	if c.states == nil {
 		c.states = map[string]evacuation{}
 	}
-	for d, w := range c.states {
-		if !w.closed || slices.Contains(evacuated, d) {
+	for d, s := range c.states {
+		if !s.active || slices.Contains(evacuated, d) {
 			continue
 		}
-		if w.at.Era() == at.Era() || held == at.Era() && slices.Contains(c.named, d) {
-			c.lift(now, d, at)
+		if s.at.Era() == at.Era() || held == at.Era() && slices.Contains(c.named, d) {
+			c.end(now, d, at)
 		}
 	}
 	for _, d := range evacuated {
-		if w, ok := c.states[d]; !ok || w.at <= at {
-			c.states[d] = evacuation{closed: true, at: at}
+		if s, ok := c.states[d]; !ok || s.at <= at {
+			c.states[d] = evacuation{active: true, at: at}
 		}
 	}
 	c.named = slices.Clone(evacuated)
@@ -88,16 +88,16 @@
 // Lift ends evacuations by order of the operator. It reports whether anything changed.
 func (c *Closures) Lift(now time.Time, domains []string, at Revision) (changed bool) {
 	for _, d := range domains {
-		if w, ok := c.states[d]; ok && w.closed && w.at <= at {
-			c.lift(now, d, at)
+		if s, ok := c.states[d]; ok && s.active && s.at <= at {
+			c.end(now, d, at)
 			changed = true
 		}
 	}
 	return changed
 }
 
-func (c *Closures) lift(now time.Time, domain string, at Revision) {
-	c.states[domain] = evacuation{at: at, lifted: now}
+func (c *Closures) end(now time.Time, domain string, at Revision) {
+	c.states[domain] = evacuation{at: at, endedAt: now}
 }
 
 // Notes returns what the configuration of an era does not contain: evacuations of an earlier era, and recent
@@ -107,9 +107,9 @@
 		return nil
 	}
 	var out []ClosureNote
-	for d, w := range c.states {
-		if w.closed && w.at.Era() < era || !w.closed && now.Sub(w.lifted) < liftNotifyTime {
-			out = append(out, ClosureNote{Domain: d, Closed: w.closed, At: w.at})
+	for d, s := range c.states {
+		if s.active && s.at.Era() < era || !s.active && now.Sub(s.endedAt) < liftNotifyTime {
+			out = append(out, ClosureNote{Domain: d, Closed: s.active, At: s.at})
 		}
 	}
 	slices.SortFunc(out, func(a, b ClosureNote) int { return strings.Compare(a.Domain, b.Domain) })
@@ -119,12 +119,12 @@
 // Hear applies another box's note while the held configuration is of an era; the state with the later
 // revision wins. It reports whether anything changed.
 func (c *Closures) Hear(now time.Time, n ClosureNote, era Era) (changed bool) {
-	w, ok := c.states[n.Domain]
+	s, ok := c.states[n.Domain]
 	switch {
-	case ok && n.At <= w.at:
-		if n.Closed && !w.closed {
-			w.lifted = now
-			c.states[n.Domain] = w
+	case ok && n.At <= s.at:
+		if n.Closed && !s.active {
+			s.endedAt = now
+			c.states[n.Domain] = s
 		}
 		return false
 	case !ok && (!n.Closed || len(c.states) >= maxEvacuations):
@@ -136,9 +136,9 @@
 		c.states = map[string]evacuation{}
 	}
 	if n.Closed {
-		c.states[n.Domain] = evacuation{closed: true, at: n.At}
+		c.states[n.Domain] = evacuation{active: true, at: n.At}
 	} else {
-		c.lift(now, n.Domain, n.At)
+		c.end(now, n.Domain, n.At)
 	}
-	return w.closed != n.Closed
+	return s.active != n.Closed
 }
--- a/src/catalog/feed.go
+++ b/src/catalog/feed.go
@@ -254,8 +254,8 @@
 // Reads reports whether this box should read the platform now: it is one of the readers, a reader asked it
 // to, it has been behind for a while, or its content has not been confirmed for a while other than by its own
 // reads.
-func (f *Feed) Reads(now time.Time, living []string) bool {
-	ahead := f.Ahead(living)
+func (f *Feed) Reads(now time.Time, live []string) bool {
+	ahead := f.Ahead(live)
 	if f.asOf == 0 {
 		return f.First || now.Sub(f.Started) > firstReadAfter+f.spread()
 	}
@@ -265,28 +265,28 @@
 	if since, _ := f.Behind(); !since.IsZero() && now.Sub(since) > behindAfter+f.spread() {
 		return true
 	}
-	patience := selfReadAfter + f.spread()
-	patience += time.Duration(doublings(len(living)/smallFleet)+min(maxReadStages, doublings(ahead/readers))) * selfReadStep
+	timeout := selfReadAfter + f.spread()
+	timeout += time.Duration(doublings(len(live)/smallFleet)+min(maxReadStages, doublings(ahead/readers))) * selfReadStep
 	last := f.confirmed
 	if f.reportedNewest.After(last) {
 		last = f.reportedNewest
 	}
-	if now.Sub(last) > patience {
+	if now.Sub(last) > timeout {
 		f.soleReader = true
 		return true
 	}
-	f.soleReader = f.soleReader && now.Sub(f.ownRead) < patience && now.Sub(f.othersRead) > patience
+	f.soleReader = f.soleReader && now.Sub(f.ownRead) < timeout && now.Sub(f.othersRead) > timeout
 	return f.soleReader
 }
 
 // Ahead counts the live boxes that read before this one: the chosen ones, then the others by hash.
-func (f *Feed) Ahead(living []string) int {
+func (f *Feed) Ahead(live []string) int {
 	if i := slices.Index(f.Chosen, f.Self); i >= 0 {
 		return i
 	}
 	own := readerRank(f.Self)
 	ahead := len(f.Chosen)
-	for _, box := range living {
+	for _, box := range live {
 		if box != f.Self && readerRank(box) > own && !slices.Contains(f.Chosen, box) {
 			ahead++
 		}
--- a/src/catalog/list.go
+++ b/src/catalog/list.go
@@ -211,8 +211,8 @@
 
 // intern returns the shared copy of a name.
 func (l *List) intern(name string) string {
-	if w, ok := l.interned[name]; ok {
-		return w
+	if shared, ok := l.interned[name]; ok {
+		return shared
 	}
 	if len(l.interned) < maxInterned {
 		l.interned[name] = strings.Clone(name)
--- a/src/catalog/relief.go
+++ b/src/catalog/relief.go
@@ -39,29 +39,29 @@
 
 // Unanswered notes that a read of this box failed and returns the boxes to notify. A box that reads only
 // because its content was not confirmed notifies none.
-func (f *Feed) Unanswered(now time.Time, living []string) Plea {
+func (f *Feed) Unanswered(now time.Time, live []string) Plea {
 	f.relief.failed = now
-	return f.reliefRequest(now, living)
+	return f.reliefRequest(now, live)
 }
 
 // UnansweredToo returns the boxes to ask after another reader has reported that its reads fail too: if all
 // reads fail at the same time, each box learns of the others only after its own failure.
-func (f *Feed) UnansweredToo(now time.Time, living []string) Plea {
+func (f *Feed) UnansweredToo(now time.Time, live []string) Plea {
 	if f.relief.failed.IsZero() || now.Sub(f.relief.failed) > reliefDuration || !f.relief.asked.Before(f.relief.failed) {
 		return Plea{}
 	}
-	p := f.reliefRequest(now, living)
+	p := f.reliefRequest(now, live)
 	p.Beside = nil
 	return p
 }
 
 // reliefRequest returns the boxes to notify of this box's failed reads.
-func (f *Feed) reliefRequest(now time.Time, living []string) Plea {
-	round, reads := f.ownRound(now, living)
+func (f *Feed) reliefRequest(now time.Time, live []string) Plea {
+	round, reads := f.ownRound(now, live)
 	if !reads {
 		return Plea{}
 	}
-	order := f.order(living)
+	order := f.order(live)
 	p := Plea{Beside: slices.DeleteFunc(roundOf(order, round), func(box string) bool { return box == f.Self }), Round: round + 1}
 	answered := func(box string) bool { return now.Sub(f.relief.unanswered[box]) > reliefDuration }
 	if round == maxReliefRounds || slices.ContainsFunc(p.Beside, answered) {
@@ -88,21 +88,21 @@
 }
 
 // ownRound returns the round in which this box reads, 0 for the chosen readers, and whether it reads in any.
-func (f *Feed) ownRound(now time.Time, living []string) (round int, reads bool) {
-	if f.Ahead(living) < readers {
+func (f *Feed) ownRound(now time.Time, live []string) (round int, reads bool) {
+	if f.Ahead(live) < readers {
 		return 0, true
 	}
 	return f.Relieves(now)
 }
 
 // order returns the live boxes, including this one, by rank as counted by Ahead.
-func (f *Feed) order(living []string) []string {
+func (f *Feed) order(live []string) []string {
 	type ranked struct {
 		box  string
 		rank uint64
 	}
 	var others []ranked
-	for _, box := range living {
+	for _, box := range live {
 		if !slices.Contains(f.Chosen, box) {
 			others = append(others, ranked{box, readerRank(box)})
 		}
