--- a/src/catalog/evacuations.go
+++ b/src/catalog/evacuations.go
@@ -29,8 +29,8 @@
 
 // evacuation is the newest known state of a failure domain.
 type evacuation struct {
-	active bool
-	at     Revision  // at which the state was written
+	active  bool
+	at      Revision  // at which the state was written
 	endedAt time.Time // when this box last learned that the end needs to be announced, zero if it has not ended
 }
 
