--- a/src/catalog/evacuations.go
+++ b/src/catalog/evacuations.go
@@ -14,7 +14,7 @@
 	maxEvacuations = 1000
 )
 
-// Closures tracks the failure domains that the operator evacuated, as known to one box.
+// Evacuations tracks the failure domains that the operator evacuated, as known to one box.
 //
 // Within an era of the store the configuration is complete: a domain that it does not list is not evacuated.
 // A restored store lacks the last writes, so an evacuation that it does not list stays in force until the
@@ -22,7 +22,7 @@
 // document contains them.
 //
 // Callers pass the time in. Not safe for concurrent use.
-type Closures struct {
+type Evacuations struct {
 	states map[string]evacuation
 	named  []string // evacuated domains of the held configuration
 }
@@ -42,10 +42,10 @@
 }
 
 // Closed reports whether a failure domain is evacuated.
-func (c *Closures) Closed(domain string) bool { return c.states[domain].active }
+func (c *Evacuations) Closed(domain string) bool { return c.states[domain].active }
 
 // Names returns the evacuated failure domains, sorted.
-func (c *Closures) Names() []string {
+func (c *Evacuations) Names() []string {
 	var out []string
 	for d, s := range c.states {
 		if s.active {
@@ -57,13 +57,13 @@
 }
 
 // Kept returns the domains that are evacuated though the configuration does not list them.
-func (c *Closures) Kept() []string {
+func (c *Evacuations) Kept() []string {
 	return slices.DeleteFunc(c.Names(), func(d string) bool { return slices.Contains(c.named, d) })
 }
 
 // Take applies the evacuated domains of the configuration at a revision; held is the era of the previous
 // configuration. It reports whether anything changed.
-func (c *Closures) Take(now time.Time, evacuated []string, at Revision, held Era) (changed bool) {
+func (c *Evacuations) Take(now time.Time, evacuated []string, at Revision, held Era) (changed bool) {
 	before := c.Names()
 	if c.states == nil {
 		c.states = map[string]evacuation{}
@@ -86,7 +86,7 @@
 }
 
 // Lift ends evacuations by order of the operator. It reports whether anything changed.
-func (c *Closures) Lift(now time.Time, domains []string, at Revision) (changed bool) {
+func (c *Evacuations) Lift(now time.Time, domains []string, at Revision) (changed bool) {
 	for _, d := range domains {
 		if s, ok := c.states[d]; ok && s.active && s.at <= at {
 			c.end(now, d, at)
@@ -96,13 +96,13 @@
 	return changed
 }
 
-func (c *Closures) end(now time.Time, domain string, at Revision) {
+func (c *Evacuations) end(now time.Time, domain string, at Revision) {
 	c.states[domain] = evacuation{at: at, endedAt: now}
 }
 
 // Notes returns what the configuration of an era does not contain: evacuations of an earlier era, and recent
 // ends of evacuations that other boxes may still hold. It returns at most so many.
-func (c *Closures) Notes(now time.Time, era Era, most int) []ClosureNote {
+func (c *Evacuations) Notes(now time.Time, era Era, most int) []ClosureNote {
 	if era == 0 {
 		return nil
 	}
@@ -118,7 +118,7 @@
 
 // Hear applies another box's note while the held configuration is of an era; the state with the later
 // revision wins. It reports whether anything changed.
-func (c *Closures) Hear(now time.Time, n ClosureNote, era Era) (changed bool) {
+func (c *Evacuations) Hear(now time.Time, n ClosureNote, era Era) (changed bool) {
 	s, ok := c.states[n.Domain]
 	switch {
 	case ok && n.At <= s.at:
--- a/src/catalog/restored_test.go
+++ b/src/catalog/restored_test.go
@@ -226,7 +226,7 @@
 // restored copy does not contain it.
 func TestEvacuationsAcrossRestores(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		boxes := []*Closures{{}, {}}
+		boxes := []*Evacuations{{}, {}}
 		era, number, held := Era(1), uint64(1), Era(0)
 		named, closed := map[string]bool{}, map[string]bool{}
 		var copies []map[string]bool
@@ -259,7 +259,7 @@
 					}
 				}
 			case 4:
-				fresh := &Closures{} // a box that starts now and gets the notes of the others
+				fresh := &Evacuations{} // a box that starts now and gets the notes of the others
 				fresh.Take(start, slices.Sorted(maps.Keys(named)), at(era, number), 0)
 				for _, n := range boxes[0].Notes(start, era, 9) {
 					fresh.Hear(start, n, era)
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -24,7 +24,7 @@
 	held     *catalog.Catalog
 	list     *catalog.List    // of servers, as the platform has it
 	registry catalog.Registry // what this box believes of them
-	closures catalog.Closures
+	closures catalog.Evacuations
 	eras     eras
 	known    bool // a list of servers was seen
 	given    given
