--- a/src/catalog/evacuations.go
+++ b/src/catalog/evacuations.go
@@ -34,8 +34,8 @@
 	endedAt time.Time // when this box last learned that the end needs to be announced, zero if it has not ended
 }
 
-// ClosureNote tells another box the newest state of a failure domain that no document contains.
-type ClosureNote struct {
+// EvacuationNote tells another box the newest state of a failure domain that no document contains.
+type EvacuationNote struct {
 	Domain string
 	Closed bool
 	At     Revision
@@ -102,23 +102,23 @@
 
 // Notes returns what the configuration of an era does not contain: evacuations of an earlier era, and recent
 // ends of evacuations that other boxes may still hold. It returns at most so many.
-func (c *Evacuations) Notes(now time.Time, era Era, most int) []ClosureNote {
+func (c *Evacuations) Notes(now time.Time, era Era, most int) []EvacuationNote {
 	if era == 0 {
 		return nil
 	}
-	var out []ClosureNote
+	var out []EvacuationNote
 	for d, s := range c.states {
 		if s.active && s.at.Era() < era || !s.active && now.Sub(s.endedAt) < liftNotifyTime {
-			out = append(out, ClosureNote{Domain: d, Closed: s.active, At: s.at})
+			out = append(out, EvacuationNote{Domain: d, Closed: s.active, At: s.at})
 		}
 	}
-	slices.SortFunc(out, func(a, b ClosureNote) int { return strings.Compare(a.Domain, b.Domain) })
+	slices.SortFunc(out, func(a, b EvacuationNote) int { return strings.Compare(a.Domain, b.Domain) })
 	return out[:min(len(out), most)]
 }
 
 // Hear applies another box's note while the held configuration is of an era; the state with the later
 // revision wins. It reports whether anything changed.
-func (c *Evacuations) Hear(now time.Time, n ClosureNote, era Era) (changed bool) {
+func (c *Evacuations) Hear(now time.Time, n EvacuationNote, era Era) (changed bool) {
 	s, ok := c.states[n.Domain]
 	switch {
 	case ok && n.At <= s.at:
--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -125,7 +125,7 @@
 	p.mu.Lock()
 	base, closed := p.heardBase(b.Era), false
 	for _, n := range b.Closures[:min(len(b.Closures), pushback.NotesMost)] {
-		note := catalog.ClosureNote{Domain: n.Domain, Closed: n.Closed, At: catalog.RevisionTold(n.Revision, base)}
+		note := catalog.EvacuationNote{Domain: n.Domain, Closed: n.Closed, At: catalog.RevisionTold(n.Revision, base)}
 		if p.closures.Hear(now, note, p.configEra()) {
 			closed = true
 			g.Log.Warn("evacuation heard that the store does not say", "domain", n.Domain, "evacuated", n.Closed, "revision", note.At, "from", b.From.ID.Name)
