--- a/src/catalog/evacuations.go
+++ b/src/catalog/evacuations.go
@@ -37,7 +37,7 @@
 // EvacuationNote tells another box the newest state of a failure domain that no document contains.
 type EvacuationNote struct {
 	Domain string
-	Closed bool
+	Evacuated bool
 	At     Revision
 }
 
@@ -109,7 +109,7 @@
 	var out []EvacuationNote
 	for d, s := range c.states {
 		if s.active && s.at.Era() < era || !s.active && now.Sub(s.endedAt) < liftNotifyTime {
-			out = append(out, EvacuationNote{Domain: d, Closed: s.active, At: s.at})
+			out = append(out, EvacuationNote{Domain: d, Evacuated: s.active, At: s.at})
 		}
 	}
 	slices.SortFunc(out, func(a, b EvacuationNote) int { return strings.Compare(a.Domain, b.Domain) })
@@ -122,23 +122,23 @@
 	s, ok := c.states[n.Domain]
 	switch {
 	case ok && n.At <= s.at:
-		if n.Closed && !s.active {
+		if n.Evacuated && !s.active {
 			s.endedAt = now
 			c.states[n.Domain] = s
 		}
 		return false
-	case !ok && (!n.Closed || len(c.states) >= maxEvacuations):
+	case !ok && (!n.Evacuated || len(c.states) >= maxEvacuations):
 		return false
-	case n.Closed && n.At.Era() >= era:
+	case n.Evacuated && n.At.Era() >= era:
 		return false // the configuration of that era decides
 	}
 	if c.states == nil {
 		c.states = map[string]evacuation{}
 	}
-	if n.Closed {
+	if n.Evacuated {
 		c.states[n.Domain] = evacuation{active: true, at: n.At}
 	} else {
 		c.end(now, n.Domain, n.At)
 	}
-	return s.active != n.Closed
+	return s.active != n.Evacuated
 }
--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -57,7 +57,7 @@
 	b.Settled = p.registry.Settled(now)
 	b.Closures, b.Doubts = nil, nil
 	for _, n := range p.closures.Notes(now, p.configEra(), pushback.NotesMost) {
-		b.Closures = append(b.Closures, core.ClosureNote{Domain: n.Domain, Closed: n.Closed, Revision: n.At.Told(base)})
+		b.Closures = append(b.Closures, core.ClosureNote{Domain: n.Domain, Closed: n.Evacuated, Revision: n.At.Told(base)})
 	}
 	for _, n := range p.registry.Doubts(now, pushback.NotesMost) {
 		b.Doubts = append(b.Doubts, core.DoubtNote{Server: n.Server, Incarnation: int64(n.Incarnation), For: n.For})
@@ -125,7 +125,7 @@
 	p.mu.Lock()
 	base, closed := p.heardBase(b.Era), false
 	for _, n := range b.Closures[:min(len(b.Closures), pushback.NotesMost)] {
-		note := catalog.EvacuationNote{Domain: n.Domain, Closed: n.Closed, At: catalog.RevisionTold(n.Revision, base)}
+		note := catalog.EvacuationNote{Domain: n.Domain, Evacuated: n.Closed, At: catalog.RevisionTold(n.Revision, base)}
 		if p.closures.Hear(now, note, p.configEra()) {
 			closed = true
 			g.Log.Warn("evacuation heard that the store does not say", "domain", n.Domain, "evacuated", n.Closed, "revision", note.At, "from", b.From.ID.Name)
