--- a/src/catalog/evacuations.go
+++ b/src/catalog/evacuations.go
@@ -41,8 +41,8 @@
 	At     Revision
 }
 
-// Closed reports whether a failure domain is evacuated.
-func (c *Evacuations) Closed(domain string) bool { return c.states[domain].active }
+// IsEvacuated reports whether a failure domain is evacuated.
+func (c *Evacuations) IsEvacuated(domain string) bool { return c.states[domain].active }
 
 // Names returns the evacuated failure domains, sorted.
 func (c *Evacuations) Names() []string {
--- a/src/gateway/serverlist.go
+++ b/src/gateway/serverlist.go
@@ -223,7 +223,7 @@
 // whatever the list says: while the store takes no writes a list names leaving servers as ready for as long as that lasts.
 // p.mu is held.
 func (p *published) inUse(s *catalog.Server) bool {
-	return !p.closures.Closed(s.Domain) && !p.gateway.leaves(*s)
+	return !p.closures.IsEvacuated(s.Domain) && !p.gateway.leaves(*s)
 }
 
 // takeDifference takes a list of servers that was told as a difference to another. When that other is
