--- a/src/catalog/evacuations.go
+++ b/src/catalog/evacuations.go
@@ -56,8 +56,8 @@
 	return out
 }
 
-// Kept returns the domains that are evacuated though the configuration does not list them.
-func (c *Evacuations) Kept() []string {
+// Unlisted returns the domains that are evacuated though the configuration does not list them.
+func (c *Evacuations) Unlisted() []string {
 	return slices.DeleteFunc(c.Names(), func(d string) bool { return slices.Contains(c.named, d) })
 }
 
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -191,7 +191,7 @@
 	}
 	p.held = c
 	evacuations := p.closures.Take(now, c.Evacuated, revision, heldRevision.Era())
-	kept := p.closures.Kept()
+	kept := p.closures.Unlisted()
 	p.given.hold(digest, raw)
 	g.index.Store(catalog.NewIndex(c))
 	p.mu.Unlock()
