--- a/src/catalog/evacuations.go
+++ b/src/catalog/evacuations.go
@@ -61,9 +61,9 @@
 	return slices.DeleteFunc(c.Names(), func(d string) bool { return slices.Contains(c.named, d) })
 }
 
-// Take applies the evacuated domains of the configuration at a revision; held is the era of the previous
+// ApplyConfig applies the evacuated domains of the configuration at a revision; held is the era of the previous
 // configuration. It reports whether anything changed.
-func (c *Evacuations) Take(now time.Time, evacuated []string, at Revision, held Era) (changed bool) {
+func (c *Evacuations) ApplyConfig(now time.Time, evacuated []string, at Revision, held Era) (changed bool) {
 	before := c.Names()
 	if c.states == nil {
 		c.states = map[string]evacuation{}
--- a/src/catalog/restored_test.go
+++ b/src/catalog/restored_test.go
@@ -233,7 +233,7 @@
 		take := func() {
 			list := slices.Sorted(maps.Keys(named))
 			for _, c := range boxes {
-				c.Take(start, list, at(era, number), held)
+				c.ApplyConfig(start, list, at(era, number), held)
 			}
 			held = era
 		}
@@ -260,7 +260,7 @@
 				}
 			case 4:
 				fresh := &Evacuations{} // a box that starts now and gets the notes of the others
-				fresh.Take(start, slices.Sorted(maps.Keys(named)), at(era, number), 0)
+				fresh.ApplyConfig(start, slices.Sorted(maps.Keys(named)), at(era, number), 0)
 				for _, n := range boxes[0].Notes(start, era, 9) {
 					fresh.Hear(start, n, era)
 				}
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -190,7 +190,7 @@
 		raw = g.encode(c)
 	}
 	p.held = c
-	evacuations := p.closures.Take(now, c.Evacuated, revision, heldRevision.Era())
+	evacuations := p.closures.ApplyConfig(now, c.Evacuated, revision, heldRevision.Era())
 	kept := p.closures.Unlisted()
 	p.given.hold(digest, raw)
 	g.index.Store(catalog.NewIndex(c))
