--- a/src/catalog/evacuations.go
+++ b/src/catalog/evacuations.go
@@ -116,9 +116,9 @@
 	return out[:min(len(out), most)]
 }
 
-// Hear applies another box's note while the held configuration is of an era; the state with the later
+// ApplyNote applies another box's note while the held configuration is of an era; the state with the later
 // revision wins. It reports whether anything changed.
-func (c *Evacuations) Hear(now time.Time, n EvacuationNote, era Era) (changed bool) {
+func (c *Evacuations) ApplyNote(now time.Time, n EvacuationNote, era Era) (changed bool) {
 	s, ok := c.states[n.Domain]
 	switch {
 	case ok && n.At <= s.at:
--- a/src/catalog/restored_test.go
+++ b/src/catalog/restored_test.go
@@ -262,7 +262,7 @@
 				fresh := &Evacuations{} // a box that starts now and gets the notes of the others
 				fresh.ApplyConfig(start, slices.Sorted(maps.Keys(named)), at(era, number), 0)
 				for _, n := range boxes[0].Notes(start, era, 9) {
-					fresh.Hear(start, n, era)
+					fresh.ApplyNote(start, n, era)
 				}
 				boxes[1] = fresh
 			}
--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -126,7 +126,7 @@
 	base, closed := p.heardBase(b.Era), false
 	for _, n := range b.Closures[:min(len(b.Closures), pushback.NotesMost)] {
 		note := catalog.EvacuationNote{Domain: n.Domain, Evacuated: n.Closed, At: catalog.RevisionTold(n.Revision, base)}
-		if p.closures.Hear(now, note, p.configEra()) {
+		if p.closures.ApplyNote(now, note, p.configEra()) {
 			closed = true
 			g.Log.Warn("evacuation heard that the store does not say", "domain", n.Domain, "evacuated", n.Closed, "revision", note.At, "from", b.From.ID.Name)
 		}
