--- a/src/catalog/evacuations.go
+++ b/src/catalog/evacuations.go
@@ -85,8 +85,8 @@
 	return !slices.Equal(before, c.Names())
 }
 
-// Lift ends evacuations by order of the operator. It reports whether anything changed.
-func (c *Evacuations) Lift(now time.Time, domains []string, at Revision) (changed bool) {
+// End ends evacuations by order of the operator. It reports whether anything changed.
+func (c *Evacuations) End(now time.Time, domains []string, at Revision) (changed bool) {
 	for _, d := range domains {
 		if s, ok := c.states[d]; ok && s.active && s.at <= at {
 			c.end(now, d, at)
--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -154,7 +154,7 @@
 	}
 	p := &g.published
 	p.mu.Lock()
-	changed := p.closures.Lift(g.now(), domains, at)
+	changed := p.closures.End(g.now(), domains, at)
 	p.mu.Unlock()
 	if changed {
 		g.Log.Info("evacuations taken back", "domains", domains, "revision", at)
