--- a/src/catalog/revision.go
+++ b/src/catalog/revision.go
@@ -42,10 +42,10 @@
 // LogValue implements slog.LogValuer.
 func (r Revision) LogValue() slog.Value { return slog.StringValue(r.String()) }
 
-// Told encodes the revision for messages between boxes, relative to a base era. Boxes of earlier releases,
+// ToWire encodes the revision for messages between boxes, relative to a base era. Boxes of earlier releases,
 // which don't know eras, see the store's own numbers until the era increases, and order everything after that
 // as newer.
-func (r Revision) Told(from Era) uint64 { return toWire(uint64(r), numberBits, from) }
+func (r Revision) ToWire(from Era) uint64 { return toWire(uint64(r), numberBits, from) }
 
 // RevisionTold decodes a revision that was encoded relative to a base era.
 func RevisionTold(n uint64, from Era) Revision { return Revision(fromWire(n, numberBits, from)) }
--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -57,7 +57,7 @@
 	b.Settled = p.registry.Settled(now)
 	b.Closures, b.Doubts = nil, nil
 	for _, n := range p.closures.Notes(now, p.configEra(), pushback.NotesMost) {
-		b.Closures = append(b.Closures, core.ClosureNote{Domain: n.Domain, Closed: n.Evacuated, Revision: n.At.Told(base)})
+		b.Closures = append(b.Closures, core.ClosureNote{Domain: n.Domain, Closed: n.Evacuated, Revision: n.At.ToWire(base)})
 	}
 	for _, n := range p.registry.Doubts(now, pushback.NotesMost) {
 		b.Doubts = append(b.Doubts, core.DoubtNote{Server: n.Server, Incarnation: int64(n.Incarnation), For: n.For})
@@ -208,7 +208,7 @@
 		return
 	}
 	d.AsOf = catalog.ListTold(catalog.State(d.AsOf), base)
-	eachEntry(d, func(s *catalog.Server) { s.Revision = catalog.Revision(s.Revision.Told(base)) })
+	eachEntry(d, func(s *catalog.Server) { s.Revision = catalog.Revision(s.Revision.ToWire(base)) })
 }
 
 // hearPublished turns the numbers of a document that another box gave into revisions.
