--- a/src/catalog/revision.go
+++ b/src/catalog/revision.go
@@ -47,8 +47,8 @@
 // as newer.
 func (r Revision) ToWire(from Era) uint64 { return toWire(uint64(r), numberBits, from) }
 
-// RevisionTold decodes a revision that was encoded relative to a base era.
-func RevisionTold(n uint64, from Era) Revision { return Revision(fromWire(n, numberBits, from)) }
+// RevisionFromWire decodes a revision that was encoded relative to a base era.
+func RevisionFromWire(n uint64, from Era) Revision { return Revision(fromWire(n, numberBits, from)) }
 
 // Width of the number within an era: a configuration has one state per revision, a list two.
 const (
--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -125,7 +125,7 @@
 	p.mu.Lock()
 	base, closed := p.heardBase(b.Era), false
 	for _, n := range b.Closures[:min(len(b.Closures), pushback.NotesMost)] {
-		note := catalog.EvacuationNote{Domain: n.Domain, Evacuated: n.Closed, At: catalog.RevisionTold(n.Revision, base)}
+		note := catalog.EvacuationNote{Domain: n.Domain, Evacuated: n.Closed, At: catalog.RevisionFromWire(n.Revision, base)}
 		if p.closures.ApplyNote(now, note, p.configEra()) {
 			closed = true
 			g.Log.Warn("evacuation heard that the store does not say", "domain", n.Domain, "evacuated", n.Closed, "revision", note.At, "from", b.From.ID.Name)
@@ -221,7 +221,7 @@
 		return
 	}
 	d.AsOf = uint64(catalog.ListHeard(d.AsOf, base))
-	eachEntry(d, func(s *catalog.Server) { s.Revision = catalog.RevisionTold(uint64(s.Revision), base) })
+	eachEntry(d, func(s *catalog.Server) { s.Revision = catalog.RevisionFromWire(uint64(s.Revision), base) })
 }
 
 func eachEntry(d *port.Published, do func(s *catalog.Server)) {
--- a/src/gateway/restored_mixed_test.go
+++ b/src/gateway/restored_mixed_test.go
@@ -44,7 +44,7 @@
 
 // bare is the store as a box reads it that knows no eras.
 func (f *testFleet) bare(s Store) Store {
-	number := func(r catalog.Revision) catalog.Revision { return catalog.RevisionTold(r.Number(), 0) }
+	number := func(r catalog.Revision) catalog.Revision { return catalog.RevisionFromWire(r.Number(), 0) }
 	after := func(r catalog.Revision) catalog.Revision {
 		f.mu.Lock()
 		defer f.mu.Unlock()
--- a/src/gateway/restored_test.go
+++ b/src/gateway/restored_test.go
@@ -139,7 +139,7 @@
 		f := newTestFleet(t, 1)
 		settle()
 		g := f.box("box0")
-		ahead := catalog.ListAt(catalog.RevisionTold(f.rev+2, f.era))
+		ahead := catalog.ListAt(catalog.RevisionFromWire(f.rev+2, f.era))
 		g.takeServers(serversByID(f.servers[1:]), ahead, time.Time{}, "a box whose number is of another history")
 		time.Sleep(3 * time.Second)
 		if !g.mayUse("piece0") {
