--- a/src/catalog/revision.go
+++ b/src/catalog/revision.go
@@ -72,8 +72,8 @@
 // ListRevision returns the revision of a list's state.
 func ListRevision(s State) Revision { return Revision(s / statesPerRevision) }
 
-// ConfigTold encodes a configuration's state for messages between boxes, relative to a base era.
-func ConfigTold(s State, from Era) uint64 { return toWire(uint64(s), configBits, from) }
+// ConfigToWire encodes a configuration's state for messages between boxes, relative to a base era.
+func ConfigToWire(s State, from Era) uint64 { return toWire(uint64(s), configBits, from) }
 
 // ListTold encodes a list's state for messages between boxes, relative to a base era.
 func ListTold(s State, from Era) uint64 { return toWire(uint64(s), listBits, from) }
--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -52,7 +52,7 @@
 func (p *published) tellEra(now time.Time, b *core.Beat) {
 	base := p.eras.base
 	b.Era = uint64(base)
-	b.Config.Version = catalog.ConfigTold(p.catalogs.AsOf(), base)
+	b.Config.Version = catalog.ConfigToWire(p.catalogs.AsOf(), base)
 	b.List.Version = catalog.ListTold(p.lists.AsOf(), base)
 	b.Settled = p.registry.Settled(now)
 	b.Closures, b.Doubts = nil, nil
@@ -204,7 +204,7 @@
 	p.mu.Unlock()
 	d.Era = uint64(base)
 	if document == port.DocumentConfig {
-		d.AsOf = catalog.ConfigTold(catalog.State(d.AsOf), base)
+		d.AsOf = catalog.ConfigToWire(catalog.State(d.AsOf), base)
 		return
 	}
 	d.AsOf = catalog.ListTold(catalog.State(d.AsOf), base)
