--- a/src/catalog/revision.go
+++ b/src/catalog/revision.go
@@ -75,8 +75,8 @@
 // ConfigToWire encodes a configuration's state for messages between boxes, relative to a base era.
 func ConfigToWire(s State, from Era) uint64 { return toWire(uint64(s), configBits, from) }
 
-// ListTold encodes a list's state for messages between boxes, relative to a base era.
-func ListTold(s State, from Era) uint64 { return toWire(uint64(s), listBits, from) }
+// ListToWire encodes a list's state for messages between boxes, relative to a base era.
+func ListToWire(s State, from Era) uint64 { return toWire(uint64(s), listBits, from) }
 
 // ConfigHeard decodes a configuration's state from another box.
 func ConfigHeard(n uint64, from Era) State { return State(fromWire(n, configBits, from)) }
--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -53,7 +53,7 @@
 	base := p.eras.base
 	b.Era = uint64(base)
 	b.Config.Version = catalog.ConfigToWire(p.catalogs.AsOf(), base)
-	b.List.Version = catalog.ListTold(p.lists.AsOf(), base)
+	b.List.Version = catalog.ListToWire(p.lists.AsOf(), base)
 	b.Settled = p.registry.Settled(now)
 	b.Closures, b.Doubts = nil, nil
 	for _, n := range p.closures.Notes(now, p.configEra(), pushback.NotesMost) {
@@ -207,7 +207,7 @@
 		d.AsOf = catalog.ConfigToWire(catalog.State(d.AsOf), base)
 		return
 	}
-	d.AsOf = catalog.ListTold(catalog.State(d.AsOf), base)
+	d.AsOf = catalog.ListToWire(catalog.State(d.AsOf), base)
 	eachEntry(d, func(s *catalog.Server) { s.Revision = catalog.Revision(s.Revision.ToWire(base)) })
 }
 
