--- a/src/catalog/revision.go
+++ b/src/catalog/revision.go
@@ -78,8 +78,8 @@
 // ListToWire encodes a list's state for messages between boxes, relative to a base era.
 func ListToWire(s State, from Era) uint64 { return toWire(uint64(s), listBits, from) }
 
-// ConfigHeard decodes a configuration's state from another box.
-func ConfigHeard(n uint64, from Era) State { return State(fromWire(n, configBits, from)) }
+// ConfigFromWire decodes a configuration's state from another box.
+func ConfigFromWire(n uint64, from Era) State { return State(fromWire(n, configBits, from)) }
 
 // ListHeard decodes a list's state from another box.
 func ListHeard(n uint64, from Era) State { return State(fromWire(n, listBits, from)) }
--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -111,7 +111,7 @@
 // hearEra turns the numbers of a heartbeat into states. p.mu is held.
 func (p *published) hearEra(b *core.Beat) {
 	base := p.heardBase(b.Era)
-	b.Config.Version = uint64(catalog.ConfigHeard(b.Config.Version, base))
+	b.Config.Version = uint64(catalog.ConfigFromWire(b.Config.Version, base))
 	b.List.Version = uint64(catalog.ListHeard(b.List.Version, base))
 }
 
@@ -217,7 +217,7 @@
 	base := p.heardBase(d.Era)
 	p.mu.Unlock()
 	if document == port.DocumentConfig {
-		d.AsOf = uint64(catalog.ConfigHeard(d.AsOf, base))
+		d.AsOf = uint64(catalog.ConfigFromWire(d.AsOf, base))
 		return
 	}
 	d.AsOf = uint64(catalog.ListHeard(d.AsOf, base))
