--- a/src/catalog/restored_test.go
+++ b/src/catalog/restored_test.go
@@ -39,7 +39,7 @@
 		base := Era(rapid.Uint64Range(0, 9).Draw(rt, "base"))
 		a := at(base+Era(rapid.Uint64Range(0, 3).Draw(rt, "era")), rapid.Uint64Range(1, 1<<40).Draw(rt, "number"))
 		b := at(base+Era(rapid.Uint64Range(0, 3).Draw(rt, "other era")), rapid.Uint64Range(1, 1<<40).Draw(rt, "other number"))
-		if RevisionFromWire(a.ToWire(base), base) != a || ConfigFromWire(ConfigToWire(ConfigAt(a), base), base) != ConfigAt(a) || ListHeard(ListToWire(ListAt(a), base), base) != ListAt(a) {
+		if RevisionFromWire(a.ToWire(base), base) != a || ConfigFromWire(ConfigToWire(ConfigAt(a), base), base) != ConfigAt(a) || ListFromWire(ListToWire(ListAt(a), base), base) != ListAt(a) {
 			rt.Fatalf("%s is decoded as another revision", a)
 		}
 		if a < b != (a.ToWire(base) < b.ToWire(base)) || a < b != (ListToWire(ListAt(a), base) < ListToWire(ListAt(b), base)) {
--- a/src/catalog/revision.go
+++ b/src/catalog/revision.go
@@ -81,8 +81,8 @@
 // ConfigFromWire decodes a configuration's state from another box.
 func ConfigFromWire(n uint64, from Era) State { return State(fromWire(n, configBits, from)) }
 
-// ListHeard decodes a list's state from another box.
-func ListHeard(n uint64, from Era) State { return State(fromWire(n, listBits, from)) }
+// ListFromWire decodes a list's state from another box.
+func ListFromWire(n uint64, from Era) State { return State(fromWire(n, listBits, from)) }
 
 // toWire encodes a number relative to a base era.
 func toWire(n uint64, bits int, from Era) uint64 {
--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -112,7 +112,7 @@
 func (p *published) hearEra(b *core.Beat) {
 	base := p.heardBase(b.Era)
 	b.Config.Version = uint64(catalog.ConfigFromWire(b.Config.Version, base))
-	b.List.Version = uint64(catalog.ListHeard(b.List.Version, base))
+	b.List.Version = uint64(catalog.ListFromWire(b.List.Version, base))
 }
 
 // hearNotes takes what another box tells of evacuations and of servers that no document of the newest era has.
@@ -220,7 +220,7 @@
 		d.AsOf = uint64(catalog.ConfigFromWire(d.AsOf, base))
 		return
 	}
-	d.AsOf = uint64(catalog.ListHeard(d.AsOf, base))
+	d.AsOf = uint64(catalog.ListFromWire(d.AsOf, base))
 	eachEntry(d, func(s *catalog.Server) { s.Revision = catalog.RevisionFromWire(uint64(s.Revision), base) })
 }
 
