--- a/src/catalog/difference_test.go
+++ b/src/catalog/difference_test.go
@@ -45,7 +45,7 @@
 		id := fmt.Sprint("steady", i)
 		all[id] = Server{ID: id}
 	}
-	l.Apply(l.Becomes(all))
+	l.Apply(l.DifferenceTo(all))
 	return all
 }
 
@@ -58,7 +58,7 @@
 		states := []map[string]Server{list}
 		for range rapid.IntRange(1, historySteps).Draw(rt, "changes") {
 			next := change(rt, list)
-			d := l.Becomes(next)
+			d := l.DifferenceTo(next)
 			if want := Digest(next); l.DigestAfter(d) != want {
 				rt.Fatalf("the digest after %v is %s, want %s", d, l.DigestAfter(d), want)
 			}
@@ -79,8 +79,8 @@
 			}
 			next := change(rt, old)
 			other := NewList()
-			other.Apply(other.Becomes(old))
-			rebased, ok := l.Rebase(Digest(old), other.Becomes(next))
+			other.Apply(other.DifferenceTo(old))
+			rebased, ok := l.Rebase(Digest(old), other.DifferenceTo(next))
 			if got := apply(list, rebased); !ok || !maps.Equal(got, next) || l.DigestAfter(rebased) != Digest(next) {
 				rt.Fatalf("a difference based on %v gave %v, want %v", old, got, next)
 			}
@@ -113,7 +113,7 @@
 		id := fmt.Sprint("new", i)
 		all[id] = Server{ID: id}
 	}
-	l.Apply(l.Becomes(all))
+	l.Apply(l.DifferenceTo(all))
 	l.Apply(Difference{Gone: []string{"new0"}})
 	if _, ok := l.Since(before); ok || l.undo > l.Len()/2 {
 		t.Errorf("the undo log holds %d entries for a list of %d", l.undo, l.Len())
--- a/src/catalog/list.go
+++ b/src/catalog/list.go
@@ -82,8 +82,8 @@
 	return 0
 }
 
-// Becomes returns the difference that turns the list into another.
-func (l *List) Becomes(after map[string]Server) Difference {
+// DifferenceTo returns the difference that turns the list into another.
+func (l *List) DifferenceTo(after map[string]Server) Difference {
 	var d Difference
 	for id, s := range after {
 		if old := l.servers[id]; old == nil || !old.sameEntry(s) {
--- a/src/catalog/registry_test.go
+++ b/src/catalog/registry_test.go
@@ -29,9 +29,9 @@
 
 func (r *listFeeder) take(now time.Time, list map[string]Server, revision Revision, returned time.Time) Effects {
 	l := NewList()
-	l.Apply(l.Becomes(r.last))
+	l.Apply(l.DifferenceTo(r.last))
 	r.last = list
-	return r.Take(now, l.Becomes(list), revision, returned)
+	return r.Take(now, l.DifferenceTo(list), revision, returned)
 }
 
 func expectWorking(t *testing.T, r *listFeeder, want ...string) {
@@ -184,8 +184,8 @@
 func TestNewIncarnationIsAChange(t *testing.T) {
 	before, after := listOf(Server{ID: "a", Pool: "p", Incarnation: 10}), listOf(Server{ID: "a", Pool: "p", Incarnation: 20})
 	l := NewList()
-	l.Apply(l.Becomes(before))
-	if Digest(before) == Digest(after) || len(l.Becomes(after).Put) != 1 {
+	l.Apply(l.DifferenceTo(before))
+	if Digest(before) == Digest(after) || len(l.DifferenceTo(after).Put) != 1 {
 		t.Error("the digest or the difference ignores the incarnation")
 	}
 	r := &listFeeder{}
--- a/src/gateway/serverlist.go
+++ b/src/gateway/serverlist.go
@@ -13,7 +13,7 @@
 
 // takeServers takes a whole list of servers by id in a state. readAt is zero when it came from a peer.
 func (g *Gateway) takeServers(after map[string]catalog.Server, asOf catalog.State, readAt time.Time, from string) {
-	g.takeList(asOf, readAt, from, func(l *catalog.List) (catalog.Difference, bool) { return l.Becomes(after), true })
+	g.takeList(asOf, readAt, from, func(l *catalog.List) (catalog.Difference, bool) { return l.DifferenceTo(after), true })
 }
 
 // takeListing takes what a reader of the store follows: what has changed since this box took it last, unless another list
@@ -24,7 +24,7 @@
 		if d, ok := l.Rebase(base, since); ok && l.DigestAfter(d) == listing.Digest() {
 			return d, true
 		}
-		return l.Becomes(listing.Servers()), true
+		return l.DifferenceTo(listing.Servers()), true
 	})
 }
 
