--- a/src/catalog/difference_test.go
+++ b/src/catalog/difference_test.go
@@ -70,7 +70,7 @@
 			}
 		}
 		for _, old := range states[:len(states)-1] {
-			d, ok := l.Since(Digest(old))
+			d, ok := l.DifferenceSince(Digest(old))
 			if !ok {
 				rt.Fatalf("a recent state is not known: %v", old)
 			}
@@ -98,10 +98,10 @@
 		digests = append(digests, l.Digest())
 		l.Apply(Difference{Gone: []string{fmt.Sprint("steady", i)}})
 	}
-	if _, ok := l.Since(digests[4]); ok {
+	if _, ok := l.DifferenceSince(digests[4]); ok {
 		t.Error("the undo log has more steps than its bound")
 	}
-	if d, ok := l.Since(digests[60]); !ok || len(d.Gone) != historySteps+5-60 {
+	if d, ok := l.DifferenceSince(digests[60]); !ok || len(d.Gone) != historySteps+5-60 {
 		t.Errorf("since the 60th: %v %v", d, ok)
 	}
 	if _, ok := l.Rebase("elsewhere", Difference{}); ok {
@@ -115,7 +115,7 @@
 	}
 	l.Apply(l.DifferenceTo(all))
 	l.Apply(Difference{Gone: []string{"new0"}})
-	if _, ok := l.Since(before); ok || l.undo > l.Len()/2 {
+	if _, ok := l.DifferenceSince(before); ok || l.undo > l.Len()/2 {
 		t.Errorf("the undo log holds %d entries for a list of %d", l.undo, l.Len())
 	}
 }
--- a/src/gateway/giving.go
+++ b/src/gateway/giving.go
@@ -167,7 +167,7 @@
 	defer p.mu.Unlock()
 	st := p.lists.Say(g.now())
 	for _, base := range q.Held {
-		if d, ok := p.list.Since(base); ok {
+		if d, ok := p.list.DifferenceSince(base); ok {
 			return &port.Published{AsOf: st.Version, Digest: p.list.Digest(), Since: &d, Base: base}
 		}
 	}
