--- a/src/catalog/list.go
+++ b/src/catalog/list.go
@@ -159,8 +159,8 @@
 	return d, true
 }
 
-// Held returns the digests of the known states, the newest first, at most so many.
-func (l *List) Held(most int) []string {
+// KnownDigests returns the digests of the known states, the newest first, at most so many.
+func (l *List) KnownDigests(most int) []string {
 	out := []string{l.Digest()}
 	for _, step := range slices.Backward(l.steps) {
 		if len(out) >= most {
--- a/src/gateway/pulling.go
+++ b/src/gateway/pulling.go
@@ -183,7 +183,7 @@
 	defer p.mu.Unlock()
 	if document == port.DocumentServers {
 		if p.known {
-			q.Held = p.list.Held(namedLists)
+			q.Held = p.list.KnownDigests(namedLists)
 		}
 		return q
 	}
