--- a/src/catalog/registry.go
+++ b/src/catalog/registry.go
@@ -99,9 +99,9 @@
 	Left   Departure
 }
 
-// Take applies the difference between the list at a revision and the previous list. returned is when the
+// Apply applies the difference between the list at a revision and the previous list. returned is when the
 // platform last came back after an outage, zero for never.
-func (r *Registry) Take(now time.Time, change Difference, revision Revision, returned time.Time) Effects {
+func (r *Registry) Apply(now time.Time, change Difference, revision Revision, returned time.Time) Effects {
 	if r.known == nil {
 		r.known, r.lapsed, r.left, r.newer = map[string]*Server{}, map[string]lapse{}, map[string]Departure{}, map[string]bool{}
 		r.doubted, r.alive = map[string]doubt{}, map[string]bool{}
--- a/src/catalog/registry_test.go
+++ b/src/catalog/registry_test.go
@@ -31,7 +31,7 @@
 	l := NewList()
 	l.Apply(l.DifferenceTo(r.last))
 	r.last = list
-	return r.Take(now, l.DifferenceTo(list), revision, returned)
+	return r.Apply(now, l.DifferenceTo(list), revision, returned)
 }
 
 func expectWorking(t *testing.T, r *listFeeder, want ...string) {
