--- a/src/catalog/registry.go
+++ b/src/catalog/registry.go
@@ -324,9 +324,9 @@
 	return out[:min(len(out), most)]
 }
 
-// HearDoubt applies another box's doubt: this box may have started later, or may have missed that the server
+// ApplyDoubt applies another box's doubt: this box may have started later, or may have missed that the server
 // left. It reports whether the server is doubted now.
-func (r *Registry) HearDoubt(now time.Time, n DoubtNote) (c Changed, changed bool) {
+func (r *Registry) ApplyDoubt(now time.Time, n DoubtNote) (c Changed, changed bool) {
 	s, known := r.known[n.Server]
 	if !known || r.alive[n.Server] || !s.Works() || s.Incarnation != n.Incarnation || n.For <= 0 {
 		return Changed{}, false
--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -134,7 +134,7 @@
 	var doubted []catalog.Changed
 	for _, n := range b.Doubts[:min(len(b.Doubts), pushback.NotesMost)] {
 		note := catalog.DoubtNote{Server: n.Server, Incarnation: catalog.Incarnation(n.Incarnation), For: n.For}
-		if c, changed := p.registry.HearDoubt(now, note); changed {
+		if c, changed := p.registry.ApplyDoubt(now, note); changed {
 			doubted = append(doubted, c)
 			g.Log.Warn("server not used, had left before the store was restored", "server", n.Server, "for_ms", n.For.Milliseconds(), "from", b.From.ID.Name)
 		}
