--- a/src/catalog/registry.go
+++ b/src/catalog/registry.go
@@ -309,8 +309,8 @@
 	For         time.Duration
 }
 
-// Doubts returns notes on the incarnations that this box does not use for now, at most so many.
-func (r *Registry) Doubts(now time.Time, most int) []DoubtNote {
+// DoubtNotes returns notes on the incarnations that this box does not use for now, at most so many.
+func (r *Registry) DoubtNotes(now time.Time, most int) []DoubtNote {
 	if len(r.doubted) == 0 {
 		return nil
 	}
--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -59,7 +59,7 @@
 	for _, n := range p.closures.Notes(now, p.configEra(), pushback.NotesMost) {
 		b.Closures = append(b.Closures, core.ClosureNote{Domain: n.Domain, Closed: n.Evacuated, Revision: n.At.ToWire(base)})
 	}
-	for _, n := range p.registry.Doubts(now, pushback.NotesMost) {
+	for _, n := range p.registry.DoubtNotes(now, pushback.NotesMost) {
 		b.Doubts = append(b.Doubts, core.DoubtNote{Server: n.Server, Incarnation: int64(n.Incarnation), For: n.For})
 	}
 }
