--- a/src/catalog/registry.go
+++ b/src/catalog/registry.go
@@ -370,8 +370,8 @@
 	return out
 }
 
-// Left returns the departure of a server, if one is remembered.
-func (r *Registry) Left(id string) (Departure, bool) {
+// DepartureOf returns the departure of a server, if one is remembered.
+func (r *Registry) DepartureOf(id string) (Departure, bool) {
 	d, ok := r.left[id]
 	return d, ok
 }
--- a/src/gateway/starting.go
+++ b/src/gateway/starting.go
@@ -53,7 +53,7 @@
 	line := []any{"server", s.ID, "pool", s.Pool, "what", what, "choice_ms", now.Sub(chosen).Milliseconds()}
 	p := &g.published
 	p.mu.Lock()
-	d, ok := p.registry.Left(s.ID)
+	d, ok := p.registry.DepartureOf(s.ID)
 	p.mu.Unlock()
 	if ok {
 		line = append(line, "draining", d.Draining, "left_ms", now.Sub(d.At).Milliseconds(), "left_revision", d.Revision)
--- a/src/gateway/suspects.go
+++ b/src/gateway/suspects.go
@@ -70,7 +70,7 @@
 	p := &g.published
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	d, ok := p.registry.Left(s.ID)
+	d, ok := p.registry.DepartureOf(s.ID)
 	return ok && d.Incarnation == s.Incarnation
 }
 
