--- a/src/catalog/registry.go
+++ b/src/catalog/registry.go
@@ -77,7 +77,7 @@
 type Effects struct {
 	Changed   []Changed // servers added to a pool, removed from it or changed
 	Lapsed    []string  // servers that are kept without an entry
-	Back      []Return  // servers that had left and accept work again
+	Returned      []Return  // servers that had left and accept work again
 	Ignored   []Server  // entries that are older than what is known
 	Restarted []Restart // servers with a new incarnation
 	Leaving   []Server  // leaving servers that a restored list contains as if they were not leaving
@@ -212,7 +212,7 @@
 	case s.Draining:
 		r.recordDeparture(now, s, revision)
 	case departed && s.Works():
-		t.Back = append(t.Back, Return{Server: *s, Left: left})
+		t.Returned = append(t.Returned, Return{Server: *s, Left: left})
 		delete(r.left, s.ID)
 		r.alive[s.ID] = true
 	}
--- a/src/catalog/registry_test.go
+++ b/src/catalog/registry_test.go
@@ -99,8 +99,8 @@
 	r.take(start, listOf(Server{ID: "a"}, Server{ID: "b"}), 1, time.Time{})
 	r.take(start, listOf(), 2, start)
 	effects := r.take(start, listOf(Server{ID: "b", Slots: 2}), 3, start)
-	if len(effects.Back) > 0 {
-		t.Errorf("%v returned without having left", effects.Back)
+	if len(effects.Returned) > 0 {
+		t.Errorf("%v returned without having left", effects.Returned)
 	}
 	r.DropLapsed(start.Add(lapseGrace), true)
 	expectWorking(t, r, "b")
@@ -165,8 +165,8 @@
 	expectWorking(t, r)
 	effects := r.take(start, listOf(Server{ID: "a", Incarnation: 30}), 4, time.Time{})
 	expectWorking(t, r, "a")
-	if len(effects.Back) != 1 || effects.Back[0].Left.Incarnation != 20 {
-		t.Errorf("returned: %+v", effects.Back)
+	if len(effects.Returned) != 1 || effects.Returned[0].Left.Incarnation != 20 {
+		t.Errorf("returned: %+v", effects.Returned)
 	}
 }
 
--- a/src/gateway/starting.go
+++ b/src/gateway/starting.go
@@ -70,7 +70,7 @@
 	if len(t.Doubted) > 0 {
 		g.Log.Warn("servers that had left are listed again by a restored store", "servers", len(t.Doubted), "names", firstOf(t.Doubted), "revision", revision, "from", from)
 	}
-	for i, b := range t.Back {
+	for i, b := range t.Returned {
 		if i < serverLines {
 			g.Log.Info("server that had left is back", "server", b.Server.ID, "was_draining", b.Left.Draining, "left_ms", now.Sub(b.Left.At).Milliseconds(),
 				"left_revision", b.Left.Revision, "left_incarnation", b.Left.Incarnation, "incarnation", b.Server.Incarnation, "revision", revision, "from", from)
