--- a/src/catalog/registry.go
+++ b/src/catalog/registry.go
@@ -82,7 +82,7 @@
 	Restarted []Restart // servers with a new incarnation
 	Leaving   []Server  // leaving servers that a restored list contains as if they were not leaving
 	Doubted   []string  // servers that are not used for now, since they had left before the restore
-	RoseFrom  Era       // the previous era, if the list is the first of a later one; otherwise 0
+	PreviousEra  Era       // the previous era, if the list is the first of a later one; otherwise 0
 }
 
 // Changed names a server that changed and the pool concerned.
@@ -108,7 +108,7 @@
 	}
 	var t Effects
 	r.expireDepartures(now)
-	t.RoseFrom = r.advanceEra(now, revision.Era())
+	t.PreviousEra = r.advanceEra(now, revision.Era())
 	for i := range change.Put {
 		delete(r.newer, change.Put[i].ID)
 		r.applyEntry(now, &change.Put[i], revision, &t)
@@ -157,7 +157,7 @@
 	}
 	delete(r.known, id)
 	t.Changed = append(t.Changed, Changed{id, old.Pool})
-	if t.RoseFrom > 0 && old.Works() {
+	if t.PreviousEra > 0 && old.Works() {
 		r.lapsed[id] = lapse{server: old}
 		t.Lapsed = append(t.Lapsed, id)
 		return
@@ -184,7 +184,7 @@
 	}
 	left, departed := r.left[s.ID]
 	if old != nil && old.Fault != "" && !departed { // an unusable entry had replaced a usable one
-		left, departed = Departure{Revision: old.Revision, Incarnation: old.Incarnation}, t.RoseFrom > 0
+		left, departed = Departure{Revision: old.Revision, Incarnation: old.Incarnation}, t.PreviousEra > 0
 	}
 	if departed && r.contradicts(now, s, left, t) {
 		return
@@ -229,7 +229,7 @@
 	switch {
 	case left.Draining:
 		t.Leaving = append(t.Leaving, *s)
-	case t.RoseFrom > 0:
+	case t.PreviousEra > 0:
 		r.doubted[s.ID] = doubt{server: s, until: now.Add(doubtDuration)}
 		t.Doubted = append(t.Doubted, s.ID)
 	default:
