--- a/src/catalog/registry.go
+++ b/src/catalog/registry.go
@@ -157,12 +157,12 @@
 	}
 	delete(r.known, id)
 	t.Changed = append(t.Changed, Changed{id, old.Pool})
-	if t.PreviousEra > 0 && old.Works() {
+	if t.PreviousEra > 0 && old.AcceptsWork() {
 		r.lapsed[id] = lapse{server: old}
 		t.Lapsed = append(t.Lapsed, id)
 		return
 	}
-	if until := returned.Add(lapseGrace); !returned.IsZero() && now.Before(until) && old.Works() {
+	if until := returned.Add(lapseGrace); !returned.IsZero() && now.Before(until) && old.AcceptsWork() {
 		r.lapsed[id] = lapse{server: old, until: until}
 		t.Lapsed = append(t.Lapsed, id)
 		return
@@ -211,7 +211,7 @@
 	switch {
 	case s.Draining:
 		r.recordDeparture(now, s, revision)
-	case departed && s.Works():
+	case departed && s.AcceptsWork():
 		t.Returned = append(t.Returned, Return{Server: *s, Left: left})
 		delete(r.left, s.ID)
 		r.alive[s.ID] = true
@@ -223,7 +223,7 @@
 // has expired.
 func (r *Registry) contradicts(now time.Time, s *Server, left Departure, t *Effects) bool {
 	sameLife := s.Incarnation == 0 || left.Incarnation == 0 || s.Incarnation <= left.Incarnation
-	if !s.Works() || !sameLife || left.Revision.Era() == 0 || left.Revision.Era() == r.era {
+	if !s.AcceptsWork() || !sameLife || left.Revision.Era() == 0 || left.Revision.Era() == r.era {
 		return false
 	}
 	switch {
@@ -328,7 +328,7 @@
 // left. It reports whether the server is doubted now.
 func (r *Registry) ApplyDoubt(now time.Time, n DoubtNote) (c Changed, changed bool) {
 	s, known := r.known[n.Server]
-	if !known || r.alive[n.Server] || !s.Works() || s.Incarnation != n.Incarnation || n.For <= 0 {
+	if !known || r.alive[n.Server] || !s.AcceptsWork() || s.Incarnation != n.Incarnation || n.For <= 0 {
 		return Changed{}, false
 	}
 	delete(r.known, n.Server)
@@ -348,7 +348,7 @@
 // be changed.
 func (r *Registry) Get(id string) (*Server, bool) {
 	if s, ok := r.known[id]; ok {
-		return s, s.Works()
+		return s, s.AcceptsWork()
 	}
 	l, ok := r.lapsed[id]
 	return l.server, ok
@@ -358,7 +358,7 @@
 func (r *Registry) Working(pool string) []*Server {
 	var out []*Server
 	for _, s := range r.known {
-		if s.Works() && (pool == "" || pool == s.Pool) {
+		if s.AcceptsWork() && (pool == "" || pool == s.Pool) {
 			out = append(out, s)
 		}
 	}
@@ -376,8 +376,8 @@
 	return d, ok
 }
 
-// Works reports whether the server accepts new work according to its entry.
-func (s *Server) Works() bool { return !s.Draining && s.Fault == "" }
+// AcceptsWork reports whether the server accepts new work according to its entry.
+func (s *Server) AcceptsWork() bool { return !s.Draining && s.Fault == "" }
 
 // sameEntry reports whether two entries have the same content.
 func (s *Server) sameEntry(o Server) bool {
--- a/src/catalog/registry_test.go
+++ b/src/catalog/registry_test.go
@@ -219,10 +219,10 @@
 		}
 		want := 0
 		for id, s := range last {
-			if _, works := r.Get(id); works != s.Works() {
+			if _, works := r.Get(id); works != s.AcceptsWork() {
 				rt.Fatalf("%s is working: %v, its entry is %+v", id, works, s)
 			}
-			if s.Works() {
+			if s.AcceptsWork() {
 				want++
 			}
 		}
--- a/src/gateway/pushback.go
+++ b/src/gateway/pushback.go
@@ -152,7 +152,7 @@
 
 // named says whether a server is listed as one that takes work, or used without an entry. p.mu is held.
 func (p *published) named(id string) bool {
-	if s := p.list.Get(id); s != nil && s.Works() {
+	if s := p.list.Get(id); s != nil && s.AcceptsWork() {
 		return true
 	}
 	_, works := p.registry.Get(id)
--- a/src/gateway/suspects.go
+++ b/src/gateway/suspects.go
@@ -53,7 +53,7 @@
 		lapsed[id] = true
 	}
 	for _, id := range change.Gone {
-		if s := change.Before[id]; !lapsed[id] && s.Works() && !g.leaves(*s) {
+		if s := change.Before[id]; !lapsed[id] && s.AcceptsWork() && !g.leaves(*s) {
 			g.suspects.Ended(lifeOf(*s), suspects.Listed)
 		}
 	}
