--- a/src/catalog/feed.go
+++ b/src/catalog/feed.go
@@ -154,8 +154,8 @@
 // readerHash identifies this box as a reader in statements; it is never 0.
 func (f *Feed) readerHash() uint32 { return max(1, uint32(Hash("reads", f.Self))) }
 
-// Say returns the statement on the held content for a heartbeat.
-func (f *Feed) Say(now time.Time) core.Statement {
+// Statement returns the statement on the held content for a heartbeat.
+func (f *Feed) Statement(now time.Time) core.Statement {
 	st := core.Statement{Version: uint64(f.asOf), Digest: f.digest, Age: -1, Content: f.docVersion, Reader: f.confirmedBy}
 	if !f.confirmed.IsZero() {
 		st.Age = now.Sub(f.confirmed)
--- a/src/gateway/giving.go
+++ b/src/gateway/giving.go
@@ -165,7 +165,7 @@
 	p := &g.published
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	st := p.lists.Say(g.now())
+	st := p.lists.Statement(g.now())
 	for _, base := range q.Held {
 		if d, ok := p.list.DifferenceSince(base); ok {
 			return &port.Published{AsOf: st.Version, Digest: p.list.Digest(), Since: &d, Base: base}
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -80,7 +80,7 @@
 func (p *published) say(now time.Time, b *core.Beat) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	b.Config, b.List = p.catalogs.Say(now), p.lists.Say(now)
+	b.Config, b.List = p.catalogs.Statement(now), p.lists.Statement(now)
 	p.tellEra(now, b)
 }
 
@@ -133,7 +133,7 @@
 func (p *published) sayCatalog(now time.Time) core.Statement {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.catalogs.Say(now)
+	return p.catalogs.Statement(now)
 }
 
 // heldCatalog is the configuration in force, nil for none.
@@ -169,7 +169,7 @@
 	}
 	digest := c.Digest()
 	behindSince, _ := p.catalogs.Behind()
-	held, revision := p.catalogs.Say(now), catalog.ConfigRevision(asOf)
+	held, revision := p.catalogs.Statement(now), catalog.ConfigRevision(asOf)
 	heldRevision := catalog.ConfigRevision(catalog.State(held.Version))
 	changed := false
 	if readAt.IsZero() {
--- a/src/gateway/reading.go
+++ b/src/gateway/reading.go
@@ -288,7 +288,7 @@
 	p := &g.published
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.lists.Say(at).Digest != digest {
+	if p.lists.Statement(at).Digest != digest {
 		return asOf < p.lists.AsOf()
 	}
 	p.lists.Read(at, asOf, digest, 0)
--- a/src/gateway/serverlist.go
+++ b/src/gateway/serverlist.go
@@ -40,7 +40,7 @@
 		return false
 	}
 	digest, changed := p.list.DigestAfter(d), false
-	held, revision := p.lists.Say(now), catalog.ListRevision(asOf)
+	held, revision := p.lists.Statement(now), catalog.ListRevision(asOf)
 	if readAt.IsZero() {
 		changed = p.lists.Pulled(now, asOf, digest, 0)
 	} else {
