--- a/src/catalog/catalog_test.go
+++ b/src/catalog/catalog_test.go
@@ -69,12 +69,12 @@
 	f := NewFeed("a")
 	f.Read(start, 10, "x", 0)
 	asked := start.Add(3 * time.Second)
-	f.Hear(asked, "b", core.Statement{Version: 12, Digest: "x", Age: time.Second}, asked)
+	f.HandleStatement(asked, "b", core.Statement{Version: 12, Digest: "x", Age: time.Second}, asked)
 	if want := asked.Add(-time.Second); !f.Confirmed().Equal(want) || f.AsOf() != 12 {
 		t.Errorf("confirmed %v as of %d, want %v as of 12", f.Confirmed(), f.AsOf(), want)
 	}
-	f.Hear(start, "b", core.Statement{Version: 12, Digest: "x"}, time.Time{})
-	f.Hear(start, "c", core.Statement{Version: 13, Digest: "z"}, asked.Add(time.Hour))
+	f.HandleStatement(start, "b", core.Statement{Version: 12, Digest: "x"}, time.Time{})
+	f.HandleStatement(start, "c", core.Statement{Version: 13, Digest: "z"}, asked.Add(time.Hour))
 	if !f.Confirmed().Equal(asked.Add(-time.Second)) {
 		t.Error("an unsolicited statement, or one of other content, confirmed the held content")
 	}
@@ -85,8 +85,8 @@
 
 func TestFailedPullTriesAnotherPeer(t *testing.T) {
 	f := NewFeed("a")
-	f.Hear(start, "b", core.Statement{Version: 5, Digest: "n"}, time.Time{})
-	f.Hear(start, "c", core.Statement{Version: 5, Digest: "n"}, time.Time{})
+	f.HandleStatement(start, "b", core.Statement{Version: 5, Digest: "n"}, time.Time{})
+	f.HandleStatement(start, "c", core.Statement{Version: 5, Digest: "n"}, time.Time{})
 	first := f.Pull(start)
 	if f.Pull(start) != "" {
 		t.Error("a second pull began during the first")
@@ -109,7 +109,7 @@
 			continue // readers read regardless of statements
 		}
 		later := start.Add(5 * time.Second)
-		f.Hear(later, "peer", core.Statement{Version: 1, Digest: "x", Age: time.Second}, time.Time{})
+		f.HandleStatement(later, "peer", core.Statement{Version: 1, Digest: "x", Age: time.Second}, time.Time{})
 		if f.Reads(later, boxes) || !f.Confirmed().Equal(start) {
 			t.Errorf("%s reads %v, confirmed at %v", b, f.Reads(later, boxes), f.Confirmed())
 		}
--- a/src/catalog/feed.go
+++ b/src/catalog/feed.go
@@ -163,10 +163,10 @@
 	return st
 }
 
-// Hear handles a peer's statement. askedAt is when the question that it answers was sent, zero for an
+// HandleStatement handles a peer's statement. askedAt is when the question that it answers was sent, zero for an
 // unsolicited one: that may have been delayed and confirms nothing, but shows that some box reads the
 // platform.
-func (f *Feed) Hear(now time.Time, from string, st core.Statement, askedAt time.Time) {
+func (f *Feed) HandleStatement(now time.Time, from string, st core.Statement, askedAt time.Time) {
 	f.statements[from] = st
 	if st.Age >= 0 {
 		f.noteAnswered(now.Add(-st.Age))
--- a/src/catalog/holders_test.go
+++ b/src/catalog/holders_test.go
@@ -16,7 +16,7 @@
 		f.Links = links
 		f.Read(start, 1, "x", 0)
 		for _, peer := range []string{"large", "small"} {
-			f.Hear(start, peer, core.Statement{Version: 2, Digest: "y"}, time.Time{})
+			f.HandleStatement(start, peer, core.Statement{Version: 2, Digest: "y"}, time.Time{})
 		}
 		out = append(out, f)
 	}
@@ -42,7 +42,7 @@
 
 func TestPullPrefersNewestHolder(t *testing.T) {
 	for _, f := range feedsBehind(20, nil) {
-		f.Hear(start, "newest", core.Statement{Version: 3, Digest: "z"}, time.Time{})
+		f.HandleStatement(start, "newest", core.Statement{Version: 3, Digest: "z"}, time.Time{})
 		if from := f.Pull(start); from != "newest" {
 			t.Errorf("%s pulls from %s", f.Self, from)
 		}
@@ -95,7 +95,7 @@
 			continue
 		}
 		told := start.Add(500 * time.Millisecond)
-		f.Hear(start, "peer", core.Statement{Version: 1, Digest: "x"}, start) // it was confirmed just now
+		f.HandleStatement(start, "peer", core.Statement{Version: 1, Digest: "x"}, start) // it was confirmed just now
 		if since, newest := f.Behind(); !since.Equal(start) || newest != 2 {
 			t.Errorf("%s is behind %d since %v", f.Self, newest, since)
 		}
@@ -138,9 +138,9 @@
 	for i := range 20 {
 		f := NewFeed(fmt.Sprint("box", i))
 		f.Read(start, 1, "x", 0)
-		f.Hear(start, "living", core.Statement{Version: 2, Digest: "y"}, time.Time{})
+		f.HandleStatement(start, "living", core.Statement{Version: 2, Digest: "y"}, time.Time{})
 		for _, dead := range []string{"dead1", "dead2", "dead3"} {
-			f.Hear(start, dead, core.Statement{Version: 3, Digest: "z"}, time.Time{})
+			f.HandleStatement(start, dead, core.Statement{Version: 3, Digest: "z"}, time.Time{})
 		}
 		now, asked := start, 0
 		for ; now.Sub(start) < time.Second; now = now.Add(50 * time.Millisecond) {
--- a/src/catalog/registry_test.go
+++ b/src/catalog/registry_test.go
@@ -126,7 +126,7 @@
 	f := NewFeed("self")
 	f.Read(start, 1, "a", 0)
 	for at := time.Duration(0); at < 10*time.Second; at += time.Second {
-		f.Hear(start.Add(at), "peer", core.Statement{Version: uint64(2 + at/time.Second), Digest: fmt.Sprint(at), Age: 200 * time.Millisecond}, time.Time{})
+		f.HandleStatement(start.Add(at), "peer", core.Statement{Version: uint64(2 + at/time.Second), Digest: fmt.Sprint(at), Age: 200 * time.Millisecond}, time.Time{})
 	}
 	f.Read(start.Add(10*time.Second), 20, "z", 0)
 	if !f.Returned().IsZero() {
--- a/src/catalog/restored_test.go
+++ b/src/catalog/restored_test.go
@@ -56,7 +56,7 @@
 func TestFeedOrdersByVersionThenEra(t *testing.T) {
 	f := NewFeed("a")
 	f.Read(start, ConfigAt(at(1, 44)), "v20", 20)
-	f.Hear(start, "b", core.Statement{Version: uint64(ConfigAt(at(2, 41))), Digest: "v18", Content: 18}, time.Time{})
+	f.HandleStatement(start, "b", core.Statement{Version: uint64(ConfigAt(at(2, 41))), Digest: "v18", Content: 18}, time.Time{})
 	if since, _ := f.Behind(); !since.IsZero() || f.Pulled(start, ConfigAt(at(2, 41)), "v18", 18) || f.Read(start, ConfigAt(at(2, 41)), "v18", 18) {
 		t.Error("an older configuration of a restored store counts as newer")
 	}
@@ -68,7 +68,7 @@
 	}
 	lists := NewFeed("a")
 	lists.Read(start, ListAt(at(1, 44)), "x", 0)
-	lists.Hear(start, "b", core.Statement{Version: uint64(ListAt(at(2, 3))), Digest: "y"}, time.Time{})
+	lists.HandleStatement(start, "b", core.Statement{Version: uint64(ListAt(at(2, 3))), Digest: "y"}, time.Time{})
 	if lists.Pull(start) != "b" || !lists.Pulled(start, ListAt(at(2, 3)), "y", 0) || lists.Read(start, ListAt(at(1, 50)), "x", 0) {
 		t.Error("a list of a later era is rejected, or one of an earlier era accepted")
 	}
