--- a/src/catalog/catalog_test.go
+++ b/src/catalog/catalog_test.go
@@ -51,10 +51,10 @@
 
 func TestFeedRejectsOlderStates(t *testing.T) {
 	f := NewFeed("a")
-	if !f.Read(start, 10, "x", 0) {
+	if !f.ApplyRead(start, 10, "x", 0) {
 		t.Fatal("the first content was rejected")
 	}
-	if f.Read(start, 9, "old", 0) || f.Pulled(start, 10, "other", 0) {
+	if f.ApplyRead(start, 9, "old", 0) || f.Pulled(start, 10, "other", 0) {
 		t.Error("an older state was accepted")
 	}
 	if f.AsOf() != 10 {
@@ -67,7 +67,7 @@
 
 func TestPeerStatementConfirmsAsOfItsRead(t *testing.T) {
 	f := NewFeed("a")
-	f.Read(start, 10, "x", 0)
+	f.ApplyRead(start, 10, "x", 0)
 	asked := start.Add(3 * time.Second)
 	f.HandleStatement(asked, "b", core.Statement{Version: 12, Digest: "x", Age: time.Second}, asked)
 	if want := asked.Add(-time.Second); !f.Confirmed().Equal(want) || f.AsOf() != 12 {
@@ -104,7 +104,7 @@
 	}
 	for _, b := range boxes {
 		f := NewFeed(b)
-		f.Read(start, 1, "x", 0)
+		f.ApplyRead(start, 1, "x", 0)
 		if f.Reads(start, boxes) {
 			continue // readers read regardless of statements
 		}
@@ -131,7 +131,7 @@
 		n := 0
 		for _, b := range boxes {
 			f := NewFeed(b)
-			f.Read(start, 1, "x", 0)
+			f.ApplyRead(start, 1, "x", 0)
 			if f.Reads(start.Add(after), boxes) {
 				n++
 			}
@@ -172,7 +172,7 @@
 	reading := 0
 	for _, b := range boxes {
 		f := NewFeed(b)
-		f.Read(start, 1, "x", 0)
+		f.ApplyRead(start, 1, "x", 0)
 		if f.Reads(start.Add(time.Second), boxes) {
 			reading++
 		}
--- a/src/catalog/feed.go
+++ b/src/catalog/feed.go
@@ -101,9 +101,9 @@
 // Confirmed returns when the held content was last known to be the newest.
 func (f *Feed) Confirmed() time.Time { return f.confirmed }
 
-// Read applies the result of reading the platform at a time: the state and digest, and the document's own
+// ApplyRead applies the result of reading the platform at a time: the state and digest, and the document's own
 // version. It reports whether the content changed; a state older than the held one changes nothing.
-func (f *Feed) Read(at time.Time, asOf State, digest string, content uint64) bool {
+func (f *Feed) ApplyRead(at time.Time, asOf State, digest string, content uint64) bool {
 	f.relief.failed, f.ownRead = time.Time{}, at
 	f.noteAnswered(at)
 	if f.held().after(stamp{content, asOf}) {
--- a/src/catalog/holders_test.go
+++ b/src/catalog/holders_test.go
@@ -14,7 +14,7 @@
 	for i := range n {
 		f := NewFeed(fmt.Sprint("box", i))
 		f.Links = links
-		f.Read(start, 1, "x", 0)
+		f.ApplyRead(start, 1, "x", 0)
 		for _, peer := range []string{"large", "small"} {
 			f.HandleStatement(start, peer, core.Statement{Version: 2, Digest: "y"}, time.Time{})
 		}
@@ -118,7 +118,7 @@
 	for _, b := range boxes {
 		f := NewFeed(b)
 		f.Chosen = []string{"d", "b"}
-		f.Read(start, 1, "x", 0)
+		f.ApplyRead(start, 1, "x", 0)
 		n := f.Ahead(boxes)
 		ahead[n]++
 		if (b == "d" && n != 0) || (b == "b" && n != 1) || (b != "d" && b != "b" && n < 2) {
@@ -137,7 +137,7 @@
 func TestDeadHoldersDoNotBlockLiveOnes(t *testing.T) {
 	for i := range 20 {
 		f := NewFeed(fmt.Sprint("box", i))
-		f.Read(start, 1, "x", 0)
+		f.ApplyRead(start, 1, "x", 0)
 		f.HandleStatement(start, "living", core.Statement{Version: 2, Digest: "y"}, time.Time{})
 		for _, dead := range []string{"dead1", "dead2", "dead3"} {
 			f.HandleStatement(start, dead, core.Statement{Version: 3, Digest: "z"}, time.Time{})
--- a/src/catalog/registry_test.go
+++ b/src/catalog/registry_test.go
@@ -109,9 +109,9 @@
 // A paused process hears of no reads; it must not take its own pause for an outage of the platform.
 func TestPauseIsNotAnOutage(t *testing.T) {
 	f := NewFeed("self")
-	f.Read(start, 1, "a", 0)
+	f.ApplyRead(start, 1, "a", 0)
 	back := start.Add(10 * time.Second)
-	f.Read(back, 2, "b", 0)
+	f.ApplyRead(back, 2, "b", 0)
 	if f.Returned() != back {
 		t.Fatalf("the platform came back at %v, want %v", f.Returned(), back)
 	}
@@ -124,11 +124,11 @@
 // Failed reads of single boxes are no outage while other boxes report answers.
 func TestNoOutageWhileAnyBoxReads(t *testing.T) {
 	f := NewFeed("self")
-	f.Read(start, 1, "a", 0)
+	f.ApplyRead(start, 1, "a", 0)
 	for at := time.Duration(0); at < 10*time.Second; at += time.Second {
 		f.HandleStatement(start.Add(at), "peer", core.Statement{Version: uint64(2 + at/time.Second), Digest: fmt.Sprint(at), Age: 200 * time.Millisecond}, time.Time{})
 	}
-	f.Read(start.Add(10*time.Second), 20, "z", 0)
+	f.ApplyRead(start.Add(10*time.Second), 20, "z", 0)
 	if !f.Returned().IsZero() {
 		t.Errorf("an outage until %v was detected", f.Returned())
 	}
--- a/src/catalog/relief_test.go
+++ b/src/catalog/relief_test.go
@@ -15,7 +15,7 @@
 	}
 	for _, b := range boxes {
 		f := NewFeed(b)
-		f.Read(start, 1, "x", 0)
+		f.ApplyRead(start, 1, "x", 0)
 		feeds[b] = f
 	}
 	return boxes, feeds
@@ -127,7 +127,7 @@
 	if asked != readers {
 		t.Errorf("one reader asked %d boxes, want %d, once", asked, readers)
 	}
-	feeds[failing[1]].Read(now, 1, "x", 0)
+	feeds[failing[1]].ApplyRead(now, 1, "x", 0)
 	hear(failing[1])
 	if asked != readers {
 		t.Error("a reader with a successful read asked others")
--- a/src/catalog/restored_test.go
+++ b/src/catalog/restored_test.go
@@ -55,21 +55,21 @@
 // whose revision was assigned before: the document's own version counts first, then the era.
 func TestFeedOrdersByVersionThenEra(t *testing.T) {
 	f := NewFeed("a")
-	f.Read(start, ConfigAt(at(1, 44)), "v20", 20)
+	f.ApplyRead(start, ConfigAt(at(1, 44)), "v20", 20)
 	f.HandleStatement(start, "b", core.Statement{Version: uint64(ConfigAt(at(2, 41))), Digest: "v18", Content: 18}, time.Time{})
-	if since, _ := f.Behind(); !since.IsZero() || f.Pulled(start, ConfigAt(at(2, 41)), "v18", 18) || f.Read(start, ConfigAt(at(2, 41)), "v18", 18) {
+	if since, _ := f.Behind(); !since.IsZero() || f.Pulled(start, ConfigAt(at(2, 41)), "v18", 18) || f.ApplyRead(start, ConfigAt(at(2, 41)), "v18", 18) {
 		t.Error("an older configuration of a restored store counts as newer")
 	}
-	if f.Read(start, ConfigAt(at(2, 41)), "v20", 20) || f.AsOf() != ConfigAt(at(2, 41)) {
+	if f.ApplyRead(start, ConfigAt(at(2, 41)), "v20", 20) || f.AsOf() != ConfigAt(at(2, 41)) {
 		t.Error("the same content in a later era is not confirmed")
 	}
-	if !f.Read(start, ConfigAt(at(2, 43)), "v24", 24) {
+	if !f.ApplyRead(start, ConfigAt(at(2, 43)), "v24", 24) {
 		t.Error("a newer configuration at a revision that was assigned before is rejected")
 	}
 	lists := NewFeed("a")
-	lists.Read(start, ListAt(at(1, 44)), "x", 0)
+	lists.ApplyRead(start, ListAt(at(1, 44)), "x", 0)
 	lists.HandleStatement(start, "b", core.Statement{Version: uint64(ListAt(at(2, 3))), Digest: "y"}, time.Time{})
-	if lists.Pull(start) != "b" || !lists.Pulled(start, ListAt(at(2, 3)), "y", 0) || lists.Read(start, ListAt(at(1, 50)), "x", 0) {
+	if lists.Pull(start) != "b" || !lists.Pulled(start, ListAt(at(2, 3)), "y", 0) || lists.ApplyRead(start, ListAt(at(1, 50)), "x", 0) {
 		t.Error("a list of a later era is rejected, or one of an earlier era accepted")
 	}
 }
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -175,7 +175,7 @@
 	if readAt.IsZero() {
 		changed = p.catalogs.Pulled(now, asOf, digest, c.Version)
 	} else {
-		changed = p.catalogs.Read(readAt, asOf, digest, c.Version)
+		changed = p.catalogs.ApplyRead(readAt, asOf, digest, c.Version)
 	}
 	rise := p.takeEra(revision.Era())
 	if !changed {
--- a/src/gateway/reading.go
+++ b/src/gateway/reading.go
@@ -291,6 +291,6 @@
 	if p.lists.Statement(at).Digest != digest {
 		return asOf < p.lists.AsOf()
 	}
-	p.lists.Read(at, asOf, digest, 0)
+	p.lists.ApplyRead(at, asOf, digest, 0)
 	return true
 }
--- a/src/gateway/serverlist.go
+++ b/src/gateway/serverlist.go
@@ -44,7 +44,7 @@
 	if readAt.IsZero() {
 		changed = p.lists.Pulled(now, asOf, digest, 0)
 	} else {
-		changed = p.lists.Read(readAt, asOf, digest, 0)
+		changed = p.lists.ApplyRead(readAt, asOf, digest, 0)
 	}
 	p.known = true
 	rise, heldRevision := p.takeEra(revision.Era()), catalog.ListRevision(catalog.State(held.Version))
