--- a/src/catalog/catalog_test.go
+++ b/src/catalog/catalog_test.go
@@ -54,13 +54,13 @@
 	if !f.ApplyRead(start, 10, "x", 0) {
 		t.Fatal("the first content was rejected")
 	}
-	if f.ApplyRead(start, 9, "old", 0) || f.Pulled(start, 10, "other", 0) {
+	if f.ApplyRead(start, 9, "old", 0) || f.ApplyPull(start, 10, "other", 0) {
 		t.Error("an older state was accepted")
 	}
 	if f.AsOf() != 10 {
 		t.Errorf("as of %d, want 10", f.AsOf())
 	}
-	if !f.Pulled(start, 11, "y", 0) || !f.Confirmed().Equal(start) {
+	if !f.ApplyPull(start, 11, "y", 0) || !f.Confirmed().Equal(start) {
 		t.Error("a newer state from a peer was rejected, or counted as confirmed")
 	}
 }
--- a/src/catalog/feed.go
+++ b/src/catalog/feed.go
@@ -126,8 +126,8 @@
 	return true
 }
 
-// Pulled applies a peer's state. It reports whether the content is newer and must be adopted.
-func (f *Feed) Pulled(now time.Time, asOf State, digest string, content uint64) bool {
+// ApplyPull applies a peer's state. It reports whether the content is newer and must be adopted.
+func (f *Feed) ApplyPull(now time.Time, asOf State, digest string, content uint64) bool {
 	f.pulling = ""
 	if !(stamp{content, asOf}).after(f.held()) {
 		return false
--- a/src/catalog/holders_test.go
+++ b/src/catalog/holders_test.go
@@ -105,7 +105,7 @@
 		if !f.Reads(start.Add(behindAfter+selfReadSpread+time.Millisecond), boxes) {
 			t.Errorf("%s does not read though it is behind", f.Self)
 		}
-		f.Pulled(start, 2, "y", 0)
+		f.ApplyPull(start, 2, "y", 0)
 		if since, _ := f.Behind(); !since.IsZero() || f.Reads(start.Add(behindAfter+selfReadSpread+time.Millisecond), boxes) {
 			t.Errorf("%s holds the newest content but is behind since %v", f.Self, since)
 		}
--- a/src/catalog/restored_test.go
+++ b/src/catalog/restored_test.go
@@ -57,7 +57,7 @@
 	f := NewFeed("a")
 	f.ApplyRead(start, ConfigAt(at(1, 44)), "v20", 20)
 	f.HandleStatement(start, "b", core.Statement{Version: uint64(ConfigAt(at(2, 41))), Digest: "v18", Content: 18}, time.Time{})
-	if since, _ := f.Behind(); !since.IsZero() || f.Pulled(start, ConfigAt(at(2, 41)), "v18", 18) || f.ApplyRead(start, ConfigAt(at(2, 41)), "v18", 18) {
+	if since, _ := f.Behind(); !since.IsZero() || f.ApplyPull(start, ConfigAt(at(2, 41)), "v18", 18) || f.ApplyRead(start, ConfigAt(at(2, 41)), "v18", 18) {
 		t.Error("an older configuration of a restored store counts as newer")
 	}
 	if f.ApplyRead(start, ConfigAt(at(2, 41)), "v20", 20) || f.AsOf() != ConfigAt(at(2, 41)) {
@@ -69,7 +69,7 @@
 	lists := NewFeed("a")
 	lists.ApplyRead(start, ListAt(at(1, 44)), "x", 0)
 	lists.HandleStatement(start, "b", core.Statement{Version: uint64(ListAt(at(2, 3))), Digest: "y"}, time.Time{})
-	if lists.Pull(start) != "b" || !lists.Pulled(start, ListAt(at(2, 3)), "y", 0) || lists.ApplyRead(start, ListAt(at(1, 50)), "x", 0) {
+	if lists.Pull(start) != "b" || !lists.ApplyPull(start, ListAt(at(2, 3)), "y", 0) || lists.ApplyRead(start, ListAt(at(1, 50)), "x", 0) {
 		t.Error("a list of a later era is rejected, or one of an earlier era accepted")
 	}
 }
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -173,7 +173,7 @@
 	heldRevision := catalog.ConfigRevision(catalog.State(held.Version))
 	changed := false
 	if readAt.IsZero() {
-		changed = p.catalogs.Pulled(now, asOf, digest, c.Version)
+		changed = p.catalogs.ApplyPull(now, asOf, digest, c.Version)
 	} else {
 		changed = p.catalogs.ApplyRead(readAt, asOf, digest, c.Version)
 	}
--- a/src/gateway/serverlist.go
+++ b/src/gateway/serverlist.go
@@ -42,7 +42,7 @@
 	digest, changed := p.list.DigestAfter(d), false
 	held, revision := p.lists.Statement(now), catalog.ListRevision(asOf)
 	if readAt.IsZero() {
-		changed = p.lists.Pulled(now, asOf, digest, 0)
+		changed = p.lists.ApplyPull(now, asOf, digest, 0)
 	} else {
 		changed = p.lists.ApplyRead(readAt, asOf, digest, 0)
 	}
