--- a/src/catalog/catalog_test.go
+++ b/src/catalog/catalog_test.go
@@ -78,7 +78,7 @@
 	if !f.Confirmed().Equal(asked.Add(-time.Second)) {
 		t.Error("an unsolicited statement, or one of other content, confirmed the held content")
 	}
-	if from := f.Pull(asked); from != "c" {
+	if from := f.NextPull(asked); from != "c" {
 		t.Errorf("newer content is pulled from %q, want c", from)
 	}
 }
@@ -87,12 +87,12 @@
 	f := NewFeed("a")
 	f.HandleStatement(start, "b", core.Statement{Version: 5, Digest: "n"}, time.Time{})
 	f.HandleStatement(start, "c", core.Statement{Version: 5, Digest: "n"}, time.Time{})
-	first := f.Pull(start)
-	if f.Pull(start) != "" {
+	first := f.NextPull(start)
+	if f.NextPull(start) != "" {
 		t.Error("a second pull began during the first")
 	}
 	f.PullFailed(start, first)
-	if second := f.Pull(start); second == first || second == "" {
+	if second := f.NextPull(start); second == first || second == "" {
 		t.Errorf("after %s failed, the next pull is from %q", first, second)
 	}
 }
--- a/src/catalog/holders.go
+++ b/src/catalog/holders.go
@@ -14,9 +14,9 @@
 	failureBackoff = 300 * time.Millisecond // time that a box is skipped after a failure; longer than it takes to find another one dead
 )
 
-// Pull returns the peer to ask for newer content now, or "". It picks one of the holders of the newest known
+// NextPull returns the peer to ask for newer content now, or "". It picks one of the holders of the newest known
 // content by weighted rendezvous hashing, so that each is asked in proportion to its link.
-func (f *Feed) Pull(now time.Time) string {
+func (f *Feed) NextPull(now time.Time) string {
 	if f.pulling != "" && now.Sub(f.pullSince) < pullTimeout {
 		return ""
 	}
--- a/src/catalog/holders_test.go
+++ b/src/catalog/holders_test.go
@@ -26,14 +26,14 @@
 func TestPullsAreWeightedByLinkBandwidth(t *testing.T) {
 	n := map[string]int{}
 	for _, f := range feedsBehind(1000, map[string]uint32{"large": 200, "small": 10}) {
-		n[f.Pull(start)]++
+		n[f.NextPull(start)]++
 	}
 	if n["small"] < 20 || n["small"] > 90 || n["large"]+n["small"] != 1000 {
 		t.Errorf("pulls by peer: %v, want about one in 21 from the small one", n)
 	}
 	n = map[string]int{}
 	for _, f := range feedsBehind(1000, nil) {
-		n[f.Pull(start)]++
+		n[f.NextPull(start)]++
 	}
 	if n["small"] < 400 || n["small"] > 600 {
 		t.Errorf("pulls by peer with unknown links: %v, want equal shares", n)
@@ -43,11 +43,11 @@
 func TestPullPrefersNewestHolder(t *testing.T) {
 	for _, f := range feedsBehind(20, nil) {
 		f.HandleStatement(start, "newest", core.Statement{Version: 3, Digest: "z"}, time.Time{})
-		if from := f.Pull(start); from != "newest" {
+		if from := f.NextPull(start); from != "newest" {
 			t.Errorf("%s pulls from %s", f.Self, from)
 		}
 		f.PullBusy(start, "newest", 100*time.Millisecond)
-		if from := f.Pull(start); from == "newest" || from == "" {
+		if from := f.NextPull(start); from == "newest" || from == "" {
 			t.Errorf("%s pulls from %q while the newest holder is busy", f.Self, from)
 		}
 	}
@@ -58,10 +58,10 @@
 	for _, peer := range []string{"large", "small"} {
 		f.PullBusy(start, peer, time.Hour)
 	}
-	if from := f.Pull(start.Add(maxBusy - time.Millisecond)); from != "" {
+	if from := f.NextPull(start.Add(maxBusy - time.Millisecond)); from != "" {
 		t.Errorf("%s is asked while busy", from)
 	}
-	if from := f.Pull(start.Add(maxBusy)); from == "" {
+	if from := f.NextPull(start.Add(maxBusy)); from == "" {
 		t.Error("a box that claimed to be busy for an hour is skipped beyond the bound")
 	}
 }
@@ -69,16 +69,16 @@
 // A pull that makes progress must not be duplicated, however long it takes; one that stalls must be replaced.
 func TestProgressingPullIsNotDuplicated(t *testing.T) {
 	f := feedsBehind(1, nil)[0]
-	first := f.Pull(start)
+	first := f.NextPull(start)
 	now := start
 	for range 10 {
 		now = now.Add(pullTimeout - time.Millisecond)
-		if from := f.Pull(now); from != "" {
+		if from := f.NextPull(now); from != "" {
 			t.Fatalf("%s is asked during the pull from %s", from, first)
 		}
 		f.PullGoesOn(now)
 	}
-	if from := f.Pull(now.Add(pullTimeout)); from == "" {
+	if from := f.NextPull(now.Add(pullTimeout)); from == "" {
 		t.Error("no other box is asked though the pull has stalled")
 	}
 }
@@ -144,7 +144,7 @@
 		}
 		now, asked := start, 0
 		for ; now.Sub(start) < time.Second; now = now.Add(50 * time.Millisecond) {
-			from := f.Pull(now)
+			from := f.NextPull(now)
 			if from == "living" {
 				break
 			}
--- a/src/catalog/restored_test.go
+++ b/src/catalog/restored_test.go
@@ -69,7 +69,7 @@
 	lists := NewFeed("a")
 	lists.ApplyRead(start, ListAt(at(1, 44)), "x", 0)
 	lists.HandleStatement(start, "b", core.Statement{Version: uint64(ListAt(at(2, 3))), Digest: "y"}, time.Time{})
-	if lists.Pull(start) != "b" || !lists.ApplyPull(start, ListAt(at(2, 3)), "y", 0) || lists.ApplyRead(start, ListAt(at(1, 50)), "x", 0) {
+	if lists.NextPull(start) != "b" || !lists.ApplyPull(start, ListAt(at(2, 3)), "y", 0) || lists.ApplyRead(start, ListAt(at(1, 50)), "x", 0) {
 		t.Error("a list of a later era is rejected, or one of an earlier era accepted")
 	}
 }
--- a/src/gateway/pulling.go
+++ b/src/gateway/pulling.go
@@ -31,7 +31,7 @@
 	p := &g.published
 	p.mu.Lock()
 	p.catalogs.Links, p.lists.Links = links, links
-	fromCatalog, fromList := p.catalogs.Pull(now), p.lists.Pull(now)
+	fromCatalog, fromList := p.catalogs.NextPull(now), p.lists.NextPull(now)
 	p.mu.Unlock()
 	if fromCatalog != "" {
 		go g.pull(ctx, fromCatalog, port.DocumentConfig)
--- a/src/gateway/pulling_test.go
+++ b/src/gateway/pulling_test.go
@@ -156,7 +156,7 @@
 		other.published.hearHolders(&port.Published{AsOf: 9, Digest: "2", Busy: &port.Busy{Holders: []string{"a"}}})
 		other.published.mu.Lock()
 		defer other.published.mu.Unlock()
-		if from := other.published.catalogs.Pull(time.Now()); from != "a" {
+		if from := other.published.catalogs.NextPull(time.Now()); from != "a" {
 			t.Errorf("asks %q next, want the box that was named", from)
 		}
 	})
