--- a/src/catalog/holders.go
+++ b/src/catalog/holders.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// Holds records a third box's notice that a box holds a content.
-func (f *Feed) Holds(box string, asOf State, digest string) {
+// NoteHolder records a third box's notice that a box holds a content.
+func (f *Feed) NoteHolder(box string, asOf State, digest string) {
 	if st, ok := f.statements[box]; box != f.Self && (!ok || st.Version < uint64(asOf)) {
 		f.statements[box] = core.Statement{Version: uint64(asOf), Digest: digest, Age: -1}
 	}
--- a/src/gateway/pulling.go
+++ b/src/gateway/pulling.go
@@ -171,7 +171,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, box := range d.Busy.Holders {
-		p.catalogs.Holds(box, catalog.State(d.AsOf), d.Digest)
+		p.catalogs.NoteHolder(box, catalog.State(d.AsOf), d.Digest)
 	}
 }
 
