--- a/src/catalog/holders.go
+++ b/src/catalog/holders.go
@@ -48,8 +48,8 @@
 	return defaultLink
 }
 
-// PullGoesOn notes progress of the current pull, so that no other box is asked meanwhile.
-func (f *Feed) PullGoesOn(now time.Time) { f.pullSince = now }
+// PullProgressed notes progress of the current pull, so that no other box is asked meanwhile.
+func (f *Feed) PullProgressed(now time.Time) { f.pullSince = now }
 
 // PullEnded notes that the pull from a peer is complete.
 func (f *Feed) PullEnded(from string) {
--- a/src/catalog/holders_test.go
+++ b/src/catalog/holders_test.go
@@ -76,7 +76,7 @@
 		if from := f.NextPull(now); from != "" {
 			t.Fatalf("%s is asked during the pull from %s", from, first)
 		}
-		f.PullGoesOn(now)
+		f.PullProgressed(now)
 	}
 	if from := f.NextPull(now.Add(pullTimeout)); from == "" {
 		t.Error("no other box is asked though the pull has stalled")
--- a/src/gateway/pulling.go
+++ b/src/gateway/pulling.go
@@ -62,7 +62,7 @@
 		feed := p.feed(document)
 		switch {
 		case more:
-			feed.PullGoesOn(g.now())
+			feed.PullProgressed(g.now())
 		case busy:
 			feed.PullBusy(g.now(), from, d.Busy.For)
 		case err != nil:
