--- a/src/catalog/feed.go
+++ b/src/catalog/feed.go
@@ -217,9 +217,9 @@
 // Answering reports whether the platform is known to have answered any box recently.
 func (f *Feed) Answering(now time.Time) bool { return now.Sub(f.lastAnswer) < answeringWindow }
 
-// Woke notes that this process was paused since a time. Having heard of no answer meanwhile does not mean an
+// NotePause notes that this process was paused since a time. Having heard of no answer meanwhile does not mean an
 // outage.
-func (f *Feed) Woke(now, since time.Time) {
+func (f *Feed) NotePause(now, since time.Time) {
 	if f.returned.After(since) {
 		f.returned = time.Time{}
 	}
--- a/src/catalog/registry_test.go
+++ b/src/catalog/registry_test.go
@@ -115,7 +115,7 @@
 	if f.Returned() != back {
 		t.Fatalf("the platform came back at %v, want %v", f.Returned(), back)
 	}
-	f.Woke(back, start)
+	f.NotePause(back, start)
 	if !f.Returned().IsZero() {
 		t.Errorf("a pause of the process counts as an outage")
 	}
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -117,8 +117,8 @@
 func (p *published) woke(now, since time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.catalogs.Woke(now, since)
-	p.lists.Woke(now, since)
+	p.catalogs.NotePause(now, since)
+	p.lists.NotePause(now, since)
 	p.registry.EndGrace(now)
 }
 
