--- a/src/catalog/feed.go
+++ b/src/catalog/feed.go
@@ -209,10 +209,10 @@
 	f.lastAnswer = at
 }
 
-// Returned returns when the platform came back after an outage, during which no box is known to have had an
+// PlatformReturnedAt returns when the platform came back after an outage, during which no box is known to have had an
 // answer for so long that entries may have lapsed. Failed calls of this box alone don't count: the platform
 // may reject single boxes while it serves the others and removes entries of servers that leave.
-func (f *Feed) Returned() time.Time { return f.returned }
+func (f *Feed) PlatformReturnedAt() time.Time { return f.returned }
 
 // Answering reports whether the platform is known to have answered any box recently.
 func (f *Feed) Answering(now time.Time) bool { return now.Sub(f.lastAnswer) < answeringWindow }
--- a/src/catalog/registry_test.go
+++ b/src/catalog/registry_test.go
@@ -112,11 +112,11 @@
 	f.ApplyRead(start, 1, "a", 0)
 	back := start.Add(10 * time.Second)
 	f.ApplyRead(back, 2, "b", 0)
-	if f.Returned() != back {
-		t.Fatalf("the platform came back at %v, want %v", f.Returned(), back)
+	if f.PlatformReturnedAt() != back {
+		t.Fatalf("the platform came back at %v, want %v", f.PlatformReturnedAt(), back)
 	}
 	f.NotePause(back, start)
-	if !f.Returned().IsZero() {
+	if !f.PlatformReturnedAt().IsZero() {
 		t.Errorf("a pause of the process counts as an outage")
 	}
 }
@@ -129,8 +129,8 @@
 		f.HandleStatement(start.Add(at), "peer", core.Statement{Version: uint64(2 + at/time.Second), Digest: fmt.Sprint(at), Age: 200 * time.Millisecond}, time.Time{})
 	}
 	f.ApplyRead(start.Add(10*time.Second), 20, "z", 0)
-	if !f.Returned().IsZero() {
-		t.Errorf("an outage until %v was detected", f.Returned())
+	if !f.PlatformReturnedAt().IsZero() {
+		t.Errorf("an outage until %v was detected", f.PlatformReturnedAt())
 	}
 	if !f.Answering(start.Add(11*time.Second)) || f.Answering(start.Add(13*time.Second)) {
 		t.Error("Answering does not follow the last answer")
--- a/src/gateway/serverlist.go
+++ b/src/gateway/serverlist.go
@@ -61,7 +61,7 @@
 		warm(now, p.list.Get(d.Put[i].ID), &d.Put[i])
 	}
 	c := p.list.Apply(d)
-	effects := p.registry.Apply(now, d, revision, p.lists.Returned())
+	effects := p.registry.Apply(now, d, revision, p.lists.PlatformReturnedAt())
 	listed := p.list.Len()
 	p.mu.Unlock()
 	g.noteRise(rise, heldRevision, revision, from)
