--- a/src/catalog/feed.go
+++ b/src/catalog/feed.go
@@ -214,8 +214,8 @@
 // may reject single boxes while it serves the others and removes entries of servers that leave.
 func (f *Feed) PlatformReturnedAt() time.Time { return f.returned }
 
-// Answering reports whether the platform is known to have answered any box recently.
-func (f *Feed) Answering(now time.Time) bool { return now.Sub(f.lastAnswer) < answeringWindow }
+// PlatformAnswering reports whether the platform is known to have answered any box recently.
+func (f *Feed) PlatformAnswering(now time.Time) bool { return now.Sub(f.lastAnswer) < answeringWindow }
 
 // NotePause notes that this process was paused since a time. Having heard of no answer meanwhile does not mean an
 // outage.
--- a/src/catalog/registry_test.go
+++ b/src/catalog/registry_test.go
@@ -132,7 +132,7 @@
 	if !f.PlatformReturnedAt().IsZero() {
 		t.Errorf("an outage until %v was detected", f.PlatformReturnedAt())
 	}
-	if !f.Answering(start.Add(11*time.Second)) || f.Answering(start.Add(13*time.Second)) {
+	if !f.PlatformAnswering(start.Add(11*time.Second)) || f.PlatformAnswering(start.Add(13*time.Second)) {
 		t.Error("Answering does not follow the last answer")
 	}
 }
--- a/src/gateway/serverlist.go
+++ b/src/gateway/serverlist.go
@@ -91,7 +91,7 @@
 func (g *Gateway) dropLapsed(now time.Time) {
 	p := &g.published
 	p.mu.Lock()
-	dropped := p.registry.DropLapsed(now, p.lists.Answering(now))
+	dropped := p.registry.DropLapsed(now, p.lists.PlatformAnswering(now))
 	p.mu.Unlock()
 	if len(dropped) == 0 {
 		return
