--- a/src/catalog/catalog_test.go
+++ b/src/catalog/catalog_test.go
@@ -105,15 +105,15 @@
 	for _, b := range boxes {
 		f := NewFeed(b)
 		f.ApplyRead(start, 1, "x", 0)
-		if f.Reads(start, boxes) {
+		if f.ShouldRead(start, boxes) {
 			continue // readers read regardless of statements
 		}
 		later := start.Add(5 * time.Second)
 		f.HandleStatement(later, "peer", core.Statement{Version: 1, Digest: "x", Age: time.Second}, time.Time{})
-		if f.Reads(later, boxes) || !f.Confirmed().Equal(start) {
-			t.Errorf("%s reads %v, confirmed at %v", b, f.Reads(later, boxes), f.Confirmed())
+		if f.ShouldRead(later, boxes) || !f.Confirmed().Equal(start) {
+			t.Errorf("%s reads %v, confirmed at %v", b, f.ShouldRead(later, boxes), f.Confirmed())
 		}
-		if !f.Reads(later.Add(selfReadAfter), boxes) {
+		if !f.ShouldRead(later.Add(selfReadAfter), boxes) {
 			t.Errorf("%s does not read after the statement has become stale", b)
 		}
 	}
@@ -132,7 +132,7 @@
 		for _, b := range boxes {
 			f := NewFeed(b)
 			f.ApplyRead(start, 1, "x", 0)
-			if f.Reads(start.Add(after), boxes) {
+			if f.ShouldRead(start.Add(after), boxes) {
 				n++
 			}
 		}
@@ -156,10 +156,10 @@
 	seed, other := NewFeed("seed"), NewFeed("other")
 	seed.Started, other.Started, seed.First = start, start, true
 	alone := []string{"other"} // the only box that it knows of
-	if !seed.Reads(start, []string{"seed"}) || other.Reads(start.Add(firstReadAfter), alone) {
+	if !seed.ShouldRead(start, []string{"seed"}) || other.ShouldRead(start.Add(firstReadAfter), alone) {
 		t.Error("a seed waited, or another box did not")
 	}
-	if !other.Reads(start.Add(firstReadAfter+selfReadSpread+time.Millisecond), alone) {
+	if !other.ShouldRead(start.Add(firstReadAfter+selfReadSpread+time.Millisecond), alone) {
 		t.Error("a box whose peers hold nothing does not read")
 	}
 }
@@ -173,17 +173,17 @@
 	for _, b := range boxes {
 		f := NewFeed(b)
 		f.ApplyRead(start, 1, "x", 0)
-		if f.Reads(start.Add(time.Second), boxes) {
+		if f.ShouldRead(start.Add(time.Second), boxes) {
 			reading++
 		}
-		if !f.Reads(start.Add(selfReadAfter+selfReadSpread+(4+maxReadStages)*selfReadStep+time.Millisecond), boxes) {
+		if !f.ShouldRead(start.Add(selfReadAfter+selfReadSpread+(4+maxReadStages)*selfReadStep+time.Millisecond), boxes) {
 			t.Errorf("%s does not read though its content is not confirmed", b)
 		}
 	}
 	if reading != readers {
 		t.Errorf("%d of 300 boxes read, want %d", reading, readers)
 	}
-	if !NewFeed("box7").Reads(start, boxes) {
+	if !NewFeed("box7").ShouldRead(start, boxes) {
 		t.Error("a box that holds nothing does not read")
 	}
 }
--- a/src/catalog/feed.go
+++ b/src/catalog/feed.go
@@ -251,10 +251,10 @@
 	delete(f.relief.unanswered, box)
 }
 
-// Reads reports whether this box should read the platform now: it is one of the readers, a reader asked it
+// ShouldRead reports whether this box should read the platform now: it is one of the readers, a reader asked it
 // to, it has been behind for a while, or its content has not been confirmed for a while other than by its own
 // reads.
-func (f *Feed) Reads(now time.Time, live []string) bool {
+func (f *Feed) ShouldRead(now time.Time, live []string) bool {
 	ahead := f.Ahead(live)
 	if f.asOf == 0 {
 		return f.First || now.Sub(f.Started) > firstReadAfter+f.spread()
--- a/src/catalog/holders_test.go
+++ b/src/catalog/holders_test.go
@@ -99,14 +99,14 @@
 		if since, newest := f.Behind(); !since.Equal(start) || newest != 2 {
 			t.Errorf("%s is behind %d since %v", f.Self, newest, since)
 		}
-		if f.Reads(told, boxes) {
+		if f.ShouldRead(told, boxes) {
 			t.Errorf("%s reads before its peers could send the document", f.Self)
 		}
-		if !f.Reads(start.Add(behindAfter+selfReadSpread+time.Millisecond), boxes) {
+		if !f.ShouldRead(start.Add(behindAfter+selfReadSpread+time.Millisecond), boxes) {
 			t.Errorf("%s does not read though it is behind", f.Self)
 		}
 		f.ApplyPull(start, 2, "y", 0)
-		if since, _ := f.Behind(); !since.IsZero() || f.Reads(start.Add(behindAfter+selfReadSpread+time.Millisecond), boxes) {
+		if since, _ := f.Behind(); !since.IsZero() || f.ShouldRead(start.Add(behindAfter+selfReadSpread+time.Millisecond), boxes) {
 			t.Errorf("%s holds the newest content but is behind since %v", f.Self, since)
 		}
 	}
--- a/src/catalog/relief_test.go
+++ b/src/catalog/relief_test.go
@@ -45,7 +45,7 @@
 		now := start.Add(500 * time.Millisecond)
 		var failing []string
 		for _, b := range boxes {
-			if feeds[b].Reads(now, boxes) {
+			if feeds[b].ShouldRead(now, boxes) {
 				failing = append(failing, b)
 			}
 		}
@@ -59,7 +59,7 @@
 				t.Errorf("%d boxes, round %d: %d were asked to read, want %d", n, round+1, len(asked), want)
 			}
 			for _, b := range asked {
-				if !feeds[b].Reads(now, boxes) {
+				if !feeds[b].ShouldRead(now, boxes) {
 					t.Errorf("%s was asked to read and does not", b)
 				}
 			}
@@ -79,16 +79,16 @@
 	for _, strange := range []int{maxReliefRounds + 1, 255} {
 		f.HearUnanswered(last, "reader", strange)
 	}
-	if f.Reads(last, boxes) {
+	if f.ShouldRead(last, boxes) {
 		t.Error("a box reads in an unknown round")
 	}
 	f.HearUnanswered(last, "reader", 1)
-	if !f.Reads(last.Add(reliefDuration-time.Millisecond), boxes) {
+	if !f.ShouldRead(last.Add(reliefDuration-time.Millisecond), boxes) {
 		t.Error("a box that was asked to read does not")
 	}
 	end := last.Add(reliefDuration)
 	f.confirm(end, 0)
-	if f.Reads(end, boxes) {
+	if f.ShouldRead(end, boxes) {
 		t.Error("a box still reads for others after the time is over")
 	}
 }
@@ -100,7 +100,7 @@
 	now := start.Add(500 * time.Millisecond)
 	var failing []string
 	for _, b := range boxes {
-		if feeds[b].Reads(now, boxes) {
+		if feeds[b].ShouldRead(now, boxes) {
 			failing = append(failing, b)
 		}
 	}
--- a/src/gateway/reading.go
+++ b/src/gateway/reading.go
@@ -31,7 +31,7 @@
 		living, chosen := g.fleet.usable(), g.fleet.readers(g.now())
 		g.published.mu.Lock()
 		r.feed.Chosen = chosen
-		reads := r.feed.Reads(g.now(), living)
+		reads := r.feed.ShouldRead(g.now(), living)
 		round, relieves := r.feed.Relieves(g.now())
 		g.published.mu.Unlock()
 		if relieves != r.relieves {
