--- a/src/catalog/feed.go
+++ b/src/catalog/feed.go
@@ -255,7 +255,7 @@
 // to, it has been behind for a while, or its content has not been confirmed for a while other than by its own
 // reads.
 func (f *Feed) ShouldRead(now time.Time, live []string) bool {
-	ahead := f.Ahead(live)
+	ahead := f.ReadersAhead(live)
 	if f.asOf == 0 {
 		return f.First || now.Sub(f.Started) > firstReadAfter+f.spread()
 	}
@@ -279,8 +279,8 @@
 	return f.soleReader
 }
 
-// Ahead counts the live boxes that read before this one: the chosen ones, then the others by hash.
-func (f *Feed) Ahead(live []string) int {
+// ReadersAhead counts the live boxes that read before this one: the chosen ones, then the others by hash.
+func (f *Feed) ReadersAhead(live []string) int {
 	if i := slices.Index(f.Chosen, f.Self); i >= 0 {
 		return i
 	}
--- a/src/catalog/holders_test.go
+++ b/src/catalog/holders_test.go
@@ -91,7 +91,7 @@
 		boxes = append(boxes, fmt.Sprint("box", i))
 	}
 	for _, f := range feedsBehind(300, nil) {
-		if f.Ahead(boxes) < readers {
+		if f.ReadersAhead(boxes) < readers {
 			continue
 		}
 		told := start.Add(500 * time.Millisecond)
@@ -119,7 +119,7 @@
 		f := NewFeed(b)
 		f.Chosen = []string{"d", "b"}
 		f.ApplyRead(start, 1, "x", 0)
-		n := f.Ahead(boxes)
+		n := f.ReadersAhead(boxes)
 		ahead[n]++
 		if (b == "d" && n != 0) || (b == "b" && n != 1) || (b != "d" && b != "b" && n < 2) {
 			t.Errorf("%d boxes read before %s", n, b)
--- a/src/catalog/relief.go
+++ b/src/catalog/relief.go
@@ -89,7 +89,7 @@
 
 // ownRound returns the round in which this box reads, 0 for the chosen readers, and whether it reads in any.
 func (f *Feed) ownRound(now time.Time, live []string) (round int, reads bool) {
-	if f.Ahead(live) < readers {
+	if f.ReadersAhead(live) < readers {
 		return 0, true
 	}
 	return f.Relieves(now)
--- a/src/catalog/relief_test.go
+++ b/src/catalog/relief_test.go
@@ -72,7 +72,7 @@
 func TestReliefEnds(t *testing.T) {
 	boxes, feeds := reliefFleet(61)
 	f := feeds[boxes[0]]
-	if f.Ahead(boxes) < readers {
+	if f.ReadersAhead(boxes) < readers {
 		f = feeds[boxes[1]]
 	}
 	last := f.confirmed
--- a/src/gateway/reading.go
+++ b/src/gateway/reading.go
@@ -50,7 +50,7 @@
 // of them finds the store again, the rest hear of it, and every call counts while it is down.
 func (r *reader) backoff() time.Duration {
 	living := r.gateway.fleet.usable() // the feed ranks those chosen as it did when this box began to read
-	most := maxBackoff * time.Duration(1+r.feed.Ahead(living)/backoffBoxes)
+	most := maxBackoff * time.Duration(1+r.feed.ReadersAhead(living)/backoffBoxes)
 	return min(most, readBackoff<<min(r.failures-1, mostBackoffs))
 }
 
