--- a/src/catalog/feed.go
+++ b/src/catalog/feed.go
@@ -259,7 +259,7 @@
 	if f.asOf == 0 {
 		return f.First || now.Sub(f.Started) > firstReadAfter+f.spread()
 	}
-	if _, relieves := f.Relieves(now); ahead < readers || relieves {
+	if _, relieves := f.ReadsForOthers(now); ahead < readers || relieves {
 		return true
 	}
 	if since, _ := f.Behind(); !since.IsZero() && now.Sub(since) > behindAfter+f.spread() {
--- a/src/catalog/relief.go
+++ b/src/catalog/relief.go
@@ -73,8 +73,8 @@
 	return p
 }
 
-// Relieves reports whether this box reads because others asked it to, and in which round.
-func (f *Feed) Relieves(now time.Time) (round int, relieves bool) {
+// ReadsForOthers reports whether this box reads because others asked it to, and in which round.
+func (f *Feed) ReadsForOthers(now time.Time) (round int, relieves bool) {
 	return f.relief.round, now.Before(f.relief.until)
 }
 
@@ -92,7 +92,7 @@
 	if f.ReadersAhead(live) < readers {
 		return 0, true
 	}
-	return f.Relieves(now)
+	return f.ReadsForOthers(now)
 }
 
 // order returns the live boxes, including this one, by rank as counted by Ahead.
--- a/src/gateway/reading.go
+++ b/src/gateway/reading.go
@@ -32,7 +32,7 @@
 		g.published.mu.Lock()
 		r.feed.Chosen = chosen
 		reads := r.feed.ShouldRead(g.now(), living)
-		round, relieves := r.feed.Relieves(g.now())
+		round, relieves := r.feed.ReadsForOthers(g.now())
 		g.published.mu.Unlock()
 		if relieves != r.relieves {
 			r.relieves = relieves
