--- a/src/catalog/relief.go
+++ b/src/catalog/relief.go
@@ -37,9 +37,9 @@
 	First  bool     // Next were not asked before, or not recently
 }
 
-// Unanswered notes that a read of this box failed and returns the boxes to notify. A box that reads only
+// ReadUnanswered notes that a read of this box failed and returns the boxes to notify. A box that reads only
 // because its content was not confirmed notifies none.
-func (f *Feed) Unanswered(now time.Time, live []string) Plea {
+func (f *Feed) ReadUnanswered(now time.Time, live []string) Plea {
 	f.relief.failed = now
 	return f.reliefRequest(now, live)
 }
--- a/src/catalog/relief_test.go
+++ b/src/catalog/relief_test.go
@@ -24,7 +24,7 @@
 // fail lets the reads of boxes fail one after the other and returns the boxes that were asked to read.
 func fail(now time.Time, boxes, failing []string, feeds map[string]*Feed) (asked []string) {
 	for _, b := range failing {
-		p := feeds[b].Unanswered(now, boxes)
+		p := feeds[b].ReadUnanswered(now, boxes)
 		for _, other := range p.Beside {
 			feeds[other].HearUnanswered(now, b, 0)
 		}
@@ -105,7 +105,7 @@
 		}
 	}
 	for _, b := range failing {
-		if p := feeds[b].Unanswered(now, boxes); len(p.Next) > 0 {
+		if p := feeds[b].ReadUnanswered(now, boxes); len(p.Next) > 0 {
 			t.Fatalf("%s asked %v before it heard from the other readers", b, p.Next)
 		}
 	}
--- a/src/gateway/reading.go
+++ b/src/gateway/reading.go
@@ -81,7 +81,7 @@
 	living := g.fleet.usable()
 	p := &g.published
 	p.mu.Lock()
-	plea := p.feed(document).Unanswered(now, living)
+	plea := p.feed(document).ReadUnanswered(now, living)
 	p.mu.Unlock()
 	g.plead(now, document, plea)
 }
