--- a/src/catalog/relief.go
+++ b/src/catalog/relief.go
@@ -44,9 +44,9 @@
 	return f.reliefRequest(now, live)
 }
 
-// UnansweredToo returns the boxes to ask after another reader has reported that its reads fail too: if all
+// PeerUnanswered returns the boxes to ask after another reader has reported that its reads fail too: if all
 // reads fail at the same time, each box learns of the others only after its own failure.
-func (f *Feed) UnansweredToo(now time.Time, live []string) Plea {
+func (f *Feed) PeerUnanswered(now time.Time, live []string) Plea {
 	if f.relief.failed.IsZero() || now.Sub(f.relief.failed) > reliefDuration || !f.relief.asked.Before(f.relief.failed) {
 		return Plea{}
 	}
--- a/src/catalog/relief_test.go
+++ b/src/catalog/relief_test.go
@@ -114,7 +114,7 @@
 		for _, other := range failing {
 			if other != b {
 				feeds[b].HearUnanswered(now, other, 0)
-				p := feeds[b].UnansweredToo(now, boxes)
+				p := feeds[b].PeerUnanswered(now, boxes)
 				if len(p.Beside) > 0 {
 					t.Errorf("%s notifies %v again", b, p.Beside)
 				}
--- a/src/gateway/reading.go
+++ b/src/gateway/reading.go
@@ -95,7 +95,7 @@
 	living := g.fleet.usable()
 	p := &g.published
 	p.mu.Lock()
-	plea := p.feed(u.Document).UnansweredToo(now, living)
+	plea := p.feed(u.Document).PeerUnanswered(now, living)
 	p.mu.Unlock()
 	g.plead(now, u.Document, plea)
 }
