--- a/src/catalog/relief.go
+++ b/src/catalog/relief.go
@@ -78,9 +78,9 @@
 	return f.relief.round, now.Before(f.relief.until)
 }
 
-// HearUnanswered handles another box's notice that its reads fail. With a valid round, 1 or more, this box
+// HandleUnanswered handles another box's notice that its reads fail. With a valid round, 1 or more, this box
 // reads in that round for a while.
-func (f *Feed) HearUnanswered(now time.Time, from string, round int) {
+func (f *Feed) HandleUnanswered(now time.Time, from string, round int) {
 	f.relief.unanswered[from] = now
 	if round >= 1 && round <= maxReliefRounds {
 		f.relief.round, f.relief.until = round, now.Add(reliefDuration)
--- a/src/catalog/relief_test.go
+++ b/src/catalog/relief_test.go
@@ -26,10 +26,10 @@
 	for _, b := range failing {
 		p := feeds[b].ReadUnanswered(now, boxes)
 		for _, other := range p.Beside {
-			feeds[other].HearUnanswered(now, b, 0)
+			feeds[other].HandleUnanswered(now, b, 0)
 		}
 		for _, next := range p.Next {
-			feeds[next].HearUnanswered(now, b, p.Round)
+			feeds[next].HandleUnanswered(now, b, p.Round)
 			asked = append(asked, next)
 		}
 	}
@@ -77,12 +77,12 @@
 	}
 	last := f.confirmed
 	for _, strange := range []int{maxReliefRounds + 1, 255} {
-		f.HearUnanswered(last, "reader", strange)
+		f.HandleUnanswered(last, "reader", strange)
 	}
 	if f.ShouldRead(last, boxes) {
 		t.Error("a box reads in an unknown round")
 	}
-	f.HearUnanswered(last, "reader", 1)
+	f.HandleUnanswered(last, "reader", 1)
 	if !f.ShouldRead(last.Add(reliefDuration-time.Millisecond), boxes) {
 		t.Error("a box that was asked to read does not")
 	}
@@ -113,7 +113,7 @@
 	hear := func(b string) {
 		for _, other := range failing {
 			if other != b {
-				feeds[b].HearUnanswered(now, other, 0)
+				feeds[b].HandleUnanswered(now, other, 0)
 				p := feeds[b].PeerUnanswered(now, boxes)
 				if len(p.Beside) > 0 {
 					t.Errorf("%s notifies %v again", b, p.Beside)
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -99,7 +99,7 @@
 		p.registry.Settle(now, catalog.ListRevision(catalog.State(b.List.Version)).Era())
 	}
 	if u := b.Unanswered; u != nil {
-		p.feed(u.Document).HearUnanswered(now, b.From.ID.Name, int(u.Round))
+		p.feed(u.Document).HandleUnanswered(now, b.From.ID.Name, int(u.Round))
 	}
 	config, _ := p.catalogs.Behind()
 	list, _ := p.lists.Behind()
