--- a/src/catalog/relief.go
+++ b/src/catalog/relief.go
@@ -29,8 +29,8 @@
 	unanswered map[string]time.Time // boxes whose reads fail, and when they last reported it
 }
 
-// Plea lists the boxes to notify that this box's reads fail.
-type Plea struct {
+// ReliefRequest lists the boxes to notify that this box's reads fail.
+type ReliefRequest struct {
 	Beside []string // the other readers of the same round
 	Next   []string // the boxes asked to read now; none while another reader of this round may still get answers
 	Round  int      // of Next
@@ -39,16 +39,16 @@
 
 // ReadUnanswered notes that a read of this box failed and returns the boxes to notify. A box that reads only
 // because its content was not confirmed notifies none.
-func (f *Feed) ReadUnanswered(now time.Time, live []string) Plea {
+func (f *Feed) ReadUnanswered(now time.Time, live []string) ReliefRequest {
 	f.relief.failed = now
 	return f.reliefRequest(now, live)
 }
 
 // PeerUnanswered returns the boxes to ask after another reader has reported that its reads fail too: if all
 // reads fail at the same time, each box learns of the others only after its own failure.
-func (f *Feed) PeerUnanswered(now time.Time, live []string) Plea {
+func (f *Feed) PeerUnanswered(now time.Time, live []string) ReliefRequest {
 	if f.relief.failed.IsZero() || now.Sub(f.relief.failed) > reliefDuration || !f.relief.asked.Before(f.relief.failed) {
-		return Plea{}
+		return ReliefRequest{}
 	}
 	p := f.reliefRequest(now, live)
 	p.Beside = nil
@@ -56,13 +56,13 @@
 }
 
 // reliefRequest returns the boxes to notify of this box's failed reads.
-func (f *Feed) reliefRequest(now time.Time, live []string) Plea {
+func (f *Feed) reliefRequest(now time.Time, live []string) ReliefRequest {
 	round, reads := f.ownRound(now, live)
 	if !reads {
-		return Plea{}
+		return ReliefRequest{}
 	}
 	order := f.order(live)
-	p := Plea{Beside: slices.DeleteFunc(roundOf(order, round), func(box string) bool { return box == f.Self }), Round: round + 1}
+	p := ReliefRequest{Beside: slices.DeleteFunc(roundOf(order, round), func(box string) bool { return box == f.Self }), Round: round + 1}
 	answered := func(box string) bool { return now.Sub(f.relief.unanswered[box]) > reliefDuration }
 	if round == maxReliefRounds || slices.ContainsFunc(p.Beside, answered) {
 		return p
--- a/src/gateway/reading.go
+++ b/src/gateway/reading.go
@@ -101,7 +101,7 @@
 }
 
 // plead tells other boxes that reads of a document bring nothing.
-func (g *Gateway) plead(now time.Time, document string, plea catalog.Plea) {
+func (g *Gateway) plead(now time.Time, document string, plea catalog.ReliefRequest) {
 	if len(plea.Beside)+len(plea.Next) == 0 {
 		return
 	}
