--- a/src/catalog/relief.go
+++ b/src/catalog/relief.go
@@ -31,7 +31,7 @@
 
 // ReliefRequest lists the boxes to notify that this box's reads fail.
 type ReliefRequest struct {
-	Beside []string // the other readers of the same round
+	Readers []string // the other readers of the same round
 	Next   []string // the boxes asked to read now; none while another reader of this round may still get answers
 	Round  int      // of Next
 	First  bool     // Next were not asked before, or not recently
@@ -51,7 +51,7 @@
 		return ReliefRequest{}
 	}
 	p := f.reliefRequest(now, live)
-	p.Beside = nil
+	p.Readers = nil
 	return p
 }
 
@@ -62,9 +62,9 @@
 		return ReliefRequest{}
 	}
 	order := f.order(live)
-	p := ReliefRequest{Beside: slices.DeleteFunc(roundOf(order, round), func(box string) bool { return box == f.Self }), Round: round + 1}
+	p := ReliefRequest{Readers: slices.DeleteFunc(roundOf(order, round), func(box string) bool { return box == f.Self }), Round: round + 1}
 	answered := func(box string) bool { return now.Sub(f.relief.unanswered[box]) > reliefDuration }
-	if round == maxReliefRounds || slices.ContainsFunc(p.Beside, answered) {
+	if round == maxReliefRounds || slices.ContainsFunc(p.Readers, answered) {
 		return p
 	}
 	p.Next = roundOf(order, p.Round)
--- a/src/catalog/relief_test.go
+++ b/src/catalog/relief_test.go
@@ -25,7 +25,7 @@
 func fail(now time.Time, boxes, failing []string, feeds map[string]*Feed) (asked []string) {
 	for _, b := range failing {
 		p := feeds[b].ReadUnanswered(now, boxes)
-		for _, other := range p.Beside {
+		for _, other := range p.Readers {
 			feeds[other].HandleUnanswered(now, b, 0)
 		}
 		for _, next := range p.Next {
@@ -115,8 +115,8 @@
 			if other != b {
 				feeds[b].HandleUnanswered(now, other, 0)
 				p := feeds[b].PeerUnanswered(now, boxes)
-				if len(p.Beside) > 0 {
-					t.Errorf("%s notifies %v again", b, p.Beside)
+				if len(p.Readers) > 0 {
+					t.Errorf("%s notifies %v again", b, p.Readers)
 				}
 				asked += len(p.Next)
 			}
--- a/src/gateway/reading.go
+++ b/src/gateway/reading.go
@@ -102,7 +102,7 @@
 
 // plead tells other boxes that reads of a document bring nothing.
 func (g *Gateway) plead(now time.Time, document string, plea catalog.ReliefRequest) {
-	if len(plea.Beside)+len(plea.Next) == 0 {
+	if len(plea.Readers)+len(plea.Next) == 0 {
 		return
 	}
 	if plea.First {
@@ -110,7 +110,7 @@
 	}
 	b := g.newsBeat(now)
 	b.Unanswered = &core.Unanswered{Document: document}
-	g.tellBoxes(plea.Beside, b)
+	g.tellBoxes(plea.Readers, b)
 	b.Unanswered = &core.Unanswered{Document: document, Round: uint8(plea.Round)}
 	g.tellBoxes(plea.Next, b)
 }
