--- a/src/catalog/catalog.go
+++ b/src/catalog/catalog.go
@@ -247,9 +247,9 @@
 	return p.Targets[len(p.Targets)-1].Pool
 }
 
-// Final lists the indexes of the stages whose results the request itself needs: those that no other stage
+// FinalStages lists the indexes of the stages whose results the request itself needs: those that no other stage
 // follows.
-func (p *Pipeline) Final() []int {
+func (p *Pipeline) FinalStages() []int {
 	followed := make([]bool, len(p.Stages))
 	for _, s := range p.Stages {
 		for _, a := range s.After {
--- a/src/catalog/catalog_test.go
+++ b/src/catalog/catalog_test.go
@@ -44,7 +44,7 @@
 
 func TestFinalStagesHaveNoSuccessors(t *testing.T) {
 	p := Pipeline{Stages: []Stage{{}, {}, {After: []int{1}}, {After: []int{2}}}}
-	if got := fmt.Sprint(p.Final()); got != "[0 3]" {
+	if got := fmt.Sprint(p.FinalStages()); got != "[0 3]" {
 		t.Errorf("final stages %s, want [0 3]", got)
 	}
 }
--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -75,7 +75,7 @@
 	}
 	v.made.mu.Lock()
 	defer v.made.mu.Unlock()
-	for _, i := range v.pipeline.Final() {
+	for _, i := range v.pipeline.FinalStages() {
 		if v.made.freed[i] {
 			return true
 		}
--- a/src/gateway/pacing.go
+++ b/src/gateway/pacing.go
@@ -34,7 +34,7 @@
 // partners lists the other stages whose results are read together with those of a stage.
 func (s *stageRun) partners(stage int) []int {
 	var out []int
-	together := s.pipeline.Final()
+	together := s.pipeline.FinalStages()
 	if len(s.followers[stage]) > 0 {
 		together = s.pipeline.Stages[s.followers[stage][0]].After
 	}
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -285,7 +285,7 @@
 // itself reads; nil when they are small.
 func (g *Gateway) makersOf(p *catalog.Pipeline) map[string]int {
 	pool, most := "", 0
-	for _, i := range p.Final() {
+	for _, i := range p.FinalStages() {
 		if n := p.Stages[i].ResultBytes; n >= largeResults && n > most {
 			pool, most = p.Stages[i].Pool, n
 		}
--- a/src/gateway/stages.go
+++ b/src/gateway/stages.go
@@ -53,7 +53,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	best := 0.0
-	for _, i := range r.pipeline.Final() {
+	for _, i := range r.pipeline.FinalStages() {
 		handles = append(handles, r.handles[i]...)
 		n := float64(len(r.handles[i]) * r.pipeline.Stages[i].ResultBytes)
 		size += n
