--- a/src/catalog/catalog.go
+++ b/src/catalog/catalog.go
@@ -226,8 +226,8 @@
 // Pool returns a pool by name, or nil.
 func (x *Index) Pool(name string) *Pool { return x.pools[name] }
 
-// Target picks the pool for a request by the weights of the targets. The same id always gives the same pool.
-func (p *Pipeline) Target(id string) string {
+// PickPool picks the pool for a request by the weights of the targets. The same id always gives the same pool.
+func (p *Pipeline) PickPool(id string) string {
 	total := 0
 	for _, t := range p.Targets {
 		total += max(t.Weight, 0)
--- a/src/catalog/catalog_test.go
+++ b/src/catalog/catalog_test.go
@@ -31,8 +31,8 @@
 	n := map[string]int{}
 	for i := range 10_000 {
 		id := fmt.Sprint(i)
-		first := p.Target(id)
-		if again := p.Target(id); again != first {
+		first := p.PickPool(id)
+		if again := p.PickPool(id); again != first {
 			t.Fatal("the same request id gave two pools")
 		}
 		n[first]++
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -124,7 +124,7 @@
 		v.deadline, v.limitedBy = v.began.Add(r.Left), "caller"
 	}
 	v.objective = v.began.Add(p.Objective)
-	v.pool = p.Target(r.ID)
+	v.pool = p.PickPool(r.ID)
 	return v.checkPieces()
 }
 
