--- a/src/exchange/exchange.go
+++ b/src/exchange/exchange.go
@@ -108,8 +108,8 @@
 	return cn.Conn.Read(b)
 }
 
-// Answer is a response whose body has not been read yet. Close must be called.
-type Answer struct {
+// Response is a response whose body has not been read yet. Close must be called.
+type Response struct {
 	*http.Response
 	conn *conn
 	stop func() bool
@@ -117,7 +117,7 @@
 
 // Do sends a request once and returns its response. The connection is closed when the context ends. The error
 // is a NotSent if no byte was sent.
-func (c *Client) Do(ctx context.Context, address string, r *Request) (*Answer, error) {
+func (c *Client) Do(ctx context.Context, address string, r *Request) (*Response, error) {
 	cn, err := c.acquire(ctx, address, r.Fresh)
 	if err != nil {
 		return nil, &NotSent{Cause: err}
@@ -138,7 +138,7 @@
 		}
 		return nil, err
 	}
-	return &Answer{Response: resp, conn: cn, stop: stop}, nil
+	return &Response{Response: resp, conn: cn, stop: stop}, nil
 }
 
 // callStart calls Start, if set.
@@ -228,7 +228,7 @@
 
 // Close ends the exchange. Set whole if the body was read to its end without an error; otherwise the
 // connection is not reused.
-func (a *Answer) Close(whole bool) {
+func (a *Response) Close(whole bool) {
 	if a.stop() && whole && !a.Response.Close && a.conn.reader.Buffered() == 0 {
 		a.conn.release(a.Header)
 		return
