--- a/src/exchange/exchange.go
+++ b/src/exchange/exchange.go
@@ -53,8 +53,8 @@
 // ErrNoConnection is returned if the address already has the maximum number of connections.
 var ErrNoConnection = errors.New("all connections are in use")
 
-// ErrForeign is returned if the responses on a connection belong to other requests.
-var ErrForeign = errors.New("the response belongs to another request")
+// ErrForeignResponse is returned if the responses on a connection belong to other requests.
+var ErrForeignResponse = errors.New("the response belongs to another request")
 
 // Request is one HTTP request. Header is written unchanged.
 type Request struct {
@@ -217,11 +217,11 @@
 			return resp, nil
 		}
 		if skipped++; skipped > maxStaleResponses || resp.Close {
-			return nil, ErrForeign
+			return nil, ErrForeignResponse
 		}
 		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxStaleBody))
 		if err != nil || n == maxStaleBody {
-			return nil, ErrForeign
+			return nil, ErrForeignResponse
 		}
 	}
 }
--- a/src/exchange/exchange_test.go
+++ b/src/exchange/exchange_test.go
@@ -160,7 +160,7 @@
 	address, _ := server(t, func(c net.Conn, r *http.Request, _ int) {
 		writeText(c, "HTTP/1.1 200 OK\nId: other\nConnection: close\nContent-Length: 1\n\nx")
 	})
-	if _, err := do(t, &Client{}, address, get("a")); !errors.Is(err, ErrForeign) {
+	if _, err := do(t, &Client{}, address, get("a")); !errors.Is(err, ErrForeignResponse) {
 		t.Errorf("a foreign response gave %v", err)
 	}
 }
