--- a/src/exchange/exchange.go
+++ b/src/exchange/exchange.go
@@ -50,8 +50,8 @@
 // address.
 func Refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// ErrNoConnection is returned if the address already has the maximum number of connections.
-var ErrNoConnection = errors.New("all connections are in use")
+// ErrConnectionLimit is returned if the address already has the maximum number of connections.
+var ErrConnectionLimit = errors.New("all connections are in use")
 
 // ErrForeignResponse is returned if the responses on a connection belong to other requests.
 var ErrForeignResponse = errors.New("the response belongs to another request")
@@ -351,7 +351,7 @@
 	}
 	if c.PerAddress > 0 && c.open[address] >= c.PerAddress {
 		c.mu.Unlock()
-		return nil, ErrNoConnection
+		return nil, ErrConnectionLimit
 	}
 	c.open[address]++
 	c.mu.Unlock()
--- a/src/exchange/exchange_test.go
+++ b/src/exchange/exchange_test.go
@@ -252,7 +252,7 @@
 		first <- err
 	}()
 	<-arrivedOnce
-	if _, err := do(t, c, address, get("b")); !errors.Is(err, ErrNoConnection) {
+	if _, err := do(t, c, address, get("b")); !errors.Is(err, ErrConnectionLimit) {
 		t.Errorf("a connection beyond the limit gave %v", err)
 	}
 	close(hold)
