--- a/src/exchange/exchange.go
+++ b/src/exchange/exchange.go
@@ -46,9 +46,9 @@
 // Unwrap returns the cause.
 func (e *NotSent) Unwrap() error { return e.Cause }
 
-// Refused reports whether an error means that the connection was refused, i.e. no process listens at the
+// ConnectionRefused reports whether an error means that the connection was refused, i.e. no process listens at the
 // address.
-func Refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+func ConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 // ErrConnectionLimit is returned if the address already has the maximum number of connections.
 var ErrConnectionLimit = errors.New("all connections are in use")
--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -193,7 +193,7 @@
 		g.words.giveBack(s.ID, v.request.ID)
 		outcome := balance.Broken
 		switch {
-		case exchange.Refused(err):
+		case exchange.ConnectionRefused(err):
 			outcome = balance.Absent
 			g.suspects.Ended(lifeOf(s), suspects.Refused)
 		case errors.Is(err, ErrServerRests):
--- a/src/peer/client.go
+++ b/src/peer/client.go
@@ -164,7 +164,7 @@
 }
 
 func (c *Client) noteRefusal(address string, err error) {
-	if c.Refused != nil && exchange.Refused(err) {
+	if c.Refused != nil && exchange.ConnectionRefused(err) {
 		c.Refused(address)
 	}
 }
