--- a/src/exchange/exchange.go
+++ b/src/exchange/exchange.go
@@ -63,8 +63,8 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Owns reports whether a response belongs to this request; nil accepts the first one.
-	Owns func(http.Header) bool
+	// Matches reports whether a response belongs to this request; nil accepts the first one.
+	Matches func(http.Header) bool
 	// Fresh requires a connection that is new or was used very recently, for requests that can't be repeated
 	// if the server happens to close an idle connection.
 	Fresh bool
@@ -212,7 +212,7 @@
 		if resp.StatusCode >= 100 && resp.StatusCode < 200 {
 			continue
 		}
-		if r.Owns == nil || r.Owns(resp.Header) {
+		if r.Matches == nil || r.Matches(resp.Header) {
 			resp.Close = resp.Close || skipped > 0
 			return resp, nil
 		}
--- a/src/exchange/exchange_test.go
+++ b/src/exchange/exchange_test.go
@@ -52,7 +52,7 @@
 
 func get(id string) *Request {
 	return &Request{Method: http.MethodGet, Target: "/x?y=%2f", Host: "h", Header: http.Header{"Id": {id}},
-		Owns: func(h http.Header) bool { return h.Get("Id") == "" || h.Get("Id") == id }}
+		Matches: func(h http.Header) bool { return h.Get("Id") == "" || h.Get("Id") == id }}
 }
 
 // do sends a request and reads the whole response.
