--- a/src/exchange/exchange.go
+++ b/src/exchange/exchange.go
@@ -68,9 +68,9 @@
 	// Fresh requires a connection that is new or was used very recently, for requests that can't be repeated
 	// if the server happens to close an idle connection.
 	Fresh bool
-	// Start is called once a connection is available, just before the first byte is sent. If it returns an
+	// BeforeSend is called once a connection is available, just before the first byte is sent. If it returns an
 	// error, nothing is sent. May be nil.
-	Start func() error
+	BeforeSend func() error
 	// Silence is the maximum time without receiving a byte of the response, 0 for no limit. While waiting for
 	// the header, Head applies if it is longer.
 	Silence, Head time.Duration
@@ -143,10 +143,10 @@
 
 // callStart calls Start, if set.
 func (r *Request) callStart() error {
-	if r.Start == nil {
+	if r.BeforeSend == nil {
 		return nil
 	}
-	return r.Start()
+	return r.BeforeSend()
 }
 
 // writeResult is the outcome of writing a request.
