--- a/src/exchange/exchange.go
+++ b/src/exchange/exchange.go
@@ -71,9 +71,9 @@
 	// BeforeSend is called once a connection is available, just before the first byte is sent. If it returns an
 	// error, nothing is sent. May be nil.
 	BeforeSend func() error
-	// Silence is the maximum time without receiving a byte of the response, 0 for no limit. While waiting for
+	// ReadTimeout is the maximum time without receiving a byte of the response, 0 for no limit. While waiting for
 	// the header, Head applies if it is longer.
-	Silence, Head time.Duration
+	ReadTimeout, Head time.Duration
 }
 
 // Client sends requests and keeps idle connections to servers. Set its fields before use.
@@ -127,9 +127,9 @@
 		return nil, &NotSent{Cause: err}
 	}
 	stop := context.AfterFunc(ctx, func() { cn.drop() })
-	cn.readTimeout = max(r.Silence, r.Head)
+	cn.readTimeout = max(r.ReadTimeout, r.Head)
 	resp, sent, err := cn.roundTrip(r)
-	cn.readTimeout = r.Silence
+	cn.readTimeout = r.ReadTimeout
 	if err != nil {
 		stop()
 		cn.drop()
--- a/src/exchange/exchange_test.go
+++ b/src/exchange/exchange_test.go
@@ -321,7 +321,7 @@
 			}
 		})
 		r := get("1")
-		r.Silence = silence
+		r.ReadTimeout = silence
 		began := time.Now()
 		body, err := do(t, &Client{}, address, r)
 		if c.whole != (err == nil) || c.whole && body != "xxxxxxxx" {
@@ -343,7 +343,7 @@
 	})
 	c := &Client{}
 	r := get("1")
-	r.Silence, r.Head = silence, 4*silence
+	r.ReadTimeout, r.Head = silence, 4*silence
 	if body, err := do(t, c, address, r); err != nil || body != "x" {
 		t.Errorf("%q, %v", body, err)
 	}
@@ -352,7 +352,7 @@
 		t.Errorf("on the reused connection: %q, %v", body, err)
 	}
 	r = get("3")
-	r.Silence = silence
+	r.ReadTimeout = silence
 	if _, err := do(t, c, address, r); err == nil {
 		t.Error("a header that took longer than the read timeout was accepted")
 	}
