--- a/src/exchange/exchange.go
+++ b/src/exchange/exchange.go
@@ -72,8 +72,8 @@
 	// error, nothing is sent. May be nil.
 	BeforeSend func() error
 	// ReadTimeout is the maximum time without receiving a byte of the response, 0 for no limit. While waiting for
-	// the header, Head applies if it is longer.
-	ReadTimeout, Head time.Duration
+	// the header, HeaderTimeout applies if it is longer.
+	ReadTimeout, HeaderTimeout time.Duration
 }
 
 // Client sends requests and keeps idle connections to servers. Set its fields before use.
@@ -127,7 +127,7 @@
 		return nil, &NotSent{Cause: err}
 	}
 	stop := context.AfterFunc(ctx, func() { cn.drop() })
-	cn.readTimeout = max(r.ReadTimeout, r.Head)
+	cn.readTimeout = max(r.ReadTimeout, r.HeaderTimeout)
 	resp, sent, err := cn.roundTrip(r)
 	cn.readTimeout = r.ReadTimeout
 	if err != nil {
--- a/src/exchange/exchange_test.go
+++ b/src/exchange/exchange_test.go
@@ -343,7 +343,7 @@
 	})
 	c := &Client{}
 	r := get("1")
-	r.ReadTimeout, r.Head = silence, 4*silence
+	r.ReadTimeout, r.HeaderTimeout = silence, 4*silence
 	if body, err := do(t, c, address, r); err != nil || body != "x" {
 		t.Errorf("%q, %v", body, err)
 	}
