--- a/src/peer/client.go
+++ b/src/peer/client.go
@@ -36,8 +36,8 @@
 type Client struct {
 	TLS  *tls.Config   // nil for plain TCP
 	Sent *atomic.Int64 // bytes sent
-	// Refused is called with an address that refuses connections: no process listens there. May be nil.
-	Refused func(address string)
+	// OnRefused is called with an address that refuses connections: no process listens there. May be nil.
+	OnRefused func(address string)
 	// Dial opens a connection; nil uses TCP. Not used with TLS.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 
@@ -164,8 +164,8 @@
 }
 
 func (c *Client) noteRefusal(address string, err error) {
-	if c.Refused != nil && exchange.ConnectionRefused(err) {
-		c.Refused(address)
+	if c.OnRefused != nil && exchange.ConnectionRefused(err) {
+		c.OnRefused(address)
 	}
 }
 
--- a/src/peer/client_test.go
+++ b/src/peer/client_test.go
@@ -67,7 +67,7 @@
 	}
 	refused := make(chan string, 4)
 	c := NewClient(nil)
-	c.Refused = func(address string) { refused <- address }
+	c.OnRefused = func(address string) { refused <- address }
 	defer c.Close()
 	c.Beat(l.Addr().String(), core.Beat{})
 	conn, err := l.Accept()
