--- a/src/node/node.go
+++ b/src/node/node.go
@@ -75,7 +75,7 @@
 func (n *Node) Stopped() <-chan struct{} { return n.stopped }
 
 // PeerBytes counts the bytes sent to other boxes.
-func (n *Node) PeerBytes() int64 { return n.peers.Sent.Load() }
+func (n *Node) PeerBytes() int64 { return n.peers.BytesSent.Load() }
 
 // Start opens the listeners and begins to serve.
 func (n *Node) Start() error {
--- a/src/peer/client.go
+++ b/src/peer/client.go
@@ -35,7 +35,7 @@
 // Client sends messages to other boxes. Set its fields before use; end it with Close.
 type Client struct {
 	TLS  *tls.Config   // nil for plain TCP
-	Sent *atomic.Int64 // bytes sent
+	BytesSent *atomic.Int64 // bytes sent
 	// OnRefused is called with an address that refuses connections: no process listens there. May be nil.
 	OnRefused func(address string)
 	// Dial opens a connection; nil uses TCP. Not used with TLS.
@@ -48,7 +48,7 @@
 
 // NewClient returns a client that uses TLS with the given configuration, or plain TCP if it is nil.
 func NewClient(cfg *tls.Config) *Client {
-	return &Client{TLS: cfg, Sent: &atomic.Int64{}, queues: map[string]chan *Message{}, closed: make(chan struct{})}
+	return &Client{TLS: cfg, BytesSent: &atomic.Int64{}, queues: map[string]chan *Message{}, closed: make(chan struct{})}
 }
 
 // Ports returns the client's methods as the ports of a box.
@@ -138,7 +138,7 @@
 		}
 		_ = conn.SetWriteDeadline(time.Now().Add(beatWriteTimeout))
 		n, err := WriteFrame(conn, m)
-		c.Sent.Add(int64(n))
+		c.BytesSent.Add(int64(n))
 		if err == nil {
 			return conn
 		}
@@ -177,7 +177,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	n, err := WriteFrame(conn, m)
-	c.Sent.Add(int64(n))
+	c.BytesSent.Add(int64(n))
 	if err != nil {
 		stop()
 		_ = conn.Close()
