--- a/src/box/bench_test.go
+++ b/src/box/bench_test.go
@@ -120,7 +120,7 @@
 	_, after := documentPair(b, true)
 	box.docs.offerConfig(after, time.Now())
 	for i := range 419 {
-		box.TakeBeat(core.Beat{From: core.Rumour{ID: core.BoxID{Name: fmt.Sprintf("box-%03d", i+2), Incarnation: uint64(time.Now().UnixNano())}, Address: "10.0.0.1:7001", Domain: "west-1", State: core.MemberAlive}})
+		box.HandleBeat(core.Beat{From: core.Rumour{ID: core.BoxID{Name: fmt.Sprintf("box-%03d", i+2), Incarnation: uint64(time.Now().UnixNano())}, Address: "10.0.0.1:7001", Domain: "west-1", State: core.MemberAlive}})
 	}
 	fill := box.beatFiller(time.Now())
 	n := 0
--- a/src/box/membership.go
+++ b/src/box/membership.go
@@ -125,8 +125,8 @@
 	f.repeatsLeft[server] = leavingRepeats
 }
 
-// TakeBeat handles a heartbeat of another box.
-func (b *Box) TakeBeat(m core.Beat) {
+// HandleBeat handles a heartbeat of another box.
+func (b *Box) HandleBeat(m core.Beat) {
 	f := &b.fleet
 	now := b.now()
 	f.mu.Lock()
--- a/src/faults/links_test.go
+++ b/src/faults/links_test.go
@@ -126,7 +126,7 @@
 		time.Sleep(linkDelay)
 		if t := f.target(to); t != nil && b.ctx.Err() == nil && !f.isCut(b.name, to) {
 			t.gate()
-			t.TakeBeat(m)
+			t.HandleBeat(m)
 		}
 	}()
 }
