--- a/src/box/membership.go
+++ b/src/box/membership.go
@@ -284,8 +284,8 @@
 	return out
 }
 
-// TakeQuestion answers a question of another box.
-func (b *Box) TakeQuestion(_ context.Context, q port.Question) port.Answer {
+// HandleQuestion answers a question of another box.
+func (b *Box) HandleQuestion(_ context.Context, q port.Question) port.Answer {
 	switch {
 	case q.Pull != nil:
 		return b.docs.answerPull(*q.Pull)
--- a/src/faults/links_test.go
+++ b/src/faults/links_test.go
@@ -151,7 +151,7 @@
 		return port.Answer{}, err
 	}
 	t.gate()
-	a := t.TakeQuestion(ctx, q)
+	a := t.HandleQuestion(ctx, q)
 	if err := f.through(ctx, to, b.name); err != nil {
 		return port.Answer{}, err
 	}
--- a/src/faults/promises_test.go
+++ b/src/faults/promises_test.go
@@ -397,7 +397,7 @@
 		parsed, _ := core.ParseKey(key)
 		promised := 0
 		for _, n := range names {
-			if f.boxes[n].TakeQuestion(context.Background(), port.Question{Renounce: &port.Renounce{Key: parsed}}).Renounced {
+			if f.boxes[n].HandleQuestion(context.Background(), port.Question{Renounce: &port.Renounce{Key: parsed}}).Renounced {
 				promised++
 			}
 		}
