--- a/src/box/membership.go
+++ b/src/box/membership.go
@@ -302,7 +302,7 @@
 	return port.Answer{}
 }
 
-// TakeForward serves a request that another box forwarded.
-func (b *Box) TakeForward(ctx context.Context, f port.Forward, emit func(port.ForwardEvent) error) {
+// HandleForward serves a request that another box forwarded.
+func (b *Box) HandleForward(ctx context.Context, f port.Forward, emit func(port.ForwardEvent) error) {
 	_ = b.serveForward(ctx, f, emit)
 }
--- a/src/faults/links_test.go
+++ b/src/faults/links_test.go
@@ -174,7 +174,7 @@
 	}
 	t.gate()
 	ended := false
-	t.TakeForward(ctx, q, func(e port.ForwardEvent) error {
+	t.HandleForward(ctx, q, func(e port.ForwardEvent) error {
 		t.gate()
 		if f.through(ctx, to, b.name) != nil {
 			return errLost
