--- a/src/box/box.go
+++ b/src/box/box.go
@@ -44,7 +44,7 @@
 	Wall     func() time.Time // wall time, may be wrong; compared with the times in keys
 	Rand     *rand.Rand
 	Entropy  io.Reader // source of random ids; crypto/rand if nil
-	Watch    Observer
+	Observer    Observer
 	Gate     func() // called before each unit of work; tests block here to simulate SIGSTOP
 
 	estimates    *core.Estimates
--- a/src/box/flight.go
+++ b/src/box/flight.go
@@ -81,8 +81,8 @@
 	for _, a := range f.req.Step(f.box.now(), ev) {
 		f.execute(a)
 	}
-	if n := f.req.Stale() - stale; n > 0 && f.box.Watch.Stale != nil {
-		f.box.Watch.Stale(n)
+	if n := f.req.Stale() - stale; n > 0 && f.box.Observer.Stale != nil {
+		f.box.Observer.Stale(n)
 	}
 }
 
@@ -306,8 +306,8 @@
 	}
 	stage := f.req.Pipeline().Stages()[a.Attempt.Stage]
 	f.box.cost.Add(f.req.Pipeline(), stage, a.Attempt.N, a.Use, took, a.Wasted)
-	if f.box.Watch.Settled != nil {
-		f.box.Watch.Settled(a.Pool, a.Failure, took)
+	if f.box.Observer.Settled != nil {
+		f.box.Observer.Settled(a.Pool, a.Failure, took)
 	}
 }
 
--- a/src/box/pools.go
+++ b/src/box/pools.go
@@ -170,8 +170,8 @@
 	p.mu.Unlock()
 	for i, g := range grants {
 		waited := now.Sub(g.Call.Enqueued)
-		if b.Watch.Waited != nil {
-			b.Watch.Waited(p.core.Name, waited)
+		if b.Observer.Waited != nil {
+			b.Observer.Waited(p.core.Name, waited)
 		}
 		owners[i].post(core.Granted{Attempt: g.Call.Attempt, Server: g.Server, Waited: waited, Trace: g.Trace})
 	}
--- a/src/node/node.go
+++ b/src/node/node.go
@@ -104,7 +104,7 @@
 	}
 	logClock(n.Log)
 	set := metrics.New()
-	n.box.Watch = set.Watcher()
+	n.box.Observer = set.Watcher()
 	if n.Adjust != nil {
 		n.Adjust(n.box)
 	}
