--- a/src/box/flight_test.go
+++ b/src/box/flight_test.go
@@ -22,7 +22,7 @@
 	p := c.Pipeline("caption")
 	f := newFlight(b, core.NewRequest(key, c.Workspace("lakeside"), p, []byte("x"), b.now().Add(time.Second), 0, b.estimates), c)
 	recorded := 0
-	b.Observer.Ended = func(*config.Pipeline, *code.Error, time.Duration, time.Duration) {
+	b.Observer.RequestEnded = func(*config.Pipeline, *code.Error, time.Duration, time.Duration) {
 		recorded++
 		f.mu.Lock()
 		defer f.mu.Unlock()
--- a/src/box/serve.go
+++ b/src/box/serve.go
@@ -227,8 +227,8 @@
 	f.mu.Unlock()
 	b.burn.Add(now, sample)
 	b.history.add(f, err)
-	if b.Observer.Ended != nil {
-		b.Observer.Ended(p, err, now.Sub(f.startedAt), first)
+	if b.Observer.RequestEnded != nil {
+		b.Observer.RequestEnded(p, err, now.Sub(f.startedAt), first)
 	}
 }
 
--- a/src/metrics/metrics.go
+++ b/src/metrics/metrics.go
@@ -62,7 +62,7 @@
 // Watcher gives the hooks through which a box fills the set.
 func (s *Set) Watcher() box.Observer {
 	return box.Observer{
-		Ended: func(p *config.Pipeline, err *code.Error, took, firstOut time.Duration) {
+		RequestEnded: func(p *config.Pipeline, err *code.Error, took, firstOut time.Duration) {
 			name := code.OK.String()
 			if err != nil {
 				name = err.Code.String()
