--- a/src/box/box.go
+++ b/src/box/box.go
@@ -72,7 +72,7 @@
 // Observer receives events for metrics. Nil fields are skipped.
 type Observer struct {
 	RequestEnded    func(p *config.Pipeline, err *code.Error, took, firstOut time.Duration) // a request ended
-	Settled  func(pool string, f core.Failure, took time.Duration)                   // a call to a server ended
+	CallEnded  func(pool string, f core.Failure, took time.Duration)                   // a call to a server ended
 	Waited   func(pool string, d time.Duration)                                      // a call was granted a server after d
 	Stale    func(n int)                                                             // n stale replies were discarded
 	Platform func(document string, ok bool)                                          // the platform was read
--- a/src/box/flight.go
+++ b/src/box/flight.go
@@ -306,8 +306,8 @@
 	}
 	stage := f.req.Pipeline().Stages()[a.Attempt.Stage]
 	f.box.cost.Add(f.req.Pipeline(), stage, a.Attempt.N, a.Use, took, a.Wasted)
-	if f.box.Observer.Settled != nil {
-		f.box.Observer.Settled(a.Pool, a.Failure, took)
+	if f.box.Observer.CallEnded != nil {
+		f.box.Observer.CallEnded(a.Pool, a.Failure, took)
 	}
 }
 
--- a/src/metrics/metrics.go
+++ b/src/metrics/metrics.go
@@ -73,7 +73,7 @@
 				s.first.WithLabelValues(p.Name()).Observe(firstOut.Seconds())
 			}
 		},
-		Settled: func(pool string, f core.Failure, took time.Duration) {
+		CallEnded: func(pool string, f core.Failure, took time.Duration) {
 			s.calls.WithLabelValues(pool, f.String()).Inc()
 			s.served.WithLabelValues(pool).Observe(took.Seconds())
 		},
