--- a/src/box/box.go
+++ b/src/box/box.go
@@ -74,7 +74,7 @@
 	RequestEnded    func(p *config.Pipeline, err *code.Error, took, firstOut time.Duration) // a request ended
 	CallEnded  func(pool string, f core.Failure, took time.Duration)                   // a call to a server ended
 	Waited   func(pool string, d time.Duration)                                      // a call was granted a server after d
-	Stale    func(n int)                                                             // n stale replies were discarded
+	StaleReplies    func(n int)                                                             // n stale replies were discarded
 	Platform func(document string, ok bool)                                          // the platform was read
 }
 
--- a/src/box/flight.go
+++ b/src/box/flight.go
@@ -81,8 +81,8 @@
 	for _, a := range f.req.Step(f.box.now(), ev) {
 		f.execute(a)
 	}
-	if n := f.req.Stale() - stale; n > 0 && f.box.Observer.Stale != nil {
-		f.box.Observer.Stale(n)
+	if n := f.req.Stale() - stale; n > 0 && f.box.Observer.StaleReplies != nil {
+		f.box.Observer.StaleReplies(n)
 	}
 }
 
--- a/src/metrics/metrics.go
+++ b/src/metrics/metrics.go
@@ -78,7 +78,7 @@
 			s.served.WithLabelValues(pool).Observe(took.Seconds())
 		},
 		Waited: func(pool string, d time.Duration) { s.waited.WithLabelValues(pool).Observe(d.Seconds()) },
-		Stale:  func(n int) { s.stale.Add(float64(n)) },
+		StaleReplies:  func(n int) { s.stale.Add(float64(n)) },
 		Platform: func(document string, ok bool) {
 			word := "false"
 			if ok {
