--- a/src/box/box.go
+++ b/src/box/box.go
@@ -75,7 +75,7 @@
 	CallEnded  func(pool string, f core.Failure, took time.Duration)                   // a call to a server ended
 	Waited   func(pool string, d time.Duration)                                      // a call was granted a server after d
 	StaleReplies    func(n int)                                                             // n stale replies were discarded
-	Platform func(document string, ok bool)                                          // the platform was read
+	PlatformRead func(document string, ok bool)                                          // the platform was read
 }
 
 // shard is the part of the requests and of the ledger under one lock.
--- a/src/box/documents.go
+++ b/src/box/documents.go
@@ -139,8 +139,8 @@
 
 // noteRead reports a read of the platform to the metrics and the log.
 func (d *documents) noteRead(document string, err error) {
-	if d.box.Observer.Platform != nil {
-		d.box.Observer.Platform(document, err == nil)
+	if d.box.Observer.PlatformRead != nil {
+		d.box.Observer.PlatformRead(document, err == nil)
 	}
 	if err != nil {
 		d.box.Log.Debug("platform read failed", "document", document, "error", err.Error())
--- a/src/metrics/metrics.go
+++ b/src/metrics/metrics.go
@@ -79,7 +79,7 @@
 		},
 		Waited: func(pool string, d time.Duration) { s.waited.WithLabelValues(pool).Observe(d.Seconds()) },
 		StaleReplies:  func(n int) { s.stale.Add(float64(n)) },
-		Platform: func(document string, ok bool) {
+		PlatformRead: func(document string, ok bool) {
 			word := "false"
 			if ok {
 				word = "true"
