--- a/src/box/box.go
+++ b/src/box/box.go
@@ -44,7 +44,7 @@
 	Wall     func() time.Time // wall time, may be wrong; compared with the times in keys
 	Rand     *rand.Rand
 	Entropy  io.Reader // source of random ids; crypto/rand if nil
-	Observer    Observer
+	Observer Observer
 	Gate     func() // called before each unit of work; tests block here to simulate SIGSTOP
 
 	estimates    *core.Estimates
@@ -71,10 +71,10 @@
 
 // Observer receives events for metrics. Nil fields are skipped.
 type Observer struct {
-	RequestEnded    func(p *config.Pipeline, err *code.Error, took, firstOut time.Duration) // a request ended
-	CallEnded  func(pool string, f core.Failure, took time.Duration)                   // a call to a server ended
-	Waited   func(pool string, d time.Duration)                                      // a call was granted a server after d
-	StaleReplies    func(n int)                                                             // n stale replies were discarded
+	RequestEnded func(p *config.Pipeline, err *code.Error, took, firstOut time.Duration) // a request ended
+	CallEnded    func(pool string, f core.Failure, took time.Duration)                   // a call to a server ended
+	Waited       func(pool string, d time.Duration)                                      // a call was granted a server after d
+	StaleReplies func(n int)                                                             // n stale replies were discarded
 	PlatformRead func(document string, ok bool)                                          // the platform was read
 }
 
--- a/src/catalog/evacuations.go
+++ b/src/catalog/evacuations.go
@@ -36,9 +36,9 @@
 
 // EvacuationNote tells another box the newest state of a failure domain that no document contains.
 type EvacuationNote struct {
-	Domain string
+	Domain    string
 	Evacuated bool
-	At     Revision
+	At        Revision
 }
 
 // IsEvacuated reports whether a failure domain is evacuated.
--- a/src/catalog/feed.go
+++ b/src/catalog/feed.go
@@ -163,8 +163,8 @@
 	return st
 }
 
-// HandleStatement handles a peer's statement. askedAt is when the question that it answers was sent, zero for an
-// unsolicited one: that may have been delayed and confirms nothing, but shows that some box reads the
+// HandleStatement handles a peer's statement. askedAt is when the question that it answers was sent, zero for
+// an unsolicited one: that may have been delayed and confirms nothing, but shows that some box reads the
 // platform.
 func (f *Feed) HandleStatement(now time.Time, from string, st core.Statement, askedAt time.Time) {
 	f.statements[from] = st
@@ -209,16 +209,16 @@
 	f.lastAnswer = at
 }
 
-// PlatformReturnedAt returns when the platform came back after an outage, during which no box is known to have had an
-// answer for so long that entries may have lapsed. Failed calls of this box alone don't count: the platform
-// may reject single boxes while it serves the others and removes entries of servers that leave.
+// PlatformReturnedAt returns when the platform came back after an outage, during which no box is known to
+// have had an answer for so long that entries may have lapsed. Failed calls of this box alone don't count:
+// the platform may reject single boxes while it serves the others and removes entries of servers that leave.
 func (f *Feed) PlatformReturnedAt() time.Time { return f.returned }
 
 // PlatformAnswering reports whether the platform is known to have answered any box recently.
 func (f *Feed) PlatformAnswering(now time.Time) bool { return now.Sub(f.lastAnswer) < answeringWindow }
 
-// NotePause notes that this process was paused since a time. Having heard of no answer meanwhile does not mean an
-// outage.
+// NotePause notes that this process was paused since a time. Having heard of no answer meanwhile does not
+// mean an outage.
 func (f *Feed) NotePause(now, since time.Time) {
 	if f.returned.After(since) {
 		f.returned = time.Time{}
--- a/src/catalog/holders.go
+++ b/src/catalog/holders.go
@@ -14,8 +14,8 @@
 	failureBackoff = 300 * time.Millisecond // time that a box is skipped after a failure; longer than it takes to find another one dead
 )
 
-// NextPull returns the peer to ask for newer content now, or "". It picks one of the holders of the newest known
-// content by weighted rendezvous hashing, so that each is asked in proportion to its link.
+// NextPull returns the peer to ask for newer content now, or "". It picks one of the holders of the newest
+// known content by weighted rendezvous hashing, so that each is asked in proportion to its link.
 func (f *Feed) NextPull(now time.Time) string {
 	if f.pulling != "" && now.Sub(f.pullSince) < pullTimeout {
 		return ""
@@ -58,12 +58,12 @@
 	}
 }
 
-// PullFailed skips a peer for a short time; the next Pull may return another peer at once.
+// PullFailed skips a peer for a short time; NextPull may return another peer at once.
 func (f *Feed) PullFailed(now time.Time, from string) {
 	f.skip(from, now.Add(failureBackoff))
 }
 
-// PullBusy skips a peer that is busy with other transfers; the next Pull may return another peer at once.
+// PullBusy skips a peer that is busy with other transfers; NextPull may return another peer at once.
 func (f *Feed) PullBusy(now time.Time, from string, wait time.Duration) {
 	f.skip(from, now.Add(min(max(wait, 0), maxBusy)))
 }
--- a/src/catalog/list.go
+++ b/src/catalog/list.go
@@ -142,7 +142,8 @@
 	return nil, false
 }
 
-// DifferenceSince returns the difference from an earlier state to the list; false if that state is not in the undo log.
+// DifferenceSince returns the difference from an earlier state to the list; false if that state is not in the
+// undo log.
 func (l *List) DifferenceSince(digest string) (Difference, bool) {
 	was, known := l.stateAt(digest)
 	if !known {
--- a/src/catalog/registry.go
+++ b/src/catalog/registry.go
@@ -39,9 +39,10 @@
 //
 // Entries of a server are ordered by incarnation and by revision, and an older entry never replaces a newer
 // one, whatever list it comes in. A missing entry means that the server left, unless the platform was just
-// unreachable for all boxes (Feed.Returned). If failed calls of single boxes counted as an outage, and their
-// lists were passed on, a removed server would be used for another 2.0 to 2.6 s, or for as long as calls fail
-// now and then, instead of under 1 s (virtual time, 6 and 61 boxes, the gateway's tests of leaving servers).
+// unreachable for all boxes (Feed.PlatformReturnedAt). If failed calls of single boxes counted as an outage,
+// and their lists were passed on, a removed server would be used for another 2.0 to 2.6 s, or for as long as
+// calls fail now and then, instead of under 1 s (virtual time, 6 and 61 boxes, the gateway's tests of leaving
+// servers).
 //
 // After a restore of the store, a list of the new era may be older than what is known until the lost entries
 // are written again. In the first such list, a missing entry may not have been rewritten yet, and a server
@@ -75,14 +76,14 @@
 
 // Effects are the changes of a registry that a list caused.
 type Effects struct {
-	Changed   []Changed // servers added to a pool, removed from it or changed
-	Lapsed    []string  // servers that are kept without an entry
-	Returned      []Return  // servers that had left and accept work again
-	Ignored   []Server  // entries that are older than what is known
-	Restarted []Restart // servers with a new incarnation
-	Leaving   []Server  // leaving servers that a restored list contains as if they were not leaving
-	Doubted   []string  // servers that are not used for now, since they had left before the restore
-	PreviousEra  Era       // the previous era, if the list is the first of a later one; otherwise 0
+	Changed     []Changed // servers added to a pool, removed from it or changed
+	Lapsed      []string  // servers that are kept without an entry
+	Returned    []Return  // servers that had left and accept work again
+	Ignored     []Server  // entries that are older than what is known
+	Restarted   []Restart // servers with a new incarnation
+	Leaving     []Server  // leaving servers that a restored list contains as if they were not leaving
+	Doubted     []string  // servers that are not used for now, since they had left before the restore
+	PreviousEra Era       // the previous era, if the list is the first of a later one; otherwise 0
 }
 
 // Changed names a server that changed and the pool concerned.
--- a/src/catalog/relief.go
+++ b/src/catalog/relief.go
@@ -32,9 +32,9 @@
 // ReliefRequest lists the boxes to notify that this box's reads fail.
 type ReliefRequest struct {
 	Readers []string // the other readers of the same round
-	Next   []string // the boxes asked to read now; none while another reader of this round may still get answers
-	Round  int      // of Next
-	First  bool     // Next were not asked before, or not recently
+	Next    []string // the boxes asked to read now; none while another reader of this round may still get answers
+	Round   int      // of Next
+	First   bool     // Next were not asked before, or not recently
 }
 
 // ReadUnanswered notes that a read of this box failed and returns the boxes to notify. A box that reads only
@@ -95,7 +95,7 @@
 	return f.ReadsForOthers(now)
 }
 
-// order returns the live boxes, including this one, by rank as counted by Ahead.
+// order returns the live boxes, including this one, by rank as counted by ReadersAhead.
 func (f *Feed) order(live []string) []string {
 	type ranked struct {
 		box  string
--- a/src/exchange/exchange.go
+++ b/src/exchange/exchange.go
@@ -46,8 +46,8 @@
 // Unwrap returns the cause.
 func (e *NotSent) Unwrap() error { return e.Cause }
 
-// ConnectionRefused reports whether an error means that the connection was refused, i.e. no process listens at the
-// address.
+// ConnectionRefused reports whether an error means that the connection was refused, i.e. no process listens
+// at the address.
 func ConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 // ErrConnectionLimit is returned if the address already has the maximum number of connections.
@@ -71,8 +71,8 @@
 	// BeforeSend is called once a connection is available, just before the first byte is sent. If it returns an
 	// error, nothing is sent. May be nil.
 	BeforeSend func() error
-	// ReadTimeout is the maximum time without receiving a byte of the response, 0 for no limit. While waiting for
-	// the header, HeaderTimeout applies if it is longer.
+	// ReadTimeout is the maximum time without receiving a byte of the response, 0 for no limit. While waiting
+	// for the header, HeaderTimeout applies if it is longer.
 	ReadTimeout, HeaderTimeout time.Duration
 }
 
@@ -92,7 +92,7 @@
 	client      *Client
 	address     string
 	reader      *bufio.Reader
-	idleUntil   time.Time // until when it may be reused; includes time in which the machine was suspended
+	idleUntil   time.Time // until when it may be reused; the time that the machine is suspended counts, since the server may close it then
 	freshUntil  time.Time // until when a request that can't be repeated may use it
 	once        sync.Once
 	readTimeout time.Duration // timeout of each read, 0 for none
@@ -122,7 +122,7 @@
 	if err != nil {
 		return nil, &NotSent{Cause: err}
 	}
-	if err := r.callStart(); err != nil {
+	if err := r.callBeforeSend(); err != nil {
 		cn.releaseUnused()
 		return nil, &NotSent{Cause: err}
 	}
@@ -141,8 +141,8 @@
 	return &Response{Response: resp, conn: cn, stop: stop}, nil
 }
 
-// callStart calls Start, if set.
-func (r *Request) callStart() error {
+// callBeforeSend calls BeforeSend, if set.
+func (r *Request) callBeforeSend() error {
 	if r.BeforeSend == nil {
 		return nil
 	}
--- a/src/peer/client.go
+++ b/src/peer/client.go
@@ -34,7 +34,7 @@
 
 // Client sends messages to other boxes. Set its fields before use; end it with Close.
 type Client struct {
-	TLS  *tls.Config   // nil for plain TCP
+	TLS       *tls.Config   // nil for plain TCP
 	BytesSent *atomic.Int64 // bytes sent
 	// OnRefused is called with an address that refuses connections: no process listens there. May be nil.
 	OnRefused func(address string)
