--- a/src/metrics/metrics.go
+++ b/src/metrics/metrics.go
@@ -77,8 +77,8 @@
 			s.calls.WithLabelValues(pool, f.String()).Inc()
 			s.served.WithLabelValues(pool).Observe(took.Seconds())
 		},
-		Waited: func(pool string, d time.Duration) { s.waited.WithLabelValues(pool).Observe(d.Seconds()) },
-		StaleReplies:  func(n int) { s.stale.Add(float64(n)) },
+		Waited:       func(pool string, d time.Duration) { s.waited.WithLabelValues(pool).Observe(d.Seconds()) },
+		StaleReplies: func(n int) { s.stale.Add(float64(n)) },
 		PlatformRead: func(document string, ok bool) {
 			word := "false"
 			if ok {
