--- a/src/exchange/exchange.go
+++ b/src/exchange/exchange.go
@@ -92,7 +92,7 @@
 	client      *Client
 	address     string
 	reader      *bufio.Reader
-	idleUntil   time.Time // until when it may be reused; the time that the machine is suspended counts, since the server may close it then
+	idleUntil   time.Time // until when it may be reused; counts suspend time, in which the server may close it
 	freshUntil  time.Time // until when a request that can't be repeated may use it
 	once        sync.Once
 	readTimeout time.Duration // timeout of each read, 0 for none
@@ -108,7 +108,7 @@
 	return cn.Conn.Read(b)
 }
 
-// Response is a response whose body has not been read yet. Close must be called.
+// Response is an HTTP response whose body has not been read yet. Close must be called.
 type Response struct {
 	*http.Response
 	conn *conn
