--- a/src/catalog/relief_test.go
+++ b/src/catalog/relief_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// reliefFleet is feeds that hold the same content as of a start.
+// reliefFleet returns the feeds of n boxes that hold the same confirmed content.
 func reliefFleet(n int) (boxes []string, feeds map[string]*Feed) {
 	feeds = map[string]*Feed{}
 	for i := range n {
@@ -15,21 +15,21 @@
 	}
 	for _, b := range boxes {
 		f := NewFeed(b)
-		f.Read(start, 1, "x", 0)
+		f.ApplyRead(start, 1, "x", 0)
 		feeds[b] = f
 	}
 	return boxes, feeds
 }
 
-// fail has the boxes' reads bring nothing, one after the other, and gives whom they asked to read.
+// fail lets the reads of boxes fail one after the other and returns the boxes that were asked to read.
 func fail(now time.Time, boxes, failing []string, feeds map[string]*Feed) (asked []string) {
 	for _, b := range failing {
-		p := feeds[b].Unanswered(now, boxes)
-		for _, other := range p.Beside {
-			feeds[other].HearUnanswered(now, b, 0)
+		p := feeds[b].ReadUnanswered(now, boxes)
+		for _, other := range p.Readers {
+			feeds[other].HandleUnanswered(now, b, 0)
 		}
 		for _, next := range p.Next {
-			feeds[next].HearUnanswered(now, b, p.Round)
+			feeds[next].HandleUnanswered(now, b, p.Round)
 			asked = append(asked, next)
 		}
 	}
@@ -37,19 +37,20 @@
 	return slices.Compact(asked)
 }
 
-// Readers that get no answer ask the next boxes only when all of them get none; each round asks twice as many, three times.
-func TestReadersThatGetNoAnswerAskTheNext(t *testing.T) {
+// Readers must ask the next round only if none of them gets an answer. Each round doubles the number of
+// readers, and there are three.
+func TestUnansweredReadersAskNextRound(t *testing.T) {
 	for _, n := range []int{6, 61, 985} {
 		boxes, feeds := reliefFleet(n)
 		now := start.Add(500 * time.Millisecond)
 		var failing []string
 		for _, b := range boxes {
-			if feeds[b].Reads(now, boxes) {
+			if feeds[b].ShouldRead(now, boxes) {
 				failing = append(failing, b)
 			}
 		}
 		if asked := fail(now, boxes, failing[:readers-1], feeds); len(asked) > 0 {
-			t.Errorf("%d boxes: %v were asked while a reader may have answers", n, asked)
+			t.Errorf("%d boxes: %v were asked while a reader may still get answers", n, asked)
 		}
 		for round, want := range []int{3, 6, 12, 0} {
 			want = min(want, max(0, n-readers*(1<<round)))
@@ -58,8 +59,8 @@
 				t.Errorf("%d boxes, round %d: %d were asked to read, want %d", n, round+1, len(asked), want)
 			}
 			for _, b := range asked {
-				if !feeds[b].Reads(now, boxes) {
-					t.Errorf("%s was asked and does not read", b)
+				if !feeds[b].ShouldRead(now, boxes) {
+					t.Errorf("%s was asked to read and does not", b)
 				}
 			}
 			failing = asked
@@ -67,55 +68,55 @@
 	}
 }
 
-// A box reads for others for as long as they ask, and a word of another release's that names no known round asks nothing.
+// A box must stop reading for others once they no longer ask. A round unknown to this release is ignored.
 func TestReliefEnds(t *testing.T) {
 	boxes, feeds := reliefFleet(61)
 	f := feeds[boxes[0]]
-	if f.Ahead(boxes) < readers {
+	if f.ReadersAhead(boxes) < readers {
 		f = feeds[boxes[1]]
 	}
 	last := f.confirmed
-	for _, strange := range []int{mostRounds + 1, 255} {
-		f.HearUnanswered(last, "reader", strange)
+	for _, strange := range []int{maxReliefRounds + 1, 255} {
+		f.HandleUnanswered(last, "reader", strange)
 	}
-	if f.Reads(last, boxes) {
-		t.Error("a box reads in a round that there is not")
+	if f.ShouldRead(last, boxes) {
+		t.Error("a box reads in an unknown round")
 	}
-	f.HearUnanswered(last, "reader", 1)
-	if !f.Reads(last.Add(reliefFor-time.Millisecond), boxes) {
-		t.Error("a box that was asked does not read")
+	f.HandleUnanswered(last, "reader", 1)
+	if !f.ShouldRead(last.Add(reliefDuration-time.Millisecond), boxes) {
+		t.Error("a box that was asked to read does not")
 	}
-	end := last.Add(reliefFor)
+	end := last.Add(reliefDuration)
 	f.confirm(end, 0)
-	if f.Reads(end, boxes) {
-		t.Error("a box reads for others that ask no more")
+	if f.ShouldRead(end, boxes) {
+		t.Error("a box still reads for others after the time is over")
 	}
 }
 
-// Readers whose reads end without an answer at one moment hear of one another only afterwards. The last to hear of all the others
-// asks the next boxes then, and nobody does so twice for one failure, or after a read that brought something.
-func TestReadersWhoseReadsFailTogetherAskTheNext(t *testing.T) {
+// Readers whose reads fail at the same time learn of each other only afterwards. A reader that has then heard
+// from all others must ask the next round, but only once per failure and not after a successful read.
+func TestSimultaneousFailuresAskNextRoundOnce(t *testing.T) {
 	boxes, feeds := reliefFleet(61)
 	now := start.Add(500 * time.Millisecond)
 	var failing []string
 	for _, b := range boxes {
-		if feeds[b].Reads(now, boxes) {
+		if feeds[b].ShouldRead(now, boxes) {
 			failing = append(failing, b)
 		}
 	}
 	for _, b := range failing {
-		if p := feeds[b].Unanswered(now, boxes); len(p.Next) > 0 {
-			t.Fatalf("%s asked %v before it had heard of the others", b, p.Next)
+		if p := feeds[b].ReadUnanswered(now, boxes); len(p.Next) > 0 {
+			t.Fatalf("%s asked %v before it heard from the other readers", b, p.Next)
 		}
 	}
 	asked := 0
 	hear := func(b string) {
 		for _, other := range failing {
 			if other != b {
-				feeds[b].HearUnanswered(now, other, 0)
-				p := feeds[b].UnansweredToo(now, boxes)
-				if len(p.Beside) > 0 {
-					t.Errorf("%s tells %v once more", b, p.Beside)
+				feeds[b].HandleUnanswered(now, other, 0)
+				p := feeds[b].PeerUnanswered(now, boxes)
+				if len(p.Readers) > 0 {
+					t.Errorf("%s notifies %v again", b, p.Readers)
 				}
 				asked += len(p.Next)
 			}
@@ -124,11 +125,11 @@
 	hear(failing[0])
 	hear(failing[0])
 	if asked != readers {
-		t.Errorf("%d boxes were asked by one reader, want %d once", asked, readers)
+		t.Errorf("one reader asked %d boxes, want %d, once", asked, readers)
 	}
-	feeds[failing[1]].Read(now, 1, "x", 0)
+	feeds[failing[1]].ApplyRead(now, 1, "x", 0)
 	hear(failing[1])
 	if asked != readers {
-		t.Error("a reader that has answers asked others")
+		t.Error("a reader with a successful read asked others")
 	}
 }
--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -75,7 +75,7 @@
 	}
 	v.made.mu.Lock()
 	defer v.made.mu.Unlock()
-	for _, i := range v.pipeline.Final() {
+	for _, i := range v.pipeline.FinalStages() {
 		if v.made.freed[i] {
 			return true
 		}
@@ -193,7 +193,7 @@
 		g.words.giveBack(s.ID, v.request.ID)
 		outcome := balance.Broken
 		switch {
-		case exchange.Refused(err):
+		case exchange.ConnectionRefused(err):
 			outcome = balance.Absent
 			g.suspects.RecordCrash(lifeOf(s), suspects.Refused)
 		case errors.Is(err, ErrServerRests):
--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -52,14 +52,14 @@
 func (p *published) tellEra(now time.Time, b *core.Beat) {
 	base := p.eras.base
 	b.Era = uint64(base)
-	b.Config.Version = catalog.ConfigTold(p.catalogs.AsOf(), base)
-	b.List.Version = catalog.ListTold(p.lists.AsOf(), base)
+	b.Config.Version = catalog.ConfigToWire(p.catalogs.AsOf(), base)
+	b.List.Version = catalog.ListToWire(p.lists.AsOf(), base)
 	b.Settled = p.registry.Settled(now)
 	b.Closures, b.Doubts = nil, nil
 	for _, n := range p.closures.Notes(now, p.configEra(), pushback.MaxNotes) {
-		b.Closures = append(b.Closures, core.ClosureNote{Domain: n.Domain, Closed: n.Closed, Revision: n.At.Told(base)})
+		b.Closures = append(b.Closures, core.ClosureNote{Domain: n.Domain, Closed: n.Evacuated, Revision: n.At.ToWire(base)})
 	}
-	for _, n := range p.registry.Doubts(now, pushback.MaxNotes) {
+	for _, n := range p.registry.DoubtNotes(now, pushback.MaxNotes) {
 		b.Doubts = append(b.Doubts, core.DoubtNote{Server: n.Server, Incarnation: int64(n.Incarnation), For: n.For})
 	}
 }
@@ -111,8 +111,8 @@
 // hearEra turns the numbers of a heartbeat into states. p.mu is held.
 func (p *published) hearEra(b *core.Beat) {
 	base := p.heardBase(b.Era)
-	b.Config.Version = uint64(catalog.ConfigHeard(b.Config.Version, base))
-	b.List.Version = uint64(catalog.ListHeard(b.List.Version, base))
+	b.Config.Version = uint64(catalog.ConfigFromWire(b.Config.Version, base))
+	b.List.Version = uint64(catalog.ListFromWire(b.List.Version, base))
 }
 
 // hearNotes takes what another box tells of evacuations and of servers that no document of the newest era has.
@@ -125,8 +125,8 @@
 	p.mu.Lock()
 	base, closed := p.heardBase(b.Era), false
 	for _, n := range b.Closures[:min(len(b.Closures), pushback.MaxNotes)] {
-		note := catalog.ClosureNote{Domain: n.Domain, Closed: n.Closed, At: catalog.RevisionTold(n.Revision, base)}
-		if p.closures.Hear(now, note, p.configEra()) {
+		note := catalog.EvacuationNote{Domain: n.Domain, Evacuated: n.Closed, At: catalog.RevisionFromWire(n.Revision, base)}
+		if p.closures.ApplyNote(now, note, p.configEra()) {
 			closed = true
 			g.Log.Warn("evacuation heard that the store does not say", "domain", n.Domain, "evacuated", n.Closed, "revision", note.At, "from", b.From.ID.Name)
 		}
@@ -134,7 +134,7 @@
 	var doubted []catalog.Changed
 	for _, n := range b.Doubts[:min(len(b.Doubts), pushback.MaxNotes)] {
 		note := catalog.DoubtNote{Server: n.Server, Incarnation: catalog.Incarnation(n.Incarnation), For: n.For}
-		if c, changed := p.registry.HearDoubt(now, note); changed {
+		if c, changed := p.registry.ApplyDoubt(now, note); changed {
 			doubted = append(doubted, c)
 			g.Log.Warn("server not used, had left before the store was restored", "server", n.Server, "for_ms", n.For.Milliseconds(), "from", b.From.ID.Name)
 		}
@@ -154,7 +154,7 @@
 	}
 	p := &g.published
 	p.mu.Lock()
-	changed := p.closures.Lift(g.now(), domains, at)
+	changed := p.closures.End(g.now(), domains, at)
 	p.mu.Unlock()
 	if changed {
 		g.Log.Info("evacuations taken back", "domains", domains, "revision", at)
@@ -204,11 +204,11 @@
 	p.mu.Unlock()
 	d.Era = uint64(base)
 	if document == port.DocumentConfig {
-		d.AsOf = catalog.ConfigTold(catalog.State(d.AsOf), base)
+		d.AsOf = catalog.ConfigToWire(catalog.State(d.AsOf), base)
 		return
 	}
-	d.AsOf = catalog.ListTold(catalog.State(d.AsOf), base)
-	eachEntry(d, func(s *catalog.Server) { s.Revision = catalog.Revision(s.Revision.Told(base)) })
+	d.AsOf = catalog.ListToWire(catalog.State(d.AsOf), base)
+	eachEntry(d, func(s *catalog.Server) { s.Revision = catalog.Revision(s.Revision.ToWire(base)) })
 }
 
 // hearPublished turns the numbers of a document that another box gave into revisions.
@@ -217,11 +217,11 @@
 	base := p.heardBase(d.Era)
 	p.mu.Unlock()
 	if document == port.DocumentConfig {
-		d.AsOf = uint64(catalog.ConfigHeard(d.AsOf, base))
+		d.AsOf = uint64(catalog.ConfigFromWire(d.AsOf, base))
 		return
 	}
-	d.AsOf = uint64(catalog.ListHeard(d.AsOf, base))
-	eachEntry(d, func(s *catalog.Server) { s.Revision = catalog.RevisionTold(uint64(s.Revision), base) })
+	d.AsOf = uint64(catalog.ListFromWire(d.AsOf, base))
+	eachEntry(d, func(s *catalog.Server) { s.Revision = catalog.RevisionFromWire(uint64(s.Revision), base) })
 }
 
 func eachEntry(d *port.Published, do func(s *catalog.Server)) {
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -24,7 +24,7 @@
 	held     *catalog.Catalog
 	list     *catalog.List    // of servers, as the platform has it
 	registry catalog.Registry // what this box believes of them
-	closures catalog.Closures
+	closures catalog.Evacuations
 	eras     eras
 	known    bool // a list of servers was seen
 	given    given
@@ -80,7 +80,7 @@
 func (p *published) say(now time.Time, b *core.Beat) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	b.Config, b.List = p.catalogs.Say(now), p.lists.Say(now)
+	b.Config, b.List = p.catalogs.Statement(now), p.lists.Statement(now)
 	p.tellEra(now, b)
 }
 
@@ -90,8 +90,8 @@
 	defer p.mu.Unlock()
 	now, held := p.gateway.now(), p.heldRevision(port.DocumentServers)
 	p.hearEra(&b)
-	p.catalogs.Hear(now, b.From.ID.Name, b.Config, askedAt)
-	p.lists.Hear(now, b.From.ID.Name, b.List, askedAt)
+	p.catalogs.HandleStatement(now, b.From.ID.Name, b.Config, askedAt)
+	p.lists.HandleStatement(now, b.From.ID.Name, b.List, askedAt)
 	p.confirmList(now)
 	revision := p.heldRevision(port.DocumentServers)
 	p.gateway.noteRise(p.takeEra(revision.Era()), held, revision, b.From.ID.Name)
@@ -99,7 +99,7 @@
 		p.registry.Settle(now, catalog.ListRevision(catalog.State(b.List.Version)).Era())
 	}
 	if u := b.Unanswered; u != nil {
-		p.feed(u.Document).HearUnanswered(now, b.From.ID.Name, int(u.Round))
+		p.feed(u.Document).HandleUnanswered(now, b.From.ID.Name, int(u.Round))
 	}
 	config, _ := p.catalogs.Behind()
 	list, _ := p.lists.Behind()
@@ -117,8 +117,8 @@
 func (p *published) woke(now, since time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.catalogs.Woke(now, since)
-	p.lists.Woke(now, since)
+	p.catalogs.NotePause(now, since)
+	p.lists.NotePause(now, since)
 	p.registry.EndGrace(now)
 }
 
@@ -133,7 +133,7 @@
 func (p *published) sayCatalog(now time.Time) core.Statement {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.catalogs.Say(now)
+	return p.catalogs.Statement(now)
 }
 
 // heldCatalog is the configuration in force, nil for none.
@@ -169,13 +169,13 @@
 	}
 	digest := c.Digest()
 	behindSince, _ := p.catalogs.Behind()
-	held, revision := p.catalogs.Say(now), catalog.ConfigRevision(asOf)
+	held, revision := p.catalogs.Statement(now), catalog.ConfigRevision(asOf)
 	heldRevision := catalog.ConfigRevision(catalog.State(held.Version))
 	changed := false
 	if readAt.IsZero() {
-		changed = p.catalogs.Pulled(now, asOf, digest, c.Version)
+		changed = p.catalogs.ApplyPull(now, asOf, digest, c.Version)
 	} else {
-		changed = p.catalogs.Read(readAt, asOf, digest, c.Version)
+		changed = p.catalogs.ApplyRead(readAt, asOf, digest, c.Version)
 	}
 	rise := p.takeEra(revision.Era())
 	if !changed {
@@ -190,8 +190,8 @@
 		raw = g.encode(c)
 	}
 	p.held = c
-	evacuations := p.closures.Take(now, c.Evacuated, revision, heldRevision.Era())
-	kept := p.closures.Kept()
+	evacuations := p.closures.ApplyConfig(now, c.Evacuated, revision, heldRevision.Era())
+	kept := p.closures.Unlisted()
 	p.given.hold(digest, raw)
 	g.index.Store(catalog.NewIndex(c))
 	p.mu.Unlock()
--- a/src/gateway/starting.go
+++ b/src/gateway/starting.go
@@ -53,7 +53,7 @@
 	line := []any{"server", s.ID, "pool", s.Pool, "what", what, "choice_ms", now.Sub(chosen).Milliseconds()}
 	p := &g.published
 	p.mu.Lock()
-	d, ok := p.registry.Left(s.ID)
+	d, ok := p.registry.DepartureOf(s.ID)
 	p.mu.Unlock()
 	if ok {
 		line = append(line, "draining", d.Draining, "left_ms", now.Sub(d.At).Milliseconds(), "left_revision", d.Revision)
@@ -70,7 +70,7 @@
 	if len(t.Doubted) > 0 {
 		g.Log.Warn("servers that had left are listed again by a restored store", "servers", len(t.Doubted), "names", firstOf(t.Doubted), "revision", revision, "from", from)
 	}
-	for i, b := range t.Back {
+	for i, b := range t.Returned {
 		if i < serverLines {
 			g.Log.Info("server that had left is back", "server", b.Server.ID, "was_draining", b.Left.Draining, "left_ms", now.Sub(b.Left.At).Milliseconds(),
 				"left_revision", b.Left.Revision, "left_incarnation", b.Left.Incarnation, "incarnation", b.Server.Incarnation, "revision", revision, "from", from)
--- a/src/gateway/suspects.go
+++ b/src/gateway/suspects.go
@@ -53,7 +53,7 @@
 		lapsed[id] = true
 	}
 	for _, id := range change.Gone {
-		if s := change.Before[id]; !lapsed[id] && s.Works() && !g.leaves(*s) {
+		if s := change.Before[id]; !lapsed[id] && s.AcceptsWork() && !g.leaves(*s) {
 			g.suspects.RecordCrash(lifeOf(*s), suspects.Listed)
 		}
 	}
@@ -70,7 +70,7 @@
 	p := &g.published
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	d, ok := p.registry.Left(s.ID)
+	d, ok := p.registry.DepartureOf(s.ID)
 	return ok && d.Incarnation == s.Incarnation
 }
 
--- a/src/metrics/metrics.go
+++ b/src/metrics/metrics.go
@@ -60,9 +60,9 @@
 }
 
 // Watcher gives the hooks through which a box fills the set.
-func (s *Set) Watcher() box.Watcher {
-	return box.Watcher{
-		Ended: func(p *config.Pipeline, err *code.Error, took, firstOut time.Duration) {
+func (s *Set) Watcher() box.Observer {
+	return box.Observer{
+		RequestEnded: func(p *config.Pipeline, err *code.Error, took, firstOut time.Duration) {
 			name := code.OK.String()
 			if err != nil {
 				name = err.Code.String()
@@ -73,13 +73,13 @@
 				s.first.WithLabelValues(p.Name()).Observe(firstOut.Seconds())
 			}
 		},
-		Settled: func(pool string, f core.Failure, took time.Duration) {
+		CallEnded: func(pool string, f core.Failure, took time.Duration) {
 			s.calls.WithLabelValues(pool, f.String()).Inc()
 			s.served.WithLabelValues(pool).Observe(took.Seconds())
 		},
-		Waited: func(pool string, d time.Duration) { s.waited.WithLabelValues(pool).Observe(d.Seconds()) },
-		Stale:  func(n int) { s.stale.Add(float64(n)) },
-		Platform: func(document string, ok bool) {
+		Waited:       func(pool string, d time.Duration) { s.waited.WithLabelValues(pool).Observe(d.Seconds()) },
+		StaleReplies: func(n int) { s.stale.Add(float64(n)) },
+		PlatformRead: func(document string, ok bool) {
 			word := "false"
 			if ok {
 				word = "true"
