--- a/src/gateway/fleet_test.go
+++ b/src/gateway/fleet_test.go
@@ -60,7 +60,7 @@
 	alterBeat  func(to string, b *core.Beat)                                 // modifies a heartbeat in transit; nil: none
 	alterBatch func(from string, m *batch.Message)                           // modifies a batch message in transit; nil: none
 	callPieces func(ctx context.Context, box string, c PieceCall) PieceReply // replaces runPieces where replies carry more than results; nil: runPieces
-	freePieces func(box string, s catalog.Server) pushback.Signals              // nil: an empty answer
+	freePieces func(box string, s catalog.Server) pushback.Signals           // nil: an empty answer
 
 	send  func(ctx context.Context, box string, c *Call) (*Reply, error)
 	probe func(address string) error // opens a connection to a server; nil: always succeeds
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -37,9 +37,9 @@
 	remade     bool
 	maybeRan   bool
 	said       pushback.Signals // by the server of the attempt that is at work
-	turnedAway []string      // servers that asked for rest in place of taking this request
-	withheld   bool          // from a server that asked for rest since it was chosen, or had no permit left
-	asked      int           // times that it found no permit, or waited for one, at servers with limits
+	turnedAway []string         // servers that asked for rest in place of taking this request
+	withheld   bool             // from a server that asked for rest since it was chosen, or had no permit left
+	asked      int              // times that it found no permit, or waited for one, at servers with limits
 
 	// of a stream that has begun
 	begun     bool
