--- a/src/core/recovery.go
+++ b/src/core/recovery.go
@@ -53,11 +53,11 @@
 	if r.finished {
 		return []Action{r.settle(now, a, e.Failure, Use{}, true)}
 	}
-	return r.lost(now, a, e.Failure)
+	return r.handleAttemptFailure(now, a, e.Failure)
 }
 
-// lost decides what follows a failed attempt: resume, another attempt, or the end.
-func (r *Request) lost(now time.Time, a *liveAttempt, f Failure) []Action {
+// handleAttemptFailure decides what follows a failed attempt: resume, another attempt, or the end.
+func (r *Request) handleAttemptFailure(now time.Time, a *liveAttempt, f Failure) []Action {
 	s := r.current()
 	if f == Broken && s.Kind() == config.Generate && len(r.output) > 0 && !a.resumed {
 		a.resumed = true
--- a/src/core/request.go
+++ b/src/core/request.go
@@ -272,7 +272,7 @@
 		return nil
 	}
 	if e.Offset > len(r.output) {
-		return r.lost(now, a, Broken) // tokens are missing: ask for them again from where we are
+		return r.handleAttemptFailure(now, a, Broken) // tokens are missing: ask for them again from where we are
 	}
 	have := len(r.output) - e.Offset
 	if have >= len(e.Data) {
@@ -304,7 +304,7 @@
 		return r.lateOnce(now, a, e)
 	}
 	if e.Stream && e.Length != len(r.output) {
-		return r.lost(now, a, Broken)
+		return r.handleAttemptFailure(now, a, Broken)
 	}
 	if !e.Stream {
 		r.output = e.Output
