--- a/src/core/recovery.go
+++ b/src/core/recovery.go
@@ -64,7 +64,7 @@
 		return []Action{Send{Attempt: a.id, Pool: s.Pool(), Server: a.server, Input: r.input, Offset: len(r.output), Continue: r.output, Resume: true}}
 	}
 	if f == NotSent || f == Busy || f == Leaving {
-		r.maybe--
+		r.unconfirmed--
 	}
 	out := []Action{r.settle(now, a, f, Use{}, true)}
 	if f == TimedOut && !s.Once() {
--- a/src/core/request.go
+++ b/src/core/request.go
@@ -43,7 +43,7 @@
 	failed   []string
 	pause    time.Duration
 	emitted  int
-	maybe    int  // calls sent of which it is not known that they ran nothing
+	unconfirmed    int  // calls sent of which it is not known that they ran nothing
 	ran      bool // a call was answered, so something ran
 	onceSent bool // a call that may not be repeated was sent
 	onceDone bool // and answered
@@ -190,7 +190,7 @@
 		Prefix:       PrefixBlocks(r.workspace.Name(), r.input),
 		Retry:        id.N > 0 && !hedge,
 		Hedge:        hedge,
-		Started:      r.ran || r.maybe > 0,
+		Started:      r.ran || r.unconfirmed > 0,
 	}}
 }
 
@@ -224,7 +224,7 @@
 	a.trace = len(r.trace)
 	s := r.current()
 	r.trace = append(r.trace, Placement{Stage: s.Name(), N: a.id.N, Server: e.Server, Waited: e.Waited, Outcome: "running", Candidates: e.Trace})
-	r.maybe++
+	r.unconfirmed++
 	if s.Once() {
 		r.onceSent = true // marked as spent before the first byte goes out
 	}
@@ -254,7 +254,7 @@
 	if a.hedge {
 		return r.again(now) // the attempt it was to help has failed meanwhile
 	}
-	if r.pipeline.MustFinish() && (r.ran || r.maybe > 0) && e.Err.Code != code.NowhereToRun {
+	if r.pipeline.MustFinish() && (r.ran || r.unconfirmed > 0) && e.Err.Code != code.NowhereToRun {
 		return r.pauseThenRetry()
 	}
 	return r.finish(now, e.Err)
@@ -374,7 +374,7 @@
 	if err == nil {
 		return append(out, Finish{})
 	}
-	if err.Code == code.CannotFinish && (r.ran || r.maybe > 0) {
+	if err.Code == code.CannotFinish && (r.ran || r.unconfirmed > 0) {
 		err = code.New(code.DeadlinePassed, err.Field, "%s", err.Message).After(err.RetryAfter)
 	}
 	return append(out, Finish{Err: err.WithRan(r.didRun(err))})
@@ -387,7 +387,7 @@
 		return code.RanUnknown
 	case r.ran:
 		return code.RanYes
-	case r.maybe > 0:
+	case r.unconfirmed > 0:
 		return code.RanUnknown
 	}
 	return code.RanNo
