--- a/src/core/recovery.go
+++ b/src/core/recovery.go
@@ -80,7 +80,7 @@
 	if len(r.live) > 0 {
 		return out
 	}
-	return append(out, r.again(now)...)
+	return append(out, r.retry(now)...)
 }
 
 // onceLost decides after a failed call that may not be repeated: only one that never left may go again.
@@ -90,7 +90,7 @@
 	case NotSent:
 		r.onceSent = false
 		r.failed = append(r.failed, a.server)
-		return r.again(now)
+		return r.retry(now)
 	case Wrong:
 		return r.finish(now, code.New(code.BackendRefused, "", "stage %s was refused as wrong", s.Name()))
 	case Busy, Leaving:
@@ -101,8 +101,8 @@
 	return r.finish(now, code.New(code.OutcomeUnknown, "", "stage %s: the call was sent and its outcome is not known (%s)", s.Name(), f))
 }
 
-// again asks for another attempt while attempts and time are left: a few at once, then with pauses.
-func (r *Request) again(now time.Time) []Action {
+// retry asks for another attempt while attempts and time are left: a few at once, then with pauses.
+func (r *Request) retry(now time.Time) []Action {
 	must := r.pipeline.MustFinish()
 	if !must && !now.Before(r.deadline) {
 		return r.finish(now, code.New(code.DeadlinePassed, "", "no time is left for another attempt"))
--- a/src/core/request.go
+++ b/src/core/request.go
@@ -252,7 +252,7 @@
 		return nil
 	}
 	if a.hedge {
-		return r.again(now) // the attempt it was to help has failed meanwhile
+		return r.retry(now) // the attempt it was to help has failed meanwhile
 	}
 	if r.pipeline.MustFinish() && (r.ran || r.unconfirmed > 0) && e.Err.Code != code.NowhereToRun {
 		return r.pauseThenRetry()
