--- a/src/core/recovery.go
+++ b/src/core/recovery.go
@@ -71,7 +71,7 @@
 		out = append([]Action{Stop{Attempt: a.id, Pool: s.Pool(), Server: a.server}}, out...)
 	}
 	if s.Once() {
-		return append(out, r.onceLost(now, a, f)...)
+		return append(out, r.handleOnceFailure(now, a, f)...)
 	}
 	if f == Wrong {
 		return append(out, r.finish(now, code.New(code.BackendRefused, "", "stage %s was refused as wrong", s.Name()))...)
@@ -83,8 +83,8 @@
 	return append(out, r.retry(now)...)
 }
 
-// onceLost decides after a failed call that may not be repeated: only one that never left may go again.
-func (r *Request) onceLost(now time.Time, a *liveAttempt, f Failure) []Action {
+// handleOnceFailure decides after a failed call that may not be repeated: only one that never left may go again.
+func (r *Request) handleOnceFailure(now time.Time, a *liveAttempt, f Failure) []Action {
 	s := r.current()
 	switch f {
 	case NotSent:
