--- a/src/core/request.go
+++ b/src/core/request.go
@@ -301,7 +301,7 @@
 	}
 	r.ran = true
 	if r.finished {
-		return r.lateOnce(now, a, e)
+		return r.handleLateOnceDone(now, a, e)
 	}
 	if e.Stream && e.Length != len(r.output) {
 		return r.handleAttemptFailure(now, a, Broken)
@@ -332,8 +332,8 @@
 	return append(out, r.beginStage(now)...)
 }
 
-// lateOnce takes the answer of a once-call whose request was already answered "outcome unknown".
-func (r *Request) lateOnce(now time.Time, a *liveAttempt, e Done) []Action {
+// handleLateOnceDone takes the answer of a once-call whose request was already answered "outcome unknown".
+func (r *Request) handleLateOnceDone(now time.Time, a *liveAttempt, e Done) []Action {
 	out := []Action{r.settle(now, a, 0, e.Use, true)}
 	if r.onceSent && !r.onceDone {
 		r.onceDone = true
