--- a/src/core/place.go
+++ b/src/core/place.go
@@ -34,7 +34,7 @@
 	if why := s.ready(now, c); why != "" {
 		return why
 	}
-	if v := p.words.Judge(now, pushback.Server{ID: s.cfg.Name()}); !v.Open() {
+	if v := p.pushback.Judge(now, pushback.Server{ID: s.cfg.Name()}); !v.Open() {
 		return "asked for rest"
 	}
 	if s.rest > 0 && c.once() && !c.probe {
--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -32,7 +32,7 @@
 	Placement   Placer // how a server is picked
 	NoAdmission bool   // baseline: first come first served, nothing refused, no windows
 
-	words   pushback.Register // what servers said when they turned calls away
+	pushback   pushback.Register // what servers said when they turned calls away
 	servers map[string]*server
 	order   []*server
 	lanes   map[laneKey]*lane
@@ -356,7 +356,7 @@
 // AsksRest takes for how long a server wants nothing from this box, as it said when it turned a call away.
 func (p *Pool) AsksRest(now time.Time, name string, length time.Duration) {
 	if s := p.servers[name]; s != nil && length > 0 {
-		p.words.HearRest(now, name, length)
+		p.pushback.HearRest(now, name, length)
 		s.asked = true
 		s.stale()
 	}
@@ -364,7 +364,7 @@
 
 // dispatch books a call at a server.
 func (p *Pool) dispatch(now time.Time, c *Call, s *server) {
-	p.words.Begin(now, pushback.Server{ID: s.cfg.Name()}, "")
+	p.pushback.Begin(now, pushback.Server{ID: s.cfg.Name()}, "")
 	w := s.expect(now, c, p.ratio(c))
 	s.mine[c.Attempt] = running{
 		sent: now, expect: w.total(), tokens: w.tokens, prefill: w.prefill, guessed: w.guessed, prefix: c.Prefix,
@@ -404,13 +404,13 @@
 		}
 		s.succeeded()
 		s.learn(now, r, u)
-		p.words.Answered(now, name)
-		s.asked = p.words.Remembers(name)
+		p.pushback.Answered(now, name)
+		s.asked = p.pushback.Remembers(name)
 	case Leaving:
 		s.answeredLeaving(now)
 	case Busy:
 		s.window = max(s.share(), windowCut*s.window)
-		if p.words.Judge(now, pushback.Server{ID: name}).State != pushback.Resting { // its own time counts in place of our guess
+		if p.pushback.Judge(now, pushback.Server{ID: name}).State != pushback.Resting { // its own time counts in place of our guess
 			s.failed(now)
 		}
 	case Wrong:
