--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -278,7 +278,7 @@
 		if c == nil {
 			break
 		}
-		if err := p.hopeless(now, c); err != nil {
+		if err := p.deadlineError(now, c); err != nil {
 			p.remove(c)
 			p.stats.Dropped++
 			drops = append(drops, Drop{Call: c, Err: err})
@@ -336,8 +336,8 @@
 	return float64(c.slack(now, seconds(c.cost))) < urgentSlack*float64(had)
 }
 
-// hopeless says why a call can't finish in time wherever it went; accepted must-finish work never is.
-func (p *Pool) hopeless(now time.Time, c *Call) *code.Error {
+// deadlineError says why a call can't finish in time wherever it went; accepted must-finish work never is.
+func (p *Pool) deadlineError(now time.Time, c *Call) *code.Error {
 	if p.NoAdmission || c.Pipeline.MustFinish() || c.once() && c.Started {
 		return nil
 	}
