--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -147,7 +147,7 @@
 	}
 	if len(p.waiting) >= p.Room && !c.Started {
 		p.stats.Dropped++
-		return code.New(code.QueueFull, "", "pool %s has %d calls waiting", p.Name, len(p.waiting)).After(p.comeBack(now))
+		return code.New(code.QueueFull, "", "pool %s has %d calls waiting", p.Name, len(p.waiting)).After(p.retryAfter(now))
 	}
 	if len(p.eligible(c)) == 0 {
 		return code.New(code.NowhereToRun, "", "pool %s has no backend server inside the boundary", p.Name)
@@ -344,11 +344,11 @@
 	if c.slack(now, seconds(hopelessPart*c.cost)) >= 0 {
 		return nil
 	}
-	return code.New(code.CannotFinish, "", "stage %s could no longer finish by the deadline", c.Stage.Name()).After(p.comeBack(now))
+	return code.New(code.CannotFinish, "", "stage %s could no longer finish by the deadline", c.Stage.Name()).After(p.retryAfter(now))
 }
 
-// comeBack is when what waits now should have gone.
-func (p *Pool) comeBack(now time.Time) time.Duration {
+// retryAfter is when what waits now should have gone.
+func (p *Pool) retryAfter(now time.Time) time.Duration {
 	wait := seconds((p.backlog[config.Prompt].sum + p.backlog[config.MayWait].sum) / max(1, p.capacity(now)))
 	return min(max(wait, 100*time.Millisecond), 30*time.Second)
 }
