--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -309,11 +309,11 @@
 			}
 		}
 	}
-	return p.between(now, best[config.Prompt], best[config.MayWait])
+	return p.pickClass(now, best[config.Prompt], best[config.MayWait])
 }
 
-// between chooses among the classes' heads: urgent may-wait work, then prompt work, then the rest.
-func (p *Pool) between(now time.Time, prompt, may *Call) *Call {
+// pickClass chooses among the classes' heads: urgent may-wait work, then prompt work, then the rest.
+func (p *Pool) pickClass(now time.Time, prompt, may *Call) *Call {
 	switch {
 	case prompt == nil:
 		return may
