--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -274,7 +274,7 @@
 	var drops []Drop
 	p.round++
 	for len(p.waiting) > 0 {
-		c := p.head(now)
+		c := p.nextCall(now)
 		if c == nil {
 			break
 		}
@@ -296,8 +296,8 @@
 	return grants, drops
 }
 
-// head picks the call that is next in order over the lanes that are not blocked.
-func (p *Pool) head(now time.Time) *Call {
+// nextCall picks the call that is next in order over the lanes that are not blocked.
+func (p *Pool) nextCall(now time.Time) *Call {
 	var best [config.Classes]*Call
 	for _, l := range p.laneSeq {
 		if l.blocked == p.round {
