--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -117,7 +117,7 @@
 	for name, s := range p.servers {
 		if next[name] == nil {
 			p.prefix.forget(s)
-			p.busy -= len(s.mine)
+			p.busy -= len(s.inFlight)
 		}
 	}
 	p.servers = next
@@ -366,7 +366,7 @@
 func (p *Pool) dispatch(now time.Time, c *Call, s *server) {
 	p.pushback.Begin(now, pushback.Server{ID: s.cfg.Name()}, "")
 	w := s.expect(now, c, p.ratio(c))
-	s.mine[c.Attempt] = running{
+	s.inFlight[c.Attempt] = running{
 		sent: now, expect: w.total(), tokens: w.tokens, prefill: w.prefill, guessed: w.guessed, prefix: c.Prefix,
 	}
 	for _, h := range c.Prefix {
@@ -389,11 +389,11 @@
 	if s == nil {
 		return false
 	}
-	r, ok := s.mine[id]
+	r, ok := s.inFlight[id]
 	if !ok {
 		return false
 	}
-	delete(s.mine, id)
+	delete(s.inFlight, id)
 	p.busy--
 	s.probing = false
 	s.stale()
@@ -427,8 +427,8 @@
 	if s == nil {
 		return
 	}
-	if _, ok := s.mine[id]; ok {
-		delete(s.mine, id)
+	if _, ok := s.inFlight[id]; ok {
+		delete(s.inFlight, id)
 		p.busy--
 		s.stale()
 		s.probing = false
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -61,7 +61,7 @@
 type server struct {
 	cfg   *config.BackendServer
 	hash  uint64
-	mine  map[Attempt]running
+	inFlight  map[Attempt]running
 	peers map[string]peerLoad
 	users int // boxes that use this server
 
@@ -110,7 +110,7 @@
 
 func newServer(cfg *config.BackendServer, t *typical) *server {
 	return &server{
-		cfg: cfg, hash: xxhash.Sum64String(cfg.Name()), mine: map[Attempt]running{}, peers: map[string]peerLoad{}, users: 1,
+		cfg: cfg, hash: xxhash.Sum64String(cfg.Name()), inFlight: map[Attempt]running{}, peers: map[string]peerLoad{}, users: 1,
 		run: defaultRun.Seconds(), token: defaultTokenTime.Seconds(), prefill: defaultPrefill.Seconds(),
 		blocks: list.New(), trust: 1, typical: t,
 	}
@@ -159,7 +159,7 @@
 // it competes by deadline with the calls of all boxes, which no box knows as freshly, and it keeps
 // the server busy between reports.
 func (s *server) opens(class config.Class) bool {
-	next, slots := float64(len(s.mine)+1), float64(s.slots())
+	next, slots := float64(len(s.inFlight)+1), float64(s.slots())
 	if class == config.MayWait {
 		return next <= s.share() || next <= max(1, s.window) && s.rates.free >= 1+mayWaitRoom*slots
 	}
@@ -174,7 +174,7 @@
 		s.window = max(floor, windowCut*s.window)
 		return
 	}
-	if len(s.mine)+s.countOthers(now) < s.slots() {
+	if len(s.inFlight)+s.countOthers(now) < s.slots() {
 		s.window = min(float64(s.slots()), max(floor, s.window)+max(1, floor/2))
 	}
 }
@@ -187,7 +187,7 @@
 	reborn := r.Incarnation > s.report.Incarnation && !s.reportAt.IsZero()
 	s.report = r
 	s.reportAt = now
-	s.mineAtReport = len(s.mine)
+	s.mineAtReport = len(s.inFlight)
 	s.stale()
 	s.hearLeaving(now, r.Leaving, reborn)
 	s.adapt(now)
@@ -301,7 +301,7 @@
 		return
 	}
 	slots := float64(s.slots())
-	load := float64(len(s.mine) + s.countOthers(now))
+	load := float64(len(s.inFlight) + s.countOthers(now))
 	r := rates{tick: tick, free: slots - load, penalty: 1 + 2*s.failShare, usable: !s.leaving() && s.rest == 0 && !s.asked}
 	r.token = s.now(now, s.token, s.typical.token) * (1 + loadSlope*min(1, load/slots))
 	r.run = s.now(now, s.run, s.typical.run)
@@ -339,7 +339,7 @@
 // answers nothing, so silence itself has to count.
 func (s *server) overrun(now time.Time) float64 {
 	worst := 0.0
-	for _, r := range s.mine {
+	for _, r := range s.inFlight {
 		worst = max(worst, (now.Sub(r.sent) - 2*r.expect).Seconds())
 	}
 	return worst
@@ -372,7 +372,7 @@
 	if u.GeneratedTokens == 0 {
 		return
 	}
-	full := min(1, float64(len(s.mine)+s.countOthers(now))/float64(s.slots()))
+	full := min(1, float64(len(s.inFlight)+s.countOthers(now))/float64(s.slots()))
 	gen := took - s.prefill*float64(u.ComputedTokens)
 	if gen > 0 {
 		token := gen / float64(u.GeneratedTokens) / (1 + loadSlope*full)
