--- a/src/core/place.go
+++ b/src/core/place.go
@@ -37,7 +37,7 @@
 	if v := p.pushback.Judge(now, pushback.Server{ID: s.cfg.Name()}); !v.Open() {
 		return "asked for rest"
 	}
-	if s.rest > 0 && c.once() && !c.probe {
+	if s.backoff > 0 && c.once() && !c.probe {
 		return "not tried with a call that may not be repeated"
 	}
 	if c.avoids(s) {
--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -377,7 +377,7 @@
 		p.pace.add(now, c.cost)
 	}
 	s.stale()
-	if s.rest > 0 {
+	if s.backoff > 0 {
 		s.probing = true
 	}
 	p.virtual = max(p.virtual, p.tags[c.Workspace.Name()]-c.cost/c.Workspace.Weight()/max(1, float64(p.slots)))
--- a/src/core/poolpace.go
+++ b/src/core/poolpace.go
@@ -33,7 +33,7 @@
 	}
 	p.room, p.roomAt = 0, now
 	for _, s := range p.order {
-		if !s.leaving() && s.rest == 0 {
+		if !s.leaving() && s.backoff == 0 {
 			p.room += max(s.share(), s.window)
 		}
 	}
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -75,7 +75,7 @@
 
 	failShare float64
 	inARow    int
-	rest      time.Duration
+	backoff      time.Duration
 	restUntil time.Time
 	asked     bool // it asked for rest and has not returned from it; Pool.words knows how far
 	probing   bool
@@ -211,7 +211,7 @@
 // resting says whether the server failed lately and is left alone; after the rest one call at a
 // time tries it.
 func (s *server) resting(now time.Time) bool {
-	if s.rest == 0 {
+	if s.backoff == 0 {
 		return false
 	}
 	return now.Before(s.restUntil) || s.probing
@@ -220,7 +220,7 @@
 func (s *server) succeeded() {
 	s.failShare = mix(s.failShare, 0, failRate)
 	s.inARow = 0
-	s.rest = 0
+	s.backoff = 0
 	s.probing = false
 }
 
@@ -229,8 +229,8 @@
 	s.inARow++
 	s.probing = false
 	if s.inARow >= failuresToRest {
-		s.rest = min(max(2*s.rest, restFirst), restLongest)
-		s.restUntil = now.Add(s.rest)
+		s.backoff = min(max(2*s.backoff, restFirst), restLongest)
+		s.restUntil = now.Add(s.backoff)
 	}
 }
 
@@ -302,7 +302,7 @@
 	}
 	slots := float64(s.slots())
 	load := float64(len(s.inFlight) + s.countOthers(now))
-	r := rates{tick: tick, free: slots - load, penalty: 1 + 2*s.failShare, usable: !s.leaving() && s.rest == 0 && !s.asked}
+	r := rates{tick: tick, free: slots - load, penalty: 1 + 2*s.failShare, usable: !s.leaving() && s.backoff == 0 && !s.asked}
 	r.token = s.now(now, s.token, s.typical.token) * (1 + loadSlope*min(1, load/slots))
 	r.run = s.now(now, s.run, s.typical.run)
 	r.queue = max(0, load+1-slots) / slots
