--- a/src/core/server.go
+++ b/src/core/server.go
@@ -76,7 +76,7 @@
 	failShare float64
 	inARow    int
 	backoff      time.Duration
-	restUntil time.Time
+	backoffUntil time.Time
 	asked     bool // it asked for rest and has not returned from it; Pool.words knows how far
 	probing   bool
 
@@ -214,7 +214,7 @@
 	if s.backoff == 0 {
 		return false
 	}
-	return now.Before(s.restUntil) || s.probing
+	return now.Before(s.backoffUntil) || s.probing
 }
 
 func (s *server) succeeded() {
@@ -230,7 +230,7 @@
 	s.probing = false
 	if s.inARow >= failuresToRest {
 		s.backoff = min(max(2*s.backoff, restFirst), restLongest)
-		s.restUntil = now.Add(s.backoff)
+		s.backoffUntil = now.Add(s.backoff)
 	}
 }
 
