--- a/src/core/server.go
+++ b/src/core/server.go
@@ -74,7 +74,7 @@
 	window float64 // calls this box may have here, borrowed ones included
 
 	failShare float64
-	inARow    int
+	consecutiveFailures    int
 	backoff      time.Duration
 	backoffUntil time.Time
 	asked     bool // it asked for rest and has not returned from it; Pool.words knows how far
@@ -219,16 +219,16 @@
 
 func (s *server) succeeded() {
 	s.failShare = mix(s.failShare, 0, failRate)
-	s.inARow = 0
+	s.consecutiveFailures = 0
 	s.backoff = 0
 	s.probing = false
 }
 
 func (s *server) failed(now time.Time) {
 	s.failShare = mix(s.failShare, 1, failRate)
-	s.inARow++
+	s.consecutiveFailures++
 	s.probing = false
-	if s.inARow >= failuresToRest {
+	if s.consecutiveFailures >= failuresToRest {
 		s.backoff = min(max(2*s.backoff, restFirst), restLongest)
 		s.backoffUntil = now.Add(s.backoff)
 	}
