--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -357,7 +357,7 @@
 func (p *Pool) AsksRest(now time.Time, name string, length time.Duration) {
 	if s := p.servers[name]; s != nil && length > 0 {
 		p.pushback.HearRest(now, name, length)
-		s.asked = true
+		s.askedRest = true
 		s.stale()
 	}
 }
@@ -405,7 +405,7 @@
 		s.succeeded()
 		s.learn(now, r, u)
 		p.pushback.Answered(now, name)
-		s.asked = p.pushback.Remembers(name)
+		s.askedRest = p.pushback.Remembers(name)
 	case Leaving:
 		s.answeredLeaving(now)
 	case Busy:
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -77,7 +77,7 @@
 	consecutiveFailures    int
 	backoff      time.Duration
 	backoffUntil time.Time
-	asked     bool // it asked for rest and has not returned from it; Pool.words knows how far
+	askedRest     bool // it asked for rest and has not returned from it; Pool.words knows how far
 	probing   bool
 
 	saysLeaving  bool
@@ -302,7 +302,7 @@
 	}
 	slots := float64(s.slots())
 	load := float64(len(s.inFlight) + s.countOthers(now))
-	r := rates{tick: tick, free: slots - load, penalty: 1 + 2*s.failShare, usable: !s.leaving() && s.backoff == 0 && !s.asked}
+	r := rates{tick: tick, free: slots - load, penalty: 1 + 2*s.failShare, usable: !s.leaving() && s.backoff == 0 && !s.askedRest}
 	r.token = s.now(now, s.token, s.typical.token) * (1 + loadSlope*min(1, load/slots))
 	r.run = s.now(now, s.run, s.typical.run)
 	r.queue = max(0, load+1-slots) / slots
