--- a/src/core/place.go
+++ b/src/core/place.go
@@ -176,7 +176,7 @@
 		if c.MaxTokens > 0 {
 			left := prompt
 			if s.markedFor == c.mark {
-				left = max(0, prompt-float64(s.marked*BlockBytes/bytesPerToken)*s.trust)
+				left = max(0, prompt-float64(s.marked*BlockBytes/bytesPerToken)*s.cacheAccuracy)
 			}
 			run = s.prefill*left + r.token*tokens
 		}
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -91,7 +91,7 @@
 
 	blocks    *list.List // prefix blocks its cache probably holds, newest first
 	lastEvent uint64     // number of the last cache event taken
-	trust     float64    // how often guesses about its cache came true
+	cacheAccuracy     float64    // how often guesses about its cache came true
 	markedFor uint64     // call for which marked was set
 	marked    int        // leading blocks of that call it probably holds
 
@@ -112,7 +112,7 @@
 	return &server{
 		cfg: cfg, hash: xxhash.Sum64String(cfg.Name()), inFlight: map[Attempt]running{}, peers: map[string]peerLoad{}, users: 1,
 		run: defaultRun.Seconds(), token: defaultTokenTime.Seconds(), prefill: defaultPrefill.Seconds(),
-		blocks: list.New(), trust: 1, typical: t,
+		blocks: list.New(), cacheAccuracy: 1, typical: t,
 	}
 }
 
@@ -325,7 +325,7 @@
 		if s.markedFor == c.mark {
 			w.guessed = s.marked
 		}
-		cached := int(float64(w.guessed*BlockBytes/bytesPerToken) * s.trust)
+		cached := int(float64(w.guessed*BlockBytes/bytesPerToken) * s.cacheAccuracy)
 		w.prefill = max(0, c.PromptTokens-cached)
 		w.tokens = max(1, int(float64(c.MaxTokens)*ratio))
 		w.run = s.prefill*float64(w.prefill) + s.rates.token*float64(w.tokens)
@@ -367,7 +367,7 @@
 		return
 	}
 	if guessed := r.guessed * BlockBytes / bytesPerToken; guessed > 0 {
-		s.trust = mix(s.trust, min(1, float64(u.CachedTokens)/float64(guessed)), learnRate)
+		s.cacheAccuracy = mix(s.cacheAccuracy, min(1, float64(u.CachedTokens)/float64(guessed)), learnRate)
 	}
 	if u.GeneratedTokens == 0 {
 		return
