--- a/src/core/server.go
+++ b/src/core/server.go
@@ -151,14 +151,14 @@
 	return max(heard, s.report.Running+s.report.Waiting-s.mineAtReport)
 }
 
-// opens says whether this box may send one more call: within its share always, beyond it only
+// admits says whether this box may send one more call: within its share always, beyond it only
 // while the server has room that others leave idle and the window has grown that far.
 //
 // May-wait work leaves some room beyond its share: what a box knows of the others is late, and a slot
 // taken by a long call is gone for seconds. Prompt work may also queue at the server, a little: there
 // it competes by deadline with the calls of all boxes, which no box knows as freshly, and it keeps
 // the server busy between reports.
-func (s *server) opens(class config.Class) bool {
+func (s *server) admits(class config.Class) bool {
 	next, slots := float64(len(s.inFlight)+1), float64(s.slots())
 	if class == config.MayWait {
 		return next <= s.share() || next <= max(1, s.window) && s.rates.free >= 1+mayWaitRoom*slots
@@ -312,7 +312,7 @@
 	r.delay += s.overrun(now)
 	s.rates = r
 	for class := range s.rates.open {
-		s.rates.open[class] = s.opens(config.Class(class))
+		s.rates.open[class] = s.admits(config.Class(class))
 	}
 }
 
