--- a/src/core/server.go
+++ b/src/core/server.go
@@ -166,9 +166,9 @@
 	return next <= max(1, s.share()*(1+promptOver)) || next <= s.window*(1+promptOver) && s.rates.free >= 1-promptOver*slots
 }
 
-// adapt moves the borrowed window: up by one a report while there is room, down at once when the
+// adjustWindow moves the borrowed window: up by one a report while there is room, down at once when the
 // server queues. The share is its floor.
-func (s *server) adapt(now time.Time) {
+func (s *server) adjustWindow(now time.Time) {
 	floor := max(1, s.share())
 	if s.report.Waiting > 0 {
 		s.window = max(floor, windowCut*s.window)
@@ -190,7 +190,7 @@
 	s.mineAtReport = len(s.inFlight)
 	s.stale()
 	s.hearLeaving(now, r.Leaving, reborn)
-	s.adapt(now)
+	s.adjustWindow(now)
 	return true
 }
 
