--- a/src/core/poolnews.go
+++ b/src/core/poolnews.go
@@ -12,7 +12,7 @@
 // Report takes a server's load report; it says whether it was news.
 func (p *Pool) Report(now time.Time, name string, r Report) bool {
 	s := p.servers[name]
-	return s != nil && s.take(now, r)
+	return s != nil && s.acceptReport(now, r)
 }
 
 // LastReport is the last report that was taken of a server, the zero report when none was.
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -179,8 +179,8 @@
 	}
 }
 
-// take accepts a report unless it is old news.
-func (s *server) take(now time.Time, r Report) bool {
+// acceptReport accepts a report unless it is old news.
+func (s *server) acceptReport(now time.Time, r Report) bool {
 	if !s.reportAt.IsZero() && !r.newer(s.report) {
 		return false
 	}
