--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -109,7 +109,7 @@
 		}
 		s.cfg = cfg
 		s.sameRegion = cfg.Region() == p.Region
-		s.stale()
+		s.invalidateRates()
 		p.slots += cfg.Slots()
 		next[cfg.Name()] = s
 		p.order = append(p.order, s)
@@ -130,7 +130,7 @@
 func (p *Pool) SetUsers(name string, n int) {
 	if s := p.servers[name]; s != nil {
 		s.users = max(1, n)
-		s.stale()
+		s.invalidateRates()
 	}
 }
 
@@ -358,7 +358,7 @@
 	if s := p.servers[name]; s != nil && length > 0 {
 		p.pushback.HearRest(now, name, length)
 		s.askedRest = true
-		s.stale()
+		s.invalidateRates()
 	}
 }
 
@@ -376,7 +376,7 @@
 	if c.Pipeline.Class() == config.MayWait {
 		p.pace.add(now, c.cost)
 	}
-	s.stale()
+	s.invalidateRates()
 	if s.backoff > 0 {
 		s.probing = true
 	}
@@ -396,7 +396,7 @@
 	delete(s.inFlight, id)
 	p.busy--
 	s.probing = false
-	s.stale()
+	s.invalidateRates()
 	switch f {
 	case 0:
 		if wasted && u == (Use{}) {
@@ -430,7 +430,7 @@
 	if _, ok := s.inFlight[id]; ok {
 		delete(s.inFlight, id)
 		p.busy--
-		s.stale()
+		s.invalidateRates()
 		s.probing = false
 	}
 }
--- a/src/core/poolnews.go
+++ b/src/core/poolnews.go
@@ -27,7 +27,7 @@
 func (p *Pool) ReportFailed(now time.Time, name string) {
 	if s := p.servers[name]; s != nil {
 		s.failed(now)
-		s.stale()
+		s.invalidateRates()
 	}
 }
 
@@ -46,7 +46,7 @@
 func (p *Pool) PeerLoad(now time.Time, box, name string, n int) {
 	if s := p.servers[name]; s != nil {
 		s.peers[box] = peerLoad{n: n, at: now}
-		s.stale()
+		s.invalidateRates()
 	}
 }
 
@@ -54,7 +54,7 @@
 func (p *Pool) ForgetPeer(box string) {
 	for _, s := range p.order {
 		delete(s.peers, box)
-		s.stale()
+		s.invalidateRates()
 	}
 }
 
@@ -70,7 +70,7 @@
 		s.report.Incarnation, s.report.Seq, s.report.Leaving = incarnation, seq, true
 		s.saysLeaving = true
 		s.leavingUntil = now.Add(leavingSticks)
-		s.stale()
+		s.invalidateRates()
 	}
 }
 
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -188,7 +188,7 @@
 	s.report = r
 	s.reportAt = now
 	s.mineAtReport = len(s.inFlight)
-	s.stale()
+	s.invalidateRates()
 	s.hearLeaving(now, r.Leaving, reborn)
 	s.adjustWindow(now)
 	return true
@@ -289,8 +289,8 @@
 	free    float64 // slots beyond those known to be taken; negative when some calls queue
 }
 
-// stale has the rates worked out again before they are next used.
-func (s *server) stale() { s.rates.tick = 0 }
+// invalidateRates has the rates worked out again before they are next used.
+func (s *server) invalidateRates() { s.rates.tick = 0 }
 
 // tickOf numbers the span of ratesFor that a moment lies in.
 func tickOf(now time.Time) int64 { return now.UnixNano() / int64(ratesFor) }
