--- a/src/core/server.go
+++ b/src/core/server.go
@@ -303,8 +303,8 @@
 	slots := float64(s.slots())
 	load := float64(len(s.inFlight) + s.countOthers(now))
 	r := rates{tick: tick, free: slots - load, penalty: 1 + 2*s.failShare, usable: !s.leaving() && s.backoff == 0 && !s.askedRest}
-	r.token = s.now(now, s.token, s.typical.token) * (1 + loadSlope*min(1, load/slots))
-	r.run = s.now(now, s.run, s.typical.run)
+	r.token = s.decayed(now, s.token, s.typical.token) * (1 + loadSlope*min(1, load/slots))
+	r.run = s.decayed(now, s.run, s.typical.run)
 	r.queue = max(0, load+1-slots) / slots
 	if s.report.Loading > 0 {
 		r.delay = max(0, (s.report.Loading - now.Sub(s.reportAt)).Seconds())
@@ -345,9 +345,9 @@
 	return worst
 }
 
-// now is a server's own measurement, faded towards what is typical of its pool when it has not been
+// decayed is a server's own measurement, faded towards what is typical of its pool when it has not been
 // renewed: a server once found slow would otherwise never be tried again.
-func (s *server) now(now time.Time, own float64, typical measured) float64 {
+func (s *server) decayed(now time.Time, own float64, typical measured) float64 {
 	if typical.at.IsZero() {
 		return own
 	}
