--- a/src/core/server.go
+++ b/src/core/server.go
@@ -361,7 +361,7 @@
 func (s *server) learn(now time.Time, r running, u Use) {
 	took := now.Sub(r.sent).Seconds()
 	if r.tokens == 0 {
-		s.run = s.mixFirst(s.run, took)
+		s.run = s.average(s.run, took)
 		s.typical.run.learn(took, now)
 		s.learnedAt = now
 		return
@@ -376,14 +376,14 @@
 	gen := took - s.prefill*float64(u.ComputedTokens)
 	if gen > 0 {
 		token := gen / float64(u.GeneratedTokens) / (1 + loadSlope*full)
-		s.token = s.mixFirst(s.token, token)
+		s.token = s.average(s.token, token)
 		s.typical.token.learn(token, now)
 		s.learnedAt = now
 	}
 }
 
-// mixFirst takes the first measurement whole and later ones by learnRate.
-func (s *server) mixFirst(old, v float64) float64 {
+// average takes the first measurement whole and later ones by learnRate.
+func (s *server) average(old, v float64) float64 {
 	if s.learnedAt.IsZero() {
 		return v
 	}
