--- a/src/core/place.go
+++ b/src/core/place.go
@@ -31,7 +31,7 @@
 
 // rejects says why a call can't go to a server now, whatever the policy; "" if it can.
 func (p *Pool) rejects(now time.Time, s *server, c *Call) string {
-	if why := s.ready(now, c); why != "" {
+	if why := s.rejectReason(now, c); why != "" {
 		return why
 	}
 	if v := p.pushback.Judge(now, pushback.Server{ID: s.cfg.Name()}); !v.Open() {
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -234,8 +234,8 @@
 	}
 }
 
-// ready says why a call may not go here now, or "".
-func (s *server) ready(now time.Time, c *Call) string {
+// rejectReason says why a call may not go here now, or "".
+func (s *server) rejectReason(now time.Time, c *Call) string {
 	switch {
 	case !config.MayRun(c.Workspace, c.Stage, s.cfg.Domain()):
 		return "outside the boundary"
