--- a/src/core/place.go
+++ b/src/core/place.go
@@ -231,7 +231,7 @@
 	a := ready[(p.seed>>33)%uint64(len(ready))]
 	p.seed = p.seed*6364136223846793005 + 1442695040888963407
 	b := ready[(p.seed>>33)%uint64(len(ready))]
-	load := func(s *server) float64 { return float64(len(s.inFlight)+s.countOthers(now)) / float64(s.slots()) }
+	load := func(s *server) float64 { return float64(len(s.inFlight)+s.peerCalls(now)) / float64(s.slots()) }
 	if load(b) < load(a) {
 		return b
 	}
--- a/src/core/poolnews.go
+++ b/src/core/poolnews.go
@@ -111,7 +111,7 @@
 	for _, s := range p.order {
 		out = append(out, ServerView{
 			Name: s.cfg.Name(), Config: s.cfg, Report: s.report, ReportAt: s.reportAt,
-			InFlight: len(s.inFlight), Others: s.countOthers(now), Window: int(max(s.window, s.share())),
+			InFlight: len(s.inFlight), Others: s.peerCalls(now), Window: int(max(s.window, s.share())),
 			FailShare: s.failShare, Leaving: s.leaving(), Resting: s.resting(now),
 		})
 	}
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -132,9 +132,9 @@
 // more boxes use the server than it has slots.
 func (s *server) share() float64 { return float64(s.slots()) / float64(max(1, s.users)) }
 
-// countOthers estimates what the other boxes have here: their own notes where all of them are fresh,
+// peerCalls estimates what the other boxes have here: their own notes where all of them are fresh,
 // otherwise the larger of the notes and the server's lagging report.
-func (s *server) countOthers(now time.Time) int {
+func (s *server) peerCalls(now time.Time) int {
 	heard, fresh := 0, 0
 	for _, p := range s.peers {
 		if now.Sub(p.at) <= peerLoadStale {
@@ -174,7 +174,7 @@
 		s.window = max(floor, windowCut*s.window)
 		return
 	}
-	if len(s.inFlight)+s.countOthers(now) < s.slots() {
+	if len(s.inFlight)+s.peerCalls(now) < s.slots() {
 		s.window = min(float64(s.slots()), max(floor, s.window)+max(1, floor/2))
 	}
 }
@@ -301,7 +301,7 @@
 		return
 	}
 	slots := float64(s.slots())
-	load := float64(len(s.inFlight) + s.countOthers(now))
+	load := float64(len(s.inFlight) + s.peerCalls(now))
 	r := rates{tick: tick, free: slots - load, penalty: 1 + 2*s.failShare, usable: !s.leaving() && s.backoff == 0 && !s.askedRest}
 	r.token = s.decayed(now, s.token, s.typical.token) * (1 + loadSlope*min(1, load/slots))
 	r.run = s.decayed(now, s.run, s.typical.run)
@@ -372,7 +372,7 @@
 	if u.GeneratedTokens == 0 {
 		return
 	}
-	full := min(1, float64(len(s.inFlight)+s.countOthers(now))/float64(s.slots()))
+	full := min(1, float64(len(s.inFlight)+s.peerCalls(now))/float64(s.slots()))
 	gen := took - s.prefill*float64(u.ComputedTokens)
 	if gen > 0 {
 		token := gen / float64(u.GeneratedTokens) / (1 + loadSlope*full)
