--- a/src/core/place.go
+++ b/src/core/place.go
@@ -150,7 +150,7 @@
 		}
 		cand := Candidate{Server: s.cfg.Name(), PassedOver: p.passedOver(now, s, c)}
 		if cand.PassedOver == "" {
-			cand.Expected = s.expect(now, c, ratio).total()
+			cand.Expected = s.estimate(now, c, ratio).total()
 			cand.PassedOver = "slower"
 		}
 		if s == chosen {
--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -365,7 +365,7 @@
 // dispatch books a call at a server.
 func (p *Pool) dispatch(now time.Time, c *Call, s *server) {
 	p.pushback.Begin(now, pushback.Server{ID: s.cfg.Name()}, "")
-	w := s.expect(now, c, p.ratio(c))
+	w := s.estimate(now, c, p.ratio(c))
 	s.inFlight[c.Attempt] = running{
 		sent: now, expect: w.total(), tokens: w.tokens, prefill: w.prefill, guessed: w.guessed, prefix: c.Prefix,
 	}
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -316,9 +316,9 @@
 	}
 }
 
-// expect estimates a call at this server from the lagging report, what was sent since, what it
+// estimate estimates a call at this server from the lagging report, what was sent since, what it
 // learned from answers, and how long its oldest call here has overrun.
-func (s *server) expect(now time.Time, c *Call, ratio float64) work {
+func (s *server) estimate(now time.Time, c *Call, ratio float64) work {
 	s.refresh(now, tickOf(now))
 	w := work{run: s.rates.run}
 	if c.MaxTokens > 0 {
