--- a/src/core/server.go
+++ b/src/core/server.go
@@ -264,8 +264,8 @@
 	return false
 }
 
-// work is how a call would go at a server.
-type work struct {
+// callEstimate is how a call would go at a server.
+type callEstimate struct {
 	wait    float64 // seconds before it starts
 	run     float64 // seconds it runs
 	guessed int     // blocks guessed cached
@@ -273,7 +273,7 @@
 	tokens  int     // tokens to generate
 }
 
-func (w work) total() time.Duration { return seconds(w.wait + w.run) }
+func (w callEstimate) total() time.Duration { return seconds(w.wait + w.run) }
 
 // rates is what a server's estimates come to at a moment. It is worked out again when something
 // changed there, and otherwise now and then, so that a placement over many servers stays cheap.
@@ -318,9 +318,9 @@
 
 // estimate estimates a call at this server from the lagging report, what was sent since, what it
 // learned from answers, and how long its oldest call here has overrun.
-func (s *server) estimate(now time.Time, c *Call, ratio float64) work {
+func (s *server) estimate(now time.Time, c *Call, ratio float64) callEstimate {
 	s.refresh(now, tickOf(now))
-	w := work{run: s.rates.run}
+	w := callEstimate{run: s.rates.run}
 	if c.MaxTokens > 0 {
 		if s.markedFor == c.mark {
 			w.guessed = s.marked
