--- a/src/core/members.go
+++ b/src/core/members.go
@@ -203,17 +203,17 @@
 	if b.From.ID.Name == m.Self.ID.Name {
 		return h
 	}
-	m.hear(now, b.From, byHeartbeat)
+	m.mergeRumour(now, b.From, byHeartbeat)
 	e := m.all[b.From.ID.Name]
 	if e.id == b.From.ID && e.state == MemberDead {
 		m.noteReturn(now)
-		m.hear(now, b.From, byHeartbeat)
+		m.mergeRumour(now, b.From, byHeartbeat)
 	}
 	if e.id == b.From.ID && !b.News {
 		e.version = b.Config.Version
 	}
 	for _, r := range b.Rumours {
-		m.hear(now, r, byHeartbeat)
+		m.mergeRumour(now, r, byHeartbeat)
 	}
 	if b.Table != nil {
 		if next := m.level(now, b.Table); next != nil {
--- a/src/core/rumour.go
+++ b/src/core/rumour.go
@@ -171,9 +171,9 @@
 	byTable     source = true
 )
 
-// hear takes one entry: a later incarnation wins, then a later round, then the worse state. It says
+// mergeRumour takes one entry: a later incarnation wins, then a later round, then the worse state. It says
 // whether the entry was news.
-func (m *Members) hear(now time.Time, r Rumour, by source) bool {
+func (m *Members) mergeRumour(now time.Time, r Rumour, by source) bool {
 	if r.ID.Incarnation == 0 {
 		return false
 	}
--- a/src/core/table.go
+++ b/src/core/table.go
@@ -134,7 +134,7 @@
 func (m *Members) learn(now time.Time, entries []Rumour) {
 	learned := 0
 	for _, r := range entries {
-		if m.hear(now, r, byTable) {
+		if m.mergeRumour(now, r, byTable) {
 			learned++
 		}
 	}
