--- a/src/core/members.go
+++ b/src/core/members.go
@@ -100,7 +100,7 @@
 
 // Tick sends the beats that are due and judges silence.
 func (m *Members) Tick(now time.Time) []BeatTo {
-	m.judge(now)
+	m.checkTimeouts(now)
 	var out []BeatTo
 	for _, name := range m.targets() {
 		out = append(out, m.ask(now, name))
@@ -108,8 +108,8 @@
 	return out
 }
 
-// judge turns silence into suspicion, suspicion into death, and forgets the long dead.
-func (m *Members) judge(now time.Time) {
+// checkTimeouts turns silence into suspicion, suspicion into death, and forgets the long dead.
+func (m *Members) checkTimeouts(now time.Time) {
 	for _, name := range slices.Clone(m.names) {
 		e := m.all[name]
 		switch e.state {
