--- a/src/core/claim.go
+++ b/src/core/claim.go
@@ -49,7 +49,7 @@
 func (m *Members) setClaims(claims []Claim) {
 	m.Self.Claims = claims
 	m.Self.Round++
-	m.spread(m.Self)
+	m.gossip(m.Self)
 }
 
 // termOf is the term of a pool's claim among some, 0 for none.
--- a/src/core/members.go
+++ b/src/core/members.go
@@ -71,7 +71,7 @@
 	m.Self.State = MemberLeaving
 	m.Self.Successor = successor
 	m.Self.Round++
-	m.spread(m.Self)
+	m.gossip(m.Self)
 }
 
 // List takes the platform's box list: whom to ask, never who lives.
@@ -147,7 +147,7 @@
 	e.since = now
 	m.changed = true
 	m.touch()
-	m.spread(m.rumourOf(e))
+	m.gossip(m.rumourOf(e))
 }
 
 func (m *Members) rumourOf(e *Member) Rumour {
@@ -157,8 +157,8 @@
 	}
 }
 
-// spread makes a rumour fresh: it will be repeated a few times log2 of the fleet.
-func (m *Members) spread(r Rumour) {
+// gossip makes a rumour fresh: it will be repeated a few times log2 of the fleet.
+func (m *Members) gossip(r Rumour) {
 	if r.ID.Incarnation == 0 {
 		return // nothing but the list ever spoke of it
 	}
--- a/src/core/rumour.go
+++ b/src/core/rumour.go
@@ -230,7 +230,7 @@
 // passOn repeats an entry with the heartbeats, unless tables carry it: they do while the fleet forms.
 func (m *Members) passOn(now time.Time, r Rumour, by source) {
 	if by == byHeartbeat && !m.Forming(now) {
-		m.spread(r)
+		m.gossip(r)
 	}
 }
 
@@ -251,12 +251,12 @@
 func (m *Members) refute(r Rumour) {
 	if m.Renumbers && r.ID.Incarnation > m.Self.ID.Incarnation && r.Address == m.Self.Address {
 		m.Self.ID.Incarnation, m.Self.Round = r.ID.Incarnation+1, 0
-		m.spread(m.Self)
+		m.gossip(m.Self)
 		return
 	}
 	if r.ID.Incarnation != m.Self.ID.Incarnation || r.State < MemberSuspect || r.Round < m.Self.Round {
 		return
 	}
 	m.Self.Round = r.Round + 1
-	m.spread(m.Self)
+	m.gossip(m.Self)
 }
