--- a/src/core/rumour.go
+++ b/src/core/rumour.go
@@ -135,11 +135,11 @@
 
 // take picks the rumours of one message, those with most repeats left first.
 func (m *Members) take(now time.Time) []Rumour {
-	if len(m.fresh) == 0 {
+	if len(m.pendingRumours) == 0 {
 		return nil
 	}
-	hot := make([]*hotRumour, 0, len(m.fresh))
-	for _, h := range m.fresh {
+	hot := make([]*hotRumour, 0, len(m.pendingRumours))
+	for _, h := range m.pendingRumours {
 		hot = append(hot, h)
 	}
 	slices.SortFunc(hot, func(a, b *hotRumour) int {
@@ -155,7 +155,7 @@
 		}
 		out = append(out, h.rumour)
 		if h.left--; h.left <= 0 {
-			delete(m.fresh, id.Name)
+			delete(m.pendingRumours, id.Name)
 		}
 	}
 	return out
