--- a/src/core/members.go
+++ b/src/core/members.go
@@ -33,7 +33,7 @@
 	names   []string // of all, sorted
 	closed  map[BoxID]closedLife
 	round   []string // names still to be asked in this round
-	pendingRumours   map[string]*hotRumour
+	pendingRumours   map[string]*pendingRumour
 	seq     uint64
 	sent    map[uint64]sentBeat
 	changed bool
@@ -50,7 +50,7 @@
 	at        time.Time
 }
 
-type hotRumour struct {
+type pendingRumour struct {
 	rumour Rumour
 	left   int
 }
@@ -63,7 +63,7 @@
 // NewMembers makes a detector that knows only itself; set its exported fields before use.
 func NewMembers(self Rumour, r *rand.Rand) *Members {
 	self.State = MemberAlive
-	return &Members{Self: self, Rand: r, all: map[string]*Member{}, closed: map[BoxID]closedLife{}, pendingRumours: map[string]*hotRumour{}, sent: map[uint64]sentBeat{}}
+	return &Members{Self: self, Rand: r, all: map[string]*Member{}, closed: map[BoxID]closedLife{}, pendingRumours: map[string]*pendingRumour{}, sent: map[uint64]sentBeat{}}
 }
 
 // Leave marks this box as leaving and tells.
@@ -162,7 +162,7 @@
 	if r.ID.Incarnation == 0 {
 		return // nothing but the list ever spoke of it
 	}
-	m.pendingRumours[r.ID.Name] = &hotRumour{rumour: r, left: m.repeatsOf()}
+	m.pendingRumours[r.ID.Name] = &pendingRumour{rumour: r, left: m.repeatsOf()}
 }
 
 // touch notes that what is known of some member changes.
--- a/src/core/rumour.go
+++ b/src/core/rumour.go
@@ -138,11 +138,11 @@
 	if len(m.pendingRumours) == 0 {
 		return nil
 	}
-	hot := make([]*hotRumour, 0, len(m.pendingRumours))
+	hot := make([]*pendingRumour, 0, len(m.pendingRumours))
 	for _, h := range m.pendingRumours {
 		hot = append(hot, h)
 	}
-	slices.SortFunc(hot, func(a, b *hotRumour) int {
+	slices.SortFunc(hot, func(a, b *pendingRumour) int {
 		return cmp.Or(cmp.Compare(b.left, a.left), strings.Compare(a.rumour.ID.Name, b.rumour.ID.Name))
 	})
 	var out []Rumour
