--- a/src/core/members.go
+++ b/src/core/members.go
@@ -31,7 +31,7 @@
 
 	all     map[string]*Member
 	names   []string // of all, sorted
-	closed  map[BoxID]closedLife
+	closed  map[BoxID]handedOver
 	round   []string // names still to be asked in this round
 	pendingRumours   map[string]*pendingRumour
 	seq     uint64
@@ -44,8 +44,8 @@
 	healedAt  time.Time // when a life believed dead was last found to be there
 }
 
-// closedLife is an incarnation that stopped as planned and handed its ledger over.
-type closedLife struct {
+// handedOver is an incarnation that stopped as planned and handed its ledger over.
+type handedOver struct {
 	successor string
 	at        time.Time
 }
@@ -63,7 +63,7 @@
 // NewMembers makes a detector that knows only itself; set its exported fields before use.
 func NewMembers(self Rumour, r *rand.Rand) *Members {
 	self.State = MemberAlive
-	return &Members{Self: self, Rand: r, all: map[string]*Member{}, closed: map[BoxID]closedLife{}, pendingRumours: map[string]*pendingRumour{}, sent: map[uint64]sentBeat{}}
+	return &Members{Self: self, Rand: r, all: map[string]*Member{}, closed: map[BoxID]handedOver{}, pendingRumours: map[string]*pendingRumour{}, sent: map[uint64]sentBeat{}}
 }
 
 // Leave marks this box as leaving and tells.
