--- a/src/core/members.go
+++ b/src/core/members.go
@@ -31,7 +31,7 @@
 
 	all     map[string]*Member
 	names   []string // of all, sorted
-	closed  map[BoxID]handedOver
+	handovers  map[BoxID]handedOver
 	round   []string // names still to be asked in this round
 	pendingRumours   map[string]*pendingRumour
 	seq     uint64
@@ -63,7 +63,7 @@
 // NewMembers makes a detector that knows only itself; set its exported fields before use.
 func NewMembers(self Rumour, r *rand.Rand) *Members {
 	self.State = MemberAlive
-	return &Members{Self: self, Rand: r, all: map[string]*Member{}, closed: map[BoxID]handedOver{}, pendingRumours: map[string]*pendingRumour{}, sent: map[uint64]sentBeat{}}
+	return &Members{Self: self, Rand: r, all: map[string]*Member{}, handovers: map[BoxID]handedOver{}, pendingRumours: map[string]*pendingRumour{}, sent: map[uint64]sentBeat{}}
 }
 
 // Leave marks this box as leaving and tells.
@@ -127,9 +127,9 @@
 			}
 		}
 	}
-	for id, c := range m.closed {
+	for id, c := range m.handovers {
 		if now.Sub(c.at) > forgetAfter {
-			delete(m.closed, id)
+			delete(m.handovers, id)
 		}
 	}
 	for q, s := range m.sent {
--- a/src/core/memberviews.go
+++ b/src/core/memberviews.go
@@ -85,7 +85,7 @@
 }
 
 // Successor is the box that took over the ledger of an incarnation that stopped as planned, or "".
-func (m *Members) Successor(id BoxID) string { return m.closed[id].successor }
+func (m *Members) Successor(id BoxID) string { return m.handovers[id].successor }
 
 // Missing counts the members that were lost within a time and did not leave: they may be running out of this box's sight.
 func (m *Members) Missing(now time.Time, within time.Duration) int {
--- a/src/core/rumour.go
+++ b/src/core/rumour.go
@@ -182,7 +182,7 @@
 		return false
 	}
 	if r.Successor != "" {
-		m.closed[r.ID] = handedOver{successor: r.Successor, at: now}
+		m.handovers[r.ID] = handedOver{successor: r.Successor, at: now}
 	}
 	e := m.all[r.ID.Name]
 	if e == nil {
