--- a/src/core/members.go
+++ b/src/core/members.go
@@ -216,7 +216,7 @@
 		m.mergeRumour(now, r, byHeartbeat)
 	}
 	if b.Table != nil {
-		if next := m.level(now, b.Table); next != nil {
+		if next := m.reconcile(now, b.Table); next != nil {
 			h.Reply = append(h.Reply, BeatTo{Address: b.From.Address, Beat: Beat{From: m.self(now), News: true, Table: next}})
 		}
 	}
--- a/src/core/table.go
+++ b/src/core/table.go
@@ -111,8 +111,8 @@
 	return out
 }
 
-// level takes one step of an exchange and gives the next one, or nil when there is nothing left to do.
-func (m *Members) level(now time.Time, t *TableNote) *TableNote {
+// reconcile takes one step of an exchange and gives the next one, or nil when there is nothing left to do.
+func (m *Members) reconcile(now time.Time, t *TableNote) *TableNote {
 	m.learn(now, t.Entries)
 	out := &TableNote{}
 	if len(t.Buckets) == tableBuckets {
