--- a/src/core/table.go
+++ b/src/core/table.go
@@ -119,7 +119,7 @@
 		m.compare(t.Buckets, out)
 	}
 	if t.Compared != 0 {
-		m.settle(now, t, out)
+		m.answerVersions(now, t, out)
 	}
 	if len(t.Wanted) > 0 {
 		out.Entries = append(out.Entries, m.wanted(now, t.Wanted)...)
@@ -157,9 +157,9 @@
 	}
 }
 
-// settle answers a list of versions: with entries that the other lacks or holds otherwise, and with the
+// answerVersions answers a list of versions: with entries that the other lacks or holds otherwise, and with the
 // names of those that this box does.
-func (m *Members) settle(now time.Time, t *TableNote, out *TableNote) {
+func (m *Members) answerVersions(now time.Time, t *TableNote, out *TableNote) {
 	theirs := make(map[uint32]uint64, len(t.Versions))
 	for _, v := range t.Versions {
 		theirs[uint32(v>>32)] = v
