--- a/src/core/table.go
+++ b/src/core/table.go
@@ -113,7 +113,7 @@
 
 // reconcile takes one step of an exchange and gives the next one, or nil when there is nothing left to do.
 func (m *Members) reconcile(now time.Time, t *TableNote) *TableNote {
-	m.learn(now, t.Entries)
+	m.mergeEntries(now, t.Entries)
 	out := &TableNote{}
 	if len(t.Buckets) == tableBuckets {
 		m.compare(t.Buckets, out)
@@ -130,8 +130,8 @@
 	return out
 }
 
-// learn takes the entries of another table. Many new ones mean that the fleet is forming anew.
-func (m *Members) learn(now time.Time, entries []Rumour) {
+// mergeEntries takes the entries of another table. Many new ones mean that the fleet is forming anew.
+func (m *Members) mergeEntries(now time.Time, entries []Rumour) {
 	learned := 0
 	for _, r := range entries {
 		if m.mergeRumour(now, r, byTable) {
