--- a/src/core/table.go
+++ b/src/core/table.go
@@ -116,7 +116,7 @@
 	m.mergeEntries(now, t.Entries)
 	out := &TableNote{}
 	if len(t.Buckets) == tableBuckets {
-		m.compare(t.Buckets, out)
+		m.listDifferingBuckets(t.Buckets, out)
 	}
 	if t.Compared != 0 {
 		m.answerVersions(now, t, out)
@@ -143,8 +143,8 @@
 	}
 }
 
-// compare lists the versions of the buckets that differ.
-func (m *Members) compare(theirs []uint64, out *TableNote) {
+// listDifferingBuckets lists the versions of the buckets that differ.
+func (m *Members) listDifferingBuckets(theirs []uint64, out *TableNote) {
 	for i, own := range m.buckets() {
 		if own != theirs[i] {
 			out.Compared |= 1 << i
