--- a/src/core/table.go
+++ b/src/core/table.go
@@ -176,7 +176,7 @@
 		give = append(give, own.name)
 	}
 	give = append(give, m.deaths(now, theirs)...)
-	out.Entries = append(out.Entries, m.entries(now, m.some(give))...)
+	out.Entries = append(out.Entries, m.entries(now, m.sample(give))...)
 	for _, v := range t.Versions { // in their order, so that a run can be repeated
 		if _, differs := theirs[uint32(v>>32)]; differs {
 			out.Wanted = append(out.Wanted, uint32(v>>32))
@@ -204,9 +204,9 @@
 	return out
 }
 
-// some bounds a list: a run of it from a random place, so that boxes that ask at the same time get
+// sample bounds a list: a run of it from a random place, so that boxes that ask at the same time get
 // different parts and have something to tell one another.
-func (m *Members) some(names []string) []string {
+func (m *Members) sample(names []string) []string {
 	if len(names) <= entriesPerNote {
 		return names
 	}
@@ -226,7 +226,7 @@
 			names = append(names, t.name)
 		}
 	}
-	return m.entries(now, m.some(names))
+	return m.entries(now, m.sample(names))
 }
 
 // entries says what this box believes of some members.
