--- a/src/core/asking.go
+++ b/src/core/asking.go
@@ -82,7 +82,7 @@
 // beat makes a message with this box's news.
 func (m *Members) beat(now time.Time) Beat {
 	m.seq++
-	b := Beat{From: m.self(now), Seq: m.seq, Digest: m.Digest(), Rumours: m.take(now)}
+	b := Beat{From: m.self(now), Seq: m.seq, Digest: m.Digest(), Rumours: m.nextRumours(now)}
 	if m.Expect != nil {
 		m.Expect(&b)
 	}
--- a/src/core/rumour.go
+++ b/src/core/rumour.go
@@ -133,8 +133,8 @@
 	Beat    Beat
 }
 
-// take picks the rumours of one message, those with most repeats left first.
-func (m *Members) take(now time.Time) []Rumour {
+// nextRumours picks the rumours of one message, those with most repeats left first.
+func (m *Members) nextRumours(now time.Time) []Rumour {
 	if len(m.pendingRumours) == 0 {
 		return nil
 	}
