--- a/src/core/asking.go
+++ b/src/core/asking.go
@@ -6,14 +6,14 @@
 func (m *Members) targets() []string {
 	var out []string
 	for len(out) < heartbeatFanout {
-		if len(m.round) == 0 {
-			m.round = m.newRound()
+		if len(m.probeOrder) == 0 {
+			m.probeOrder = m.newRound()
 		}
-		if len(m.round) == 0 || len(out) > 0 && out[0] == m.round[0] {
+		if len(m.probeOrder) == 0 || len(out) > 0 && out[0] == m.probeOrder[0] {
 			break
 		}
-		name := m.round[0]
-		m.round = m.round[1:]
+		name := m.probeOrder[0]
+		m.probeOrder = m.probeOrder[1:]
 		if e := m.all[name]; e != nil && e.state != MemberDead && !containsName(out, name) {
 			out = append(out, name)
 		}
--- a/src/core/members.go
+++ b/src/core/members.go
@@ -32,7 +32,7 @@
 	all     map[string]*Member
 	names   []string // of all, sorted
 	handovers  map[BoxID]handedOver
-	round   []string // names still to be asked in this round
+	probeOrder   []string // names still to be asked in this round
 	pendingRumours   map[string]*pendingRumour
 	seq     uint64
 	sent    map[uint64]sentBeat
