--- a/src/core/asking.go
+++ b/src/core/asking.go
@@ -18,7 +18,7 @@
 			out = append(out, name)
 		}
 	}
-	if name := m.lostOne(); name != "" {
+	if name := m.pickDeadMember(); name != "" {
 		out = append(out, name)
 	}
 	return out
@@ -44,8 +44,8 @@
 	return names
 }
 
-// lostOne picks, every few beats, a dead box to ask again.
-func (m *Members) lostOne() string {
+// pickDeadMember picks, every few beats, a dead box to ask again.
+func (m *Members) pickDeadMember() string {
 	if m.Rand.IntN(4) != 0 {
 		return ""
 	}
