--- a/src/core/members.go
+++ b/src/core/members.go
@@ -146,7 +146,7 @@
 	e.state = s
 	e.since = now
 	m.changed = true
-	m.touch()
+	m.markChanged()
 	m.gossip(m.rumourOf(e))
 }
 
@@ -165,8 +165,8 @@
 	m.pendingRumours[r.ID.Name] = &pendingRumour{rumour: r, left: m.repeatsOf()}
 }
 
-// touch notes that what is known of some member changes.
-func (m *Members) touch() {
+// markChanged notes that what is known of some member changes.
+func (m *Members) markChanged() {
 	m.compared.stale = true
 	m.version++
 }
@@ -175,7 +175,7 @@
 func (m *Members) Version() uint64 { return m.version }
 
 func (m *Members) add(e *Member) {
-	m.touch()
+	m.markChanged()
 	e.hash = nameHash(e.id.Name)
 	m.all[e.id.Name] = e
 	at, _ := slices.BinarySearch(m.names, e.id.Name)
@@ -183,7 +183,7 @@
 }
 
 func (m *Members) remove(name string) {
-	m.touch()
+	m.markChanged()
 	delete(m.all, name)
 	if at, ok := slices.BinarySearch(m.names, name); ok {
 		m.names = slices.Delete(m.names, at, at+1)
--- a/src/core/rumour.go
+++ b/src/core/rumour.go
@@ -201,7 +201,7 @@
 	if !m.supersedes(now, r, e) {
 		return false
 	}
-	m.touch()
+	m.markChanged()
 	newLife := r.ID.Incarnation > e.id.Incarnation
 	if newLife {
 		e.started = now.Add(-r.Up)
