--- a/src/core/table.go
+++ b/src/core/table.go
@@ -33,11 +33,11 @@
 	for i := range len(name) {
 		h = (h ^ uint64(name[i])) * 1099511628211
 	}
-	return uint32(mixed(h) >> 32)
+	return uint32(mix64(h) >> 32)
 }
 
-// mixed spreads a number over all its bits.
-func mixed(x uint64) uint64 {
+// mix64 spreads a number over all its bits.
+func mix64(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
@@ -47,7 +47,7 @@
 
 // version is the short form of an entry: two entries of one name are equal when their versions are.
 func version(name uint32, id BoxID, round uint64, state MemberState) uint64 {
-	said := mixed(mixed(id.Incarnation) + 31*round + uint64(state))
+	said := mix64(mix64(id.Incarnation) + 31*round + uint64(state))
 	return uint64(name)<<32 | said>>32
 }
 
@@ -79,7 +79,7 @@
 	t.entries = m.list(self)
 	t.stale, t.self, t.digest = false, self.version, 0
 	for _, e := range t.entries {
-		t.digest ^= mixed(e.version)
+		t.digest ^= mix64(e.version)
 	}
 	return t.entries
 }
@@ -106,7 +106,7 @@
 func (m *Members) buckets() []uint64 {
 	out := make([]uint64, tableBuckets)
 	for _, t := range m.table() {
-		out[t.bucket()] ^= mixed(t.version)
+		out[t.bucket()] ^= mix64(t.version)
 	}
 	return out
 }
