--- a/src/core/estimate.go
+++ b/src/core/estimate.go
@@ -53,13 +53,13 @@
 func learn(m map[stageName]measured, n stageName, v float64, now time.Time) {
 	old, ok := m[n]
 	if ok {
-		v = mix(old.v, v, learnRate)
+		v = ewma(old.v, v, learnRate)
 	}
 	m[n] = measured{v: v, at: now}
 }
 
-// mix moves a mean towards a new value.
-func mix(old, v, rate float64) float64 { return old + rate*(v-old) }
+// ewma moves a mean towards a new value.
+func ewma(old, v, rate float64) float64 { return old + rate*(v-old) }
 
 // fade is the part of a measurement that is left after some time without a newer one.
 func fade(age time.Duration) float64 {
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -105,7 +105,7 @@
 	if m.at.IsZero() {
 		m.v = v
 	}
-	m.v, m.at = mix(m.v, v, learnRate), now
+	m.v, m.at = ewma(m.v, v, learnRate), now
 }
 
 func newServer(cfg *config.BackendServer, t *typical) *server {
@@ -218,14 +218,14 @@
 }
 
 func (s *server) succeeded() {
-	s.failShare = mix(s.failShare, 0, failRate)
+	s.failShare = ewma(s.failShare, 0, failRate)
 	s.consecutiveFailures = 0
 	s.backoff = 0
 	s.probing = false
 }
 
 func (s *server) failed(now time.Time) {
-	s.failShare = mix(s.failShare, 1, failRate)
+	s.failShare = ewma(s.failShare, 1, failRate)
 	s.consecutiveFailures++
 	s.probing = false
 	if s.consecutiveFailures >= failuresToRest {
@@ -367,7 +367,7 @@
 		return
 	}
 	if guessed := r.guessed * BlockBytes / bytesPerToken; guessed > 0 {
-		s.cacheAccuracy = mix(s.cacheAccuracy, min(1, float64(u.CachedTokens)/float64(guessed)), learnRate)
+		s.cacheAccuracy = ewma(s.cacheAccuracy, min(1, float64(u.CachedTokens)/float64(guessed)), learnRate)
 	}
 	if u.GeneratedTokens == 0 {
 		return
@@ -387,7 +387,7 @@
 	if s.learnedAt.IsZero() {
 		return v
 	}
-	return mix(old, v, learnRate)
+	return ewma(old, v, learnRate)
 }
 
 // jitter is a box's own small, fixed leaning for a call and a server, in [0, 1).
