--- a/src/core/estimate.go
+++ b/src/core/estimate.go
@@ -61,8 +61,8 @@
 // ewma moves a mean towards a new value.
 func ewma(old, v, rate float64) float64 { return old + rate*(v-old) }
 
-// fade is the part of a measurement that is left after some time without a newer one.
-func fade(age time.Duration) float64 {
+// decay is the part of a measurement that is left after some time without a newer one.
+func decay(age time.Duration) float64 {
 	if age <= fadeAfter {
 		return 1
 	}
@@ -86,7 +86,7 @@
 	if v <= guess {
 		return v
 	}
-	return guess + time.Duration(float64(v-guess)*fade(now.Sub(m.at)))
+	return guess + time.Duration(float64(v-guess)*decay(now.Sub(m.at)))
 }
 
 // firstGuess is what the operator wrote, or a guess by kind.
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -354,7 +354,7 @@
 	if s.learnedAt.IsZero() {
 		return typical.v
 	}
-	return typical.v + (own-typical.v)*fade(now.Sub(s.learnedAt))
+	return typical.v + (own-typical.v)*decay(now.Sub(s.learnedAt))
 }
 
 // learn takes one answered call.
