--- a/src/core/constants.go
+++ b/src/core/constants.go
@@ -18,7 +18,7 @@
 // Pools: windows, health and learning.
 const (
 	learnRate         = 0.15                   // weight of a new measurement in a moving mean
-	fadeAfter         = time.Second            // a measurement this fresh counts in full
+	decayAfter         = time.Second            // a measurement this fresh counts in full
 	fadeHalf          = 2 * time.Second        // time in which an older one loses half its excess
 	failRate          = 0.2                    // weight of a new outcome in the share of failures
 	restFirst         = 250 * time.Millisecond // first rest of a failing server
--- a/src/core/estimate.go
+++ b/src/core/estimate.go
@@ -63,10 +63,10 @@
 
 // decay is the part of a measurement that is left after some time without a newer one.
 func decay(age time.Duration) float64 {
-	if age <= fadeAfter {
+	if age <= decayAfter {
 		return 1
 	}
-	return math.Exp2(-float64(age-fadeAfter) / float64(fadeHalf))
+	return math.Exp2(-float64(age-decayAfter) / float64(fadeHalf))
 }
 
 // Run is how long a stage is expected to run.
