--- a/src/core/constants.go
+++ b/src/core/constants.go
@@ -19,7 +19,7 @@
 const (
 	learnRate         = 0.15                   // weight of a new measurement in a moving mean
 	decayAfter         = time.Second            // a measurement this fresh counts in full
-	fadeHalf          = 2 * time.Second        // time in which an older one loses half its excess
+	decayHalfLife          = 2 * time.Second        // time in which an older one loses half its excess
 	failRate          = 0.2                    // weight of a new outcome in the share of failures
 	restFirst         = 250 * time.Millisecond // first rest of a failing server
 	restLongest       = 10 * time.Second       // longest rest of a failing server
--- a/src/core/estimate.go
+++ b/src/core/estimate.go
@@ -66,7 +66,7 @@
 	if age <= decayAfter {
 		return 1
 	}
-	return math.Exp2(-float64(age-decayAfter) / float64(fadeHalf))
+	return math.Exp2(-float64(age-decayAfter) / float64(decayHalfLife))
 }
 
 // Run is how long a stage is expected to run.
