--- a/src/core/constants.go
+++ b/src/core/constants.go
@@ -21,7 +21,7 @@
 	decayAfter         = time.Second            // a measurement this fresh counts in full
 	decayHalfLife          = 2 * time.Second        // time in which an older one loses half its excess
 	failRate          = 0.2                    // weight of a new outcome in the share of failures
-	restFirst         = 250 * time.Millisecond // first rest of a failing server
+	minServerBackoff         = 250 * time.Millisecond // first rest of a failing server
 	restLongest       = 10 * time.Second       // longest rest of a failing server
 	failuresToRest    = 2                      // failures in a row before a rest
 	reportStale       = 5 * time.Second        // a report older than this counts for nothing
--- a/src/core/pool_test.go
+++ b/src/core/pool_test.go
@@ -240,7 +240,7 @@
 	if grants, _ := p.Next(now); len(grants) > 0 {
 		t.Fatal("a resting server got a call that may not be repeated")
 	}
-	now = now.Add(restFirst + time.Millisecond)
+	now = now.Add(minServerBackoff + time.Millisecond)
 	grants, _ := p.Next(now)
 	if len(grants) != 1 {
 		t.Fatal("no server is ever tried again")
