--- a/src/core/constants.go
+++ b/src/core/constants.go
@@ -22,7 +22,7 @@
 	decayHalfLife          = 2 * time.Second        // time in which an older one loses half its excess
 	failRate          = 0.2                    // weight of a new outcome in the share of failures
 	minServerBackoff         = 250 * time.Millisecond // first rest of a failing server
-	restLongest       = 10 * time.Second       // longest rest of a failing server
+	maxServerBackoff       = 10 * time.Second       // longest rest of a failing server
 	failuresToRest    = 2                      // failures in a row before a rest
 	reportStale       = 5 * time.Second        // a report older than this counts for nothing
 	peerLoadStale     = time.Second            // a peer's in-flight note older than this counts for nothing
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -229,7 +229,7 @@
 	s.consecutiveFailures++
 	s.probing = false
 	if s.consecutiveFailures >= failuresToRest {
-		s.backoff = min(max(2*s.backoff, minServerBackoff), restLongest)
+		s.backoff = min(max(2*s.backoff, minServerBackoff), maxServerBackoff)
 		s.backoffUntil = now.Add(s.backoff)
 	}
 }
