--- a/src/core/constants.go
+++ b/src/core/constants.go
@@ -23,7 +23,7 @@
 	failRate          = 0.2                    // weight of a new outcome in the share of failures
 	minServerBackoff         = 250 * time.Millisecond // first rest of a failing server
 	maxServerBackoff       = 10 * time.Second       // longest rest of a failing server
-	failuresToRest    = 2                      // failures in a row before a rest
+	failuresBeforeBackoff    = 2                      // failures in a row before a rest
 	reportStale       = 5 * time.Second        // a report older than this counts for nothing
 	peerLoadStale     = time.Second            // a peer's in-flight note older than this counts for nothing
 	windowCut         = 0.7                    // what is left of a borrowed window when the server queues
--- a/src/core/pool_test.go
+++ b/src/core/pool_test.go
@@ -232,7 +232,7 @@
 		return call
 	}
 	for _, name := range p.Servers() {
-		for range failuresToRest {
+		for range failuresBeforeBackoff {
 			p.ReportFailed(now, name)
 		}
 	}
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -228,7 +228,7 @@
 	s.failShare = ewma(s.failShare, 1, failRate)
 	s.consecutiveFailures++
 	s.probing = false
-	if s.consecutiveFailures >= failuresToRest {
+	if s.consecutiveFailures >= failuresBeforeBackoff {
 		s.backoff = min(max(2*s.backoff, minServerBackoff), maxServerBackoff)
 		s.backoffUntil = now.Add(s.backoff)
 	}
