--- a/src/core/constants.go
+++ b/src/core/constants.go
@@ -31,7 +31,7 @@
 	otherRegionCost   = 20 * time.Millisecond  // preference for the box's own region
 	spreadShare       = 0.05                   // jitter on scores that keeps boxes from choosing alike
 	loadSlope         = 1.0                    // how much slower a full engine makes a token than an empty one
-	leavingSticks     = 30 * time.Second       // older news that a server stays does not undo it leaving
+	leavingHold     = 30 * time.Second       // older news that a server stays does not undo it leaving
 	retryEarned       = 0.1                    // retries earned by each first attempt
 	retryBankMax      = 10.0                   // retries that can be saved up
 	hedgeEarned       = 0.03                   // hedges earned by each first attempt
--- a/src/core/poolnews.go
+++ b/src/core/poolnews.go
@@ -69,7 +69,7 @@
 	if s.reportAt.IsZero() || r.newer(s.report) {
 		s.report.Incarnation, s.report.Seq, s.report.Leaving = incarnation, seq, true
 		s.saysLeaving = true
-		s.leavingUntil = now.Add(leavingSticks)
+		s.leavingUntil = now.Add(leavingHold)
 		s.invalidateRates()
 	}
 }
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -205,7 +205,7 @@
 // answeredLeaving notes that the server itself refused a call because it is leaving.
 func (s *server) answeredLeaving(now time.Time) {
 	s.saysLeaving = true
-	s.leavingUntil = now.Add(leavingSticks)
+	s.leavingUntil = now.Add(leavingHold)
 }
 
 // resting says whether the server failed lately and is left alone; after the rest one call at a
