--- a/src/core/constants.go
+++ b/src/core/constants.go
@@ -51,7 +51,7 @@
 	promptOver        = 0.5                    // part of a server's slots that prompt work may queue there
 	promptWindow      = 10 * time.Second       // over which the demand of prompt work is measured
 	paceWindow        = 8 * time.Second        // over which the pace of may-wait work is measured
-	leastLeft         = 0.02                   // part of a pool that may-wait work can always count on
+	minMayWaitShare         = 0.02                   // part of a pool that may-wait work can always count on
 	urgentSlack       = 0.05                   // may-wait work with less than this part of its time left is urgent
 	mustFinishReserve = 0.8                    // must-finish work is accepted up to this part of what fits its deadline
 	admissionMargin   = 1.1                    // safety on estimates before refusing
--- a/src/core/poolpace.go
+++ b/src/core/poolpace.go
@@ -55,7 +55,7 @@
 // and however far the expected costs are off; until then it is what prompt work leaves.
 func (p *Pool) mayWaitPace(now time.Time, slots float64) float64 {
 	if !p.waitsSince.IsZero() && now.Sub(p.waitsSince) > paceWindow {
-		return max(leastLeft*slots, p.pace.read(now))
+		return max(minMayWaitShare*slots, p.pace.read(now))
 	}
-	return slots * max(leastLeft, 1-max(mayWaitRoom, p.demand.read(now)/slots))
+	return slots * max(minMayWaitShare, 1-max(mayWaitRoom, p.demand.read(now)/slots))
 }
