--- a/src/core/constants.go
+++ b/src/core/constants.go
@@ -47,7 +47,7 @@
 	defaultTokenTime  = 10 * time.Millisecond  // guess of one generated token on an empty engine
 	defaultPrefill    = 50 * time.Microsecond  // guess of one computed prompt token
 	mayWaitRoom       = 0.25                   // part of a server's slots that may-wait work leaves free beyond its share
-	hopelessPart      = 0.3                    // part of a call's expected run that must still fit its time
+	minRunFraction      = 0.3                    // part of a call's expected run that must still fit its time
 	promptOver        = 0.5                    // part of a server's slots that prompt work may queue there
 	promptWindow      = 10 * time.Second       // over which the demand of prompt work is measured
 	paceWindow        = 8 * time.Second        // over which the pace of may-wait work is measured
--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -341,7 +341,7 @@
 	if p.NoAdmission || c.Pipeline.MustFinish() || c.once() && c.Started {
 		return nil
 	}
-	if c.slack(now, seconds(hopelessPart*c.cost)) >= 0 {
+	if c.slack(now, seconds(minRunFraction*c.cost)) >= 0 {
 		return nil
 	}
 	return code.New(code.CannotFinish, "", "stage %s could no longer finish by the deadline", c.Stage.Name()).After(p.retryAfter(now))
