--- a/src/core/constants.go
+++ b/src/core/constants.go
@@ -48,7 +48,7 @@
 	defaultPrefill    = 50 * time.Microsecond  // guess of one computed prompt token
 	mayWaitRoom       = 0.25                   // part of a server's slots that may-wait work leaves free beyond its share
 	minRunFraction      = 0.3                    // part of a call's expected run that must still fit its time
-	promptOver        = 0.5                    // part of a server's slots that prompt work may queue there
+	promptQueueShare        = 0.5                    // part of a server's slots that prompt work may queue there
 	promptWindow      = 10 * time.Second       // over which the demand of prompt work is measured
 	paceWindow        = 8 * time.Second        // over which the pace of may-wait work is measured
 	minMayWaitShare         = 0.02                   // part of a pool that may-wait work can always count on
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -163,7 +163,7 @@
 	if class == config.MayWait {
 		return next <= s.share() || next <= max(1, s.window) && s.rates.free >= 1+mayWaitRoom*slots
 	}
-	return next <= max(1, s.share()*(1+promptOver)) || next <= s.window*(1+promptOver) && s.rates.free >= 1-promptOver*slots
+	return next <= max(1, s.share()*(1+promptQueueShare)) || next <= s.window*(1+promptQueueShare) && s.rates.free >= 1-promptQueueShare*slots
 }
 
 // adjustWindow moves the borrowed window: up by one a report while there is room, down at once when the
