--- a/src/core/ledger.go
+++ b/src/core/ledger.go
@@ -156,11 +156,11 @@
 // shrink lets the oldest answers go while they take too many bytes.
 func (l *Ledger) shrink() {
 	for el := l.ended.Front(); el != nil && l.bytes > l.MaxBytes; el = el.Next() {
-		l.letGo(el.Value.(*Entry))
+		l.evictAnswer(el.Value.(*Entry))
 	}
 }
 
-func (l *Ledger) letGo(e *Entry) {
+func (l *Ledger) evictAnswer(e *Entry) {
 	if e.answerGone || e.state != EntryFinished {
 		return
 	}
@@ -178,7 +178,7 @@
 		if age < l.AnswerKeep {
 			return
 		}
-		l.letGo(e)
+		l.evictAnswer(e)
 		if !e.once || age >= l.Keep {
 			l.ended.Remove(el)
 			delete(l.entries, e.key.ID)
