--- a/src/core/ledger.go
+++ b/src/core/ledger.go
@@ -142,7 +142,7 @@
 	e.answer = answer
 	l.bytes += len(answer)
 	e.place = l.ended.PushBack(e)
-	l.shrink()
+	l.evictAnswers()
 }
 
 // Amend replaces an unknown outcome by a known one.
@@ -153,8 +153,8 @@
 	}
 }
 
-// shrink lets the oldest answers go while they take too many bytes.
-func (l *Ledger) shrink() {
+// evictAnswers lets the oldest answers go while they take too many bytes.
+func (l *Ledger) evictAnswers() {
 	for el := l.ended.Front(); el != nil && l.bytes > l.MaxBytes; el = el.Next() {
 		l.evictAnswer(el.Value.(*Entry))
 	}
