--- a/src/core/home.go
+++ b/src/core/home.go
@@ -151,7 +151,7 @@
 	if len(held) == 0 || held[0].from.After(m.Add(-v.window())) {
 		return nil, false
 	}
-	names = v.everyone(held, workspace)
+	names = v.possibleHomes(held, workspace)
 	return names, len(names) > 0 && len(names) <= renounceAskAll
 }
 
@@ -229,8 +229,8 @@
 	return best
 }
 
-// everyone lists every box that could think itself home: listed in a held view, or heard.
-func (v *Views) everyone(held []view, workspace string) []string {
+// possibleHomes lists every box that could think itself home: listed in a held view, or heard.
+func (v *Views) possibleHomes(held []view, workspace string) []string {
 	var names []string
 	for _, w := range held {
 		for _, b := range w.boxes {
