--- a/src/core/home.go
+++ b/src/core/home.go
@@ -128,7 +128,7 @@
 	if len(held) == 0 {
 		return Homing{Err: code.New(code.NotReady, "", "no box list yet")}
 	}
-	first := v.firsts(held, k, workspace)
+	first := v.topRanked(held, k, workspace)
 	newest := first[len(first)-1]
 	if newest == "" {
 		return Homing{Err: code.New(code.BoxOutsideBoundary, "workspace", "no box lies inside the workspace's boundary").WithRan(code.RanUnknown)}
@@ -202,8 +202,8 @@
 	return v.views[lo:hi]
 }
 
-// firsts gives the box that ranks first in each view.
-func (v *Views) firsts(held []view, k Key, workspace string) []string {
+// topRanked gives the box that ranks first in each view.
+func (v *Views) topRanked(held []view, k Key, workspace string) []string {
 	out := make([]string, len(held))
 	for i, w := range held {
 		out[i] = v.first(w, k, workspace)
