--- a/src/core/home.go
+++ b/src/core/home.go
@@ -206,12 +206,12 @@
 func (v *Views) topRanked(held []view, k Key, workspace string) []string {
 	out := make([]string, len(held))
 	for i, w := range held {
-		out[i] = v.first(w, k, workspace)
+		out[i] = v.topRankedIn(w, k, workspace)
 	}
 	return out
 }
 
-func (v *Views) first(w view, k Key, workspace string) string {
+func (v *Views) topRankedIn(w view, k Key, workspace string) string {
 	best, most := "", uint64(0)
 	rank := func(name, domain string) {
 		if !w.may(workspace, domain) {
