--- a/src/core/admission.go
+++ b/src/core/admission.go
@@ -36,7 +36,7 @@
 	if a.inFlight[w.Name()] >= limit {
 		return code.New(code.WorkspaceLimit, "workspace", "%d requests are running on this box", limit).After(time.Second)
 	}
-	need := a.need(now, p, deadline, est, waits)
+	need := a.expectedDuration(now, p, deadline, est, waits)
 	have := deadline.Sub(now)
 	if p.MustFinish() {
 		have = time.Duration(mustFinishReserve * float64(have))
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// need is the expected time of all stages with the waits of this moment.
-func (a *Admission) need(now time.Time, p *config.Pipeline, deadline time.Time, est *Estimates, waits Waits) time.Duration {
+// expectedDuration is the expected time of all stages with the waits of this moment.
+func (a *Admission) expectedDuration(now time.Time, p *config.Pipeline, deadline time.Time, est *Estimates, waits Waits) time.Duration {
 	run := est.Tail(now, p, 0)
 	var wait time.Duration
 	for _, s := range p.Stages() {
