--- a/src/core/admission.go
+++ b/src/core/admission.go
@@ -8,25 +8,27 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// Waits tells how long a new call of a stage would wait in its pool.
+// Waits estimates how long a new call of a stage would wait in its pool.
 type Waits func(s *config.Stage, class config.Class, deadline time.Time) time.Duration
 
-// Admission refuses what could not finish before it costs anything. Not safe for concurrent use.
+// Admission rejects requests that exceed their workspace's limit or can't finish by their deadline, before
+// they use any resources. Not safe for concurrent use.
 type Admission struct {
-	Boxes func() int // usable boxes of the fleet, over which a workspace's limit is divided
-	Off   bool       // baseline: nothing is refused for load
+	Boxes func() int // number of usable boxes, over which the limit of a workspace is divided
+	Off   bool       // baseline for experiments: admits everything
 
 	inFlight map[string]int
 }
 
-// NewAdmission counts nothing yet; set its exported fields before use.
+// NewAdmission returns an Admission with no requests; set its exported fields before use.
 func NewAdmission() *Admission { return &Admission{inFlight: map[string]int{}} }
 
-// limitSlack is how much more than its even part of a workspace's limit one box takes, since the
-// balancer doesn't spread evenly.
+// limitSlack is how far one box may exceed its equal share of a workspace's limit, because load balancers
+// don't spread requests evenly.
 const limitSlack = 1.25
 
-// Enter admits a request or says why not. Each admitted request must Leave.
+// Enter admits a request or returns the reason for refusing it. Each admitted request needs one call of
+// Leave.
 func (a *Admission) Enter(now time.Time, w *config.Workspace, p *config.Pipeline, deadline time.Time, est *Estimates, waits Waits) *code.Error {
 	if a.Off {
 		a.inFlight[w.Name()]++
@@ -42,13 +44,13 @@
 		have = time.Duration(mustFinishReserve * float64(have))
 	}
 	if need > have {
-		return code.New(code.CannotFinish, "", "would take %s, has %s", need.Round(time.Millisecond), have.Round(time.Millisecond)).After(need - have)
+		return code.New(code.CannotFinish, "", "expected to take %s, but only %s is left", need.Round(time.Millisecond), have.Round(time.Millisecond)).After(need - have)
 	}
 	a.inFlight[w.Name()]++
 	return nil
 }
 
-// expectedDuration is the expected time of all stages with the waits of this moment.
+// expectedDuration estimates the time that all stages take, including the current waits in their pools.
 func (a *Admission) expectedDuration(now time.Time, p *config.Pipeline, deadline time.Time, est *Estimates, waits Waits) time.Duration {
 	run := est.Tail(now, p, 0)
 	var wait time.Duration
@@ -58,14 +60,14 @@
 	return time.Duration(admissionMargin * float64(max(run, wait+run/2)))
 }
 
-// Leave ends an admitted request.
+// Leave releases one admitted request of a workspace.
 func (a *Admission) Leave(workspace string) {
 	if a.inFlight[workspace]--; a.inFlight[workspace] <= 0 {
 		delete(a.inFlight, workspace)
 	}
 }
 
-// Running counts the admitted requests.
+// Running returns the number of admitted requests.
 func (a *Admission) Running() int {
 	n := 0
 	for _, v := range a.inFlight {
--- a/src/core/asking.go
+++ b/src/core/asking.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// targets picks whom to ask now: the next of the round, and at times one that seems gone.
+// targets picks the members for this heartbeat: the next ones of the shuffled order, and sometimes a dead
+// one.
 func (m *Members) targets() []string {
 	var out []string
 	for len(out) < heartbeatFanout {
@@ -33,6 +34,7 @@
 	return false
 }
 
+// newRound returns the members that are not dead, in random order.
 func (m *Members) newRound() []string {
 	var names []string
 	for _, n := range m.names {
@@ -44,7 +46,8 @@
 	return names
 }
 
-// pickDeadMember picks, every few beats, a dead box to ask again.
+// pickDeadMember returns a random dead member in one of four heartbeats on average, so that healed
+// partitions are noticed, or "".
 func (m *Members) pickDeadMember() string {
 	if m.Rand.IntN(4) != 0 {
 		return ""
@@ -61,25 +64,27 @@
 	return names[m.Rand.IntN(len(names))]
 }
 
+// ask builds a heartbeat to a member and records it as pending.
 func (m *Members) ask(now time.Time, name string) BeatTo {
 	e := m.all[name]
 	if e.asked.IsZero() {
 		e.asked = now
 	}
 	b := m.beat(now)
-	if e.state >= MemberSuspect && e.id.Incarnation != 0 { // it must hear of that to refute it
+	if e.state >= MemberSuspect && e.id.Incarnation != 0 { // the member can only refute a suspicion that it hears of
 		b.Rumours = append(b.Rumours, m.rumourOf(e))
 	}
 	m.sent[b.Seq] = sentBeat{to: name, at: now}
 	return BeatTo{Address: e.address, Beat: b}
 }
 
-// Introduce makes a question to an address whose box is not known yet.
+// Introduce builds a heartbeat to an address whose box is not known yet.
 func (m *Members) Introduce(now time.Time, address string) BeatTo {
 	return BeatTo{Address: address, Beat: m.beat(now)}
 }
 
-// beat makes a message with this box's news.
+// beat builds a heartbeat with the next sequence number, the pending rumours and the news of the rest of
+// the box.
 func (m *Members) beat(now time.Time) Beat {
 	m.seq++
 	b := Beat{From: m.self(now), Seq: m.seq, Digest: m.Digest(), Rumours: m.nextRumours(now)}
@@ -89,7 +94,7 @@
 	return b
 }
 
-// self is what this box says of itself.
+// self returns the rumour that this box sends about itself.
 func (m *Members) self(now time.Time) Rumour {
 	r := m.Self
 	if !m.Start.IsZero() {
@@ -98,10 +103,11 @@
 	return r
 }
 
-// News is a message that tells of this box's state and wants no answer.
+// News builds a one-way message with the state of this box that wants no answer.
 func (m *Members) News(now time.Time) Beat { return Beat{From: m.self(now), News: true} }
 
-// Indirect lists questions to others about members that became suspects lately.
+// Indirect builds heartbeats that ask other members to probe the members that became suspects within the
+// last HeartbeatEvery.
 func (m *Members) Indirect(now time.Time) []BeatTo {
 	var out []BeatTo
 	for _, name := range m.names {
--- a/src/core/backlog.go
+++ b/src/core/backlog.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// backlog sums the work that waits, by the second of its deadline. Its size is that of the longest
-// deadline in seconds, whatever waits.
+// backlog sums the cost of waiting work by the second of its deadline. Its size is bounded by the longest
+// deadline in seconds, whatever the amount of work.
 type backlog struct {
 	sum  float64
 	by   map[int64]float64
 	held map[int64]int
 }
 
-// add counts work.
+// add counts one item of work.
 func (b *backlog) add(deadline time.Time, cost float64) {
 	if b.by == nil {
 		b.by, b.held = map[int64]float64{}, map[int64]int{}
@@ -20,7 +20,7 @@
 	b.held[deadline.Unix()]++
 }
 
-// remove undoes one add.
+// remove reverts one add with the same arguments.
 func (b *backlog) remove(deadline time.Time, cost float64) {
 	at := deadline.Unix()
 	b.sum -= cost
@@ -30,11 +30,11 @@
 		delete(b.held, at)
 	}
 	if len(b.by) == 0 {
-		b.sum = 0 // no rounding is carried on
+		b.sum = 0 // discard rounding errors
 	}
 }
 
-// before sums the work with deadlines no later than a moment.
+// before sums the work whose deadline is at most the given one, in whole seconds.
 func (b *backlog) before(deadline time.Time) float64 {
 	sum := 0.0
 	for at, cost := range b.by {
--- a/src/core/bench_test.go
+++ b/src/core/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// benchConfig has one pool of n engines over five domains, and w workspaces.
+// benchConfig returns a configuration with one pool of engines in five failure domains, and workspaces.
 func benchConfig(tb testing.TB, engines, workspaces int) *config.Config {
 	tb.Helper()
 	d := config.ExampleTarget()
@@ -61,7 +61,7 @@
 	}
 }
 
-// BenchmarkPlacement is one call through push, placement and end.
+// BenchmarkPlacement measures one call through Push, Next and Done.
 func BenchmarkPlacement(b *testing.B) {
 	for _, n := range []int{18, 120, 600} {
 		b.Run(fmt.Sprintf("engines=%d", n), func(b *testing.B) {
@@ -93,7 +93,7 @@
 	}
 }
 
-// BenchmarkPlace is the choice of a server alone.
+// BenchmarkPlace measures only the choice of a server.
 func BenchmarkPlace(b *testing.B) {
 	for _, n := range []int{18, 120, 600} {
 		b.Run(fmt.Sprintf("engines=%d", n), func(b *testing.B) {
@@ -112,7 +112,7 @@
 	}
 }
 
-// BenchmarkAdmission is one request's admission while many workspaces have requests.
+// BenchmarkAdmission measures the admission of one request while many workspaces have requests.
 func BenchmarkAdmission(b *testing.B) {
 	for _, n := range []int{5, 1300} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
@@ -140,7 +140,8 @@
 	}
 }
 
-// BenchmarkHeartbeat is one beat of a box: what it sends, and taking as many questions and answers.
+// BenchmarkHeartbeat measures one heartbeat interval of a box: sending, and receiving as many heartbeats
+// and answers.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, n := range []int{7, 420} {
 		b.Run(fmt.Sprintf("boxes=%d", n), func(b *testing.B) {
@@ -158,7 +159,7 @@
 				m.Receive(now, p)
 			}
 			for range 200 {
-				m.Tick(now) // the first rumours are told
+				m.Tick(now) // send the first rumours
 			}
 			b.ReportAllocs()
 			i := 0
@@ -178,7 +179,7 @@
 	}
 }
 
-// BenchmarkSubsets is what a change of membership or configuration costs one box.
+// BenchmarkSubsets measures what a change of membership or configuration costs one box.
 func BenchmarkSubsets(b *testing.B) {
 	for _, n := range []int{7, 420} {
 		b.Run(fmt.Sprintf("boxes=%d", n), func(b *testing.B) {
@@ -195,7 +196,7 @@
 	}
 }
 
-// BenchmarkJudge is the decision which box is home to a key.
+// BenchmarkJudge measures the decision on the home of a key.
 func BenchmarkJudge(b *testing.B) {
 	for _, n := range []int{7, 420} {
 		b.Run(fmt.Sprintf("boxes=%d", n), func(b *testing.B) {
--- a/src/core/budget.go
+++ b/src/core/budget.go
@@ -1,7 +1,8 @@
 package core
 
-// budget saves up a fraction of a token per first attempt and spends whole ones on extra attempts,
-// so that extra load stays a bounded share of useful load however much fails.
+// budget is a token bucket that earns a fraction of a token per first attempt and spends whole ones on
+// extra attempts, so that retries and hedges stay a bounded share of the first attempts, however many calls
+// fail.
 type budget struct {
 	earn  float64
 	most  float64
--- a/src/core/burn.go
+++ b/src/core/burn.go
@@ -7,14 +7,14 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// Burn tells how fast the error budget of each service level is being spent, over several windows.
-// Counts stand in a ring of slots, so memory is fixed. Safe for concurrent use.
+// Burn tracks how fast the error budget of each service level is spent over several windows. Counts are
+// kept in a ring of time slots, so memory is fixed. Safe for concurrent use.
 type Burn struct {
 	mu     sync.Mutex
 	levels []*burnLevel
 }
 
-// The slots of the ring, and the windows that are reported.
+// Size of the ring: the longest window is six hours.
 const (
 	burnSlot  = 10 * time.Second
 	burnSlots = 6 * 60 * 6 // six hours
@@ -30,7 +30,7 @@
 	slot  int64 // number of the newest slot
 }
 
-// BurnReading is one level over one window.
+// BurnReading is the result of one service level over one window.
 type BurnReading struct {
 	Level     string
 	Class     string
@@ -38,21 +38,21 @@
 	Good      int
 	Total     int
 	Objective float64
-	Rate      float64 // 1 spends exactly the budget
+	Rate      float64 // burn rate; 1 spends the error budget exactly
 }
 
-// Sample is what one ended request showed.
+// Sample is the outcome of one ended request.
 type Sample struct {
 	Class         config.Class
 	Attained      bool
-	FirstToken    time.Duration // 0 when it did not stream
+	FirstToken    time.Duration // 0 when the request did not stream
 	BetweenTokens time.Duration
 }
 
-// NewBurn makes an account of no levels.
+// NewBurn returns a Burn without service levels.
 func NewBurn() *Burn { return &Burn{} }
 
-// SetLevels takes a configuration's levels; counts of levels that stay are kept.
+// SetLevels replaces the service levels; levels that are unchanged keep their counts.
 func (b *Burn) SetLevels(docs []config.ServiceLevelDoc) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -70,7 +70,7 @@
 	}
 }
 
-// Add books one ended request.
+// Add counts one ended request in every level of its class.
 func (b *Burn) Add(now time.Time, s Sample) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -84,7 +84,7 @@
 	}
 }
 
-// judge says whether a sample is good for the level, and whether it counts at all.
+// judge reports whether a sample meets the level, and whether it counts at all.
 func (l *burnLevel) judge(s Sample) (good, counts bool) {
 	within := time.Duration(l.doc.Within)
 	switch l.doc.Measure {
@@ -98,7 +98,7 @@
 
 func slotOf(now time.Time) int64 { return now.UnixNano() / int64(burnSlot) }
 
-// forward empties the slots between the newest and now.
+// forward clears the slots between the newest one and now.
 func (l *burnLevel) forward(now time.Time) {
 	n := slotOf(now)
 	if n-l.slot > burnSlots {
@@ -119,7 +119,7 @@
 	}
 }
 
-// Read gives every level over every window.
+// Read returns the reading of every level over every window.
 func (b *Burn) Read(now time.Time) []BurnReading {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/src/core/call.go
+++ b/src/core/call.go
@@ -6,7 +6,7 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// Call is one attempt of one stage that wants a place on a backend server.
+// Call is one attempt of one stage that waits for a place on a backend server.
 type Call struct {
 	Attempt      Attempt
 	Workspace    *config.Workspace
@@ -14,27 +14,27 @@
 	Stage        *config.Stage
 	Deadline     time.Time
 	Enqueued     time.Time
-	Tail         time.Duration // what the later stages are expected to take
+	Tail         time.Duration // expected duration of the later stages
 	PromptTokens int
 	MaxTokens    int // 0 for calls that do not generate
 	Prefix       []uint64
-	Avoid        []string // servers that failed this stage already
+	Avoid        []string // servers that already failed this stage
 	Retry        bool
 	Hedge        bool
-	Started      bool // an earlier stage of the request ran
+	Started      bool // an earlier stage of the request may have run
 
-	order float64 // dispatch order within its class: lower first
-	cost  float64 // expected seconds of a slot
-	index int     // place in its heap
-	mark  uint64  // its number in the prefix index
-	probe bool    // may try a server that failed lately
+	order float64 // dispatch order within its class, lowest first
+	cost  float64 // expected slot time in seconds
+	index int     // index in its heap
+	mark  uint64  // number of its last lookup in the prefix index
+	probe bool    // may be sent to a server that failed lately
 	lane  *lane
 }
 
-// once says whether the call may not be repeated.
+// once reports whether the call must not be repeated.
 func (c *Call) once() bool { return c.Stage.Once() }
 
-// avoids says whether a server failed this stage before.
+// avoids reports whether a server already failed this stage.
 func (c *Call) avoids(s *server) bool {
 	for _, a := range c.Avoid {
 		if a == s.cfg.Name() {
@@ -44,7 +44,7 @@
 	return false
 }
 
-// slack is the time left after everything that is still expected to happen.
+// slack is the time left before the deadline after the given run time and the later stages.
 func (c *Call) slack(now time.Time, run time.Duration) time.Duration {
 	return c.Deadline.Sub(now) - run - c.Tail
 }
@@ -76,8 +76,8 @@
 	return c
 }
 
-// laneKey is what decides where a call may go; calls alike in it wait in one lane, so one blocked
-// call answers for all behind it.
+// laneKey holds everything that decides which servers may run a call. Calls with equal keys wait in one
+// lane, so when the first can not be placed the rest need not be tried.
 type laneKey struct {
 	domains config.DomainSet
 	model   string
@@ -88,7 +88,7 @@
 type lane struct {
 	key     laneKey
 	classes [config.Classes]callHeap
-	blocked uint64 // the round in which nothing more of it could be placed
+	blocked uint64 // the Next round in which none of its calls could be placed any more
 }
 
 func laneOf(c *Call) laneKey {
@@ -104,12 +104,12 @@
 	return true
 }
 
-// mayWaitLater is how much later than its deadline says a may-wait call stands in a server's queue.
+// mayWaitLater is added to the deadline of may-wait calls when they are ordered in a server's queue.
 const mayWaitLater = 10 * time.Minute
 
-// ServerPriority orders calls in a server's own queue, lower first: by deadline, with all prompt work
-// before may-wait work of the same time. The number is the same whichever box sends it, so servers
-// order the calls of all boxes together.
+// ServerPriority returns a call's priority in a server's own queue, lowest first: ordered by deadline, with
+// may-wait calls after prompt calls. It does not depend on the sending box, so a server can order the calls
+// of all boxes together.
 func ServerPriority(class config.Class, deadline time.Time) int {
 	if class == config.MayWait {
 		deadline = deadline.Add(mayWaitLater)
--- a/src/core/claim.go
+++ b/src/core/claim.go
@@ -1,20 +1,21 @@
 package core
 
-// Claim says that a box schedules a pool. Claims travel with the member's entry, so that every box
-// sends a pool's jobs to the box that has them already, whoever joins meanwhile: a pool moves only when
-// its scheduler leaves, is lost, or meets a claim of a later term.
+// Claim states that a box schedules a pool. Claims are part of the member's gossip entry, so every box
+// sends a pool's jobs to the box that already schedules it, whoever joins meanwhile. A pool moves only when
+// its scheduler leaves, is lost, or sees a claim with a later term.
 type Claim struct {
-	Pool uint64 `msgpack:"p"` // hash of its name
-	Term uint64 `msgpack:"t"` // one more than that of any claim known when it was made
+	Pool uint64 `msgpack:"p"` // hash of the pool name
+	Term uint64 `msgpack:"t"` // one more than that of any claim to the pool known when it was made
 }
 
-// Capacity is what the machine of a box can do, as its settings tell; 0 is unknown.
+// Capacity is what the machine of a box can do, from the box's settings; 0 means unknown.
 type Capacity struct {
 	CPU  uint32 `msgpack:"c"` // thousandths of a core
 	Link uint32 `msgpack:"l"` // Mbit/s
 }
 
-// Claim makes this box the scheduler of a pool, over every claim that it knows of.
+// Claim makes this box the scheduler of a pool, with a later term than all known claims. It does nothing if
+// this box holds a claim.
 func (m *Members) Claim(pool uint64) {
 	if m.claims(pool) {
 		return
@@ -26,7 +27,7 @@
 	m.setClaims(append(m.otherClaims(pool), Claim{Pool: pool, Term: term + 1}))
 }
 
-// Disclaim takes this box's claim to a pool back.
+// Disclaim withdraws this box's claim to a pool.
 func (m *Members) Disclaim(pool uint64) {
 	if m.claims(pool) {
 		m.setClaims(m.otherClaims(pool))
@@ -45,14 +46,14 @@
 	return out
 }
 
-// setClaims changes what this box says of itself; a later round makes others take it.
+// setClaims replaces this box's claims and raises its round, so that others accept the change.
 func (m *Members) setClaims(claims []Claim) {
 	m.Self.Claims = claims
 	m.Self.Round++
 	m.gossip(m.Self)
 }
 
-// termOf is the term of a pool's claim among some, 0 for none.
+// termOf returns the term of a pool in a list of claims, or 0.
 func termOf(claims []Claim, pool uint64) uint64 {
 	for _, c := range claims {
 		if c.Pool == pool {
--- a/src/core/claim_test.go
+++ b/src/core/claim_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-const testPool = 7 // hash of a pool's name
+const testPool = 7 // hash of a pool name
 
-// claimants lists the boxes that some box believes to claim the pool, with their terms.
+// claimants returns the boxes that the given box believes to claim the pool, with their terms.
 func claimants(x *tableNet, at string) map[string]uint64 {
 	out := map[string]uint64{}
 	for _, r := range x.nodes[at].Running(x.now) {
@@ -32,13 +32,13 @@
 	x.run(2500 * time.Millisecond)
 	for n := range x.nodes {
 		if got := claimants(x, n); len(got) > 0 {
-			t.Fatalf("%s believes in a claim that was taken back: %v", n, got)
+			t.Fatalf("%s still knows a withdrawn claim: %v", n, got)
 		}
 	}
 }
 
-// A later claim has a later term, also after the box that made the one before is gone; a new life claims
-// nothing.
+// A later claim has a later term, also after the loss of the previous claimant; a new incarnation holds no
+// claim.
 func TestTermsRise(t *testing.T) {
 	x := newTableNet(20, 0, 22)
 	x.run(3 * time.Second)
@@ -47,7 +47,7 @@
 	delete(x.nodes, "b0005")
 	x.run(9 * time.Second)
 	x.nodes["b0006"].Claim(testPool)
-	x.nodes["b0006"].Claim(testPool) // once is enough
+	x.nodes["b0006"].Claim(testPool) // no effect
 	x.run(2 * time.Second)
 	if got := claimants(x, "b0007"); len(got) != 1 || got["b0006"] != 2 {
 		t.Errorf("after the loss of the first claimant: %v", got)
@@ -58,6 +58,6 @@
 		t.Errorf("after its restart: %v", got)
 	}
 	if got := claimants(x, "b0005"); len(got) != 1 || got["b0006"] != 2 {
-		t.Errorf("the new life knows %v", got)
+		t.Errorf("the new incarnation knows %v", got)
 	}
 }
--- a/src/core/constants.go
+++ b/src/core/constants.go
@@ -2,108 +2,108 @@
 
 import "time"
 
-// Requests and attempts.
+// Limits on the attempts of a request.
 const (
-	quickAttempts   = 4                     // dispatches of one stage without a pause between them
-	maxAttempts     = 10                    // dispatches of one stage, must-finish work excepted
-	maxMustAttempts = 50                    // dispatches of one stage of must-finish work
+	quickAttempts   = 4                     // attempts of one stage that are made without a pause
+	maxAttempts     = 10                    // attempts of one stage, except for must-finish work
+	maxMustAttempts = 50                    // attempts of one stage of must-finish work
 	retryPause      = 50 * time.Millisecond // first pause before a further attempt
-	maxRetryPause   = 2 * time.Second       // its longest pause
-	bytesPerToken   = 4                     // rough size of a token, to guess work before it is done
-	BlockBytes      = 64                    // bytes of input under one prefix hash
-	maxPrefixBlocks = 64                    // prefix hashes kept of one call
-	traceCandidates = 8                     // candidates kept in an explanation
+	maxRetryPause   = 2 * time.Second       // longest pause
+	bytesPerToken   = 4                     // rough size of a token, to estimate work in advance
+	BlockBytes      = 64                    // bytes of input per prefix hash
+	maxPrefixBlocks = 64                    // prefix hashes kept per call
+	traceCandidates = 8                     // candidates kept per placement trace
 )
 
-// Pools: windows, health and learning.
+// Pools: windows, health and estimates.
 const (
-	learnRate         = 0.15                   // weight of a new measurement in a moving mean
-	decayAfter         = time.Second            // a measurement this fresh counts in full
-	decayHalfLife          = 2 * time.Second        // time in which an older one loses half its excess
-	failRate          = 0.2                    // weight of a new outcome in the share of failures
-	minServerBackoff         = 250 * time.Millisecond // first rest of a failing server
-	maxServerBackoff       = 10 * time.Second       // longest rest of a failing server
-	failuresBeforeBackoff    = 2                      // failures in a row before a rest
-	reportStale       = 5 * time.Second        // a report older than this counts for nothing
-	peerLoadStale     = time.Second            // a peer's in-flight note older than this counts for nothing
-	windowCut         = 0.7                    // what is left of a borrowed window when the server queues
-	otherDomainCost   = 2 * time.Millisecond   // preference for the box's own failure domain
-	otherRegionCost   = 20 * time.Millisecond  // preference for the box's own region
-	spreadShare       = 0.05                   // jitter on scores that keeps boxes from choosing alike
-	loadSlope         = 1.0                    // how much slower a full engine makes a token than an empty one
-	leavingHold     = 30 * time.Second       // older news that a server stays does not undo it leaving
-	retryEarned       = 0.1                    // retries earned by each first attempt
-	retryBankMax      = 10.0                   // retries that can be saved up
-	hedgeEarned       = 0.03                   // hedges earned by each first attempt
-	hedgeBankMax      = 4.0                    // hedges that can be saved up
-	hedgeFactor       = 3.0                    // a hedge goes out after this many typical runs
-	hedgeFloor        = 20 * time.Millisecond  // and no earlier than this
-	prefixEntries     = 32768                  // blocks remembered of all caches of a pool
-	prefixLeast       = 128                    // and of one cache at least
-	ratesFor          = 20 * time.Millisecond  // estimates of a server are used again this long
-	traceAlways       = 64                     // servers up to which every placement is explained
-	traceOneIn        = 16                     // with more servers, one placement in so many is
-	defaultRun        = 50 * time.Millisecond  // guess of a stage's run before any measurement
-	defaultTokenTime  = 10 * time.Millisecond  // guess of one generated token on an empty engine
-	defaultPrefill    = 50 * time.Microsecond  // guess of one computed prompt token
-	mayWaitRoom       = 0.25                   // part of a server's slots that may-wait work leaves free beyond its share
-	minRunFraction      = 0.3                    // part of a call's expected run that must still fit its time
-	promptQueueShare        = 0.5                    // part of a server's slots that prompt work may queue there
-	promptWindow      = 10 * time.Second       // over which the demand of prompt work is measured
-	paceWindow        = 8 * time.Second        // over which the pace of may-wait work is measured
-	minMayWaitShare         = 0.02                   // part of a pool that may-wait work can always count on
-	urgentSlack       = 0.05                   // may-wait work with less than this part of its time left is urgent
-	mustFinishReserve = 0.8                    // must-finish work is accepted up to this part of what fits its deadline
-	admissionMargin   = 1.1                    // safety on estimates before refusing
+	learnRate             = 0.15                   // weight of a new measurement in a moving average
+	decayAfter            = time.Second            // age up to which a measurement counts in full
+	decayHalfLife         = 2 * time.Second        // half-life of an older measurement's difference from the default
+	failRate              = 0.2                    // weight of a new outcome in the failure rate
+	minServerBackoff      = 250 * time.Millisecond // first backoff of a failing server
+	maxServerBackoff      = 10 * time.Second       // longest backoff of a failing server
+	failuresBeforeBackoff = 2                      // consecutive failures before a backoff
+	reportStale           = 5 * time.Second        // age at which a report is ignored
+	peerLoadStale         = time.Second            // age at which a peer's in-flight count is ignored
+	windowCut             = 0.7                    // factor on the window when the server queues
+	otherDomainCost       = 2 * time.Millisecond   // penalty for leaving the failure domain of the box
+	otherRegionCost       = 20 * time.Millisecond  // penalty for leaving the region of the box
+	spreadShare           = 0.05                   // jitter on scores, so that boxes do not all choose the same server
+	loadSlope             = 1.0                    // relative slowdown of a token on a full engine compared with an empty one
+	leavingHold           = 30 * time.Second       // time for which reports of the same incarnation do not revert a "leaving" answer
+	retryEarned           = 0.1                    // retry tokens earned by each first attempt
+	retryBankMax          = 10.0                   // retry tokens that can be saved
+	hedgeEarned           = 0.03                   // hedge tokens earned by each first attempt
+	hedgeBankMax          = 4.0                    // hedge tokens that can be saved
+	hedgeFactor           = 3.0                    // a hedge is sent after this many expected run times
+	hedgeFloor            = 20 * time.Millisecond  // but no earlier than this
+	prefixEntries         = 32768                  // prefix blocks remembered per pool
+	prefixLeast           = 128                    // least number of prefix blocks remembered per server
+	ratesFor              = 20 * time.Millisecond  // time for which the estimates of a server are cached
+	traceAlways           = 64                     // number of servers up to which every placement is traced
+	traceOneIn            = 16                     // with more servers, one placement in this many is traced
+	defaultRun            = 50 * time.Millisecond  // estimated run time of a stage before any measurement
+	defaultTokenTime      = 10 * time.Millisecond  // estimated time per generated token on an empty engine
+	defaultPrefill        = 50 * time.Microsecond  // estimated time per computed prompt token
+	mayWaitRoom           = 0.25                   // part of a server's slots that may-wait calls leave free beyond the box's share
+	minRunFraction        = 0.3                    // a call is dropped when not even this part of its expected run time is left
+	promptQueueShare      = 0.5                    // part of a server's slots that prompt calls may queue there
+	promptWindow          = 10 * time.Second       // averaging window of the prompt demand
+	paceWindow            = 8 * time.Second        // averaging window of the may-wait throughput
+	minMayWaitShare       = 0.02                   // part of a pool that may-wait calls can always count on
+	urgentSlack           = 0.05                   // may-wait work with less than this part of its time left is urgent
+	mustFinishReserve     = 0.8                    // part of the time to the deadline that must-finish work may plan to use
+	admissionMargin       = 1.1                    // safety factor on the estimates of admission
 )
 
 // Membership.
 const (
-	HeartbeatEvery   = 500 * time.Millisecond // pace of heartbeats
-	NewsEvery        = 200 * time.Millisecond // pace at which boxes of a small fleet tell all others of their loads
-	TellAgain        = 600 * time.Millisecond // after which unchanged loads are told again
-	smallFleet       = 15                     // other boxes up to which they do; beyond, servers are hardly shared
-	heartbeatFanout  = 3                      // boxes each beat goes to, whatever the fleet's size
-	rumoursPerBeat   = 12                     // members told about in one beat
-	rumourRepeats    = 3                      // times log2(fleet) that a fresh rumour is repeated
-	entriesPerNote   = 32                     // members told about in one step of an exchange of tables: some 3 KB, so that a seed on a link of 20 Mbit/s answers 300 boxes within half a second
-	formingFirst     = 2 * time.Second        // after its start, or the end of a partition, a box exchanges tables often: twice what 1,000 boxes took in virtual time
-	formingAgain     = 400 * time.Millisecond // and so long after an exchange that brought many new entries
-	formingSigns     = 4                      // new entries of one exchange that count as many
-	healFor          = 3 * time.Second        // after a life believed dead was found to be there, others' word on the dead counts
-	tellDeaths       = 10 * time.Second       // that a death is told in exchanges of tables; by then heartbeats have told it
-	suspectAfter     = 2 * time.Second        // silence before a direct question is asked
-	deadAfter        = 5 * time.Second        // silence before a member counts as gone
-	forgetAfter      = 10 * time.Minute       // time a dead member is remembered
-	LoadNotesPerBeat = 32                     // in-flight notes in one beat
+	HeartbeatEvery   = 500 * time.Millisecond // heartbeat interval
+	NewsEvery        = 200 * time.Millisecond // interval at which the boxes of a small fleet tell each other their loads
+	TellAgain        = 600 * time.Millisecond // interval at which unchanged loads are sent again
+	smallFleet       = 15                     // largest number of other boxes that counts as a small fleet; in larger ones few boxes share a server
+	heartbeatFanout  = 3                      // members that each heartbeat goes to, whatever the fleet size
+	rumoursPerBeat   = 12                     // rumours in one heartbeat
+	rumourRepeats    = 3                      // a rumour is sent this many times log2(fleet size)
+	entriesPerNote   = 32                     // entries in one step of a table exchange, about 3 KB: a seed on a 20 Mbit/s link answers 300 boxes within half a second
+	formingFirst     = 2 * time.Second        // after its start or the end of a partition, a box exchanges tables often for this long: twice what 1,000 boxes took in virtual time
+	formingAgain     = 400 * time.Millisecond // and for this long after an exchange that brought many new entries
+	formingSigns     = 4                      // number of new entries in one exchange that counts as many
+	healFor          = 3 * time.Second        // time after the return of a member believed dead for which reports that members are alive override deaths
+	tellDeaths       = 10 * time.Second       // time for which a death is sent in table exchanges; by then heartbeats have spread it
+	suspectAfter     = 2 * time.Second        // silence after a heartbeat before a member is suspected and probed through others
+	deadAfter        = 5 * time.Second        // silence before a member counts as dead
+	forgetAfter      = 10 * time.Minute       // time for which a dead member is remembered
+	LoadNotesPerBeat = 32                     // load notes in one heartbeat
 )
 
-// Configuration spread.
+// Distribution of the configuration and the box list.
 const (
-	readersPerRegion = 2                       // boxes that read the service, however large the fleet
-	ChunkBytes       = 16 << 10                // piece of a configuration pulled from a peer
-	PullTimeout      = 2 * time.Second         // time a peer has to hand over a document
-	selfReadAfter    = 6 * time.Second         // unconfirmed this long, any box reads by itself
-	SettleWait       = 1500 * time.Millisecond // a fresh box asks peers this long before it serves
+	readersPerRegion = 2                       // boxes that read the platform's service, whatever the fleet size
+	ChunkBytes       = 16 << 10                // size of the parts in which a document is pulled from a peer
+	PullTimeout      = 2 * time.Second         // time a peer has to send a document
+	selfReadAfter    = 6 * time.Second         // time without a confirmation after which any box reads the service itself
+	SettleWait       = 1500 * time.Millisecond // time for which a new box asks its peers before it serves
 )
 
-// At most once.
+// Requests that must run at most once.
 const (
-	renounceAskAll = 16 // fleets up to this size are asked whole whether a key has a home
+	renounceAskAll = 16 // largest fleet in which all boxes are asked to renounce a key
 )
 
-// Pauses of the process.
+// Detection of process pauses.
 const (
-	TickEvery  = 100 * time.Millisecond // pace of the pause watch
+	TickEvery  = 100 * time.Millisecond // tick interval of the pause detector
 	PauseLimit = 1 * time.Second        // a longer gap between ticks counts as a pause
 )
 
 // Calls to backend servers.
 const (
-	StallLimit       = 3 * time.Second        // silence of a stream before it counts as broken
-	AttemptFloor     = 500 * time.Millisecond // least time one repeatable call has
-	maxDoublings     = 6                      // times the time of an attempt is doubled at most
-	AttemptFactor    = 8                      // times its expected run that a repeatable call has
-	OnceGrace        = 10 * time.Second       // time after the deadline to learn a once-call's outcome
-	UnconfirmedAfter = 10 * time.Second       // a configuration unconfirmed this long may not be in force elsewhere
+	StallLimit       = 3 * time.Second        // silence after which a stream counts as broken
+	AttemptFloor     = 500 * time.Millisecond // least timeout of a call that may be repeated
+	maxDoublings     = 6                      // upper bound on the doublings of the timeout of an attempt
+	AttemptFactor    = 8                      // timeout of a call that may be repeated, in expected run times
+	OnceGrace        = 10 * time.Second       // time after the deadline to learn the outcome of a call that must not be repeated
+	UnconfirmedAfter = 10 * time.Second       // age of the last confirmation beyond which other boxes may use another configuration
 )
--- a/src/core/cost.go
+++ b/src/core/cost.go
@@ -8,14 +8,14 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// Cost sums what stages consumed; keys are pipelines and stages, so its size is the
-// configuration's and not the load's. Safe for concurrent use.
+// Cost sums the resources that stages consumed, by pipeline and stage, so its size depends on the
+// configuration and not on the load. Safe for concurrent use.
 type Cost struct {
 	mu   sync.Mutex
 	sums map[stageName]*StageCost
 }
 
-// StageCost is what one stage of one pipeline consumed.
+// StageCost is the resources that one stage of one pipeline consumed.
 type StageCost struct {
 	Pipeline  string
 	Class     config.Class
@@ -27,15 +27,16 @@
 	Computed  int
 	Cached    int
 	Generated int
-	// What was computed for nothing: failed, late, cancelled or hedged away.
+	// Consumption of calls whose output was not used: failed, late, cancelled or hedged.
 	WastedTokens int
 	WastedTime   time.Duration
 }
 
-// NewCost makes an empty account.
+// NewCost returns a Cost without entries.
 func NewCost() *Cost { return &Cost{sums: map[stageName]*StageCost{}} }
 
-// Add books one ended call; took is how long it held its place.
+// Add counts one ended call. took is how long it held its slot, which is used when the server did not
+// report its engine time.
 func (c *Cost) Add(p *config.Pipeline, s *config.Stage, attempt int, u Use, took time.Duration, wasted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,7 +64,7 @@
 	}
 }
 
-// Sums lists the account by pipeline and stage.
+// Sums lists the costs sorted by pipeline and stage.
 func (c *Cost) Sums() []StageCost {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/src/core/estimate.go
+++ b/src/core/estimate.go
@@ -8,17 +8,19 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// Estimates learns how long the stages of each pipeline run and how much of its token limit a
-// generate stage uses. It is safe for concurrent use.
+// Estimates learns how long the stages of each pipeline run and how much of its token limit a generate
+// stage uses. Safe for concurrent use.
 //
-// A measurement that nobody renews fades: admission refuses by these estimates, so one bad minute
-// would otherwise lock a pipeline out for good, with no request left to measure that it is over.
+// Run times above the default decay when they are not renewed: admission refuses requests by these
+// estimates, so one slow minute would otherwise block a pipeline for good, with no admitted request left to
+// measure the recovery.
 type Estimates struct {
 	mu    sync.RWMutex
 	run   map[stageName]measured // seconds
-	ratio map[stageName]measured // generated tokens over the limit
+	ratio map[stageName]measured // generated tokens divided by the token limit
 }
 
+// measured is a moving average and the time of its last update.
 type measured struct {
 	v  float64
 	at time.Time
@@ -26,21 +28,21 @@
 
 type stageName struct{ pipeline, stage string }
 
-// NewEstimates knows nothing yet.
+// NewEstimates returns Estimates without measurements.
 func NewEstimates() *Estimates {
 	return &Estimates{run: map[stageName]measured{}, ratio: map[stageName]measured{}}
 }
 
 func nameOf(p *config.Pipeline, s *config.Stage) stageName { return stageName{p.Name(), s.Name()} }
 
-// Learn takes how long one finished stage ran, its waiting not counted.
+// Learn adds the run time of a finished stage, without its wait.
 func (e *Estimates) Learn(now time.Time, p *config.Pipeline, s *config.Stage, took time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	learn(e.run, nameOf(p, s), took.Seconds(), now)
 }
 
-// LearnTokens takes how much of its limit a generate stage used.
+// LearnTokens adds how many tokens of its limit a generate stage used.
 func (e *Estimates) LearnTokens(now time.Time, p *config.Pipeline, s *config.Stage, generated, limit int) {
 	if limit <= 0 {
 		return
@@ -58,10 +60,10 @@
 	m[n] = measured{v: v, at: now}
 }
 
-// ewma moves a mean towards a new value.
+// ewma returns an exponentially weighted moving average after a new value.
 func ewma(old, v, rate float64) float64 { return old + rate*(v-old) }
 
-// decay is the part of a measurement that is left after some time without a newer one.
+// decay is the weight that is left of a measurement of the given age, from 1 down to 0.
 func decay(age time.Duration) float64 {
 	if age <= decayAfter {
 		return 1
@@ -69,7 +71,7 @@
 	return math.Exp2(-float64(age-decayAfter) / float64(decayHalfLife))
 }
 
-// Run is how long a stage is expected to run.
+// Run returns the expected run time of a stage.
 func (e *Estimates) Run(now time.Time, p *config.Pipeline, s *config.Stage) time.Duration {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
@@ -89,7 +91,7 @@
 	return guess + time.Duration(float64(v-guess)*decay(now.Sub(m.at)))
 }
 
-// firstGuess is what the operator wrote, or a guess by kind.
+// firstGuess returns the configured typical run time of a stage, or a default for its kind.
 func firstGuess(s *config.Stage) time.Duration {
 	if s.TypicalRun() > 0 {
 		return s.TypicalRun()
@@ -100,7 +102,7 @@
 	return defaultRun
 }
 
-// TokenRatio is the part of its limit that a generate stage is expected to use.
+// TokenRatio returns the part of its token limit that a generate stage is expected to use.
 func (e *Estimates) TokenRatio(p *config.Pipeline, s *config.Stage) float64 {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
@@ -110,7 +112,7 @@
 	return 1
 }
 
-// Tail is how long the stages from index on are expected to run.
+// Tail returns the expected run time of the stages from index from on.
 func (e *Estimates) Tail(now time.Time, p *config.Pipeline, from int) time.Duration {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
--- a/src/core/home.go
+++ b/src/core/home.go
@@ -8,28 +8,28 @@
 	"github.com/stilemast/stilemast/src/code"
 )
 
-// Views decides whether this box is the one home of a caller's key.
+// Views decides which box is the home of a caller's key: the only box that may run it. It keeps the box
+// lists and configurations that were recently in force at this box.
 //
-// Idea. The key's label carries the time m at which the caller made it. The home is the box that
-// ranks first by rendezvous hashing among those that may hold the workspace's requests. This box
-// acts as home only if it ranked first in every view it held from m-W to m, and its newest view was
-// confirmed by a read no earlier than m-L. Two boxes can't both meet this when list and
-// configuration reach any fresh reader within D and W >= L + D + skew: the one whose reign began
-// later would have had to see itself first before the other's last confirmation. The rule looks at
-// the label and not at the clock at sending, so a pause between check and send changes nothing.
+// A key carries the time m of its creation. Its home is the box with the highest rendezvous hash among
+// those that may hold the workspace's requests. This box acts as home only if it ranked first in every view
+// that it held from m-W to m, and if its newest view was confirmed by a read no earlier than m-L. Two boxes
+// can't both meet this when a change of the list or configuration reaches every fresh reader within D and W
+// >= L + D + skew: the box that ranked first later would have seen itself first before the other's last
+// confirmation. The rule uses the time in the key and not the current time, so a pause between the check
+// and the send does no harm.
 //
-// Cost. One hash per box and view inside the window; views change a few times an hour.
+// It costs one hash per box and view within the window.
 //
-// Trade-offs. After each change of who ranks first, keys of that share have no home for W. A box
-// that is not sure says so; callers who can't wait take tickets, which need no home. A list that
-// flaps within W is guarded by counting a box as present if any view in the window or any peer's
-// heartbeat in it showed it. Not safe for concurrent use.
+// After a change of the first-ranked box, its keys have no home for W and are refused; callers that can't
+// wait use tickets, which need no home. For lists that change back and forth within W, a box counts as
+// present if any view or heartbeat within the window showed it. Not safe for concurrent use.
 type Views struct {
 	Self       BoxID
-	FreshFor   time.Duration // L
-	ListLag    time.Duration // D
+	FreshFor   time.Duration // L: greatest age of the confirmation of the newest view
+	ListLag    time.Duration // D: time in which a change reaches every fresh reader
 	ClockSkew  time.Duration
-	LedgerKeep time.Duration
+	LedgerKeep time.Duration // time for which outcomes of keys are kept
 
 	views         []view
 	heard         map[string]heardBox
@@ -37,7 +37,7 @@
 	confConfirmed time.Time
 }
 
-// heardBox is a box that heartbeats showed alive.
+// heardBox is a box whose heartbeats were received.
 type heardBox struct {
 	domain string
 	last   time.Time
@@ -51,7 +51,7 @@
 	Leaving       bool   `json:"leaving" msgpack:"l"`
 }
 
-// DomainFilter says whether boxes of a failure domain may hold a workspace's requests, under the
+// DomainFilter reports whether boxes of a failure domain may hold a workspace's requests under the
 // configuration of one view.
 type DomainFilter func(workspace, failureDomain string) bool
 
@@ -61,14 +61,14 @@
 	may   DomainFilter
 }
 
-// NewViews makes an empty history; set its exported fields before use.
+// NewViews returns Views without history; set its exported fields before use.
 func NewViews(self BoxID) *Views {
 	return &Views{Self: self, heard: map[string]heardBox{}}
 }
 
 func (v *Views) window() time.Duration { return v.FreshFor + v.ListLag + v.ClockSkew }
 
-// Observe takes a list and configuration that are in force at this box from now on.
+// Observe adds a box list and a configuration that are in force at this box from now on.
 func (v *Views) Observe(now time.Time, boxes []ListedBox, may DomainFilter) {
 	v.views = append(v.views, view{from: now, boxes: boxes, may: may})
 	keep := now.Add(-v.LedgerKeep - v.window())
@@ -77,7 +77,7 @@
 	}
 }
 
-// Confirm notes that a read showed list and configuration unchanged as of these times.
+// Confirm records that reads showed the list and the configuration to be unchanged at these times.
 func (v *Views) Confirm(list, conf time.Time) {
 	if list.After(v.listConfirmed) {
 		v.listConfirmed = list
@@ -87,7 +87,7 @@
 	}
 }
 
-// Heard notes the heartbeat of a box that is not leaving: it lives, whatever the list says.
+// Heard records a heartbeat of a box that is not leaving: it is alive even if it is not listed.
 func (v *Views) Heard(now time.Time, name, domain string) {
 	v.heard[name] = heardBox{domain: domain, last: now}
 	for n, h := range v.heard {
@@ -97,7 +97,7 @@
 	}
 }
 
-// Confirmed is the older of the two confirmations.
+// Confirmed returns the older of the two confirmations.
 func (v *Views) Confirmed() time.Time {
 	if v.listConfirmed.Before(v.confConfirmed) {
 		return v.listConfirmed
@@ -105,21 +105,22 @@
 	return v.confConfirmed
 }
 
-// Homing is the verdict on a key.
+// Homing is the decision on the home of a key.
 type Homing struct {
-	Me  bool
+	Me  bool        // this box is the home
 	Box string      // the box to forward to when it isn't this one; "" when none is known
-	Err *code.Error // why no box can be named or this one isn't sure
+	Err *code.Error // why no box can be named, or why this box is not certain to be the home
 }
 
-// Judge says which box is home to a key.
+// Judge determines the home of a key. It fails for keys that are too old or from the future, and when this
+// box can not exclude that another one acts as home.
 func (v *Views) Judge(now time.Time, k Key, workspace string) Homing {
 	m := k.Minted()
 	if m.After(now.Add(v.ClockSkew)) {
-		return Homing{Err: code.New(code.KeyFromFuture, "key", "made %s ahead of this box's clock", m.Sub(now).Round(time.Millisecond))}
+		return Homing{Err: code.New(code.KeyFromFuture, "key", "created %s ahead of this box's clock", m.Sub(now).Round(time.Millisecond))}
 	}
 	if now.Sub(m) > v.LedgerKeep {
-		return Homing{Err: code.New(code.KeyExpired, "key", "made %s ago, longer than outcomes are kept", now.Sub(m).Round(time.Second))}
+		return Homing{Err: code.New(code.KeyExpired, "key", "created %s ago, longer than outcomes are kept", now.Sub(m).Round(time.Second))}
 	}
 	held := v.between(m.Add(-v.window()), m)
 	if len(held) == 0 {
@@ -142,9 +143,9 @@
 	return Homing{Me: true}
 }
 
-// Witnesses lists every box that might think itself home to a key. If each of them promises that the
-// key never ran and never will there, it did not run. ok is false when this box has not watched for
-// long enough to name them all.
+// Witnesses lists every box that might consider itself home to a key. If each of them promises that the key
+// neither ran nor will run there, it did not run. ok is false when this box has not observed the fleet for
+// long enough to name them all, or when they are too many to ask.
 func (v *Views) Witnesses(k Key, workspace string) (names []string, ok bool) {
 	m := k.Minted()
 	held := v.between(m.Add(-v.window()), m)
@@ -155,27 +156,27 @@
 	return names, len(names) > 0 && len(names) <= renounceAskAll
 }
 
-// unsettled says why this box, first in its newest view, may not act as home; "" if it may.
+// unsettled returns why this box, first in its newest view, must not act as home, or "".
 func (v *Views) unsettled(first []string, held []view, k Key, workspace string) string {
 	m := k.Minted()
 	if held[0].from.After(m.Add(-v.window())) {
-		return "this box has not held a view for long enough"
+		return "this box has not observed the box list for long enough"
 	}
 	for _, f := range first {
 		if f != v.Self.Name {
-			return "the key's home changed shortly before it was made"
+			return "the key's home changed shortly before the key was created"
 		}
 	}
 	if v.Confirmed().Before(m.Add(-v.FreshFor)) {
-		return "this box could not confirm its view lately"
+		return "this box has no recent confirmation of its box list and configuration"
 	}
 	if v.outranked(held[len(held)-1], k, workspace, m) {
-		return "a box that heartbeats show alive ranks higher"
+		return "a higher-ranked box is alive by its heartbeats"
 	}
 	return ""
 }
 
-// outranked says whether a box heard within the window ranks above this one, listed or not.
+// outranked reports whether a box heard from within the window ranks above this one, listed or not.
 func (v *Views) outranked(w view, k Key, workspace string, m time.Time) bool {
 	own := rendezvous(k, v.Self.Name)
 	for n, h := range v.heard {
@@ -189,7 +190,7 @@
 	return false
 }
 
-// between lists the views held at some moment from a to b.
+// between lists the views that were held at any time from a to b.
 func (v *Views) between(a, b time.Time) []view {
 	lo := 0
 	for lo+1 < len(v.views) && !v.views[lo+1].from.After(a) {
@@ -202,7 +203,7 @@
 	return v.views[lo:hi]
 }
 
-// topRanked gives the box that ranks first in each view.
+// topRanked returns the first-ranked box of each view.
 func (v *Views) topRanked(held []view, k Key, workspace string) []string {
 	out := make([]string, len(held))
 	for i, w := range held {
@@ -229,7 +230,7 @@
 	return best
 }
 
-// possibleHomes lists every box that could think itself home: listed in a held view, or heard.
+// possibleHomes lists every box that could consider itself home: listed in one of the views, or heard from.
 func (v *Views) possibleHomes(held []view, workspace string) []string {
 	var names []string
 	for _, w := range held {
@@ -260,10 +261,10 @@
 	return out
 }
 
-// rendezvous ranks a box for a key; the highest is first.
+// rendezvous returns the rendezvous hash of a key and a box; the highest value ranks first.
 func rendezvous(k Key, name string) uint64 { return rank(k.Hash(), name) }
 
-// rank mixes a hash with a name.
+// rank mixes a hash with the hash of a name.
 func rank(h uint64, name string) uint64 {
 	x := h ^ xxhash.Sum64String(name)
 	x ^= x >> 33
--- a/src/core/home_test.go
+++ b/src/core/home_test.go
@@ -8,20 +8,20 @@
 	"pgregory.net/rapid"
 )
 
-// homeBox is one box's knowledge of a list that changes.
+// homeBox is the view of one box of a list that changes.
 type homeBox struct {
 	v    *Views
 	seen int // index of the list it holds
 }
 
-// Several boxes read a list that changes, each at its own moments and stale by up to D, with clocks
-// off by up to half the skew. Whatever they do, no two may both be home to one key.
+// Several boxes read a changing list at different times, stale by up to D, with clocks off by up to half
+// the skew. No two of them may act as home for the same key.
 func TestNoTwoHomes(t *testing.T) {
 	const freshFor, lag, skew = 3 * time.Second, 2 * time.Second, time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Unix(1_000_000, 0)
 		names := []string{"a", "b", "c", "d"}
-		// The true list changes at these moments; a box once out stays out for longer than the lag.
+		// The true list changes at these times; a removed box stays out for longer than the lag.
 		type change struct {
 			at    time.Time
 			boxes []ListedBox
@@ -94,7 +94,7 @@
 		{made: -time.Second, read: time.Second, want: "HOME_UNSETTLED"},
 		{made: 5 * time.Second, read: 5 * time.Second, want: "HOME_UNSETTLED"},
 		{made: 7 * time.Second, read: 7 * time.Second, want: "me"},
-		{made: 7 * time.Second, read: 3 * time.Second, want: "HOME_UNSETTLED"}, // not confirmed lately
+		{made: 7 * time.Second, read: 3 * time.Second, want: "HOME_UNSETTLED"}, // no recent confirmation
 		{made: 20 * time.Second, read: 7 * time.Second, want: "KEY_FROM_FUTURE"},
 	} {
 		fresh := *v
@@ -127,12 +127,12 @@
 		if h := v.Judge(now, k, "w"); !h.Me {
 			outranked = true
 			if rendezvous(k, "b") < rendezvous(k, "a") {
-				t.Error("gave way to a lower box")
+				t.Error("not home although the other box ranks lower")
 			}
 		}
 	}
 	if !outranked {
-		t.Error("an unlisted box that heartbeats show alive changes nothing")
+		t.Error("an unlisted box with heartbeats has no effect on the home")
 	}
 }
 
--- a/src/core/key.go
+++ b/src/core/key.go
@@ -13,37 +13,37 @@
 	"github.com/stilemast/stilemast/src/code"
 )
 
-// BoxID names one life of one box.
+// BoxID identifies one incarnation of one box: its name and a number that rises with each start.
 type BoxID struct {
 	Name        string `msgpack:"n"`
 	Incarnation uint64 `msgpack:"i"`
 }
 
-// String writes the id as name@incarnation.
+// String formats the ID as name@incarnation.
 func (b BoxID) String() string { return b.Name + "@" + strconv.FormatUint(b.Incarnation, 10) }
 
-// Key identifies a request. It is a UUID version 7 the caller made, or a ticket: the same kind of
-// UUID bound to the box incarnation that issued it.
+// Key identifies a request. It is a UUID version 7 chosen by the caller, or a ticket: a UUID version 7
+// bound to the box incarnation that issued it.
 type Key struct {
 	ID     uuid.UUID
-	Issuer BoxID // zero for a caller's own key
+	Issuer BoxID // zero for a key chosen by the caller
 }
 
-// Zero says whether there is no key.
+// Zero reports whether the key is unset.
 func (k Key) Zero() bool { return k.ID == uuid.Nil }
 
-// Ticket says whether the key is bound to an incarnation.
+// Ticket reports whether the key is bound to a box incarnation.
 func (k Key) Ticket() bool { return k.Issuer.Name != "" }
 
-// Minted is the time in the label, which every copy of the request carries.
+// Minted returns the creation time in the UUID, which is the same in every copy of the request.
 func (k Key) Minted() time.Time {
 	var b [8]byte
 	copy(b[2:], k.ID[:6])
 	return time.UnixMilli(int64(binary.BigEndian.Uint64(b[:])))
 }
 
-// MintID makes a UUID version 7 whose label is the given time. The uuid library's own keeps one clock
-// for the whole process and never steps back, which a test with several virtual clocks can't use.
+// MintID makes a UUID version 7 with the given time. The uuid library's generator has one monotonic clock
+// per process, which does not work for tests with several virtual clocks.
 func MintID(now time.Time, random [16]byte) uuid.UUID {
 	var ms [8]byte
 	binary.BigEndian.PutUint64(ms[:], uint64(now.UnixMilli()))
@@ -54,12 +54,12 @@
 	return id
 }
 
-// Hash spreads keys over shards and boxes.
+// Hash returns the hash by which keys are distributed over shards and boxes.
 func (k Key) Hash() uint64 { return xxhash.Sum64(k.ID[:]) }
 
 const ticketMark = "t1."
 
-// String writes a key as callers pass it. A ticket is t1.<uuid>.<incarnation>.<box>.
+// String formats the key as callers pass it. A ticket is t1.<uuid>.<incarnation in hex>.<box>.
 func (k Key) String() string {
 	if !k.Ticket() {
 		return k.ID.String()
@@ -67,7 +67,7 @@
 	return ticketMark + k.ID.String() + "." + strconv.FormatUint(k.Issuer.Incarnation, 16) + "." + k.Issuer.Name
 }
 
-// ParseKey reads what a caller passed.
+// ParseKey parses a key as callers pass it, or returns BadKey.
 func ParseKey(s string) (Key, *code.Error) {
 	if strings.HasPrefix(s, ticketMark) {
 		return parseTicket(s)
@@ -96,19 +96,19 @@
 	return Key{ID: id, Issuer: BoxID{Name: parts[2], Incarnation: inc}}, nil
 }
 
-// AttachToken names a request and the incarnation that holds it.
+// AttachToken names a request and the box incarnation that holds it.
 type AttachToken struct {
 	Key    Key
 	Holder BoxID
 }
 
-// String writes the token: hexadecimal of the key, a bar and the holder.
+// String formats the token: the hexadecimal form of key, incarnation and box name, joined by vertical bars.
 func (t AttachToken) String() string {
 	raw := t.Key.String() + "|" + strconv.FormatUint(t.Holder.Incarnation, 16) + "|" + t.Holder.Name
 	return hex.EncodeToString([]byte(raw))
 }
 
-// ParseAttachToken reads a token.
+// ParseAttachToken parses a token, or returns BadAttachToken.
 func ParseAttachToken(s string) (AttachToken, *code.Error) {
 	bad := code.New(code.BadAttachToken, "attach_token", "not an attach token of this system")
 	raw, err := hex.DecodeString(s)
@@ -127,20 +127,21 @@
 	return AttachToken{Key: key, Holder: BoxID{Name: parts[2], Incarnation: inc}}, nil
 }
 
-// Attempt is one dispatch of one stage of one request; replies are matched by all three parts.
+// Attempt identifies one dispatch of one stage of one request. Replies are matched by all three fields.
 type Attempt struct {
 	Key   Key
 	Stage int
 	N     int
 }
 
-// Wire writes the attempt as backend servers see it. It names the box's incarnation too: two boxes
-// that got copies of one request must not share an identity at a server.
+// Wire formats the attempt as backend servers see it. It includes the incarnation of the sending box, so
+// that two boxes which got copies of one request do not share an ID at a server.
 func (a Attempt) Wire(by BoxID) string {
 	return a.Key.ID.String() + "/" + strconv.Itoa(a.Stage) + "/" + strconv.Itoa(a.N) + "/" + by.String()
 }
 
-// Fingerprint tells two requests under one key apart without keeping their content.
+// Fingerprint hashes a request's content, to recognize a key that is reused for another request without
+// keeping the content.
 func Fingerprint(workspace, pipeline string, input []byte) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(workspace)
@@ -151,8 +152,8 @@
 	return d.Sum64()
 }
 
-// PrefixBlocks hashes the input's leading blocks, each over all before it, salted by workspace so
-// that no workspace's cache serves another.
+// PrefixBlocks returns the hashes of the input's leading blocks, each over all input up to the end of the
+// block. They are salted with the workspace, so that workspaces share no cache entries.
 func PrefixBlocks(workspace string, input []byte) []uint64 {
 	n := min(len(input)/BlockBytes, maxPrefixBlocks)
 	out := make([]uint64, 0, n)
--- a/src/core/key_test.go
+++ b/src/core/key_test.go
@@ -41,14 +41,14 @@
 	}
 }
 
-// Two boxes that got copies of one request used to share an identity at an engine, and each got
-// parts of the other's stream.
+// Two boxes that got copies of one request must not share an ID at an engine, or each would get parts of
+// the other's stream.
 func TestAttemptsOfTwoBoxesDiffer(t *testing.T) {
 	a := Attempt{Key: newTestKey(t), Stage: 1, N: 0}
 	if a.Wire(BoxID{Name: "a", Incarnation: 1}) == a.Wire(BoxID{Name: "b", Incarnation: 1}) {
-		t.Error("two boxes give one identity")
+		t.Error("two boxes use the same ID")
 	}
 	if a.Wire(BoxID{Name: "a", Incarnation: 1}) == a.Wire(BoxID{Name: "a", Incarnation: 2}) {
-		t.Error("two lives of a box give one identity")
+		t.Error("two incarnations of a box use the same ID")
 	}
 }
--- a/src/core/ledger.go
+++ b/src/core/ledger.go
@@ -9,32 +9,32 @@
 	"github.com/stilemast/stilemast/src/code"
 )
 
-// Ledger remembers what became of each key: it is why a second copy of a request joins the first,
-// and why a refusal stays a refusal. One shard of keys each; not safe for concurrent use.
+// Ledger records the outcome of each key. Because of it a second copy of a request joins the first, and a
+// refused key stays refused. There is one ledger per shard of keys; it is not safe for concurrent use.
 //
-// A key whose pipeline may not be repeated is remembered for Keep, refused ones too: a copy that
-// comes after "not run" was said must not run. Others are forgotten with their answer.
+// A key whose pipeline must not be repeated is kept for Keep, also when it was refused: a copy that arrives
+// after the caller was told "not run" must not run. Other keys are removed together with their answer.
 type Ledger struct {
-	Keep       time.Duration // how long keys that may not be repeated are remembered
-	AnswerKeep time.Duration // how long finished answers are kept
-	MaxBytes   int           // most bytes of finished answers
+	Keep       time.Duration // time for which keys that must not be repeated are kept
+	AnswerKeep time.Duration // time for which finished answers are kept
+	MaxBytes   int           // upper bound on the bytes of finished answers
 
 	entries map[uuid.UUID]*Entry
-	ended   *list.List // of *Entry, oldest end first
+	ended   *list.List // of *Entry, in the order of their ends
 	bytes   int
 }
 
-// EntryState is how far a key has come.
+// EntryState is the state of a key.
 type EntryState uint8
 
-// A key is running, finished with an answer, or refused or failed with a code.
+// States of a key: running, finished with an answer, or refused or failed with a code.
 const (
 	EntryRunning EntryState = iota + 1
 	EntryFinished
 	EntryRefused
 )
 
-// Entry is what became of one key.
+// Entry is the state and outcome of one key.
 type Entry struct {
 	key         Key
 	once        bool
@@ -52,32 +52,32 @@
 	place       *list.Element
 }
 
-// Key is the entry's key.
+// Key returns the key of the entry.
 func (e Entry) Key() Key { return e.key }
 
-// Workspace is whose key it is.
+// Workspace returns the workspace that the key belongs to.
 func (e Entry) Workspace() string { return e.workspace }
 
-// State is how far it has come.
+// State returns the state of the key.
 func (e Entry) State() EntryState { return e.state }
 
-// Err is the final code of a refused or failed key.
+// Err returns the error of a refused or failed key, otherwise nil.
 func (e Entry) Err() *code.Error { return e.err }
 
-// MayRepeat says whether the request may be made again under a new key.
+// MayRepeat reports whether the caller may send the request again under a new key.
 func (e Entry) MayRepeat() bool { return e.mayRepeat }
 
-// Renounced says whether this box only promised that the key never runs here. What it is told of the
-// other boxes is another matter, so such an entry is no answer for a caller.
+// Renounced reports whether this box only promised never to run the key. That says nothing about other
+// boxes, so such an entry must not be given to a caller as the outcome.
 func (e Entry) Renounced() bool { return e.renounced }
 
-// Answer is the whole answer; ok is false when it was let go.
+// Answer returns the whole answer; ok is false when it is no longer kept.
 func (e Entry) Answer() (answer []byte, ok bool) { return e.answer, !e.answerGone }
 
-// Uses sums the stages.
+// Uses lists what each stage consumed.
 func (e Entry) Uses() []StageUse { return e.uses }
 
-// NewLedger makes an empty ledger; set its exported fields before use.
+// NewLedger returns an empty ledger with default limits; set its exported fields before use.
 func NewLedger() *Ledger {
 	return &Ledger{
 		Keep: 10 * time.Minute, AnswerKeep: 2 * time.Minute, MaxBytes: 1 << 20,
@@ -85,17 +85,17 @@
 	}
 }
 
-// Len counts the entries.
+// Len returns the number of entries.
 func (l *Ledger) Len() int { return len(l.entries) }
 
-// Bytes counts the bytes of kept answers.
+// Bytes returns the size of the kept answers.
 func (l *Ledger) Bytes() int { return l.bytes }
 
-// Find looks a key up, or gives nil.
+// Find returns the entry of a key, or nil.
 func (l *Ledger) Find(k Key) *Entry { return l.entries[k.ID] }
 
-// Open enters a key that may run now. The entry that stands already comes back with fresh false; a
-// key used for another request is an error.
+// Open adds a key that may run now. If the key has an entry, that is returned with fresh set to false; a
+// key that was used for another request is an error.
 func (l *Ledger) Open(k Key, once bool, workspace, pipeline string, fingerprint uint64) (e *Entry, fresh bool, err *code.Error) {
 	if e := l.entries[k.ID]; e != nil {
 		if e.key != k || e.fingerprint != 0 && e.fingerprint != fingerprint {
@@ -108,8 +108,8 @@
 	return e, true, nil
 }
 
-// Renounce marks a key that was never opened as one that will never run here. It says whether that
-// holds: false when the key is running or ended otherwise.
+// Renounce records a promise that a key will never run here. It reports whether the promise holds: false
+// when the key is running, or ended in a way that doesn't exclude that it ran.
 func (l *Ledger) Renounce(now time.Time, k Key) bool {
 	if e := l.entries[k.ID]; e != nil {
 		return e.renounced || e.state == EntryRefused && e.err.DidRun() == code.RanNo
@@ -120,7 +120,7 @@
 	return true
 }
 
-// Close ends a running key; err nil means that answer is whole.
+// Close ends a running key; a nil err means that the answer is complete.
 func (l *Ledger) Close(now time.Time, k Key, err *code.Error, answer []byte, uses []StageUse, mayRepeat bool) {
 	e := l.entries[k.ID]
 	if e == nil || e.state != EntryRunning {
@@ -136,7 +136,7 @@
 		e.state = EntryRefused
 	}
 	if err != nil && !e.once && err.DidRun() == code.RanNo {
-		delete(l.entries, e.key.ID) // nothing ran and it may be repeated: the key may come again
+		delete(l.entries, e.key.ID) // nothing ran and it may be repeated, so the same key may be sent again
 		return
 	}
 	e.answer = answer
@@ -145,7 +145,7 @@
 	l.evictAnswers()
 }
 
-// Amend replaces an unknown outcome by a known one.
+// Amend replaces an unknown outcome with a known one.
 func (l *Ledger) Amend(k Key, err *code.Error) {
 	e := l.entries[k.ID]
 	if e != nil && e.state == EntryRefused && e.err.DidRun() == code.RanUnknown {
@@ -153,7 +153,7 @@
 	}
 }
 
-// evictAnswers lets the oldest answers go while they take too many bytes.
+// evictAnswers drops the oldest answers until the rest fits into MaxBytes.
 func (l *Ledger) evictAnswers() {
 	for el := l.ended.Front(); el != nil && l.bytes > l.MaxBytes; el = el.Next() {
 		l.evictAnswer(el.Value.(*Entry))
@@ -169,7 +169,7 @@
 	e.answerGone = true
 }
 
-// Expire forgets what is older than it has to be kept.
+// Expire removes answers and entries whose retention time has passed.
 func (l *Ledger) Expire(now time.Time) {
 	for el := l.ended.Front(); el != nil; {
 		e := el.Value.(*Entry)
@@ -187,7 +187,7 @@
 	}
 }
 
-// Record is an entry as it is handed over by a box that stops.
+// Record is a ledger entry in the form that a stopping box hands over to its successor.
 type Record struct {
 	Key         Key         `msgpack:"k"`
 	Once        bool        `msgpack:"o"`
@@ -215,7 +215,7 @@
 	return out
 }
 
-// Import takes one handed-over entry; what this ledger knows itself stays.
+// Import adds one handed-over entry; an existing entry of the key is kept.
 func (l *Ledger) Import(now time.Time, r Record) {
 	if l.entries[r.Key.ID] != nil {
 		return
--- a/src/core/ledger_test.go
+++ b/src/core/ledger_test.go
@@ -9,8 +9,8 @@
 	"github.com/stilemast/stilemast/src/code"
 )
 
-// A model of the ledger: what each key's first end was never changes, but for an unknown that becomes
-// known, and no key that may not be repeated opens twice while it is remembered.
+// Compares the ledger with a model: the outcome of a key never changes, except from unknown to known, and
+// no key that must not be repeated is opened twice while it is remembered.
 func TestLedgerHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewLedger()
--- a/src/core/member.go
+++ b/src/core/member.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// MemberState is what a box thinks of another.
+// MemberState is the state of a box as another box sees it.
 type MemberState uint8
 
-// A member is alive, leaving as planned, suspected, or gone.
+// States of a member, from best to worst.
 const (
 	MemberAlive MemberState = iota + 1
 	MemberLeaving
@@ -13,7 +13,7 @@
 	MemberDead
 )
 
-// String names the state.
+// String returns the name of the state.
 func (s MemberState) String() string {
 	switch s {
 	case MemberAlive:
@@ -28,51 +28,51 @@
 	return "unknown"
 }
 
-// Member is one box as this box sees it.
+// Member is what this box knows of another one.
 type Member struct {
 	id      BoxID
 	address string
 	domain  string
 	state   MemberState
-	round   uint64 // raised by the member itself to refute suspicion
-	since   time.Time
-	heard   time.Time // last direct answer
-	asked   time.Time // oldest unanswered beat, zero if none
+	round   uint64    // raised by the member itself to refute a suspicion or to update its entry
+	since   time.Time // time of the last change of state
+	heard   time.Time // time of the last direct answer
+	asked   time.Time // send time of the oldest unanswered heartbeat, or zero
 	listed  bool
-	left    bool   // this life said that it leaves
+	left    bool   // this incarnation announced that it is leaving
 	hash    uint32 // of its name
 
 	capacity Capacity
 	claims   []Claim
-	version  uint64
-	started  time.Time // of this life, as far as rumours tell; never before its true start by more than their way
+	version  uint64    // of the configuration it last reported in force
+	started  time.Time // start of this incarnation, as far as rumours tell; later than the true start by their delay at most
 }
 
-// ID is the member's name and incarnation.
+// ID returns the name and incarnation of the member.
 func (m *Member) ID() BoxID { return m.id }
 
-// Address is where it listens for other boxes.
+// Address returns the address where the member listens for other boxes.
 func (m *Member) Address() string { return m.address }
 
-// FailureDomain is where it stands.
+// FailureDomain returns the failure domain of the member.
 func (m *Member) FailureDomain() string { return m.domain }
 
-// State is what this box thinks of it.
+// State returns the state of the member.
 func (m *Member) State() MemberState { return m.state }
 
-// Heard is when it last answered this box itself.
+// Heard returns the time of its last direct answer to this box.
 func (m *Member) Heard() time.Time { return m.heard }
 
-// Up is how long this life of the member has been running, as far as this box was told.
+// Up returns how long this incarnation of the member has been running, as far as rumours tell.
 func (m *Member) Up(now time.Time) time.Duration { return now.Sub(m.started) }
 
-// Listed says whether the platform's list has it.
+// Listed reports whether the member is on the platform's box list.
 func (m *Member) Listed() bool { return m.listed }
 
-// Version is the configuration it last said was in force.
+// Version returns the configuration version that the member last reported in force.
 func (m *Member) Version() uint64 { return m.version }
 
-// serving is the state of a life that has answered.
+// serving returns the state of a member whose current incarnation has answered.
 func (m *Member) serving() MemberState {
 	if m.left {
 		return MemberLeaving
@@ -80,5 +80,5 @@
 	return MemberAlive
 }
 
-// Usable says whether new work may be forwarded to it.
+// Usable reports whether new work may be forwarded to the member.
 func (m *Member) Usable() bool { return m.state == MemberAlive || m.state == MemberSuspect }
--- a/src/core/members.go
+++ b/src/core/members.go
@@ -6,67 +6,71 @@
 	"time"
 )
 
-// Members is the failure detector among boxes.
+// Members is the membership list and failure detector of the boxes, a SWIM-like gossip protocol.
 //
-// Idea. Every HeartbeatEvery a box asks a few others, in a shuffled round so that each is asked
-// within a bounded number of beats, and passes on fresh rumours with question and answer. Silence
-// makes a suspect; others are asked to ask it, which sees through one-way and partial cuts; a
-// suspect that hears of it refutes by raising its round. Only lasting silence makes it dead. Now
-// and then a dead or listed box is asked too, so that healed partitions join again. Single changes
-// travel with the heartbeats; where whole tables differ they are exchanged (table.go).
+// Every HeartbeatEvery a box sends a heartbeat to a few others, in a shuffled order so that each is probed
+// within a bounded number of intervals. Heartbeats and their answers carry recent rumours. A member that
+// does not answer becomes a suspect, and others are asked to probe it, so one-way and partial network
+// failures do not count as its death. A suspect that hears of the suspicion refutes it by raising its
+// round; only lasting silence makes it dead. Dead and listed members are probed occasionally, so that
+// healed partitions merge. Single changes spread with heartbeats; where whole tables differ, these are
+// exchanged (table.go).
 //
-// Cost. A fixed number of messages a beat, whatever the fleet's size; a rumour is repeated
-// O(log n) times. State is one Member a box.
+// A box sends a fixed number of messages per interval, whatever the fleet size, and repeats a rumour O(log
+// n) times. It keeps one Member per box.
 //
-// Trade-offs. Two boxes may disagree for some beats; nothing that must hold rests on agreement.
-// The platform's list only says whom to ask. Not safe for concurrent use.
+// Two boxes may disagree for some intervals, so nothing that must hold may rely on agreement. The
+// platform's list only tells whom to contact, not who is alive. Not safe for concurrent use.
 type Members struct {
 	Self   Rumour
 	Rand   *rand.Rand
-	Expect func(b *Beat) // fills in what other parts of the box tell; may be nil
-	Start  time.Time     // of this box
-	// Renumbers lets this box take a later incarnation than that of its earlier life at its address, which took it from a clock that was
-	// set back since. Nothing but members may know the box by its incarnation then.
+	Expect func(b *Beat) // adds what other parts of the box send in heartbeats; may be nil
+	Start  time.Time     // start time of this box
+	// Renumbers lets this box raise its incarnation above that of an earlier process at the same address,
+	// which took a higher one because the clock was set back since. Only Members may then identify the box
+	// by its incarnation.
 	Renumbers bool
 
-	all     map[string]*Member
-	names   []string // of all, sorted
-	handovers  map[BoxID]handedOver
-	probeOrder   []string // names still to be asked in this round
-	pendingRumours   map[string]*pendingRumour
-	seq     uint64
-	sent    map[uint64]sentBeat
-	changed bool
+	all            map[string]*Member
+	names          []string // keys of all, sorted
+	handovers      map[BoxID]handedOver
+	probeOrder     []string // names still to be probed in this round
+	pendingRumours map[string]*pendingRumour
+	seq            uint64
+	sent           map[uint64]sentBeat
+	changed        bool
 
 	compared  comparedTable
 	version   uint64
 	formUntil time.Time // until then tables are exchanged often
-	healedAt  time.Time // when a life believed dead was last found to be there
+	healedAt  time.Time // when a member believed dead was last found to be alive
 }
 
-// handedOver is an incarnation that stopped as planned and handed its ledger over.
+// handedOver is an incarnation that stopped as planned and handed its ledger over to a successor.
 type handedOver struct {
 	successor string
 	at        time.Time
 }
 
+// pendingRumour is a rumour with the number of times it is still to be sent.
 type pendingRumour struct {
 	rumour Rumour
 	left   int
 }
 
+// sentBeat is a heartbeat that waits for its answer.
 type sentBeat struct {
 	to string
 	at time.Time
 }
 
-// NewMembers makes a detector that knows only itself; set its exported fields before use.
+// NewMembers returns a membership list that contains only this box; set its exported fields before use.
 func NewMembers(self Rumour, r *rand.Rand) *Members {
 	self.State = MemberAlive
 	return &Members{Self: self, Rand: r, all: map[string]*Member{}, handovers: map[BoxID]handedOver{}, pendingRumours: map[string]*pendingRumour{}, sent: map[uint64]sentBeat{}}
 }
 
-// Leave marks this box as leaving and tells.
+// Leave marks this box as leaving and gossips it. successor is the box that takes over its ledger, or "".
 func (m *Members) Leave(successor string) {
 	m.Self.State = MemberLeaving
 	m.Self.Successor = successor
@@ -74,7 +78,7 @@
 	m.gossip(m.Self)
 }
 
-// List takes the platform's box list: whom to ask, never who lives.
+// List takes the platform's box list, which tells whom to contact but not who is alive.
 func (m *Members) List(now time.Time, boxes []ListedBox) {
 	for _, e := range m.all {
 		e.listed = false
@@ -98,7 +102,7 @@
 	}
 }
 
-// Tick sends the beats that are due and judges silence.
+// Tick applies the timeouts and returns the heartbeats to send now.
 func (m *Members) Tick(now time.Time) []BeatTo {
 	m.checkTimeouts(now)
 	var out []BeatTo
@@ -108,7 +112,8 @@
 	return out
 }
 
-// checkTimeouts turns silence into suspicion, suspicion into death, and forgets the long dead.
+// checkTimeouts makes silent members suspects, lasting suspects dead, and removes members that are dead for
+// long.
 func (m *Members) checkTimeouts(now time.Time) {
 	for _, name := range slices.Clone(m.names) {
 		e := m.all[name]
@@ -157,21 +162,22 @@
 	}
 }
 
-// gossip makes a rumour fresh: it will be repeated a few times log2 of the fleet.
+// gossip schedules a rumour to be sent with the next heartbeats, rumourRepeats times log2 of the fleet
+// size.
 func (m *Members) gossip(r Rumour) {
 	if r.ID.Incarnation == 0 {
-		return // nothing but the list ever spoke of it
+		return // known only from the box list
 	}
 	m.pendingRumours[r.ID.Name] = &pendingRumour{rumour: r, left: m.repeatsOf()}
 }
 
-// markChanged notes that what is known of some member changes.
+// markChanged invalidates the cached table after a change of any member.
 func (m *Members) markChanged() {
 	m.compared.stale = true
 	m.version++
 }
 
-// Version rises with each change of what is known of some other member.
+// Version returns a number that rises with each change of a member other than this box.
 func (m *Members) Version() uint64 { return m.version }
 
 func (m *Members) add(e *Member) {
@@ -190,14 +196,14 @@
 	}
 }
 
-// Heard is what a received beat meant to the rest of the box.
+// Heard is the result of a received heartbeat for the rest of the box.
 type Heard struct {
 	Reply   []BeatTo
 	From    BoxID
-	AskedAt time.Time // when the beat that this one answers was sent; zero for a question
+	AskedAt time.Time // send time of the heartbeat that this one answers; zero if it is no answer
 }
 
-// Receive takes a beat and gives what to send in return.
+// Receive processes a heartbeat and returns the messages to send in reply.
 func (m *Members) Receive(now time.Time, b Beat) Heard {
 	h := Heard{From: b.From.ID}
 	if b.From.ID.Name == m.Self.ID.Name {
@@ -236,7 +242,7 @@
 	if reply.Digest != b.Digest && b.Digest != 0 {
 		reply.Table = &TableNote{Buckets: m.buckets()}
 	}
-	if e.id == b.From.ID && e.state >= MemberSuspect || e.id.Incarnation > b.From.ID.Incarnation { // it must hear of that to refute it
+	if e.id == b.From.ID && e.state >= MemberSuspect || e.id.Incarnation > b.From.ID.Incarnation { // so that the sender can refute it
 		reply.Rumours = append(reply.Rumours, m.rumourOf(e))
 	}
 	h.Reply = append(h.Reply, BeatTo{Address: b.From.Address, Beat: reply})
@@ -246,7 +252,8 @@
 	return h
 }
 
-// answered notes a direct answer: whatever rumours say, this life of the box is there.
+// answered records a direct answer, which proves that this incarnation of the member is alive, whatever
+// rumours say.
 func (m *Members) answered(now time.Time, e *Member, id BoxID) {
 	if e.id != id {
 		return
@@ -261,7 +268,7 @@
 	}
 }
 
-// Changed says, once, whether membership changed since it was last asked.
+// Changed reports whether the membership changed since the last call.
 func (m *Members) Changed() bool {
 	c := m.changed
 	m.changed = false
--- a/src/core/members_test.go
+++ b/src/core/members_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// net is a few dozen detectors whose messages arrive at once unless a link is cut.
+// net is a fleet of membership lists whose messages arrive immediately unless a link is cut.
 type net struct {
 	now   time.Time
 	nodes map[string]*Members
@@ -85,7 +85,7 @@
 		x.nodes["b03"] = next
 		x.run(15 * time.Second)
 		if s := x.states("b03"); s[MemberAlive] != n-1 || x.nodes["b01"].Find("b03").ID().Incarnation != 2 {
-			t.Errorf("%d boxes: the next life is seen as %v", n, s)
+			t.Errorf("%d boxes: the new incarnation is seen as %v", n, s)
 		}
 		if lost.Self.ID.Incarnation != 1 {
 			t.Error("unreachable")
@@ -100,7 +100,7 @@
 	for range 60 {
 		x.run(time.Second)
 		if s := x.states("b02"); s[MemberDead] > 0 {
-			t.Fatalf("one cut link has others think a live box dead: %v", s)
+			t.Fatalf("one failed link makes others consider a live box dead: %v", s)
 		}
 	}
 }
--- a/src/core/memberviews.go
+++ b/src/core/memberviews.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Find gives a member by name, or nil.
+// Find returns a member by name, or nil.
 func (m *Members) Find(name string) *Member { return m.all[name] }
 
-// Each lists the members by name.
+// Each lists the members sorted by name, without this box.
 func (m *Members) Each() []*Member {
 	out := make([]*Member, 0, len(m.all))
 	for _, n := range m.names {
@@ -17,7 +17,7 @@
 	return out
 }
 
-// Near lists where the usable members of a small fleet listen; a large one gives none.
+// Near lists the addresses of the usable members if the fleet is small (smallFleet), otherwise nil.
 func (m *Members) Near() []string {
 	var out []string
 	for _, n := range m.names {
@@ -31,8 +31,8 @@
 	return out
 }
 
-// Some lists where a few usable members listen, drawn anew each time: for news that is to go round a
-// fleet that is too large to tell everybody.
+// Some returns the addresses of up to n random usable members, to gossip news in a fleet that is too large
+// to contact everybody.
 func (m *Members) Some(n int) []string {
 	var out []string
 	for _, name := range m.newRound() {
@@ -43,7 +43,7 @@
 	return out
 }
 
-// Usable lists the names of members that take work, this box included unless it is leaving.
+// Usable lists the names of the members that take work, sorted, including this box unless it is leaving.
 func (m *Members) Usable() []string {
 	out := make([]string, 0, len(m.names)+1)
 	for _, n := range m.names {
@@ -68,10 +68,10 @@
 	claims   []Claim
 }
 
-// Term is the term of its claim to a pool, 0 for none.
+// Term returns the term of its claim to a pool, or 0.
 func (r RunningMember) Term(pool uint64) uint64 { return termOf(r.claims, pool) }
 
-// Running lists the members that take work, as Usable does, with what the choice among them needs.
+// Running lists the same members as Usable, with the properties by which schedulers are chosen.
 func (m *Members) Running(now time.Time) []RunningMember {
 	var out []RunningMember
 	for _, name := range m.Usable() {
@@ -84,10 +84,11 @@
 	return out
 }
 
-// Successor is the box that took over the ledger of an incarnation that stopped as planned, or "".
+// Successor returns the box that took over the ledger of an incarnation that stopped as planned, or "".
 func (m *Members) Successor(id BoxID) string { return m.handovers[id].successor }
 
-// Missing counts the members that were lost within a time and did not leave: they may be running out of this box's sight.
+// Missing counts the members that were lost within the given time without leaving: they may still be
+// running, unreachable for this box.
 func (m *Members) Missing(now time.Time, within time.Duration) int {
 	n := 0
 	for _, e := range m.all {
--- a/src/core/message.go
+++ b/src/core/message.go
@@ -6,20 +6,20 @@
 	"github.com/stilemast/stilemast/src/code"
 )
 
-// Failure says how a dispatched call went wrong, as far as the adapter can tell.
+// Failure is how a dispatched call failed, as far as the adapter can tell.
 type Failure uint8
 
-// The ways a call fails. Only NotSent is certain to have run nothing.
+// Kinds of failure. Only NotSent proves that nothing ran.
 const (
 	NotSent  Failure = iota + 1 // no byte of the call left this box
-	Busy                        // the server answered that it takes no work now
+	Busy                        // the server answered that it takes no work at present
 	Leaving                     // the server answered that it is leaving
-	Broken                      // the connection or the answer broke after sending
-	Wrong                       // the server answered that the call itself is wrong
-	TimedOut                    // nothing came in the time the attempt had
+	Broken                      // the connection or the answer failed after sending
+	Wrong                       // the server answered that the call itself is invalid
+	TimedOut                    // no answer within the timeout of the attempt
 )
 
-// String names the failure for logs and explanations.
+// String returns the name of the failure for logs and traces.
 func (f Failure) String() string {
 	switch f {
 	case NotSent:
@@ -38,7 +38,7 @@
 	return "none"
 }
 
-// Use is what one finished call consumed, as the server reported it.
+// Use is what one finished call consumed, as reported by the server.
 type Use struct {
 	ComputedTokens  int           `msgpack:"c" json:"computed_tokens"`
 	CachedTokens    int           `msgpack:"h" json:"cached_tokens"`
@@ -46,13 +46,13 @@
 	Engine          time.Duration `msgpack:"e" json:"engine_ns"`
 }
 
-// Event is something that happened to a request.
+// Event is an input of Request.Step.
 type Event interface{ event() }
 
 // Begin starts the request.
 type Begin struct{}
 
-// Granted says the pool gave an attempt a place on a server.
+// Granted means that the pool assigned an attempt to a server.
 type Granted struct {
 	Attempt Attempt
 	Server  string
@@ -60,21 +60,21 @@
 	Trace   []Candidate
 }
 
-// Refused says the pool will not place an attempt.
+// Refused means that the pool will not place an attempt.
 type Refused struct {
 	Attempt Attempt
 	Err     *code.Error
 }
 
-// Chunk is a piece of a generate stage's output; Offset counts bytes of that output.
+// Chunk is a part of a generate stage's output. Offset is its position in bytes.
 type Chunk struct {
 	Attempt Attempt
 	Offset  int
 	Data    []byte
 }
 
-// Done is the end of a call. Output is whole for calls that do not stream; Length is the length of
-// the whole output of those that do.
+// Done is the successful end of a call. Output is complete for calls that do not stream; for others Length
+// is the length of the whole output.
 type Done struct {
 	Attempt Attempt
 	Output  []byte
@@ -83,23 +83,23 @@
 	Use     Use
 }
 
-// Failed is a call that went wrong.
+// Failed is the failure of a call.
 type Failed struct {
 	Attempt Attempt
 	Failure Failure
 	Message string
 }
 
-// HedgeDue says an attempt has run long enough to be hedged.
+// HedgeDue means that an attempt has run long enough to be hedged.
 type HedgeDue struct{ Attempt Attempt }
 
-// PauseOver says a pause before another attempt has ended.
+// PauseOver means that the pause before another attempt has ended.
 type PauseOver struct{}
 
-// DeadlineOver says the request's deadline has come.
+// DeadlineOver means that the request's deadline has passed.
 type DeadlineOver struct{}
 
-// CancelAsked says the caller wants the request stopped.
+// CancelAsked means that the caller asked to cancel the request.
 type CancelAsked struct{}
 
 func (Begin) event()        {}
@@ -113,33 +113,33 @@
 func (DeadlineOver) event() {}
 func (CancelAsked) event()  {}
 
-// Action is something the shell must do for a request.
+// Action is an output of Request.Step, to be carried out by the caller of Step.
 type Action interface{ action() }
 
-// Enqueue asks the stage's pool for a place.
+// Enqueue requests a place for a call in the stage's pool.
 type Enqueue struct{ Call *Call }
 
-// Withdraw takes a waiting attempt out of its pool.
+// Withdraw removes a waiting attempt from its pool.
 type Withdraw struct {
 	Attempt Attempt
 	Pool    string
 }
 
-// Release gives back a place that will not be used.
+// Release returns a place that will not be used.
 type Release struct {
 	Attempt Attempt
 	Pool    string
 	Server  string
 }
 
-// Send dispatches a call. Resume asks the same server to go on with an interrupted stream.
+// Send dispatches a call. Resume asks the same server to continue an interrupted stream.
 type Send struct {
 	Attempt  Attempt
 	Pool     string
 	Server   string
 	Input    []byte
 	Offset   int    // bytes of output already held
-	Continue []byte // the output already held, for a server that has not seen it
+	Continue []byte // the output already held, for servers that have not seen it
 	Resume   bool
 	Once     bool
 }
@@ -151,22 +151,22 @@
 	Server  string
 }
 
-// ArmHedge asks for a HedgeDue after a while.
+// ArmHedge requests a HedgeDue event after a delay.
 type ArmHedge struct {
 	Attempt Attempt
 	After   time.Duration
 }
 
-// Pause asks for a PauseOver after a while.
+// Pause requests a PauseOver event after a delay.
 type Pause struct{ After time.Duration }
 
-// Emit gives the caller a piece of the answer.
+// Emit sends the caller a part of the answer.
 type Emit struct {
 	Offset int
 	Data   []byte
 }
 
-// Settle says how an attempt ended, for the pool's learning and the cost account.
+// Settle reports the end of an attempt, for the pool's estimates and the cost account.
 type Settle struct {
 	Attempt Attempt
 	Pool    string
@@ -176,10 +176,10 @@
 	Wasted  bool // its output was not used
 }
 
-// Finish ends the request; Err is nil when the answer is whole.
+// Finish ends the request; Err is nil when the answer is complete.
 type Finish struct{ Err *code.Error }
 
-// Amend replaces an unknown outcome by what a late answer showed.
+// Amend replaces an unknown outcome with the one that a late answer showed.
 type Amend struct{ Err *code.Error }
 
 func (Enqueue) action()  {}
@@ -194,14 +194,14 @@
 func (Finish) action()   {}
 func (Amend) action()    {}
 
-// Candidate is one server considered for a call, for explanations.
+// Candidate is one server that was considered for a call, for placement traces.
 type Candidate struct {
 	Server     string        `msgpack:"s"`
-	PassedOver string        `msgpack:"p"` // empty for the chosen one
+	PassedOver string        `msgpack:"p"` // reason for not choosing it; empty for the chosen one
 	Expected   time.Duration `msgpack:"e"`
 }
 
-// Placement is one dispatch, for explanations.
+// Placement is one dispatch, for placement traces.
 type Placement struct {
 	Stage      string        `msgpack:"s"`
 	N          int           `msgpack:"n"`
@@ -212,7 +212,7 @@
 	Candidates []Candidate   `msgpack:"c"`
 }
 
-// StageUse sums a stage of one request for its caller.
+// StageUse summarizes one stage of a request for its caller.
 type StageUse struct {
 	Stage    string        `msgpack:"s"`
 	Server   string        `msgpack:"b"`
--- a/src/core/order.go
+++ b/src/core/order.go
@@ -7,9 +7,9 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// Order tells an engine what to hold or be. Its fence is the version of the accepted configuration
-// that asks for it: two boxes that order by the same configuration order the same, and an engine
-// that checks refuses whatever is older than what it took.
+// Order tells an engine which model, adapters and role to load. Its fence is the version of the
+// configuration that requires it: boxes with the same configuration send the same order, and an engine that
+// checks fences refuses orders older than the last one it accepted.
 type Order struct {
 	Server   string
 	Fence    uint64
@@ -17,21 +17,21 @@
 	Version  string
 	Adapters []string
 	Role     string
-	LoadTime time.Duration // what the configuration says a load takes
-	Decided  time.Time     // the order is void orderLife after this
+	LoadTime time.Duration // configured loading time of the model
+	Decided  time.Time     // the order expires orderLife after this
 }
 
-// orderLife bounds how long a decided order may wait to be sent; a box that paused in between
-// drops it and decides anew from what it then observes.
+// orderLife bounds the time between the decision and the sending of an order. A box that paused in between
+// drops it and decides again from what it observes then.
 const orderLife = time.Second
 
-// Void says whether too much time passed since the order was decided.
+// Void reports whether the order has expired.
 func (o Order) Void(now time.Time) bool { return now.Sub(o.Decided) > orderLife }
 
-// Orders compares what a configuration asks of an engine with what the engine reports.
+// Orders compares what the configuration requires of an engine with what the engine reports.
 //
-// An engine that checks fences needs one order per version. One that checks nothing may have taken
-// an old order late, so what it reports is compared at each report and put right.
+// An engine that checks fences needs one order per version. One that does not may have accepted an old
+// order late, so every report is compared and corrected.
 type Orders struct {
 	Self string
 
@@ -41,11 +41,11 @@
 // orderAgain is the least time between two orders to one engine.
 const orderAgain = 2 * time.Second
 
-// NewOrders has sent nothing yet.
+// NewOrders returns Orders for the named box, with no order sent.
 func NewOrders(self string) *Orders { return &Orders{Self: self, sent: map[string]time.Time{}} }
 
-// Decide gives the order an engine needs now, if this box is the one to send it. Boxes rank
-// themselves for each engine; when their views differ two may send, which does no harm.
+// Decide returns the order that an engine needs now, if this box is responsible for sending it. The
+// responsible box is found by hashing; when the views of boxes differ two may send, which does no harm.
 func (o *Orders) Decide(now time.Time, c *config.Config, b *config.BackendServer, r Report, usable []string) (Order, bool) {
 	m, ok := c.Model(b.Model())
 	if !ok || b.Leaving() || !o.responsible(b.Name(), usable) {
@@ -59,8 +59,8 @@
 	return want, true
 }
 
-// satisfied says whether the engine is as wanted. A fence newer than ours means that another box
-// knows a newer configuration, which must not be overridden by an older one.
+// satisfied reports whether the engine is in the wanted state. A fence newer than ours means that another
+// box knows a newer configuration, which an older one must not override.
 func (o *Orders) satisfied(want Order, b *config.BackendServer, r Report) bool {
 	if r.Fence > want.Fence {
 		return true
--- a/src/core/place.go
+++ b/src/core/place.go
@@ -10,11 +10,11 @@
 	"github.com/stilemast/stilemast/src/pushback"
 )
 
-// Placer picks one of the servers that are ready for a call, or nil to let it wait. The baselines
-// stand beside ExpectedFinish so that one run can compare them.
+// Placer picks one of the servers that are ready for a call, or nil to let it wait. The baselines are kept
+// next to ExpectedFinish so that one run can compare them.
 type Placer func(p *Pool, now time.Time, c *Call, ready []*server) *server
 
-// PlacerByName finds a policy by its name in the settings; nil for an unknown name.
+// PlacerByName returns the placement policy with the given name in the settings, or nil.
 func PlacerByName(name string) Placer {
 	switch name {
 	case "expected_finish":
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// rejects says why a call can't go to a server now, whatever the policy; "" if it can.
+// rejects returns why a call must not go to a server now, whatever the placement policy, or "".
 func (p *Pool) rejects(now time.Time, s *server, c *Call) string {
 	if why := s.rejectReason(now, c); why != "" {
 		return why
@@ -46,9 +46,9 @@
 	return ""
 }
 
-// place picks a server for a call. A call that every ready server failed before may try them again. A
-// call that may not be repeated tries a server that failed lately only when there is no other: in a
-// pool that takes no other calls nobody else would ever find out that it is well again.
+// place picks a server for a call. A call that failed on every ready server may try them again. A call that
+// must not be repeated is sent to a server that failed lately only when there is no other: in a pool
+// without other calls the server's recovery would never be noticed otherwise.
 func (p *Pool) place(now time.Time, c *Call) (*server, []Candidate) {
 	p.markPrefix(c)
 	ready := p.readyFor(now, c)
@@ -71,7 +71,7 @@
 	return s, p.explain(now, c, s)
 }
 
-// markPrefix has the servers know how much of the call's prefix they probably hold.
+// markPrefix records in the servers how many leading blocks of the call's prefix they probably hold.
 func (p *Pool) markPrefix(c *Call) {
 	p.marks++
 	c.mark = p.marks
@@ -80,7 +80,7 @@
 	}
 }
 
-// passedOver says why a call can't be sent to a server now, or "".
+// passedOver returns why a call can not be sent to a server now, including a full window, or "".
 func (p *Pool) passedOver(now time.Time, s *server, c *Call) string {
 	if why := p.rejects(now, s, c); why != "" {
 		return why
@@ -91,8 +91,8 @@
 	return ""
 }
 
-// classFor is the class by whose rules a call gets its place: urgent may-wait work goes like prompt
-// work, or it could wait for ever where more boxes use a server than it has slots.
+// classFor returns the class whose window rules apply to a call. Urgent may-wait calls are treated like
+// prompt calls, or they could starve where more boxes use a server than it has slots.
 func (p *Pool) classFor(now time.Time, c *Call) config.Class {
 	if c.Pipeline.Class() == config.MayWait && p.urgent(now, c) {
 		return config.Prompt
@@ -100,7 +100,7 @@
 	return c.Pipeline.Class()
 }
 
-// readyFor lists the servers a call can be sent to now, in memory that the next call reuses.
+// readyFor lists the servers that a call can be sent to now. The next call of readyFor reuses the slice.
 func (p *Pool) readyFor(now time.Time, c *Call) []*server {
 	p.ready = p.ready[:0]
 	class, tick := p.classFor(now, c), tickOf(now)
@@ -114,8 +114,8 @@
 	return p.ready
 }
 
-// eligible lists the servers inside the call's boundary that hold its model and adapter. This rests on
-// the configuration alone, so it is worked out once for each lane and configuration.
+// eligible lists the servers inside the call's boundary that have its model and adapter. It depends only on
+// the configuration, so it is computed once per lane and configuration.
 func (p *Pool) eligible(c *Call) []*server {
 	k := laneOf(c)
 	list, ok := p.inside[k]
@@ -131,19 +131,19 @@
 	return list
 }
 
-// explains says whether the placement of a call is written down: always in small pools and for calls
-// that failed before, otherwise for a sample.
+// explains reports whether the placement of a call is traced: always in small pools and for repeated
+// attempts, otherwise for a sample.
 func (p *Pool) explains(c *Call) bool {
 	return len(p.order) <= traceAlways || c.Attempt.N > 0 || c.Attempt.Key.ID[15]%traceOneIn == 0
 }
 
-// explain writes down the candidates of a placement.
+// explain lists the candidates of a placement for its trace.
 func (p *Pool) explain(now time.Time, c *Call, chosen *server) []Candidate {
 	out := make([]Candidate, 0, min(len(p.order), traceCandidates))
 	ratio := p.ratio(c)
 	for _, s := range p.order {
 		if len(out) == traceCandidates-1 && s != chosen {
-			continue // the last line is the chosen one's
+			continue // the last place is reserved for the chosen server
 		}
 		if len(out) == traceCandidates {
 			break
@@ -161,10 +161,10 @@
 	return out
 }
 
-// ExpectedFinish picks the server where the call is expected to end first. Nearness counts in time,
-// and each box leans a little towards servers of its own for each call, so that boxes that see the
-// same stale report don't all choose alike. It is expect, written out for many servers: the figures
-// of the call are worked out once.
+// ExpectedFinish picks the server where the call is expected to finish first. Distance counts as time. A
+// small jitter by box and call keeps boxes that see the same stale report from choosing the same server. It
+// computes the same as server.estimate, inlined so that the terms of the call are computed once for many
+// servers.
 func ExpectedFinish(p *Pool, now time.Time, c *Call, ready []*server) *server {
 	seed := p.selfHash() ^ c.Attempt.Key.Hash() + uint64(c.Attempt.N)
 	prompt, tokens := float64(c.PromptTokens), max(1, float64(int(float64(c.MaxTokens)*p.ratio(c))))
@@ -188,7 +188,7 @@
 	return best
 }
 
-// distance is what it costs to leave the box's own failure domain or region, in seconds.
+// distance is the cost of leaving the box's own failure domain or region, in seconds.
 func (p *Pool) distance(s *server) float64 {
 	switch {
 	case s.cfg.Domain() == p.Domain:
@@ -199,7 +199,7 @@
 	return otherRegionCost.Seconds()
 }
 
-// selfHash is the hash of the box's name, worked out once.
+// selfHash returns the cached hash of the box's name.
 func (p *Pool) selfHash() uint64 {
 	if p.hashed == 0 {
 		p.hashed = xxhash.Sum64String(p.Self) | 1
@@ -207,13 +207,13 @@
 	return p.hashed
 }
 
-// RoundRobin is a baseline: each server in turn.
+// RoundRobin is a baseline that picks the servers in turn.
 func RoundRobin(p *Pool, _ time.Time, _ *Call, ready []*server) *server {
 	p.seed++
 	return ready[p.seed%uint64(len(ready))]
 }
 
-// LeastInFlight is a baseline: the server with the fewest of this box's calls.
+// LeastInFlight is a baseline that picks the server with the fewest calls of this box.
 func LeastInFlight(p *Pool, _ time.Time, _ *Call, ready []*server) *server {
 	p.seed++
 	best := ready[p.seed%uint64(len(ready))]
@@ -225,7 +225,7 @@
 	return best
 }
 
-// TwoChoices is a baseline: the less loaded by report of two servers drawn by a fixed sequence.
+// TwoChoices is a baseline that draws two servers by a fixed sequence and picks the less loaded one.
 func TwoChoices(p *Pool, now time.Time, _ *Call, ready []*server) *server {
 	p.seed = p.seed*6364136223846793005 + 1442695040888963407
 	a := ready[(p.seed>>33)%uint64(len(ready))]
--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -9,61 +9,61 @@
 	"github.com/stilemast/stilemast/src/pushback"
 )
 
-// Pool decides for one pool of backend servers which waiting call goes next, and where.
+// Pool decides for one pool of backend servers which waiting call goes next, and to which server.
 //
-// Idea. Calls wait here and not in the servers, so that the order can still change and a call
-// whose deadline is lost costs nothing. Order: a call's latest useful start, pushed back by how far
-// its workspace is ahead of its fair share (start-time fair queueing tags), so that deadlines
-// decide while there is enough and shares decide when there is not. May-wait work takes what prompt
-// work leaves, is admitted only as far as that will do, and goes first once its own time runs short.
+// Calls wait here and not in the servers, so that their order can still change and a call that misses its
+// deadline costs nothing. They are ordered by the latest useful start, delayed by how far the workspace is
+// ahead of its fair share (start-time fair queueing tags), so that deadlines decide while capacity suffices
+// and shares decide when it does not. May-wait calls use what prompt calls leave, are admitted only as far
+// as that suffices, and go first once their own time runs short.
 //
-// Cost. Push and withdraw O(log n); one dispatch O(lanes + servers). Lanes are distinct boundaries,
-// few; servers are bounded by the subset the box uses.
+// Push and Withdraw are O(log n); one dispatch is O(lanes + servers). Lanes are the distinct boundaries,
+// models and adapters, which are few; servers are bounded by the subset that the box uses.
 //
-// Trade-offs. A call's order is set when it comes and not revised; a workspace that went idle keeps
-// no credit. Not safe for concurrent use; each pool has its own lock in the shell.
+// The order of a call is set when it arrives and not revised; a workspace that was idle keeps no credit.
+// Not safe for concurrent use; callers lock each pool.
 type Pool struct {
 	Name        string
-	Self        string // the box's name, which seeds its leanings
-	Domain      int    // the box's failure domain, -1 when unknown
+	Self        string // name of the box, the seed of its jitter
+	Domain      int    // failure domain of the box, -1 when unknown
 	Region      string
-	Room        int // calls that may wait
+	Room        int // greatest number of waiting calls
 	Estimates   *Estimates
-	Placement   Placer // how a server is picked
+	Placement   Placer // placement policy
 	NoAdmission bool   // baseline: first come first served, nothing refused, no windows
 
-	pushback   pushback.Register // what servers said when they turned calls away
-	servers map[string]*server
-	order   []*server
-	lanes   map[laneKey]*lane
-	laneSeq []*lane
-	waiting map[Attempt]*Call
-	retries budget
-	hedges  budget
-	tags    map[string]float64 // last fair-queueing tag of each workspace
-	virtual float64
-	seed    uint64
-	fifo    float64
-	backlog [config.Classes]backlog // expected seconds of slots that wait
-	stats   PoolStats
-	typical typical
-	prefix  *prefixIndex
-	marks   uint64
-	round   uint64 // number of the Next under way
-	hashed  uint64
-	ready   []*server // reused by place
-	inside  map[laneKey][]*server
-	slots   int       // configured, over all servers
-	room    float64   // capacity as last worked out
-	roomAt  time.Time // and when
-	busy    int       // calls this box has at the pool's servers
-	demand  meter     // of prompt work that comes
-	pace    meter     // of may-wait work that is dispatched
-	// since when may-wait work has been waiting without a break; zero when none waits
+	pushback pushback.Register // of the servers that refused calls
+	servers  map[string]*server
+	order    []*server
+	lanes    map[laneKey]*lane
+	laneSeq  []*lane
+	waiting  map[Attempt]*Call
+	retries  budget
+	hedges   budget
+	tags     map[string]float64 // last fair-queueing tag of each workspace
+	virtual  float64
+	seed     uint64
+	fifo     float64
+	backlog  [config.Classes]backlog // expected slot seconds of the waiting calls
+	stats    PoolStats
+	typical  typical
+	prefix   *prefixIndex
+	marks    uint64
+	round    uint64 // number of the current call of Next
+	hashed   uint64
+	ready    []*server // reused by readyFor
+	inside   map[laneKey][]*server
+	slots    int       // configured slots of all servers
+	room     float64   // cached capacity
+	roomAt   time.Time // time of its computation
+	busy     int       // this box's calls at the servers of the pool
+	demand   meter     // of arriving prompt work
+	pace     meter     // of dispatched may-wait work
+	// since when may-wait work has been waiting without interruption; zero when none waits
 	waitsSince time.Time
 }
 
-// PoolStats counts what a pool did.
+// PoolStats holds the counters of a pool.
 type PoolStats struct {
 	Retries   int
 	Hedges    int
@@ -71,7 +71,7 @@
 	Unsettled int
 }
 
-// Grant is a place for a call.
+// Grant assigns a call to a server.
 type Grant struct {
 	Call   *Call
 	Server string
@@ -84,7 +84,7 @@
 	Err  *code.Error
 }
 
-// NewPool makes an empty pool; set its exported fields before use.
+// NewPool returns a pool without servers; set its exported fields before use.
 func NewPool(name string) *Pool {
 	return &Pool{
 		Name: name, Domain: -1, Room: 2000, Placement: ExpectedFinish,
@@ -95,8 +95,8 @@
 	}
 }
 
-// SetServers takes the servers of a new configuration. What was learned of those that stay is kept;
-// those that go keep their running calls until these are done.
+// SetServers replaces the servers after a configuration change. Servers that remain keep their state; for
+// those that are removed, the results of running calls are no longer taken.
 func (p *Pool) SetServers(list []*config.BackendServer) {
 	next := make(map[string]*server, len(list))
 	p.order = p.order[:0]
@@ -126,7 +126,7 @@
 	p.prefix.share(len(next))
 }
 
-// SetUsers says how many boxes use a server.
+// SetUsers sets the number of boxes that use a server.
 func (p *Pool) SetUsers(name string, n int) {
 	if s := p.servers[name]; s != nil {
 		s.users = max(1, n)
@@ -134,13 +134,13 @@
 	}
 }
 
-// Waiting counts the calls that wait.
+// Waiting returns the number of waiting calls.
 func (p *Pool) Waiting() int { return len(p.waiting) }
 
-// Stats gives the counters.
+// Stats returns the counters.
 func (p *Pool) Stats() PoolStats { return p.stats }
 
-// Push takes a call to wait, or says why not.
+// Push adds a waiting call or returns why it is refused.
 func (p *Pool) Push(now time.Time, c *Call) *code.Error {
 	if err := p.admitExtra(c); err != nil {
 		return err
@@ -217,7 +217,8 @@
 	return p.Estimates.TokenRatio(c.Pipeline, c.Stage)
 }
 
-// orderOf is the latest useful start plus how far the workspace is ahead of its share, in seconds.
+// orderOf returns the call's dispatch order: its latest useful start plus how far the workspace is ahead of
+// its fair share, in seconds.
 func (p *Pool) orderOf(now time.Time, c *Call) float64 {
 	if p.NoAdmission {
 		p.fifo++
@@ -229,12 +230,12 @@
 	ahead := tag - p.virtual
 	start := float64(c.Deadline.Add(-c.Tail).UnixNano())/float64(time.Second) - c.cost
 	if len(p.waiting) == 0 && len(p.tags) > 4096 {
-		p.tags = map[string]float64{} // nobody waits, so nobody is ahead
+		p.tags = map[string]float64{} // without waiting calls no workspace is ahead
 	}
 	return start + ahead*float64(max(1, len(p.tags)))
 }
 
-// Withdraw takes a waiting call out again; it says whether it was waiting.
+// Withdraw removes a waiting call and reports whether it was waiting.
 func (p *Pool) Withdraw(id Attempt) bool {
 	c := p.waiting[id]
 	if c == nil {
@@ -267,8 +268,8 @@
 	}
 }
 
-// Next places what can be placed now and drops what can't finish any more. The caller asks again
-// after each Push, Done, Report and at least every TickEvery while calls wait.
+// Next places the calls that can be placed now and drops those that can not finish in time. It must be
+// called after each Push, Done and Report, and at least every TickEvery while calls wait.
 func (p *Pool) Next(now time.Time) ([]Grant, []Drop) {
 	var grants []Grant
 	var drops []Drop
@@ -296,7 +297,7 @@
 	return grants, drops
 }
 
-// nextCall picks the call that is next in order over the lanes that are not blocked.
+// nextCall returns the first call in order among the lanes that are not blocked, or nil.
 func (p *Pool) nextCall(now time.Time) *Call {
 	var best [config.Classes]*Call
 	for _, l := range p.laneSeq {
@@ -312,7 +313,8 @@
 	return p.pickClass(now, best[config.Prompt], best[config.MayWait])
 }
 
-// pickClass chooses among the classes' heads: urgent may-wait work, then prompt work, then the rest.
+// pickClass chooses between the first calls of both classes: urgent may-wait work, then prompt work, then
+// other may-wait work.
 func (p *Pool) pickClass(now time.Time, prompt, may *Call) *Call {
 	switch {
 	case prompt == nil:
@@ -330,13 +332,14 @@
 	return prompt
 }
 
-// urgent says whether may-wait work has little slack left of the time it had.
+// urgent reports whether a may-wait call has little slack left of its total time.
 func (p *Pool) urgent(now time.Time, c *Call) bool {
 	had := c.Deadline.Sub(c.Enqueued)
 	return float64(c.slack(now, seconds(c.cost))) < urgentSlack*float64(had)
 }
 
-// deadlineError says why a call can't finish in time wherever it went; accepted must-finish work never is.
+// deadlineError returns an error if a call can not finish in time on any server. Accepted must-finish work
+// is never dropped.
 func (p *Pool) deadlineError(now time.Time, c *Call) *code.Error {
 	if p.NoAdmission || c.Pipeline.MustFinish() || c.once() && c.Started {
 		return nil
@@ -347,13 +350,13 @@
 	return code.New(code.CannotFinish, "", "stage %s could no longer finish by the deadline", c.Stage.Name()).After(p.retryAfter(now))
 }
 
-// retryAfter is when what waits now should have gone.
+// retryAfter estimates when the present backlog will be done, between 100 ms and 30 s.
 func (p *Pool) retryAfter(now time.Time) time.Duration {
 	wait := seconds((p.backlog[config.Prompt].sum + p.backlog[config.MayWait].sum) / max(1, p.capacity(now)))
 	return min(max(wait, 100*time.Millisecond), 30*time.Second)
 }
 
-// AsksRest takes for how long a server wants nothing from this box, as it said when it turned a call away.
+// AsksRest records that a server refused a call and asked this box to send nothing for the given time.
 func (p *Pool) AsksRest(now time.Time, name string, length time.Duration) {
 	if s := p.servers[name]; s != nil && length > 0 {
 		p.pushback.HearRest(now, name, length)
@@ -362,7 +365,7 @@
 	}
 }
 
-// dispatch books a call at a server.
+// dispatch records a call as running at a server.
 func (p *Pool) dispatch(now time.Time, c *Call, s *server) {
 	p.pushback.Begin(now, pushback.Server{ID: s.cfg.Name()}, "")
 	w := s.estimate(now, c, p.ratio(c))
@@ -383,7 +386,7 @@
 	p.virtual = max(p.virtual, p.tags[c.Workspace.Name()]-c.cost/c.Workspace.Weight()/max(1, float64(p.slots)))
 }
 
-// Done ends a booked call; failure 0 is success. It says whether the call was booked.
+// Done ends a running call; failure 0 is success. It reports whether the call was recorded as running.
 func (p *Pool) Done(now time.Time, id Attempt, name string, f Failure, u Use, wasted bool) bool {
 	s := p.servers[name]
 	if s == nil {
@@ -400,7 +403,7 @@
 	switch f {
 	case 0:
 		if wasted && u == (Use{}) {
-			return true // stopped by us: it says nothing about the server
+			return true // cancelled by this box, which tells nothing about the server
 		}
 		s.succeeded()
 		s.learn(now, r, u)
@@ -410,7 +413,7 @@
 		s.answeredLeaving(now)
 	case Busy:
 		s.window = max(s.share(), windowCut*s.window)
-		if p.pushback.Judge(now, pushback.Server{ID: name}).State != pushback.Resting { // its own time counts in place of our guess
+		if p.pushback.Judge(now, pushback.Server{ID: name}).State != pushback.Resting { // the server's own rest time replaces our backoff
 			s.failed(now)
 		}
 	case Wrong:
@@ -421,7 +424,7 @@
 	return true
 }
 
-// Release gives back a place that was never used.
+// Release frees a slot that was assigned but not used.
 func (p *Pool) Release(id Attempt, name string) {
 	s := p.servers[name]
 	if s == nil {
--- a/src/core/pool_test.go
+++ b/src/core/pool_test.go
@@ -11,8 +11,8 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// poolConfig has one pool of six servers in three domains, some leaving, and workspaces with random
-// boundaries.
+// poolConfig returns a configuration with pools of six servers in three failure domains, some leaving, and
+// workspaces with random boundaries.
 func poolConfig(t *rapid.T) *config.Config {
 	d := config.ExamplePageworks()
 	d.FailureDomains = d.FailureDomains[:3]
@@ -44,7 +44,7 @@
 	return c
 }
 
-// Whatever is pushed, answered and reported: every placement lies inside its boundary and on a server
+// With any history of pushes, answers and reports, every placement lies inside its boundary and on a server
 // that takes work, each call is placed or dropped once, and must-finish work is never dropped.
 func TestPoolHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -146,7 +146,7 @@
 	})
 }
 
-// A few large workspaces must not push out a small one: its calls go as if the others had little.
+// Large workspaces must not starve a small one: its call is placed as if the others had little work.
 func TestSmallWorkspaceIsNotPushedOut(t *testing.T) {
 	c := benchConfig(t, 1, 3)
 	p := benchPool(c)
@@ -195,21 +195,21 @@
 	p.Report(now, "engine-0", Report{Incarnation: 1, Seq: 10, Leaving: true})
 	p.Report(now, "engine-0", Report{Incarnation: 1, Seq: 9})
 	if !leaving() {
-		t.Error("an older report undid it")
+		t.Error("an older report reverted it")
 	}
 	p.Report(now, "engine-0", Report{Incarnation: 2, Seq: 1})
 	if leaving() {
-		t.Error("the server's next life is still taken for leaving")
+		t.Error("the server's next incarnation still counts as leaving")
 	}
 	p.HearLeaving(now, "engine-0", 2, 5)
 	p.Report(now, "engine-0", Report{Incarnation: 2, Seq: 4})
 	if !leaving() {
-		t.Error("an older report undid what another box heard")
+		t.Error("an older report reverted another box's report")
 	}
 }
 
-// In a pool that takes nothing but calls that may not be repeated, servers that failed must be tried
-// again by such calls once their rest is over; nobody else would.
+// In a pool with only calls that must not be repeated, failed servers must be tried again by such calls
+// after their backoff, because nothing else would find their recovery.
 func TestOnceCallsTryFailedServersAgain(t *testing.T) {
 	c := benchConfig(t, 2, 1)
 	raw := config.ExamplePageworks()
@@ -238,7 +238,7 @@
 	}
 	push(1)
 	if grants, _ := p.Next(now); len(grants) > 0 {
-		t.Fatal("a resting server got a call that may not be repeated")
+		t.Fatal("a server in backoff got a call that must not be repeated")
 	}
 	now = now.Add(minServerBackoff + time.Millisecond)
 	grants, _ := p.Next(now)
@@ -248,6 +248,6 @@
 	p.Done(now, grants[0].Call.Attempt, grants[0].Server, 0, Use{Engine: time.Millisecond}, false)
 	push(2)
 	if again, _ := p.Next(now); len(again) != 1 || again[0].Server != grants[0].Server {
-		t.Errorf("the next call went to %v, not to the server that is well again", again)
+		t.Errorf("the next call went to %v, not to the recovered server", again)
 	}
 }
--- a/src/core/poolnews.go
+++ b/src/core/poolnews.go
@@ -7,15 +7,15 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// What a pool hears of its servers, from themselves and from other boxes, and what it tells of them.
+// State of the servers of a pool, as reported by the servers and by other boxes.
 
-// Report takes a server's load report; it says whether it was news.
+// Report takes a server's load report and returns whether it was newer than the last one.
 func (p *Pool) Report(now time.Time, name string, r Report) bool {
 	s := p.servers[name]
 	return s != nil && s.acceptReport(now, r)
 }
 
-// LastReport is the last report that was taken of a server, the zero report when none was.
+// LastReport returns the newest accepted report of a server, or the zero Report.
 func (p *Pool) LastReport(name string) Report {
 	if s := p.servers[name]; s != nil {
 		return s.report
@@ -23,7 +23,7 @@
 	return Report{}
 }
 
-// ReportFailed notes that a server did not answer for its report.
+// ReportFailed records that a server did not answer a request for its report.
 func (p *Pool) ReportFailed(now time.Time, name string) {
 	if s := p.servers[name]; s != nil {
 		s.failed(now)
@@ -42,7 +42,7 @@
 	}
 }
 
-// PeerLoad takes another box's note of what it has at a server.
+// PeerLoad records how many calls another box has at a server.
 func (p *Pool) PeerLoad(now time.Time, box, name string, n int) {
 	if s := p.servers[name]; s != nil {
 		s.peers[box] = peerLoad{n: n, at: now}
@@ -50,7 +50,7 @@
 	}
 }
 
-// ForgetPeer drops the notes of a box that is gone.
+// ForgetPeer removes the load notes of a box that is gone.
 func (p *Pool) ForgetPeer(box string) {
 	for _, s := range p.order {
 		delete(s.peers, box)
@@ -58,7 +58,8 @@
 	}
 }
 
-// HearLeaving takes another box's word that a server is leaving, in the report's own numbering.
+// HearLeaving records that another box reported a server as leaving, with the incarnation and sequence
+// number of the server's report.
 func (p *Pool) HearLeaving(now time.Time, name string, incarnation, seq uint64) {
 	s := p.servers[name]
 	if s == nil {
@@ -83,7 +84,7 @@
 	return out
 }
 
-// LastEvent is the number of the last cache event taken of a server.
+// LastEvent returns the sequence number of the last cache event of a server, or 0.
 func (p *Pool) LastEvent(name string) uint64 {
 	if s := p.servers[name]; s != nil {
 		return s.lastEvent
@@ -91,7 +92,7 @@
 	return 0
 }
 
-// ServerView is what the pool knows of one server, for status and for peers.
+// ServerView is the state of one server, for status pages and peers.
 type ServerView struct {
 	Name      string
 	Config    *config.BackendServer
@@ -105,7 +106,7 @@
 	Resting   bool
 }
 
-// View lists the servers by name.
+// View lists the servers sorted by name.
 func (p *Pool) View(now time.Time) []ServerView {
 	out := make([]ServerView, 0, len(p.order))
 	for _, s := range p.order {
--- a/src/core/poolpace.go
+++ b/src/core/poolpace.go
@@ -7,16 +7,16 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// How much a pool can take, and how fast it gets through what waits.
+// Capacity of a pool and expected waiting times.
 
-// meter is a decaying mean of the seconds of work that pass in a second.
+// meter measures a rate of work, in seconds of work per second, as an exponentially decaying mean.
 type meter struct {
 	rate   float64
 	at     time.Time
 	window time.Duration
 }
 
-// add counts work of some seconds.
+// add counts work with the given cost in seconds.
 func (m *meter) add(now time.Time, cost float64) {
 	m.rate = m.read(now) + cost/m.window.Seconds()
 	m.at = now
@@ -26,7 +26,7 @@
 	return m.rate * math.Exp(-now.Sub(m.at).Seconds()/m.window.Seconds())
 }
 
-// capacity is how many slots this box can count on over all servers, worked out now and then.
+// capacity returns how many slots of all servers this box can count on, cached for ratesFor.
 func (p *Pool) capacity(now time.Time) float64 {
 	if !p.roomAt.IsZero() && now.Sub(p.roomAt) < ratesFor {
 		return p.room
@@ -40,7 +40,7 @@
 	return p.room
 }
 
-// WaitFor is how long a new call of a class would wait for its place, behind what waits with earlier
+// WaitFor returns how long a new call of a class would wait for its place behind the calls with earlier
 // deadlines.
 func (p *Pool) WaitFor(now time.Time, class config.Class, deadline time.Time) time.Duration {
 	slots := max(1, p.capacity(now))
@@ -50,9 +50,9 @@
 	return seconds((p.backlog[config.Prompt].sum + p.backlog[config.MayWait].before(deadline)) / p.mayWaitPace(now, slots))
 }
 
-// mayWaitPace is how many seconds of may-wait work the pool gets done in a second. Once some has
-// waited for a while the pace is measured, which takes in whatever prompt work and other boxes leave
-// and however far the expected costs are off; until then it is what prompt work leaves.
+// mayWaitPace returns how many seconds of may-wait work the pool completes per second. Once such work has
+// waited for paceWindow the rate is measured, which accounts for prompt work, other boxes and errors in the
+// expected costs; until then it is estimated from what prompt work leaves.
 func (p *Pool) mayWaitPace(now time.Time, slots float64) float64 {
 	if !p.waitsSince.IsZero() && now.Sub(p.waitsSince) > paceWindow {
 		return max(minMayWaitShare*slots, p.pace.read(now))
--- a/src/core/prefix.go
+++ b/src/core/prefix.go
@@ -2,22 +2,21 @@
 
 import "container/list"
 
-// prefixIndex remembers which prefix blocks the caches of a pool's servers probably hold.
+// prefixIndex tracks which prefix blocks the caches of a pool's servers probably hold.
 //
-// It is fed from two sources: what this box sent (the blocks will be there once computed) and the
-// servers' cache events, which come late and with gaps. A gap may hide removals, so after one the
-// older half of that server's blocks is forgotten. A wrong guess costs one recomputed prefix, and the
-// cached tokens that the server reports correct how far guesses about it are trusted.
+// It learns from the calls that this box sends, whose blocks will be cached once computed, and from the
+// servers' cache events, which are late and may have gaps. A gap may hide removals, so after one the older
+// half of that server's blocks is forgotten. A wrong guess costs the recomputation of one prefix, and the
+// cached tokens that the server reports adjust the weight of further guesses.
 //
-// Cost: one map read for each block of a call, whatever the number of servers, since a block lists
-// its holders. Memory is bounded by prefixEntries over all servers; least recently seen blocks of a
-// server go first.
+// A lookup costs one map read per block of a call, whatever the number of servers. Memory is bounded by
+// prefixEntries over all servers; the least recently used blocks of a server are evicted first.
 type prefixIndex struct {
-	holders map[uint64][]*list.Element // elements of servers' recent lists
-	perEach int                        // blocks remembered of one server
+	holders map[uint64][]*list.Element // elements of the servers' block lists, by block hash
+	perEach int                        // maximum number of blocks per server
 }
 
-// heldBlock is one block at one server.
+// heldBlock is one block in the cache of one server.
 type heldBlock struct {
 	hash   uint64
 	server *server
@@ -27,10 +26,10 @@
 	return &prefixIndex{holders: map[uint64][]*list.Element{}, perEach: prefixEntries}
 }
 
-// share divides the memory over n servers.
+// share divides the memory among n servers.
 func (x *prefixIndex) share(n int) { x.perEach = max(prefixLeast, prefixEntries/max(1, n)) }
 
-// add notes that a server holds a block.
+// add records that a server holds a block.
 func (x *prefixIndex) add(s *server, h uint64) {
 	for _, el := range x.holders[h] {
 		if el.Value.(heldBlock).server == s {
@@ -44,7 +43,7 @@
 	}
 }
 
-// drop forgets one block of one server.
+// drop removes one element of a block list.
 func (x *prefixIndex) drop(el *list.Element) {
 	b := el.Value.(heldBlock)
 	b.server.blocks.Remove(el)
@@ -63,7 +62,7 @@
 	x.holders[b.hash] = list
 }
 
-// remove forgets a block that a server dropped.
+// remove removes a block that a server evicted.
 func (x *prefixIndex) remove(s *server, h uint64) {
 	for _, el := range x.holders[h] {
 		if el.Value.(heldBlock).server == s {
@@ -73,15 +72,15 @@
 	}
 }
 
-// forget drops all that is known of a server.
+// forget removes all blocks of a server.
 func (x *prefixIndex) forget(s *server) {
 	for s.blocks.Len() > 0 {
 		x.drop(s.blocks.Back())
 	}
 }
 
-// mark writes, into each server, how many leading blocks of a prefix it probably holds. Servers that
-// were not marked for this call hold none.
+// mark stores in each server how many leading blocks of a prefix it probably holds. Servers that are not
+// marked for this call hold none.
 func (x *prefixIndex) mark(call uint64, prefix []uint64) {
 	for i, h := range prefix {
 		list := x.holders[h]
@@ -97,7 +96,8 @@
 	}
 }
 
-// event takes one cache event of a server; a jump in the sequence forgets the older half.
+// event applies one cache event of a server. A gap in the sequence numbers drops the older half of its
+// blocks.
 func (x *prefixIndex) event(s *server, e CacheEvent) {
 	if e.Seq <= s.lastEvent {
 		return
--- a/src/core/recovery.go
+++ b/src/core/recovery.go
@@ -7,9 +7,9 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// What a request does about attempts that fail, lose to another, or take long.
+// Handling of attempts that fail, are superseded by another, or take long.
 
-// settle ends an attempt and tells the pool how it went.
+// settle ends an attempt and reports its result to the pool.
 func (r *Request) settle(now time.Time, a *liveAttempt, f Failure, use Use, wasted bool) Action {
 	delete(r.live, a.id.N)
 	outcome := "done"
@@ -26,7 +26,7 @@
 	return Settle{Attempt: a.id, Pool: r.pipeline.Stages()[a.id.Stage].Pool(), Server: a.server, Failure: f, Use: use, Wasted: wasted}
 }
 
-// dropOthers ends the attempts that lost to another: waiting ones are withdrawn, running ones stopped.
+// dropOthers ends all live attempts: waiting ones are withdrawn, running ones stopped.
 func (r *Request) dropOthers(now time.Time) []Action {
 	var out []Action
 	for n := 0; n < r.next; n++ {
@@ -56,7 +56,8 @@
 	return r.handleAttemptFailure(now, a, e.Failure)
 }
 
-// handleAttemptFailure decides what follows a failed attempt: resume, another attempt, or the end.
+// handleAttemptFailure decides what follows a failed attempt: resuming the stream, another attempt, or the
+// end of the request.
 func (r *Request) handleAttemptFailure(now time.Time, a *liveAttempt, f Failure) []Action {
 	s := r.current()
 	if f == Broken && s.Kind() == config.Generate && len(r.output) > 0 && !a.resumed {
@@ -74,7 +75,7 @@
 		return append(out, r.handleOnceFailure(now, a, f)...)
 	}
 	if f == Wrong {
-		return append(out, r.finish(now, code.New(code.BackendRefused, "", "stage %s was refused as wrong", s.Name()))...)
+		return append(out, r.finish(now, code.New(code.BackendRefused, "", "stage %s: the server rejected the call as invalid", s.Name()))...)
 	}
 	r.failed = append(r.failed, a.server)
 	if len(r.live) > 0 {
@@ -83,7 +84,8 @@
 	return append(out, r.retry(now)...)
 }
 
-// handleOnceFailure decides after a failed call that may not be repeated: only one that never left may go again.
+// handleOnceFailure decides what follows a failed call that must not be repeated: it is sent again only if
+// it never left this box.
 func (r *Request) handleOnceFailure(now time.Time, a *liveAttempt, f Failure) []Action {
 	s := r.current()
 	switch f {
@@ -92,16 +94,17 @@
 		r.failed = append(r.failed, a.server)
 		return r.retry(now)
 	case Wrong:
-		return r.finish(now, code.New(code.BackendRefused, "", "stage %s was refused as wrong", s.Name()))
+		return r.finish(now, code.New(code.BackendRefused, "", "stage %s: the server rejected the call as invalid", s.Name()))
 	case Busy, Leaving:
-		// The server's protocol says that nothing ran; a sent call is not moved all the same.
+		// By the protocol nothing ran, but a call that was sent is still not moved to another server.
 		r.onceSent = false
-		return r.finish(now, code.New(code.BackendRefused, "", "stage %s: server %s answered that it takes no work (%s)", s.Name(), a.server, f))
+		return r.finish(now, code.New(code.BackendRefused, "", "stage %s: server %s answered that it accepts no work (%s)", s.Name(), a.server, f))
 	}
-	return r.finish(now, code.New(code.OutcomeUnknown, "", "stage %s: the call was sent and its outcome is not known (%s)", s.Name(), f))
+	return r.finish(now, code.New(code.OutcomeUnknown, "", "stage %s: the call was sent and its outcome is unknown (%s)", s.Name(), f))
 }
 
-// retry asks for another attempt while attempts and time are left: a few at once, then with pauses.
+// retry requests another attempt while attempts and time are left, the first few at once and later ones
+// after pauses.
 func (r *Request) retry(now time.Time) []Action {
 	must := r.pipeline.MustFinish()
 	if !must && !now.Before(r.deadline) {
--- a/src/core/request.go
+++ b/src/core/request.go
@@ -1,8 +1,8 @@
-// Package core holds every decision of the system: events and the time go in, actions come out.
-// It does no I/O, starts no goroutine, reads no clock and has no global randomness, so each
-// decision can be replayed and searched for faults.
+// Package core makes the decisions of the system: it takes events and the time and returns actions.
+// It does no I/O, starts no goroutines, reads no clock and uses no global random source, so that
+// every decision can be replayed and tested with generated histories.
 //
-// The way of one request:
+// The path of one request:
 //
 //	caller ──► key ──► home? ──► ledger ──► admission
 //	                     │no        │seen before
@@ -25,8 +25,8 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// Request is one pass through a pipeline. Every reply is matched against the live attempts, so a
-// late, repeated or foreign one changes nothing. Not safe for concurrent use.
+// Request is one run through a pipeline. Every reply is matched against the live attempts, so late,
+// repeated or foreign replies have no effect. Not safe for concurrent use.
 type Request struct {
 	key       Key
 	workspace *config.Workspace
@@ -35,36 +35,36 @@
 	maxTokens int
 	estimates *Estimates
 
-	stage    int
-	input    []byte // of the current stage
-	output   []byte // of the current stage, as far as it has come
-	live     map[int]*liveAttempt
-	next     int // number of the stage's next attempt
-	failed   []string
-	pause    time.Duration
-	emitted  int
-	unconfirmed    int  // calls sent of which it is not known that they ran nothing
-	ran      bool // a call was answered, so something ran
-	onceSent bool // a call that may not be repeated was sent
-	onceDone bool // and answered
-	cancel   bool // stop once the call in flight is answered
-	finished bool
-	stale    int
-	uses     []StageUse
-	trace    []Placement
+	stage       int
+	input       []byte // of the current stage
+	output      []byte // of the current stage so far
+	live        map[int]*liveAttempt
+	next        int // number of the stage's next attempt
+	failed      []string
+	pause       time.Duration
+	emitted     int
+	unconfirmed int  // sent calls that may have run
+	ran         bool // a call was answered, so something ran
+	onceSent    bool // a call that must not be repeated was sent
+	onceDone    bool // and was answered
+	cancel      bool // stop after the answer of the running call
+	finished    bool
+	stale       int
+	uses        []StageUse
+	trace       []Placement
 }
 
-// liveAttempt is an attempt whose reply counts.
+// liveAttempt is an attempt whose reply is still accepted.
 type liveAttempt struct {
 	id      Attempt
 	server  string // empty while it waits in the pool
 	hedge   bool
 	resumed bool
 	sent    time.Time
-	trace   int // its index in Request.trace
+	trace   int // index in Request.trace, -1 for none
 }
 
-// NewRequest makes a request that has done nothing yet; maxTokens 0 means the stage's own limit.
+// NewRequest returns a request that has not begun; maxTokens 0 means the stage's own limit.
 func NewRequest(key Key, w *config.Workspace, p *config.Pipeline, input []byte, deadline time.Time, maxTokens int, est *Estimates) *Request {
 	return &Request{
 		key: key, workspace: w, pipeline: p, input: input, deadline: deadline,
@@ -72,20 +72,20 @@
 	}
 }
 
-// Key is the request's identity.
+// Key returns the key of the request.
 func (r *Request) Key() Key { return r.key }
 
-// Pipeline is what the request runs through.
+// Pipeline returns the pipeline that the request runs through.
 func (r *Request) Pipeline() *config.Pipeline { return r.pipeline }
 
-// Workspace is whose request it is.
+// Workspace returns the workspace that sent the request.
 func (r *Request) Workspace() *config.Workspace { return r.workspace }
 
-// Deadline is when the answer has to be whole.
+// Deadline returns the time by which the answer must be complete.
 func (r *Request) Deadline() time.Time { return r.deadline }
 
-// GiveUp is when the request ends whatever its state: its deadline, or for must-finish work the
-// longest the pipeline allows.
+// GiveUp returns when the request ends in any case: its deadline, or for must-finish work the maximum that
+// the pipeline allows.
 func (r *Request) GiveUp(begun time.Time) time.Time {
 	if !r.pipeline.MustFinish() {
 		return r.deadline
@@ -96,8 +96,8 @@
 	return r.deadline
 }
 
-// CallLimit is how long one call may take. Each attempt has twice the time of the one before: a stage
-// that became slow rather than dead must get through in the end. It reads nothing that Step changes.
+// CallLimit returns the timeout of one call. It doubles with each attempt, so that a stage that became slow
+// still completes in the end. It reads nothing that Step changes.
 func (r *Request) CallLimit(now, begun time.Time, id Attempt) time.Duration {
 	s := r.pipeline.Stages()[id.Stage]
 	left := r.GiveUp(begun).Sub(now)
@@ -111,24 +111,24 @@
 	return min(left, first<<min(id.N, maxDoublings))
 }
 
-// FirstPieceLimit is how long a stream may take to begin. A call can stand in a busy engine's queue
-// behind prompt work, which is no sign of a broken stream: each attempt waits twice as long as the one
-// before, or a long queue would have calls go from engine to engine and never be served.
+// FirstPieceLimit returns the timeout for the first chunk of a stream. A call may queue at a busy engine
+// behind prompt work, which does not mean that the stream is broken. The timeout doubles with each attempt,
+// or with long queues calls would move from engine to engine and never be served.
 func FirstPieceLimit(attempt int) time.Duration { return StallLimit << min(attempt+1, maxDoublings) }
 
-// Finished says whether the final answer is out.
+// Finished reports whether the final answer was given.
 func (r *Request) Finished() bool { return r.finished }
 
-// Uses sums the stages so far.
+// Uses lists what the stages consumed so far.
 func (r *Request) Uses() []StageUse { return r.uses }
 
 // Trace lists the placements so far.
 func (r *Request) Trace() []Placement { return r.trace }
 
-// Stale counts replies that were discarded.
+// Stale returns the number of discarded replies.
 func (r *Request) Stale() int { return r.stale }
 
-// Step takes one event and gives what has to be done about it, in order.
+// Step processes one event and returns the resulting actions in order.
 func (r *Request) Step(now time.Time, ev Event) []Action {
 	switch e := ev.(type) {
 	case Begin:
@@ -171,7 +171,7 @@
 	return []Action{r.enqueue(now, false)}
 }
 
-// enqueue makes the stage's next attempt live and asks its pool for a place.
+// enqueue adds the stage's next attempt and requests a place for it in the pool.
 func (r *Request) enqueue(now time.Time, hedge bool) Action {
 	s := r.current()
 	id := Attempt{Key: r.key, Stage: r.stage, N: r.next}
@@ -194,7 +194,7 @@
 	}}
 }
 
-// TokenLimit is how many tokens a generate stage may make for this request.
+// TokenLimit returns how many tokens a generate stage may produce for this request.
 func (r *Request) TokenLimit(s *config.Stage) int {
 	if r.maxTokens > 0 && r.maxTokens < s.MaxTokens() {
 		return r.maxTokens
@@ -202,7 +202,7 @@
 	return s.MaxTokens()
 }
 
-// liveOf finds the attempt a reply belongs to, or counts the reply as stale.
+// liveOf returns the live attempt that a reply belongs to, or counts the reply as stale and returns nil.
 func (r *Request) liveOf(id Attempt) *liveAttempt {
 	if id.Key == r.key && id.Stage == r.stage {
 		if a := r.live[id.N]; a != nil {
@@ -226,7 +226,7 @@
 	r.trace = append(r.trace, Placement{Stage: s.Name(), N: a.id.N, Server: e.Server, Waited: e.Waited, Outcome: "running", Candidates: e.Trace})
 	r.unconfirmed++
 	if s.Once() {
-		r.onceSent = true // marked as spent before the first byte goes out
+		r.onceSent = true // before the first byte is sent
 	}
 	u := &r.uses[len(r.uses)-1]
 	u.Attempts++
@@ -252,7 +252,7 @@
 		return nil
 	}
 	if a.hedge {
-		return r.retry(now) // the attempt it was to help has failed meanwhile
+		return r.retry(now) // the hedged attempt has failed meanwhile
 	}
 	if r.pipeline.MustFinish() && (r.ran || r.unconfirmed > 0) && e.Err.Code != code.NowhereToRun {
 		return r.pauseThenRetry()
@@ -260,7 +260,7 @@
 	return r.finish(now, e.Err)
 }
 
-// pauseThenRetry backs off, doubling up to a limit: must-finish work waits out what stops it.
+// pauseThenRetry backs off exponentially up to maxRetryPause before the next attempt.
 func (r *Request) pauseThenRetry() []Action {
 	r.pause = min(max(2*r.pause, retryPause), maxRetryPause)
 	return []Action{Pause{After: r.pause}}
@@ -272,7 +272,7 @@
 		return nil
 	}
 	if e.Offset > len(r.output) {
-		return r.handleAttemptFailure(now, a, Broken) // tokens are missing: ask for them again from where we are
+		return r.handleAttemptFailure(now, a, Broken) // tokens are missing, so resume at the current offset
 	}
 	have := len(r.output) - e.Offset
 	if have >= len(e.Data) {
@@ -284,7 +284,7 @@
 	return r.emit()
 }
 
-// emit hands on what the last stage has produced and the caller has not got.
+// emit returns the output of the last stage that the caller has not received yet.
 func (r *Request) emit() []Action {
 	if !r.last() || r.emitted >= len(r.output) {
 		return nil
@@ -322,7 +322,7 @@
 	r.estimates.Learn(now, r.pipeline, s, now.Sub(a.sent))
 	out = append(out, r.emit()...)
 	if r.cancel {
-		return append(out, r.finish(now, code.New(code.Cancelled, "", "stopped after a call that could not be undone"))...)
+		return append(out, r.finish(now, code.New(code.Cancelled, "", "cancelled after a call that could not be undone"))...)
 	}
 	if r.last() {
 		return append(out, r.finish(now, nil)...)
@@ -332,12 +332,13 @@
 	return append(out, r.beginStage(now)...)
 }
 
-// handleLateOnceDone takes the answer of a once-call whose request was already answered "outcome unknown".
+// handleLateOnceDone processes the answer of a call that must not be repeated after the request was
+// answered with "outcome unknown".
 func (r *Request) handleLateOnceDone(now time.Time, a *liveAttempt, e Done) []Action {
 	out := []Action{r.settle(now, a, 0, e.Use, true)}
 	if r.onceSent && !r.onceDone {
 		r.onceDone = true
-		out = append(out, Amend{Err: code.New(code.DeadlinePassed, "", "the call that may not be repeated ran; its answer came after the deadline")})
+		out = append(out, Amend{Err: code.New(code.DeadlinePassed, "", "a call that must not be repeated ran; its answer arrived after the deadline")})
 	}
 	return out
 }
@@ -347,7 +348,7 @@
 		return nil
 	}
 	if r.onceSent && !r.onceDone {
-		return r.finish(now, code.New(code.OutcomeUnknown, "", "the deadline came before the answer of a call that may not be repeated"))
+		return r.finish(now, code.New(code.OutcomeUnknown, "", "the deadline passed before the answer of a call that must not be repeated"))
 	}
 	return r.finish(now, code.New(code.DeadlinePassed, "", "stage %s was not done by the deadline", r.current().Name()))
 }
@@ -357,14 +358,14 @@
 		return nil
 	}
 	if r.onceSent && !r.onceDone {
-		r.cancel = true // it can't be undone, so its outcome is awaited
+		r.cancel = true // the call can't be undone, so wait for its outcome
 		return nil
 	}
 	return r.finish(now, code.New(code.Cancelled, "", "cancelled by the caller"))
 }
 
-// finish gives the final answer once and ends every attempt but a once-call in flight, whose late
-// answer still tells what happened.
+// finish gives the final answer and ends every attempt, except for a running call that must not be
+// repeated: its late answer still tells whether it ran.
 func (r *Request) finish(now time.Time, err *code.Error) []Action {
 	r.finished = true
 	var out []Action
@@ -380,7 +381,8 @@
 	return append(out, Finish{Err: err.WithRan(r.didRun(err))})
 }
 
-// didRun says whether anything ran: the request knows, whatever the code's usual meaning.
+// didRun returns whether anything ran, from the state of the request and not from the usual meaning of the
+// code.
 func (r *Request) didRun(err *code.Error) code.Ran {
 	switch {
 	case r.onceSent && !r.onceDone && err.Code != code.BackendRefused:
@@ -393,10 +395,11 @@
 	return code.RanNo
 }
 
-// MayRepeat says whether making the request again under a new key doubles nothing that may not be.
+// MayRepeat reports whether the caller may send the request again under a new key without repeating a call
+// that must not be repeated.
 func (r *Request) MayRepeat() bool { return !r.onceSent }
 
-// Output is the answer so far when the last stage has begun, or nil.
+// Output returns the answer so far, or nil before the last stage.
 func (r *Request) Output() []byte {
 	if !r.last() {
 		return nil
--- a/src/core/request_test.go
+++ b/src/core/request_test.go
@@ -11,13 +11,13 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// failer is what plain and property tests have in common.
+// failer is the common part of *testing.T and *rapid.T.
 type failer interface {
 	Helper()
 	Fatal(args ...any)
 }
 
-// testRequest is a request of one of the example's pipelines.
+// testRequest returns a request of one of the example pipelines.
 func testRequest(tb failer, pipeline string) (*Request, time.Time) {
 	tb.Helper()
 	raw, err := config.Marshal(config.ExamplePageworks())
@@ -34,7 +34,7 @@
 	return NewRequest(key, c.Workspace("lakeside"), p, []byte("input"), now.Add(p.Deadline()), 0, NewEstimates()), now
 }
 
-// toStage answers the stages before the n-th and gives the live attempt there.
+// toStage answers the stages before the n-th and returns the live attempt of that stage.
 func toStage(r *Request, now time.Time, n int) Attempt {
 	r.Step(now, Begin{})
 	for i := range n {
@@ -146,11 +146,11 @@
 			return
 		}
 	}
-	t.Error("a late answer does not tell that the call ran")
+	t.Error("a late answer does not show that the call ran")
 }
 
-// Whatever order replies, failures and timers come in, the caller gets each byte once and in order,
-// one final answer, and a once-call is sent at most once.
+// With any order of replies, failures and timers, the caller gets each byte once and in order and one final
+// answer, and a call that must not be repeated is sent at most once.
 func TestRequestHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pipe := rapid.SampledFrom([]string{"caption", "spread-draft", "tag-stamp"}).Draw(t, "pipeline")
@@ -219,7 +219,7 @@
 				if rapid.IntRange(0, 9).Draw(t, "gap") > 0 || at+9 > len(whole) {
 					running[id] = max(running[id], end)
 				} else {
-					at, end = at+4, at+8 // a piece got lost
+					at, end = at+4, at+8 // one chunk is lost
 				}
 				do(r.Step(now, Chunk{Attempt: id, Offset: at, Data: whole[at:end]}))
 			},
@@ -264,11 +264,11 @@
 	})
 }
 
-// A call in a busy engine's queue was taken for a broken stream after three seconds, went to the next
-// engine's queue, and so on: a planned stop waited a minute for it in vain.
+// The first chunk gets more time than later ones. Otherwise a call that queues at a busy engine is taken
+// for a broken stream and moves from queue to queue without being served.
 func TestStreamsMayBeginLate(t *testing.T) {
 	if FirstPieceLimit(0) <= StallLimit {
-		t.Errorf("the first piece has %s, as long as a later one", FirstPieceLimit(0))
+		t.Errorf("the first chunk has %s, no more than a later one", FirstPieceLimit(0))
 	}
 	sum := time.Duration(0)
 	for n := range quickAttempts {
--- a/src/core/rumour.go
+++ b/src/core/rumour.go
@@ -9,34 +9,36 @@
 	"github.com/stilemast/stilemast/src/crasher"
 )
 
-// Rumour is news of a member that boxes pass on.
+// Rumour is the gossiped state of one member.
 type Rumour struct {
 	ID        BoxID       `msgpack:"i"`
 	Address   string      `msgpack:"a"`
 	Domain    string      `msgpack:"d"`
 	State     MemberState `msgpack:"s"`
 	Round     uint64      `msgpack:"r"`
-	Successor string      `msgpack:"x,omitempty"` // who took over its ledger
+	Successor string      `msgpack:"x,omitempty"` // the box that took over its ledger
 	Capacity  Capacity    `msgpack:"c"`
 	Claims    []Claim     `msgpack:"l,omitempty"` // of pools that it schedules
-	// Up is how long the member had been running when this was sent, as far as the sender knows.
+	// Up is how long the member had been running when this was sent, as far as the sender knew.
 	Up time.Duration `msgpack:"u,omitempty"`
 }
 
-// LoadNote says how many calls a box has at a server, named by its hash.
+// LoadNote is the number of a box's calls at a server.
 type LoadNote struct {
-	Server uint32 `msgpack:"s"`
+	Server uint32 `msgpack:"s"` // hash of its name
 	N      uint16 `msgpack:"n"`
 }
 
-// LeavingNote passes on that a server is leaving, in its own numbering.
+// LeavingNote reports a server as leaving, with the incarnation and sequence number of the server's own
+// report.
 type LeavingNote struct {
 	Server      string `msgpack:"s"`
 	Incarnation uint64 `msgpack:"i"`
 	Seq         uint64 `msgpack:"q"`
 }
 
-// LimitNote passes on how many requests a second a server takes from all boxes together (pushback.LimitNote).
+// LimitNote is the number of requests per second that a server accepts from all boxes together
+// (pushback.LimitNote).
 type LimitNote struct {
 	Server      string  `msgpack:"s"`
 	Incarnation uint64  `msgpack:"i"`
@@ -45,47 +47,50 @@
 	Ended       bool    `msgpack:"e,omitempty"`
 }
 
-// BackendNote says what a box has at a server that takes opaque requests, named by its hash. A server with a limit is told as
-// full, so that boxes which know no limits go elsewhere; the others read what is held there.
+// BackendNote is the load of a box at a server that takes opaque requests, named by its hash. A server with
+// a request limit is reported as full, so that boxes which do not know limits use other servers; boxes that
+// do read Held instead.
 type BackendNote struct {
 	Server   uint64 `msgpack:"s"`
 	Requests uint16 `msgpack:"n"`
-	Tokens   uint32 `msgpack:"t"` // of prompts still to be read
-	Resting  bool   `msgpack:"r"` // it failed there lately
+	Tokens   uint32 `msgpack:"t"` // prompt tokens not processed yet
+	Resting  bool   `msgpack:"r"` // it failed there recently
 	Limited  bool   `msgpack:"l,omitempty"`
-	Held     uint16 `msgpack:"h,omitempty"` // requests, where Limited
+	Held     uint16 `msgpack:"h,omitempty"` // requests, if Limited
 }
 
-// ReadNote says that a server has read a shared part of prompts; both are named by their hashes.
+// ReadNote reports that a server has processed a shared part of prompts; both are named by hashes.
 type ReadNote struct {
 	Part   uint64 `msgpack:"p"`
 	Server uint64 `msgpack:"s"`
 }
 
-// AskNote says how many prompt tokens a box was lately asked for in a pool, and under which first parts.
+// AskNote is the number of prompt tokens that a box was recently asked for in a pool, by their first prompt
+// parts.
 type AskNote struct {
-	Pool   uint64   `msgpack:"p"` // hash of its name
+	Pool   uint64   `msgpack:"p"` // hash of the pool name
 	Total  uint32   `msgpack:"n"`
 	Parts  []uint64 `msgpack:"i"` // hashes of the first prompt parts
-	Tokens []uint32 `msgpack:"t"` // of each
+	Tokens []uint32 `msgpack:"t"` // prompt tokens of each part
 }
 
-// WaitNote says how long a piece waits in a pool, as its scheduler expects (backlog.Waits).
+// WaitNote is the expected wait of a piece in a pool, as estimated by its scheduler (backlog.Waits).
 type WaitNote struct {
 	Pool  uint64          `msgpack:"p"`
 	Wait  time.Duration   `msgpack:"w"`
 	Steps []time.Duration `msgpack:"s,omitempty"`
 }
 
-// Beat is a heartbeat, its answer, or an indirect question. All three carry the same news.
+// Beat is a heartbeat, the answer to one, or a request for an indirect probe. All of them carry the same
+// news.
 type Beat struct {
 	From     Rumour        `msgpack:"f"`
 	Seq      uint64        `msgpack:"q"`
 	Digest   uint64        `msgpack:"d,omitempty"` // of the sender's table of members
-	Table    *TableNote    `msgpack:"m,omitempty"` // a step of an exchange of tables
+	Table    *TableNote    `msgpack:"m,omitempty"` // a step of a table exchange
 	Answer   bool          `msgpack:"a,omitempty"`
-	News     bool          `msgpack:"w,omitempty"` // tells of loads only and wants no answer
-	AskFor   string        `msgpack:"k,omitempty"` // box to be asked on the sender's behalf
+	News     bool          `msgpack:"w,omitempty"` // one-way message that wants no answer
+	AskFor   string        `msgpack:"k,omitempty"` // box to be probed on behalf of the sender
 	Rumours  []Rumour      `msgpack:"r,omitempty"`
 	Config   Statement     `msgpack:"c"`
 	List     Statement     `msgpack:"l"`
@@ -96,44 +101,46 @@
 	Reads    []ReadNote    `msgpack:"e,omitempty"`
 	Asked    []AskNote     `msgpack:"h,omitempty"`
 
-	Suspects []crasher.Note `msgpack:"u,omitempty"` // contents under which servers ended
+	Suspects []crasher.Note `msgpack:"u,omitempty"` // contents that may have crashed servers
 	Limits   []LimitNote    `msgpack:"x,omitempty"` // of servers, for all boxes together
 
 	Unanswered *Unanswered `msgpack:"n,omitempty"`
 
-	Era      uint64        `msgpack:"z,omitempty"` // from which the revisions of the message count, 0 where the sender knows none
-	Settled  bool          `msgpack:"j,omitempty"` // what the sender's list lacks since the store was restored is gone
+	Era      uint64        `msgpack:"z,omitempty"` // era of the store in which the revisions of the message count, 0 if the sender knows none
+	Settled  bool          `msgpack:"j,omitempty"` // entries missing from the sender's list since the restore of the store are gone
 	Closures []ClosureNote `msgpack:"y,omitempty"`
 	Doubts   []DoubtNote   `msgpack:"g,omitempty"`
 }
 
-// ClosureNote passes on an evacuation of an earlier era of the store, or that one has ended (catalog.ClosureNote).
+// ClosureNote reports that a failure domain was evacuated in an earlier era of the store, or that such an
+// evacuation ended (catalog.ClosureNote).
 type ClosureNote struct {
 	Domain   string `msgpack:"d"`
 	Closed   bool   `msgpack:"c"`
 	Revision uint64 `msgpack:"r"`
 }
 
-// DoubtNote passes on for how long a server is not used that had left before the store was restored (catalog.DoubtNote).
+// DoubtNote reports for how long a server is not used that had left before the store was restored
+// (catalog.DoubtNote).
 type DoubtNote struct {
 	Server      string        `msgpack:"s"`
 	Incarnation int64         `msgpack:"i"`
 	For         time.Duration `msgpack:"f"`
 }
 
-// Unanswered is a box's word that its own reads of a published document bring nothing.
+// Unanswered reports that the sender's own reads of a published document fail.
 type Unanswered struct {
 	Document string `msgpack:"d"`
-	Round    uint8  `msgpack:"r,omitempty"` // in which the receiver is asked to read, 0 for not asked
+	Round    uint8  `msgpack:"r,omitempty"` // round in which the receiver is asked to read, 0 if it is not asked
 }
 
-// BeatTo is a heartbeat to be sent.
+// BeatTo is a heartbeat to be sent to an address.
 type BeatTo struct {
 	Address string
 	Beat    Beat
 }
 
-// nextRumours picks the rumours of one message, those with most repeats left first.
+// nextRumours picks the rumours for one message, those with the most repeats left first.
 func (m *Members) nextRumours(now time.Time) []Rumour {
 	if len(m.pendingRumours) == 0 {
 		return nil
@@ -161,18 +168,18 @@
 	return out
 }
 
-// source is how an entry came.
+// source is how an entry was received.
 type source bool
 
-// An entry comes with a heartbeat, and is then passed on with others, or with an exchange of tables, which
-// reaches the others as well.
+// Entries from heartbeats are passed on with later heartbeats; entries from table exchanges are not,
+// because the exchanges reach the other boxes as well.
 const (
 	byHeartbeat source = false
 	byTable     source = true
 )
 
-// mergeRumour takes one entry: a later incarnation wins, then a later round, then the worse state. It says
-// whether the entry was news.
+// mergeRumour applies one entry and reports whether it was news. A later incarnation wins, then a later
+// round, then the worse state.
 func (m *Members) mergeRumour(now time.Time, r Rumour, by source) bool {
 	if r.ID.Incarnation == 0 {
 		return false
@@ -212,7 +219,7 @@
 	if r.State == MemberLeaving {
 		e.left = true
 	} else if r.State == MemberAlive && e.left {
-		r.State = MemberLeaving // a life that leaves never serves again
+		r.State = MemberLeaving // an incarnation that is leaving never serves again
 	}
 	e.id, e.address, e.domain, e.round = r.ID, r.Address, r.Domain, r.Round
 	e.capacity, e.claims = r.Capacity, r.Claims
@@ -227,13 +234,15 @@
 	return true
 }
 
-// passOn repeats an entry with the heartbeats, unless tables carry it: they do while the fleet forms.
+// passOn gossips an entry with the next heartbeats, except while the fleet is forming, when table exchanges
+// spread it.
 func (m *Members) passOn(now time.Time, r Rumour, by source) {
 	if by == byHeartbeat && !m.Forming(now) {
 		m.gossip(r)
 	}
 }
 
+// supersedes reports whether a rumour replaces the known state of a member.
 func (m *Members) supersedes(now time.Time, r Rumour, e *Member) bool {
 	switch {
 	case r.ID.Incarnation != e.id.Incarnation:
@@ -241,13 +250,15 @@
 	case r.Round != e.round:
 		return r.Round > e.round
 	case e.state == MemberDead || r.State == MemberDead:
-		// After a partition the other side's word on its own boxes counts, and no side's on its deaths.
+		// After a partition, a report that a member is alive wins over its death: each side had
+		// declared the other side's boxes dead.
 		return (r.State > e.state) != m.healing(now) && r.State != e.state
 	}
 	return r.State > e.state
 }
 
-// refute answers a rumour that this very life is suspected or dead, or that an earlier one has a later incarnation.
+// refute answers a rumour that this incarnation is suspected or dead, or that an earlier process at this
+// address has a higher incarnation.
 func (m *Members) refute(r Rumour) {
 	if m.Renumbers && r.ID.Incarnation > m.Self.ID.Incarnation && r.Address == m.Self.Address {
 		m.Self.ID.Incarnation, m.Self.Round = r.ID.Incarnation+1, 0
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -9,8 +9,8 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// Report is a backend server's own account of its load. It lags; Incarnation and Seq order reports
-// of one server, so that old news can't undo new news whichever way each came.
+// Report is a backend server's own load report. It lags. Incarnation and Seq order the reports of one
+// server, so that an older report can not override a newer one, in whatever order they arrive.
 type Report struct {
 	Incarnation uint64        `json:"incarnation" msgpack:"i"`
 	Seq         uint64        `json:"seq" msgpack:"q"`
@@ -22,11 +22,11 @@
 	Version     string        `json:"version" msgpack:"v"`
 	Adapters    []string      `json:"adapters" msgpack:"a"`
 	Role        string        `json:"role" msgpack:"o"`
-	Loading     time.Duration `json:"loading_ns" msgpack:"t"` // time until the ordered model serves
-	Fence       uint64        `json:"fence" msgpack:"f"`      // fence of the last order taken
+	Loading     time.Duration `json:"loading_ns" msgpack:"t"` // time until the ordered model is ready
+	Fence       uint64        `json:"fence" msgpack:"f"`      // fence of the last order accepted
 }
 
-// newer says whether r is later news than o.
+// newer reports whether r is more recent than o.
 func (r Report) newer(o Report) bool {
 	if r.Incarnation != o.Incarnation {
 		return r.Incarnation > o.Incarnation
@@ -34,71 +34,71 @@
 	return r.Seq > o.Seq
 }
 
-// CacheEvent is one change of a server's prefix cache; events come late and with gaps.
+// CacheEvent is one change of a server's prefix cache. Events may be late and have gaps.
 type CacheEvent struct {
 	Seq     uint64   `json:"seq"`
 	Stored  []uint64 `json:"stored"`
 	Removed []uint64 `json:"removed"`
 }
 
-// running is one call this box has at a server.
+// running is a call that this box has at a server.
 type running struct {
 	sent    time.Time
 	expect  time.Duration
-	tokens  int // expected to be generated
-	prefill int // expected to be computed
+	tokens  int // expected number of generated tokens
+	prefill int // expected number of computed prompt tokens
 	guessed int // blocks guessed cached
 	prefix  []uint64
 }
 
-// peerLoad is what another box last said it has at a server.
+// peerLoad is the last reported number of calls of another box at a server.
 type peerLoad struct {
 	n  int
 	at time.Time
 }
 
-// server is what a pool knows of one backend server.
+// server is the state of one backend server in a pool.
 type server struct {
-	cfg   *config.BackendServer
-	hash  uint64
-	inFlight  map[Attempt]running
-	peers map[string]peerLoad
-	users int // boxes that use this server
+	cfg      *config.BackendServer
+	hash     uint64
+	inFlight map[Attempt]running
+	peers    map[string]peerLoad
+	users    int // number of boxes that use this server
 
-	sameRegion bool // as the box
+	sameRegion bool // in the region of the box
 
 	report       Report
 	reportAt     time.Time
 	mineAtReport int
 
-	window float64 // calls this box may have here, borrowed ones included
+	window float64 // number of calls this box may have here, including slots that others leave idle
 
-	failShare float64
-	consecutiveFailures    int
-	backoff      time.Duration
-	backoffUntil time.Time
-	askedRest     bool // it asked for rest and has not returned from it; Pool.words knows how far
-	probing   bool
+	failShare           float64
+	consecutiveFailures int
+	backoff             time.Duration
+	backoffUntil        time.Time
+	askedRest           bool // it asked for rest and has not returned from it; Pool.pushback has the details
+	probing             bool
 
 	saysLeaving  bool
-	leavingUntil time.Time // an answer said so; reports of the same life don't undo it before
+	leavingUntil time.Time // set by a refused call; reports of the same incarnation do not revert saysLeaving before
 
-	run       float64 // seconds of one call of a plain service or an encoder
-	token     float64 // seconds of one token on an empty engine
-	prefill   float64 // seconds of one computed prompt token
+	run       float64 // seconds per call of a plain service or an encoder
+	token     float64 // seconds per token on an empty engine
+	prefill   float64 // seconds per computed prompt token
 	learnedAt time.Time
 	typical   *typical
 
-	blocks    *list.List // prefix blocks its cache probably holds, newest first
-	lastEvent uint64     // number of the last cache event taken
-	cacheAccuracy     float64    // how often guesses about its cache came true
-	markedFor uint64     // call for which marked was set
-	marked    int        // leading blocks of that call it probably holds
+	blocks        *list.List // prefix blocks its cache probably holds, newest first
+	lastEvent     uint64     // number of the last cache event taken
+	cacheAccuracy float64    // moving average of the part of the guessed blocks that was cached
+	markedFor     uint64     // number of the call for which marked was set
+	marked        int        // leading blocks of that call it probably holds
 
 	rates rates
 }
 
-// typical is what the servers of a pool have in common.
+// typical holds averages over the servers of a pool.
 type typical struct{ run, token measured }
 
 func (m *measured) learn(v float64, now time.Time) {
@@ -116,10 +116,10 @@
 	}
 }
 
-// leaving says whether the server takes no new work, wherever the news came from.
+// leaving reports whether the server takes no new work, by configuration or by its own report.
 func (s *server) leaving() bool { return s.cfg.Leaving() || s.saysLeaving }
 
-// slots is the smaller of what was configured and what the server says.
+// slots returns the smaller of the configured and the reported number of slots.
 func (s *server) slots() int {
 	n := s.cfg.Slots()
 	if s.report.Slots > 0 && s.report.Slots < n {
@@ -128,12 +128,12 @@
 	return n
 }
 
-// share is what this box may have here whatever the others do: its even part, below one call where
-// more boxes use the server than it has slots.
+// share is the number of calls this box may have here whatever the others do: its equal part of the slots,
+// less than 1 where more boxes use the server than it has slots.
 func (s *server) share() float64 { return float64(s.slots()) / float64(max(1, s.users)) }
 
-// peerCalls estimates what the other boxes have here: their own notes where all of them are fresh,
-// otherwise the larger of the notes and the server's lagging report.
+// peerCalls estimates the calls of other boxes: the sum of their notes if all are fresh, otherwise the
+// larger of that sum and the server's lagging report.
 func (s *server) peerCalls(now time.Time) int {
 	heard, fresh := 0, 0
 	for _, p := range s.peers {
@@ -151,13 +151,13 @@
 	return max(heard, s.report.Running+s.report.Waiting-s.mineAtReport)
 }
 
-// admits says whether this box may send one more call: within its share always, beyond it only
-// while the server has room that others leave idle and the window has grown that far.
+// admits reports whether this box may send one more call: always within its share, and beyond it only while
+// other boxes leave slots idle and the window has grown that far.
 //
-// May-wait work leaves some room beyond its share: what a box knows of the others is late, and a slot
-// taken by a long call is gone for seconds. Prompt work may also queue at the server, a little: there
-// it competes by deadline with the calls of all boxes, which no box knows as freshly, and it keeps
-// the server busy between reports.
+// May-wait calls leave some slots free beyond the share, because the knowledge of other boxes lags and a
+// long call holds its slot for seconds. Prompt calls may also queue at the server to a small extent: there
+// they compete by deadline with the calls of all boxes, which no box knows as recently, and they keep the
+// server busy between reports.
 func (s *server) admits(class config.Class) bool {
 	next, slots := float64(len(s.inFlight)+1), float64(s.slots())
 	if class == config.MayWait {
@@ -166,8 +166,8 @@
 	return next <= max(1, s.share()*(1+promptQueueShare)) || next <= s.window*(1+promptQueueShare) && s.rates.free >= 1-promptQueueShare*slots
 }
 
-// adjustWindow moves the borrowed window: up by one a report while there is room, down at once when the
-// server queues. The share is its floor.
+// adjustWindow adapts the window after a report: it grows while slots are free and shrinks at once when the
+// server queues, but not below the share.
 func (s *server) adjustWindow(now time.Time) {
 	floor := max(1, s.share())
 	if s.report.Waiting > 0 {
@@ -179,37 +179,37 @@
 	}
 }
 
-// acceptReport accepts a report unless it is old news.
+// acceptReport takes a report unless it is older than the last one, and reports whether it did.
 func (s *server) acceptReport(now time.Time, r Report) bool {
 	if !s.reportAt.IsZero() && !r.newer(s.report) {
 		return false
 	}
-	reborn := r.Incarnation > s.report.Incarnation && !s.reportAt.IsZero()
+	restarted := r.Incarnation > s.report.Incarnation && !s.reportAt.IsZero()
 	s.report = r
 	s.reportAt = now
 	s.mineAtReport = len(s.inFlight)
 	s.invalidateRates()
-	s.hearLeaving(now, r.Leaving, reborn)
+	s.hearLeaving(now, r.Leaving, restarted)
 	s.adjustWindow(now)
 	return true
 }
 
-// hearLeaving takes a report's word on leaving; a stale "staying" from the same life of the server
-// does not undo what an answer said.
-func (s *server) hearLeaving(now time.Time, leaving, reborn bool) {
-	if leaving || reborn || now.After(s.leavingUntil) {
+// hearLeaving applies the leaving flag of a report. Until leavingUntil, a report of the same incarnation
+// does not revert what an answer said, because it may be older.
+func (s *server) hearLeaving(now time.Time, leaving, restarted bool) {
+	if leaving || restarted || now.After(s.leavingUntil) {
 		s.saysLeaving = leaving
 	}
 }
 
-// answeredLeaving notes that the server itself refused a call because it is leaving.
+// answeredLeaving records that the server refused a call because it is leaving.
 func (s *server) answeredLeaving(now time.Time) {
 	s.saysLeaving = true
 	s.leavingUntil = now.Add(leavingHold)
 }
 
-// resting says whether the server failed lately and is left alone; after the rest one call at a
-// time tries it.
+// resting reports whether the server is in backoff after failures. After the backoff one call at a time
+// probes it.
 func (s *server) resting(now time.Time) bool {
 	if s.backoff == 0 {
 		return false
@@ -234,7 +234,7 @@
 	}
 }
 
-// rejectReason says why a call may not go here now, or "".
+// rejectReason returns why a call must not go to this server now, or "".
 func (s *server) rejectReason(now time.Time, c *Call) string {
 	switch {
 	case !config.MayRun(c.Workspace, c.Stage, s.cfg.Domain()):
@@ -264,7 +264,7 @@
 	return false
 }
 
-// callEstimate is how a call would go at a server.
+// callEstimate is the expected course of a call at a server.
 type callEstimate struct {
 	wait    float64 // seconds before it starts
 	run     float64 // seconds it runs
@@ -275,27 +275,27 @@
 
 func (w callEstimate) total() time.Duration { return seconds(w.wait + w.run) }
 
-// rates is what a server's estimates come to at a moment. It is worked out again when something
-// changed there, and otherwise now and then, so that a placement over many servers stays cheap.
+// rates caches the estimates for a server. They are recomputed after a change of the server and otherwise
+// every ratesFor, so that a placement over many servers stays cheap.
 type rates struct {
-	tick    int64 // the ratesFor they were worked out in; 0 when something changed since
+	tick    int64 // number of the ratesFor interval in which they were computed; 0 after a change
 	open    [config.Classes]bool
-	usable  bool    // neither leaving nor resting, for our reasons or its own
-	token   float64 // seconds of one token at the present load
-	run     float64 // seconds of one call that does not generate
-	queue   float64 // running times that a new call waits
-	delay   float64 // seconds a new call waits besides
+	usable  bool    // neither leaving nor in backoff nor asking for rest
+	token   float64 // seconds per token at the present load
+	run     float64 // seconds per call that does not generate
+	queue   float64 // wait of a new call, in run times
+	delay   float64 // additional wait of a new call in seconds
 	penalty float64 // factor for failures
-	free    float64 // slots beyond those known to be taken; negative when some calls queue
+	free    float64 // free slots as far as known; negative when calls queue
 }
 
-// invalidateRates has the rates worked out again before they are next used.
+// invalidateRates has the rates recomputed before their next use.
 func (s *server) invalidateRates() { s.rates.tick = 0 }
 
-// tickOf numbers the span of ratesFor that a moment lies in.
+// tickOf returns the number of the ratesFor interval that contains now.
 func tickOf(now time.Time) int64 { return now.UnixNano() / int64(ratesFor) }
 
-// refresh works the rates out if they are not those of this tick.
+// refresh recomputes the rates unless they belong to this tick.
 func (s *server) refresh(now time.Time, tick int64) {
 	if s.rates.tick == tick {
 		return
@@ -316,8 +316,8 @@
 	}
 }
 
-// estimate estimates a call at this server from the lagging report, what was sent since, what it
-// learned from answers, and how long its oldest call here has overrun.
+// estimate predicts a call at this server from the lagging report, the calls sent since, the learned times,
+// and the overrun of its slowest call here.
 func (s *server) estimate(now time.Time, c *Call, ratio float64) callEstimate {
 	s.refresh(now, tickOf(now))
 	w := callEstimate{run: s.rates.run}
@@ -335,8 +335,8 @@
 	return w
 }
 
-// overrun is how far the oldest call here is past twice its expectation: a server that hangs
-// answers nothing, so silence itself has to count.
+// overrun returns by how many seconds the slowest call here exceeds twice its expected duration. A server
+// that hangs sends no answers, so silence must count against it.
 func (s *server) overrun(now time.Time) float64 {
 	worst := 0.0
 	for _, r := range s.inFlight {
@@ -345,8 +345,8 @@
 	return worst
 }
 
-// decayed is a server's own measurement, faded towards what is typical of its pool when it has not been
-// renewed: a server once found slow would otherwise never be tried again.
+// decayed returns a server's own measurement, decayed towards the pool's average if it was not renewed: a
+// server that was slow once would otherwise never be tried again.
 func (s *server) decayed(now time.Time, own float64, typical measured) float64 {
 	if typical.at.IsZero() {
 		return own
@@ -357,7 +357,7 @@
 	return typical.v + (own-typical.v)*decay(now.Sub(s.learnedAt))
 }
 
-// learn takes one answered call.
+// learn updates the estimates from one answered call.
 func (s *server) learn(now time.Time, r running, u Use) {
 	took := now.Sub(r.sent).Seconds()
 	if r.tokens == 0 {
@@ -382,7 +382,7 @@
 	}
 }
 
-// average takes the first measurement whole and later ones by learnRate.
+// average returns the first measurement unchanged and later ones averaged with learnRate.
 func (s *server) average(old, v float64) float64 {
 	if s.learnedAt.IsZero() {
 		return v
@@ -390,7 +390,7 @@
 	return ewma(old, v, learnRate)
 }
 
-// jitter is a box's own small, fixed leaning for a call and a server, in [0, 1).
+// jitter returns a fixed pseudo-random number in [0, 1) for a box, a call and a server.
 func (s *server) jitter(seed uint64) float64 {
 	x := (s.hash ^ seed) * 0x9e3779b97f4a7c15
 	x ^= x >> 32
--- a/src/core/spread.go
+++ b/src/core/spread.go
@@ -4,31 +4,31 @@
 	"time"
 )
 
-// Statement is what a box says of a published document: the newest it holds and how long ago a read
-// of the platform's service showed that nothing newer was published.
+// Statement is a box's state of a published document: the newest version it holds, and how long ago a read
+// of the platform's service showed that no newer one was published.
 type Statement struct {
 	Version uint64        `msgpack:"v"`
 	Digest  string        `msgpack:"d"`
 	Age     time.Duration `msgpack:"a"` // negative when never confirmed
-	// Content is the version that the document itself bears, 0 where it has none or the teller does not say.
+	// Content is the version inside the document itself, 0 if it has none or the sender does not report it.
 	Content uint64 `msgpack:"n,omitempty"`
-	// Reader names, by a hash, the box whose read Age counts from, 0 where the teller does not say.
+	// Reader is the hash of the box whose read Age counts from, 0 if the sender does not report it.
 	Reader uint32 `msgpack:"b,omitempty"`
 }
 
-// Spread carries one published document (the configuration or the box list) to every box with few
-// reads of the platform's service.
+// Spread distributes one published document (the configuration or the box list) to every box with few reads
+// of the platform's service.
 //
-// Idea. The first few boxes of each region, ranked by hash over whoever is alive, read the service;
-// nobody is elected, and when views differ a few more boxes read. Everyone else learns of a version
-// from heartbeats and pulls it from whoever told of it. Versions only rise. Confirmations travel
-// with the answers to this box's own questions: an answer that came to a question sent at t and
-// states an age a proves that the service was read no earlier than t-a, whatever the clocks say
-// and however long either box was paused.
+// The first few boxes of each region, ranked by hash over the live boxes, read the service. There is no
+// election; when views differ, a few more boxes read. The others learn of a version from heartbeats and
+// pull it from a box that reported it. Versions only rise. Confirmations travel with the answers to this
+// box's own heartbeats: an answer to a heartbeat sent at t that states an age a proves that the service was
+// read no earlier than t-a, whatever the clocks show and however long either box was paused.
 //
-// Cost. Reads: a constant for each region. Spread: a few beats times log of the fleet.
+// Reads are a constant per region. A document spreads in a few heartbeat intervals times log of the fleet
+// size.
 //
-// Trade-offs. A document that only a reader holds dies with it if nobody heard yet; the next reader
+// A document that only a reader holds is lost with it if no other box has heard of it; the next reader
 // finds it again. Not safe for concurrent use.
 type Spread struct {
 	Self   string
@@ -41,25 +41,25 @@
 	pulling   string
 	pullSince time.Time
 	wanted    Statement
-	refused   map[string]bool // digests that did not pass the check
+	refused   map[string]bool // digests of documents that failed validation
 	lastRead  time.Time
 }
 
-// NewSpread holds nothing yet; set its exported fields before use.
+// NewSpread returns a Spread that holds no document.
 func NewSpread(self, region string) *Spread {
 	return &Spread{Self: self, Region: region, told: map[string]Statement{}, refused: map[string]bool{}}
 }
 
-// Held is the version and digest in force here.
+// Held returns the version and digest in force here.
 func (s *Spread) Held() Statement { return s.held }
 
-// Confirmed is when a read last showed the held version to be the newest.
+// Confirmed returns when a read last showed the held version to be the newest.
 func (s *Spread) Confirmed() time.Time { return s.confirmed }
 
-// Conflict is a version that was published twice with different content, or 0.
+// Conflict returns a version that was published twice with different content, or 0.
 func (s *Spread) Conflict() uint64 { return s.conflict }
 
-// Say makes the statement for a heartbeat.
+// Say returns the statement for the next heartbeat.
 func (s *Spread) Say(now time.Time) Statement {
 	st := s.held
 	st.Age = -1
@@ -69,7 +69,8 @@
 	return st
 }
 
-// Offer judges a version seen anywhere: whether it should be fetched or taken.
+// Offer reports whether a version seen anywhere is newer than the held one and should be fetched or
+// adopted. It records a conflict if the held version is offered with another digest.
 func (s *Spread) Offer(version uint64, digest string) bool {
 	if version == 0 || s.refused[digest] {
 		return false
@@ -81,7 +82,7 @@
 	return version > s.held.Version
 }
 
-// Hear takes another box's statement. askedAt is when the question it answers was sent, or zero.
+// Hear takes another box's statement. askedAt is when the heartbeat that it answers was sent, or zero.
 func (s *Spread) Hear(now time.Time, from string, st Statement, askedAt time.Time) {
 	s.told[from] = st
 	if s.Offer(st.Version, st.Digest) && st.Version > s.wanted.Version {
@@ -101,11 +102,11 @@
 	}
 }
 
-// Forget drops what a box that is gone had said.
+// Forget removes the statement of a box that is gone.
 func (s *Spread) Forget(box string) { delete(s.told, box) }
 
-// Served takes an answer of the service to a read begun at `at`; it says whether the document is
-// newer than the one held and must be adopted. An older answer confirms nothing.
+// Served takes the result of a read of the service that began at the given time, and reports whether the
+// document is newer than the held one and must be adopted. An older document confirms nothing.
 func (s *Spread) Served(at time.Time, version uint64, digest string) bool {
 	if at.IsZero() {
 		return s.Offer(version, digest)
@@ -120,8 +121,8 @@
 	return false
 }
 
-// Adopt puts a checked document in force; readAt is when the service showed it, or zero if it came
-// from another box. It says whether the version rose.
+// Adopt puts a validated document in force. readAt is when the service showed it, or zero if it came from
+// another box. It reports whether the version rose.
 func (s *Spread) Adopt(version uint64, digest string, readAt time.Time) bool {
 	if version <= s.held.Version {
 		return false
@@ -135,7 +136,7 @@
 	return true
 }
 
-// Refuse notes a document that did not pass the check: it is not fetched again.
+// Refuse records that a document failed validation, so that it is not fetched again.
 func (s *Spread) Refuse(digest string) {
 	s.refused[digest] = true
 	if s.wanted.Digest == digest {
@@ -144,13 +145,13 @@
 	s.pulling = ""
 }
 
-// Refused says whether a document did not pass the check before.
+// Refused reports whether a document failed validation before.
 func (s *Spread) Refused(digest string) bool { return s.refused[digest] }
 
-// ReadFailed notes a read of the service that gave nothing.
+// ReadFailed records a failed read of the service.
 func (s *Spread) ReadFailed(at time.Time) { s.lastRead = at }
 
-// Pull says whom to ask for the wanted document now, or "".
+// Pull returns the box to fetch the wanted document from now, or "".
 func (s *Spread) Pull(now time.Time) (from string, want Statement) {
 	if s.wanted.Version <= s.held.Version || s.refused[s.wanted.Digest] {
 		return "", Statement{}
@@ -173,14 +174,15 @@
 	return best, s.wanted
 }
 
-// PullEnded notes that the current pull failed, so that another box is asked.
+// PullEnded records that the current pull failed, so that another box is asked.
 func (s *Spread) PullEnded(from string) {
 	if s.pulling == from {
 		s.pullSince = time.Time{}
 	}
 }
 
-// Reads says whether this box should read the service now. live maps usable boxes to their regions.
+// Reads reports whether this box should read the service now. live maps usable boxes to their regions,
+// every is the read interval.
 func (s *Spread) Reads(now time.Time, live map[string]string, every time.Duration) bool {
 	if now.Sub(s.lastRead) < every {
 		return false
@@ -192,7 +194,7 @@
 	return now.Sub(s.confirmed) > late && now.Sub(s.lastRead) > 2*every
 }
 
-// isReader says whether this box is among the first of its region.
+// isReader reports whether this box is one of the readers of its region.
 func (s *Spread) isReader(live map[string]string) bool {
 	own := rank(0, s.Self)
 	ahead := 0
@@ -204,7 +206,7 @@
 	return ahead < readersPerRegion
 }
 
-// Newest is the highest version any box told of.
+// Newest returns the highest version that any box reported.
 func (s *Spread) Newest() uint64 {
 	v := s.held.Version
 	for _, st := range s.told {
--- a/src/core/spread_test.go
+++ b/src/core/spread_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A service that shows an older document, or a box that holds one, must not bring it back.
+// An older document, from the service or from another box, must not replace a newer one.
 func TestVersionsOnlyRise(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	s := NewSpread("a", "r")
--- a/src/core/subset.go
+++ b/src/core/subset.go
@@ -6,28 +6,28 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// SubsetTable says which boxes use which servers of one pool.
+// SubsetTable holds which boxes use which servers of one pool.
 //
-// Idea. With hundreds of boxes and engines nobody can watch everybody. Each box uses at most size
-// servers of each failure domain. Servers of a domain are laid out in a shuffled ring, one for each
-// block of boxes, and every box takes the next slice, so that servers get equal numbers of boxes.
-// Any box can work out everyone's subset from the list of usable boxes, so no message is needed.
+// With hundreds of boxes and engines, no box can watch all servers. Each box uses a limited number of
+// servers of each failure domain. The servers of a domain are shuffled once for each block of boxes, and
+// every box of the block takes the next slice, so that servers get equal numbers of boxes. Any box can
+// compute the subsets of all from the list of usable boxes, so no message is needed.
 //
-// Cost. O(boxes x size) when membership or configuration changes.
+// It costs O(boxes x size) when the membership or configuration changes.
 //
-// Trade-offs. A box joining or leaving moves the boxes after it in name order, each by one place;
-// what was learned of servers that leave a subset is forgotten.
+// A box that joins or leaves moves the boxes after it in name order by one slice each; what was learned of
+// servers that leave a subset is lost.
 type SubsetTable struct {
 	of    map[string][]*config.BackendServer
 	users map[string]int
 	all   []*config.BackendServer
 }
 
-// leastInDomain is how many servers of each pool and failure domain a box uses at least.
+// leastInDomain is the least number of servers of each pool and failure domain that a box uses.
 const leastInDomain = 2
 
-// SubsetSize is how many servers of each pool and failure domain a box uses, if it is to watch at most
-// about watch servers altogether. Where all of them are no more than that, it uses all.
+// SubsetSize returns how many servers of each pool and failure domain a box uses if it should watch at most
+// about watch servers in total. It returns the number of all servers if that is not larger.
 func SubsetSize(c *config.Config, watch int) int {
 	all := len(c.BackendServers())
 	if all <= watch {
@@ -36,7 +36,7 @@
 	return max(leastInDomain, watch/max(1, len(c.Pools())*len(c.FailureDomains())))
 }
 
-// Subsets works out everyone's subset of a pool.
+// Subsets computes the subsets of all boxes for a pool, with size servers per failure domain.
 func Subsets(all []*config.BackendServer, boxes []string, size int) SubsetTable {
 	t := SubsetTable{of: map[string][]*config.BackendServer{}, users: map[string]int{}, all: all}
 	sorted := append([]string(nil), boxes...)
@@ -64,7 +64,7 @@
 	return out
 }
 
-// deal hands the servers of one domain to the boxes in turns.
+// deal distributes the servers of one domain over the boxes.
 func (t *SubsetTable) deal(group []*config.BackendServer, boxes []string, size int) {
 	if len(group) <= size {
 		for _, b := range boxes {
@@ -72,7 +72,7 @@
 		}
 		return
 	}
-	perRound := len(group) / size // boxes that one shuffled ring serves
+	perRound := len(group) / size // boxes per shuffled order
 	for i, b := range boxes {
 		ring := shuffled(group, uint64(i/perRound))
 		at := (i % perRound) * size
@@ -87,7 +87,7 @@
 	}
 }
 
-// shuffled orders servers by hash, differently for each round.
+// shuffled orders servers by a hash that differs between rounds.
 func shuffled(group []*config.BackendServer, round uint64) []*config.BackendServer {
 	type ranked struct {
 		s *config.BackendServer
@@ -110,7 +110,7 @@
 	return out
 }
 
-// Of lists the servers a box uses; a box that is not among the usable ones uses all.
+// Of lists the servers that a box uses; a box that is not among the usable ones uses all.
 func (t SubsetTable) Of(box string) []*config.BackendServer {
 	if l, ok := t.of[box]; ok {
 		return l
@@ -118,5 +118,5 @@
 	return t.all
 }
 
-// Users counts the boxes that use a server.
+// Users returns the number of boxes that use a server, at least 1.
 func (t SubsetTable) Users(server string) int { return max(1, t.users[server]) }
