--- a/src/core/table.go
+++ b/src/core/table.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// TableNote is one step of the exchange that makes two boxes' tables of members equal.
+// TableNote is one step of the anti-entropy exchange that makes the member tables of two boxes equal.
 //
-// Idea. Every heartbeat carries the digest of its sender's table. A box that sees another digest
-// answers with the digests of its buckets; the asker then lists, for the buckets that differ, a short
-// version of each entry; the other sends the entries that the list lacks or holds otherwise and names
-// those that it lacks itself. So a fresh box knows the fleet after a few exchanges, which go round like
-// an epidemic of whole tables, while a single change still travels with the heartbeats.
+// Every heartbeat carries the digest of its sender's table. A box that sees a different digest answers with
+// the digests of its buckets. The sender then lists the versions of its entries in the buckets that differ.
+// The other box sends the entries that are missing from the list or differ, and names those that it lacks
+// itself. A new box thus learns the fleet in a few exchanges, while a single change still spreads with
+// heartbeats.
 //
-// Cost. 8 bytes a heartbeat while tables are equal. An exchange costs 9 bytes for each entry of the
-// buckets that differ, and the entries themselves, at most entriesPerNote each way.
+// Equal tables cost 8 bytes per heartbeat. An exchange costs about 9 bytes for each entry of the differing
+// buckets, plus the entries themselves, at most entriesPerNote each way.
 type TableNote struct {
 	Buckets  []uint64 `msgpack:"b,omitempty"` // digests of the sender's buckets
-	Compared uint64   `msgpack:"c,omitempty"` // the buckets that Versions lists whole, a bit each
-	Versions []uint64 `msgpack:"v,omitempty"` // of the sender's entries: hash of the name above hash of what is said
+	Compared uint64   `msgpack:"c,omitempty"` // bit set of the buckets that Versions lists completely
+	Versions []uint64 `msgpack:"v,omitempty"` // of the sender's entries: hash of the name in the upper half, hash of the state in the lower
 	Entries  []Rumour `msgpack:"e,omitempty"`
-	Wanted   []uint32 `msgpack:"w,omitempty"` // hashes of the names whose entries the sender lacks or holds otherwise
+	Wanted   []uint32 `msgpack:"w,omitempty"` // name hashes of the entries that the sender lacks or has in another version
 }
 
-// tableBuckets is the number of parts in which tables are compared.
+// tableBuckets is the number of buckets in which tables are compared.
 const tableBuckets = 64
 
-// nameHash spreads names over buckets and stands for them in versions.
+// nameHash returns the hash that assigns a name to a bucket and identifies it in versions.
 func nameHash(name string) uint32 {
 	h := uint64(14695981039346656037)
 	for i := range len(name) {
@@ -36,7 +36,7 @@
 	return uint32(mix64(h) >> 32)
 }
 
-// mix64 spreads a number over all its bits.
+// mix64 is a 64-bit finalizer that spreads a number over all its bits.
 func mix64(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -45,13 +45,13 @@
 	return x ^ x>>33
 }
 
-// version is the short form of an entry: two entries of one name are equal when their versions are.
+// version returns the short form of an entry: two entries of one name are equal if their versions are.
 func version(name uint32, id BoxID, round uint64, state MemberState) uint64 {
 	said := mix64(mix64(id.Incarnation) + 31*round + uint64(state))
 	return uint64(name)<<32 | said>>32
 }
 
-// tableEntry is one living member, this box among them, as tables are compared.
+// tableEntry is one member that is not dead, or this box itself, in the form in which tables are compared.
 type tableEntry struct {
 	name    string
 	hash    uint32
@@ -60,7 +60,7 @@
 
 func (t tableEntry) bucket() int { return int(t.hash % tableBuckets) }
 
-// comparedTable is the table with its digest, kept until an entry changes.
+// comparedTable caches the table and its digest until an entry changes.
 type comparedTable struct {
 	entries []tableEntry
 	digest  uint64
@@ -68,7 +68,7 @@
 	self    uint64 // version of this box's own entry in it
 }
 
-// table lists what this box believes of all that are not dead, itself first and then by name.
+// table lists the entries of all members that are not dead: this box first, then the others sorted by name.
 func (m *Members) table() []tableEntry {
 	hash := nameHash(m.Self.ID.Name)
 	self := tableEntry{m.Self.ID.Name, hash, version(hash, m.Self.ID, m.Self.Round, m.Self.State)}
@@ -96,13 +96,13 @@
 	return out
 }
 
-// Digest stands for the whole table of living members: equal tables have equal digests.
+// Digest returns the digest of the table; equal tables have equal digests.
 func (m *Members) Digest() uint64 {
 	m.table()
 	return m.compared.digest
 }
 
-// buckets gives the digest of each part of the table.
+// buckets returns the digest of each bucket of the table.
 func (m *Members) buckets() []uint64 {
 	out := make([]uint64, tableBuckets)
 	for _, t := range m.table() {
@@ -111,7 +111,7 @@
 	return out
 }
 
-// reconcile takes one step of an exchange and gives the next one, or nil when there is nothing left to do.
+// reconcile processes one step of an exchange and returns the next one, or nil when it is complete.
 func (m *Members) reconcile(now time.Time, t *TableNote) *TableNote {
 	m.mergeEntries(now, t.Entries)
 	out := &TableNote{}
@@ -130,7 +130,7 @@
 	return out
 }
 
-// mergeEntries takes the entries of another table. Many new ones mean that the fleet is forming anew.
+// mergeEntries applies the entries of another table. Many new ones mean that the fleet is forming.
 func (m *Members) mergeEntries(now time.Time, entries []Rumour) {
 	learned := 0
 	for _, r := range entries {
@@ -143,7 +143,7 @@
 	}
 }
 
-// listDifferingBuckets lists the versions of the buckets that differ.
+// listDifferingBuckets lists the versions of the entries in the buckets that differ.
 func (m *Members) listDifferingBuckets(theirs []uint64, out *TableNote) {
 	for i, own := range m.buckets() {
 		if own != theirs[i] {
@@ -157,8 +157,8 @@
 	}
 }
 
-// answerVersions answers a list of versions: with entries that the other lacks or holds otherwise, and with the
-// names of those that this box does.
+// answerVersions answers a list of versions with the entries that the other box lacks or has in another
+// version, and with the names of those that this box lacks.
 func (m *Members) answerVersions(now time.Time, t *TableNote, out *TableNote) {
 	theirs := make(map[uint32]uint64, len(t.Versions))
 	for _, v := range t.Versions {
@@ -177,7 +177,7 @@
 	}
 	give = append(give, m.deaths(now, theirs)...)
 	out.Entries = append(out.Entries, m.entries(now, m.sample(give))...)
-	for _, v := range t.Versions { // in their order, so that a run can be repeated
+	for _, v := range t.Versions { // not in map order, so that runs are reproducible
 		if _, differs := theirs[uint32(v>>32)]; differs {
 			out.Wanted = append(out.Wanted, uint32(v>>32))
 		}
@@ -185,8 +185,8 @@
 	out.Wanted = out.Wanted[:min(len(out.Wanted), entriesPerNote)]
 }
 
-// deaths lists the members that the other box believes alive and this one has found dead lately. After
-// a partition nothing is said of deaths: both sides hold the other's boxes for dead.
+// deaths lists the members that the other box believes alive and that died recently in this box's view.
+// While a partition heals it lists none, because both sides consider the other's boxes dead.
 func (m *Members) deaths(now time.Time, theirs map[uint32]uint64) []string {
 	if m.healing(now) {
 		return nil
@@ -204,8 +204,8 @@
 	return out
 }
 
-// sample bounds a list: a run of it from a random place, so that boxes that ask at the same time get
-// different parts and have something to tell one another.
+// sample limits a list to entriesPerNote names from a random position on, so that boxes that ask at the
+// same time get different parts to pass on.
 func (m *Members) sample(names []string) []string {
 	if len(names) <= entriesPerNote {
 		return names
@@ -214,7 +214,7 @@
 	return append(slices.Clone(names[from:]), names[:from]...)[:entriesPerNote]
 }
 
-// wanted gives the entries that another box asked for by the hashes of their names.
+// wanted returns the entries that another box requested by the hashes of their names.
 func (m *Members) wanted(now time.Time, hashes []uint32) []Rumour {
 	want := make(map[uint32]bool, len(hashes))
 	for _, h := range hashes {
@@ -229,7 +229,7 @@
 	return m.entries(now, m.sample(names))
 }
 
-// entries says what this box believes of some members.
+// entries returns the rumours of the named members, which may include this box.
 func (m *Members) entries(now time.Time, names []string) []Rumour {
 	out := make([]Rumour, 0, len(names))
 	for _, n := range names {
@@ -245,8 +245,8 @@
 	return out
 }
 
-// Forming says whether this box is getting to know the fleet: it has just started, many members are new
-// to it, or a partition has just healed. Then tables are exchanged often.
+// Forming reports whether this box is still learning the fleet: it has just started, many members are new
+// to it, or a partition has just healed. Tables are exchanged often then.
 func (m *Members) Forming(now time.Time) bool {
 	if m.formUntil.IsZero() {
 		m.formUntil = now.Add(formingFirst)
@@ -254,13 +254,15 @@
 	return now.Before(m.formUntil)
 }
 
+// formsUntil extends the forming period.
 func (m *Members) formsUntil(t time.Time) {
 	if t.After(m.formUntil) {
 		m.formUntil = t
 	}
 }
 
-// Seek asks one member drawn by chance while the fleet forms, more often than heartbeats go.
+// Seek returns a heartbeat to a random member while the fleet is forming. It is called more often than
+// Tick.
 func (m *Members) Seek(now time.Time) []BeatTo {
 	if !m.Forming(now) || len(m.names) == 0 {
 		return nil
@@ -275,18 +277,18 @@
 	return nil
 }
 
-// healing says whether a partition has just ended, as far as this box can see.
+// healing reports whether a partition seems to have ended recently.
 func (m *Members) healing(now time.Time) bool {
 	return !m.healedAt.IsZero() && now.Sub(m.healedAt) < healFor
 }
 
-// noteReturn takes the sign that a life which this box believed dead is there after all: a partition or
-// a pause has ended, and what was judged from silence on either side may be wrong. For a moment the word
-// of others that such a member lives is believed.
+// noteReturn records that a member believed dead is alive: a partition or pause has ended, and deaths that
+// either side inferred from silence may be wrong. For healFor, reports of other boxes that members are
+// alive override deaths.
 func (m *Members) noteReturn(now time.Time) {
 	m.healedAt = now
 	m.formsUntil(now.Add(formingFirst))
 }
 
-// repeatsOf is how often a fresh rumour is passed on: O(log n), so that all hear of it.
+// repeatsOf returns how often a new rumour is sent: O(log n), so that all boxes receive it.
 func (m *Members) repeatsOf() int { return rumourRepeats * (1 + bits.Len(uint(len(m.all)))) }
--- a/src/core/table_test.go
+++ b/src/core/table_test.go
@@ -10,14 +10,15 @@
 	"pgregory.net/rapid"
 )
 
-// tablePace is the pace at which the boxes of a tableNet look what they should do, and bytesOfEntry
-// about what an entry takes in a message.
+// tablePace is the interval at which the boxes of a tableNet act, bytesOfEntry the approximate size of an
+// entry in a message.
 const (
 	tablePace    = 50 * time.Millisecond
 	bytesOfEntry = 85
 )
 
-// tableNet is a fleet in virtual time whose boxes start at different moments and know only three seeds.
+// tableNet simulates a fleet in virtual time whose boxes start at different times and know only three
+// seeds.
 type tableNet struct {
 	now     time.Time
 	step    int
@@ -28,7 +29,7 @@
 	cut     func(from, to string) bool
 	lives   uint64
 	sent    int // messages
-	entries int // in exchanges of tables
+	entries int // sent in table exchanges
 	seed    uint64
 }
 
@@ -64,7 +65,7 @@
 	}
 }
 
-// run plays the fleet for a while.
+// run simulates the fleet for the given time.
 func (x *tableNet) run(d time.Duration) {
 	for end := x.now.Add(d); x.now.Before(end); x.now = x.now.Add(tablePace) {
 		for i, n := range x.order {
@@ -86,7 +87,7 @@
 	}
 }
 
-// introductions asks the seeds that a box has not met, as gateways do.
+// introductions returns heartbeats to the seeds that a box does not know yet, as gateways send them.
 func (x *tableNet) introductions(m *Members) []BeatTo {
 	var out []BeatTo
 	if !m.Forming(x.now) {
@@ -100,7 +101,7 @@
 	return out
 }
 
-// knowing counts the boxes that know exactly the living ones as usable.
+// knowing counts the boxes that consider exactly the living boxes usable.
 func (x *tableNet) knowing() int {
 	var living []string
 	for _, n := range x.order {
@@ -117,7 +118,8 @@
 	return know
 }
 
-// untilAllKnow plays until every living box knows every other, and gives how long that took.
+// untilAllKnow runs until every living box knows every other, at most for the given time, and returns how
+// long that took.
 func (x *tableNet) untilAllKnow(most time.Duration) time.Duration {
 	began := x.now
 	for x.now.Sub(began) < most && x.knowing() < len(x.nodes) {
@@ -126,8 +128,8 @@
 	return x.now.Sub(began)
 }
 
-// Boxes that start together know one another at once, however many they are, and no one of them carries
-// the others' tables.
+// Boxes that start together know each other within a fixed time, whatever the fleet size, and no single box
+// sends the tables of the others.
 func TestAFleetForms(t *testing.T) {
 	for _, c := range []struct {
 		boxes int
@@ -146,7 +148,7 @@
 	}
 }
 
-// A loss of all is a start like the first: nothing of the lives before comes back.
+// After the loss of all boxes the fleet forms like the first time, and no earlier incarnation reappears.
 func TestAFleetThatIsLostWholeFormsAgain(t *testing.T) {
 	x := newTableNet(120, 0, 12)
 	x.run(3 * time.Second)
@@ -161,13 +163,13 @@
 	for n, m := range x.nodes {
 		for _, e := range m.Each() {
 			if e.ID().Incarnation <= 120 {
-				t.Fatalf("%s believes in a life of before the loss: %v", n, e.ID())
+				t.Fatalf("%s knows an incarnation from before the loss: %v", n, e.ID())
 			}
 		}
 	}
 }
 
-// Both sides of a partition hold the other for dead; they are one fleet again as soon as it has healed.
+// Both sides of a partition consider the other dead; after it heals they must merge quickly.
 func TestAPartitionHeals(t *testing.T) {
 	for _, c := range []struct {
 		boxes, side int
@@ -182,7 +184,7 @@
 			took := x.untilAllKnow(20 * time.Second)
 			t.Logf("%d and %d boxes, apart for %s: healed after %s", c.side, c.boxes-c.side, length, took)
 			if took > 1500*time.Millisecond {
-				t.Errorf("%d boxes, %d of them apart for %s: one fleet again after %s", c.boxes, c.side, length, took)
+				t.Errorf("%d boxes, %d of them apart for %s: merged after %s", c.boxes, c.side, length, took)
 			}
 			x.run(8 * time.Second)
 			if n := x.knowing(); n != c.boxes {
@@ -192,20 +194,20 @@
 	}
 }
 
-// In calm nothing is exchanged, and a single change costs no exchange of whole tables.
+// Equal tables are not exchanged, and a single change causes no exchange of whole tables.
 func TestEqualTablesExchangeNothing(t *testing.T) {
 	x := newTableNet(295, 0, 14)
 	x.run(6 * time.Second)
 	x.entries, x.sent = 0, 0
 	x.run(5 * time.Second)
 	if x.entries > 0 {
-		t.Errorf("%d entries exchanged in calm", x.entries)
+		t.Errorf("%d entries exchanged without a change", x.entries)
 	}
 	x.nodes["b0100"].Leave("")
 	x.run(5 * time.Second)
 	for n, m := range x.nodes {
 		if e := m.Find("b0100"); e != nil && e.State() != MemberLeaving {
-			t.Fatalf("%s holds a leaving box for %s", n, e.State())
+			t.Fatalf("%s considers a leaving box %s", n, e.State())
 		}
 	}
 	if per := float64(x.entries) / 295; per > 20 {
@@ -213,7 +215,7 @@
 	}
 }
 
-// A box that leaves stays leaving, also when it is suspected in between and answers.
+// A box that is leaving stays so when it is suspected and answers again.
 func TestALeavingBoxThatIsSuspectedStaysLeaving(t *testing.T) {
 	x := newTableNet(5, 0, 15)
 	x.run(3 * time.Second)
@@ -222,18 +224,18 @@
 	x.cut = func(from, _ string) bool { return from == "b0004" }
 	x.run(4 * time.Second)
 	if s := x.nodes["b0000"].Find("b0004").State(); s < MemberSuspect {
-		t.Fatalf("a silent box is held for %s", s)
+		t.Fatalf("a silent box is considered %s", s)
 	}
 	x.cut = func(string, string) bool { return false }
 	x.run(3 * time.Second)
 	for _, n := range x.order[:4] {
 		if s := x.nodes[n].Find("b0004").State(); s != MemberLeaving {
-			t.Errorf("%s holds it for %s", n, s)
+			t.Errorf("%s considers it %s", n, s)
 		}
 	}
 }
 
-// An answer that comes after its box was suspected proves that the life is there, not that it serves.
+// An answer from a suspected box proves that its incarnation is alive, not that it takes work.
 func TestALeavingBoxThatAnswersLateStaysLeaving(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	m := NewMembers(Rumour{ID: BoxID{Name: "a", Incarnation: 1}, Address: "a"}, rand.New(rand.NewPCG(1, 1)))
@@ -243,15 +245,16 @@
 	now = now.Add(suspectAfter + time.Millisecond)
 	m.Tick(now)
 	if s := m.Find("b").State(); s != MemberSuspect {
-		t.Fatalf("a silent box is held for %s", s)
+		t.Fatalf("a silent box is considered %s", s)
 	}
 	m.Receive(now, Beat{From: leaving, Seq: question.Beat.Seq, Answer: true})
 	if s := m.Find("b").State(); s != MemberLeaving {
-		t.Errorf("a leaving box that answers late is held for %s", s)
+		t.Errorf("a leaving box that answers late is considered %s", s)
 	}
 }
 
-// A box that was cut off beyond deadAfter hears that it is held for dead, and lives on.
+// A box that was paused longer than deadAfter learns that it is considered dead, refutes it, and is used
+// again.
 func TestAPausedBoxComesBack(t *testing.T) {
 	x := newTableNet(40, 0, 16)
 	x.run(3 * time.Second)
@@ -264,8 +267,8 @@
 	}
 }
 
-// Views converge after any history of losses, restarts, partitions and planned leaving; no life that
-// ended is believed in at the end, and no life that left is used.
+// The views converge after any history of losses, restarts, partitions and planned departures: in the end
+// no box uses an incarnation that ended or left.
 func TestViewsConverge(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.IntRange(4, 24).Draw(r, "boxes")
@@ -312,7 +315,7 @@
 				r.Fatalf("%s would use %v, which left", n, e.ID())
 			}
 			if now := x.nodes[e.ID().Name]; e.Usable() && (now == nil || now.Self.ID != e.ID()) {
-				r.Fatalf("%s would use %v, a life that ended", n, e.ID())
+				r.Fatalf("%s would use %v, an incarnation that ended", n, e.ID())
 			}
 		}
 		if m.Self.State != MemberAlive || !x.meets(n) {
@@ -324,7 +327,7 @@
 	}
 }
 
-// meets says whether a box can have met the others: all that it begins with are the seeds.
+// meets reports whether a box can have met the others: at the start it knows only the seeds.
 func (x *tableNet) meets(string) bool {
 	for _, s := range x.seeds {
 		if x.nodes[s] != nil {
