--- a/src/backlog/waits.go
+++ b/src/backlog/waits.go
@@ -1,14 +1,17 @@
-// Package backlog says how long a new piece waits in a pool, by its place among what waits there.
+// Package backlog estimates how long a new piece waits in a pool, by its position among the waiting pieces.
 //
-// Load. A burst of requests with long objectives piles up pieces that are due late. A request with a short objective overtakes
-// them, since pools make first what is due first. One wait for the whole pool would have it refused for the sake of work that
-// it does not wait for, and those that wait longest would be served before it.
+// Pools process the pieces that are due first. A burst of requests with long objectives fills a pool with
+// pieces that are due late; a request with a short objective overtakes them. With a single wait for the
+// whole pool, that request would be refused because of work it does not wait for, and requests with the
+// longest objectives would be served first.
 //
-// Idea. The scheduler of a pool tells the wait of a piece at a few places, in time from now until it is due; a request is judged by
-// the waits at its own places along its chain of stages. What it overtakes counts as ahead of it all the same where that has no time
-// for it: pieces that are due before all that waits now is made. So nobody is admitted at the cost of others that would be late.
+// The scheduler of a pool therefore reports the wait of a piece for several times until it is due, and a
+// request is judged by the waits of its own pieces along its chain of stages. Pieces that have no slack to
+// be overtaken count as ahead in any case: those that are due before everything that waits now is done. So
+// no request is admitted at the cost of making others late.
 //
-// Trade-offs. Pieces that come later and are due sooner are not foreseen. Between two places the wait is taken to grow evenly.
+// Pieces that arrive later and are due sooner are not predicted. Between two steps, the wait is
+// interpolated linearly.
 package backlog
 
 import (
@@ -16,18 +19,18 @@
 	"time"
 )
 
-// places are the times until a piece is due for which waits are told, in order.
+// places are the times until a piece is due for which waits are reported, ascending.
 var places = []time.Duration{
 	100 * time.Millisecond, 250 * time.Millisecond, 500 * time.Millisecond, 750 * time.Millisecond, time.Second, 1500 * time.Millisecond, 2500 * time.Millisecond,
 }
 
-// Waits are the waits of a new piece in one pool.
+// Waits holds the waits of a new piece in one pool.
 type Waits struct {
-	All   time.Duration   // behind everything
-	Steps []time.Duration // at each of the places; none where only All is known, as from a box of an earlier release
+	All   time.Duration   // behind all waiting pieces
+	Steps []time.Duration // for each of the places; empty if only All is known, as from a box of an earlier release
 }
 
-// At is the wait of a piece that is due after a time.
+// At returns the wait of a piece that is due after the given time.
 func (w Waits) At(due time.Duration) time.Duration {
 	due = max(due, w.All)
 	if len(w.Steps) != len(places) || due > places[len(places)-1] {
@@ -42,13 +45,13 @@
 	return min(w.All, from+time.Duration(part*float64(to-from)))
 }
 
-// Count adds up the pieces that wait in a pool.
+// Count counts the pieces that wait in a pool by the time until they are due.
 type Count struct {
 	all int
-	at  []int // by the first place that is not before a piece's own
+	at  []int // by the first place that is not before the due time of the piece
 }
 
-// Add counts pieces that are due after a time.
+// Add counts pieces that are due after the given time.
 func (c *Count) Add(due time.Duration, pieces int) {
 	if c.at == nil {
 		c.at = make([]int, len(places))
@@ -59,7 +62,8 @@
 	}
 }
 
-// Waits gives the waits where the first call begins after a time and the pool then makes so many pieces a second.
+// Waits returns the waits if the first call begins after the given time and the pool then completes
+// perSecond pieces per second.
 func (c *Count) Waits(first time.Duration, perSecond float64) Waits {
 	wait := func(ahead int) time.Duration {
 		return first + time.Duration(float64(ahead)/perSecond*float64(time.Second))
--- a/src/backlog/waits_test.go
+++ b/src/backlog/waits_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// A piece waits for what is due before it and not for what it overtakes, unless that has no time to be overtaken.
+// A piece waits for the pieces that are due before it and not for those it overtakes, unless they have no
+// slack to be overtaken.
 func TestAPieceWaitsForWhatIsDueBeforeIt(t *testing.T) {
 	var c Count
 	c.Add(-time.Second, 10)
@@ -19,8 +20,8 @@
 	}{
 		{660, 0, 71 * time.Millisecond}, {660, 500 * time.Millisecond, 71 * time.Millisecond}, {660, 750 * time.Millisecond, 95 * time.Millisecond},
 		{660, 2 * time.Second, 95 * time.Millisecond}, {660, 3 * time.Second, 550 * time.Millisecond},
-		{330, 0, 141 * time.Millisecond},  // all is made in 1.05 s: what is due sooner may not be overtaken
-		{110, 0, 3050 * time.Millisecond}, // nothing has time for all that waits
+		{330, 0, 141 * time.Millisecond},  // everything is done in 1.05 s, so pieces due sooner must not be overtaken
+		{110, 0, 3050 * time.Millisecond}, // no piece has slack for everything that waits
 	} {
 		w := c.Waits(50*time.Millisecond, x.perSecond)
 		if got := w.At(x.due); got.Round(time.Millisecond) != x.want {
@@ -29,7 +30,7 @@
 	}
 }
 
-// What names no places, or others than these, is one wait for all.
+// Without steps, or with another number of them, the wait is the one behind all pieces.
 func TestWaitsWithoutPlacesAreTheWholePools(t *testing.T) {
 	for _, steps := range [][]time.Duration{nil, {1}, make([]time.Duration, len(places)+1)} {
 		if got := (Waits{All: time.Second, Steps: steps}).At(0); got != time.Second {
@@ -38,7 +39,7 @@
 	}
 }
 
-// No piece waits longer than one that is due later, and none longer than behind everything.
+// No piece waits longer than one that is due later, or longer than behind all pieces.
 func TestWaitsGrowWithTheTimeUntilDue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c Count
