--- a/src/retry/budget.go
+++ b/src/retry/budget.go
@@ -1,22 +1,21 @@
-// Package retry holds the budget of repeated sends that all boxes share without talking: each takes
-// its part by the requests that it has seen itself and by how many boxes there may be.
+// Package retry implements a retry budget that all boxes share without communication: each box takes its
+// part by the requests that it received itself and by the number of boxes that may be alive.
 package retry
 
 import "time"
 
 const (
 	buckets     = 20
-	slackMargin = 0.7 // part of the slack that is used, for boxes that nobody knows of
-	ratioMargin = 0.85
+	slackMargin = 0.7  // part of the slack that is used, as a reserve for boxes that are not known
+	ratioMargin = 0.85 // part of the ratio that is used
 )
 
-// Budget bounds the repeated sends to one pool in any window. Boxes that may be alive but can't be
-// seen count, so that the parts of a partition together stay within the whole. Not safe for
-// concurrent use.
+// Budget limits the retries to one pool in any window. Boxes that may be alive but are unreachable count,
+// so that the sides of a partition together stay within the budget. Not safe for concurrent use.
 type Budget struct {
-	Ratio  float64       // repeats for each request
-	Slack  float64       // repeats beyond that in a window, of all boxes together
-	Window time.Duration // over which both count
+	Ratio  float64       // retries per request
+	Slack  float64       // additional retries per window, of all boxes together
+	Window time.Duration // window of both limits
 
 	requests [buckets]int
 	repeats  [buckets]int
@@ -36,10 +35,10 @@
 	return int(b.at % buckets)
 }
 
-// Request counts a request that a caller sent to this box.
+// Request counts a request that this box received from a caller.
 func (b *Budget) Request(now time.Time) { b.requests[b.advance(now)]++ }
 
-// Left says how many repeats this box may still send now, with this many boxes that may be alive.
+// Left returns how many retries this box may still send now if the given number of boxes may be alive.
 func (b *Budget) Left(now time.Time, boxes int) int {
 	b.advance(now)
 	requests, repeats := 0, 0
@@ -51,7 +50,7 @@
 	return int(allowed) - repeats
 }
 
-// Take spends one repeat if there is one left.
+// Take uses one retry and reports whether one was left.
 func (b *Budget) Take(now time.Time, boxes int) bool {
 	if b.Left(now, boxes) < 1 {
 		return false
--- a/src/retry/budget_test.go
+++ b/src/retry/budget_test.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// Boxes that know how many there are stay within the whole in every window, however requests fall on them.
+// Boxes that know how many there are stay within the common limit in every window, however the requests are
+// distributed.
 func TestBoxesTogetherStayWithinTheWhole(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(rt, "boxes")
--- a/src/retry/main_test.go
+++ b/src/retry/main_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// The property tests draw the same histories on every run; -rapid.seed and -rapid.checks change that.
+// TestMain fixes the seed of the property tests, so that every run draws the same histories; -rapid.seed
+// and -rapid.checks override that.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
