--- a/src/quota/constants.go
+++ b/src/quota/constants.go
@@ -3,22 +3,24 @@
 import "time"
 
 const (
-	// burstFor is the time whose permits may be granted at once after a pause, beside one. Servers are overrun when they get half
-	// as much again in four seconds, and a few requests; what a limiter before granted comes on top of it.
+	// burstFor is the time whose permits may be granted at once after a pause, in addition to one. Servers
+	// are overloaded by half as much again as their limit in four seconds, plus a few requests; the permits
+	// of a previous limiter come on top of the burst.
 	burstFor = 250 * time.Millisecond
-	// batchFor is the time whose permits one question may get: with it a limit of thousands costs some tens of questions a second.
+	// batchFor is the time whose permits one request for permits may get. It keeps a limit of thousands per
+	// second at some tens of requests for permits per second.
 	batchFor = 50 * time.Millisecond
-	// takeoverFor is for how long a limiter may be followed by another and not know it: twice the time in which all boxes of a fleet of a
-	// thousand hear of a change of members.
+	// takeoverFor is how long a replaced limiter may still grant permits because it does not know of its
+	// successor: twice the time in which a membership change reaches all boxes of a fleet of a thousand.
 	takeoverFor = 2 * time.Second
-	// takeoverPart is what a new limiter grants meanwhile, and one that stands in for another all the time. All of the other's and this
-	// are what a server bears.
+	// takeoverPart is the part of the limit that a new limiter grants during takeoverFor, and a substitute
+	// limiter always. A server can take the full rate of the old limiter plus this part.
 	takeoverPart = 0.5
-	// keptFor is how long a server is remembered that nobody asks for. Shorter than takeoverFor it would not know that it was the
-	// limiter all the time.
+	// keptFor is how long an unused server is remembered. It must exceed takeoverFor, or a limiter would
+	// forget that it was the limiter all along.
 	keptFor = time.Minute
 
-	asksBase   = 32               // questions a second that a limiter takes for one server
-	asksFactor = 4                // and so many for each request a second of its limit
-	mostPause  = 15 * time.Second // for which one that got nothing does not ask again, at the most
+	asksBase   = 32               // requests for permits per second that a limiter accepts for one server
+	asksFactor = 4                // and this many more for each request per second of its limit
+	mostPause  = 15 * time.Second // longest time until a box that got no permit asks again
 )
--- a/src/quota/limiter.go
+++ b/src/quota/limiter.go
@@ -1,19 +1,23 @@
-// Package quota shares out the requests a second that a backend server takes from all boxes together.
+// Package quota divides the request rate that a backend server accepts among all boxes.
 //
-// Load. Servers in need name a limit for all boxes together, one request a second or thousands, in fleets of a few boxes or a
-// thousand. Each box sees only what it sends itself, so that no box alone can keep the limit.
+// An overloaded server names one limit for all boxes together, from one request per second to thousands, in
+// fleets of a few boxes to a thousand. Each box sees only its own requests, so none can keep to the limit
+// alone.
 //
-// Idea. For each such server one box, its coordinator, grants permits: a permit is the right to send one request at a time or shortly after.
-// A box asks just before it would send, and sends elsewhere at once when there is no permit. Permits are granted as a
-// rate with a small burst (the generic cell rate algorithm, ITU-T I.371), also ahead of time to those who can wait: the next free
-// permit is the queue of all boxes, so that who can't be served in time knows it at once.
+// For each such server one box, the coordinator, grants permits. A permit is the right to send one request
+// at a given time or shortly after. A box asks for permits just before it would send, and uses another
+// server at once when there is none. Permits are granted at a rate with a small burst (the generic cell
+// rate algorithm, ITU-T I.371), also ahead of time to boxes that can wait: the time of the next free permit
+// acts as the queue of all boxes, so a box that can't be served in time learns it at once.
 //
-// What is unknown counts as used. A permit that is not used in time is lost. A limiter that takes over from another grants a part of
-// the limit at first, as the other may still do so, and so does one that stands in for a limiter which does not answer; one that has
-// lost sight of boxes leaves them their part.
+// Unknown use counts as use. A permit that is not used in time is lost. A limiter that takes over from
+// another grants only a part of the limit at first, because the other may still grant permits, and so does
+// a substitute for a limiter that does not answer. A limiter that can't reach some boxes reserves their
+// part.
 //
-// Trade-offs. A request to such a server costs one question more, of a millisecond or two; a large limit grants several permits at once
-// to those who ask often. While a coordinator is lost and nobody knows it, its servers get half of what they take.
+// A request to such a server costs one additional round trip of a millisecond or two; with a large limit,
+// several permits are granted at once to boxes that ask often. While a coordinator is lost and not
+// replaced, its servers get half of their limit.
 package quota
 
 import (
@@ -21,39 +25,42 @@
 	"time"
 )
 
-// Ask is a box's question for permits at a server.
+// Ask is a request of a box for permits at a server.
 type Ask struct {
 	Server      string
-	Incarnation int64         // the server's life
-	PerSecond   float64       // the server's limit
-	Known       time.Duration // for how long boxes have known of the limit
-	Patience    time.Duration // within which the first permit must begin
-	Wants       int           // permits
-	StandsIn    bool          // the limiter does not answer, and the next box grants permits meanwhile
+	Incarnation int64         // incarnation of the server
+	PerSecond   float64       // limit of the server, in requests per second
+	Known       time.Duration // time for which boxes have known of the limit
+	Patience    time.Duration // longest acceptable time until the first permit begins
+	Wants       int           // number of permits wanted
+	StandsIn    bool          // the asked box is a substitute for a limiter that does not answer
 }
 
 // Grant answers an Ask.
 type Grant struct {
-	Permits int           // 0 for none
+	Permits int           // 0 if none is granted
 	Begin   time.Duration // until the permits begin
-	Next    time.Duration // until the asker need ask again: the next free permit, or later when many ask
+	Next    time.Duration // time until asking again makes sense: the next free permit, or later when many boxes ask
 }
 
-// Limiter grants the permits of the servers that this box coordinates. Pure: time comes in. Not safe for concurrent use.
+// Limiter grants the permits of the servers that this box coordinates. It takes the time as an argument and
+// does no I/O. Not safe for concurrent use.
 type Limiter struct {
 	servers map[string]*server
 }
 
+// server is the state of one server with a limit.
 type server struct {
 	incarnation int64
 	perSecond   float64
 	next        time.Time // when the next permit begins by the rate alone, without the burst
-	sharesUntil time.Time // until when the limiter before may still grant permits
+	sharesUntil time.Time // until when the previous limiter may still grant permits
 	usedAt      time.Time
-	turn        time.Time // of the last that got nothing to ask again
+	turn        time.Time // latest time at which a box that got no permit was told to ask again
 }
 
-// Take grants permits. part is the part of the limit that the boxes which this limiter can see may use.
+// Take grants permits, or returns when to ask again. part is the part of the limit for the boxes that this
+// limiter can reach.
 func (l *Limiter) Take(now time.Time, a Ask, part float64) Grant {
 	s := l.serverOf(now, a)
 	s.usedAt = now
@@ -89,7 +96,8 @@
 	return g
 }
 
-// serverOf gives the state of a server as the asker knows it; permits that were granted ahead keep their part of a changed limit.
+// serverOf returns the state of a server, updated with the limit in the request. Permits granted ahead are
+// converted to a changed limit.
 func (l *Limiter) serverOf(now time.Time, a Ask) *server {
 	if l.servers == nil {
 		l.servers = map[string]*server{}
@@ -99,7 +107,7 @@
 		s = &server{incarnation: a.Incarnation, perSecond: a.PerSecond, next: now}
 		if a.Known > takeoverFor {
 			s.sharesUntil = now.Add(takeoverFor)
-			s.next = now.Add(time.Duration(float64(burstFor) / takeoverPart)) // no burst: the limiter before may just have handed it out
+			s.next = now.Add(time.Duration(float64(burstFor) / takeoverPart)) // no burst, because the previous limiter may just have granted it
 		}
 		l.servers[a.Server] = s
 	}
@@ -112,8 +120,8 @@
 	return s
 }
 
-// askAgain is when one that got nothing may ask again: they are given turns, so that a limiter's work follows the limit and not the
-// fleet.
+// askAgain returns when a box that got no permit may ask again. The times are spaced, so that the load of a
+// limiter depends on the limit and not on the fleet size.
 func (s *server) askAgain(now time.Time) time.Duration {
 	if s.turn.Before(now) {
 		s.turn = now
@@ -122,15 +130,15 @@
 	return min(s.turn.Sub(now), mostPause)
 }
 
-// burstOf is how many permits may be granted at once after a pause.
+// burstOf returns how many permits may be granted at once after a pause.
 func burstOf(perSecond float64) float64 { return burstFor.Seconds() * perSecond }
 
-// mostPermits is how many permits one question may get.
+// mostPermits returns the largest number of permits in one Grant.
 func mostPermits(perSecond float64) int {
 	return max(1, int(math.Round(perSecond*batchFor.Seconds())))
 }
 
-// Sweep forgets servers that nobody asks for.
+// Sweep removes servers for which no permits were requested within keptFor.
 func (l *Limiter) Sweep(now time.Time) {
 	for id, s := range l.servers {
 		if now.Sub(s.usedAt) > keptFor {
@@ -139,5 +147,5 @@
 	}
 }
 
-// Size counts the servers that are known.
+// Size returns the number of known servers.
 func (l *Limiter) Size() int { return len(l.servers) }
--- a/src/quota/limiter_test.go
+++ b/src/quota/limiter_test.go
@@ -11,8 +11,8 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Whoever asks for whatever in whatever order, what begins within four seconds stays within what a server bears, though permits are
-// used late in their time; and a limiter that is asked all the time grants nearly all.
+// In any four seconds the permits stay within what a server can take, whatever is requested and however
+// late permits are used in their time; a limiter that is asked constantly grants nearly the whole limit.
 func TestALimiterHandsOutNoMoreThanTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var k Limiter
@@ -38,7 +38,7 @@
 	})
 }
 
-// A box takes a server over from another that does not know it yet: both grant permits for two seconds.
+// A box takes a server over from another that does not know it yet, so both grant permits for two seconds.
 func TestTwoLimitersForAWhileStayWithinWhatAServerBears(t *testing.T) {
 	for _, perSecond := range []float64{1, 4, 50, 2000} {
 		var before, after Limiter
@@ -83,7 +83,8 @@
 	}
 }
 
-// A limit that rises or falls counts at once, also for what was granted ahead; a new life of a server begins anew.
+// A changed limit applies at once, also to permits granted ahead; a new incarnation of the server starts
+// afresh.
 func TestALimitThatChangesCountsAtOnce(t *testing.T) {
 	var k Limiter
 	for range 20 { // two seconds ahead
@@ -96,11 +97,11 @@
 		t.Errorf("at ten times the limit the next permit is free after %s", g.Next)
 	}
 	if g := k.Take(start, Ask{Server: "s", Incarnation: 1, PerSecond: 10, Wants: 1}, 1); g.Permits != 1 {
-		t.Error("a new life of the server has no permit")
+		t.Error("a new incarnation of the server has no permit")
 	}
 }
 
-// Many boxes that ask in vain are told to come back later, so that what a limiter answers follows the limit.
+// Many boxes that get no permit are told to ask later, so that the load of a limiter follows the limit.
 func TestALimiterIsNotAskedByAllBoxesAllTheTime(t *testing.T) {
 	for _, boxes := range []int{6, 61, 985, 2000} {
 		var k Limiter
@@ -139,7 +140,8 @@
 	}
 }
 
-// Boxes that are replaced in turn coordinate a server each for a while, and each goes on for a second beside the one that follows.
+// Boxes that are replaced one after the other coordinate a server each; each goes on for a second next to
+// its successor.
 func TestCoordinatorsThatFollowInTurnStayWithinWhatAServerBears(t *testing.T) {
 	for _, perSecond := range []float64{4, 50, 2000} {
 		var used []time.Time
--- a/src/quota/ways_test.go
+++ b/src/quota/ways_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// way decides for one box whether it may send a request to a server with a limit.
+// policy decides whether a box may send a request to a server with a limit now.
 type way func(now time.Time, box int) bool
 
-// bucket lets a rate pass with a burst of one request.
+// bucket is a token bucket for one request.
 type bucket struct{ next time.Time }
 
 func (b *bucket) take(now time.Time, perSecond float64) bool {
@@ -21,19 +21,19 @@
 	return true
 }
 
-// alone has each box keep the whole limit by its own sends.
+// alone has each box keep to the whole limit by its own requests.
 func alone(boxes int, perSecond float64) way {
 	all := make([]bucket, boxes)
 	return func(now time.Time, box int) bool { return all[box].take(now, perSecond) }
 }
 
-// equal gives each box the same part of the limit.
+// equal gives each box an equal part of the limit.
 func equal(boxes int, perSecond float64) way {
 	all := make([]bucket, boxes)
 	return func(now time.Time, box int) bool { return all[box].take(now, perSecond/float64(boxes)) }
 }
 
-// told has each box count what the others told of their sends a while ago.
+// told has each box count the requests that the others reported, with a delay of 500 ms.
 func told(boxes int, perSecond float64) way {
 	type send struct {
 		at  time.Time
@@ -55,6 +55,7 @@
 	}
 }
 
+// kept uses a Limiter.
 func kept(_ int, perSecond float64) way {
 	var k Limiter
 	until := map[int]time.Time{}
@@ -68,9 +69,9 @@
 	}
 }
 
-// Load: requests arrive at boxes by chance, 40 a second or twice the limit in all, the server being the best for each. A box that keeps
-// the limit alone overruns it the more the larger the fleet; an equal part, or what was told, overruns it at first or leaves it idle;
-// a limiter does neither.
+// Requests arrive at random boxes at 40 per second or twice the limit, whichever is more, and all prefer
+// the same server. Boxes that each keep to the limit alone exceed it the more the larger the fleet; equal
+// parts or reported counts exceed it at first or leave it unused. A limiter does neither.
 func TestWaysToShareALimit(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for _, perSecond := range []float64{1, 4, 200} {
@@ -104,7 +105,7 @@
 
 func allowed(perSecond float64) int { return int(6*perSecond) + 5 }
 
-// mostIn is the largest number of times within any window.
+// mostIn returns the largest number of times within any window; the list must be sorted.
 func mostIn(list []time.Time, window time.Duration) int {
 	most := 0
 	for i, first := 0, 0; i < len(list); i++ {
@@ -116,7 +117,7 @@
 	return most
 }
 
-// BenchmarkTake is a limiter's work for one question, with a thousand servers kept.
+// BenchmarkTake measures one request for permits with a thousand known servers.
 func BenchmarkTake(b *testing.B) {
 	var k Limiter
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
