--- a/src/clock/boot.go
+++ b/src/clock/boot.go
@@ -1,4 +1,4 @@
-// Package clock tells the time by which a process measures what goes by: ages, leases, deadlines, pauses.
+// Package clock provides the time by which a process measures durations: ages, leases, deadlines, pauses.
 package clock
 
 import (
@@ -10,51 +10,53 @@
 )
 
 const (
-	// moved is by how much the time of day and the steady clock come apart before the sleep is measured again: a slew of 500
-	// parts in a million does so every ten seconds, a sleep or a step at once.
+	// moved is the change between wall clock and monotonic clock after which suspended time is measured
+	// again. A slew of 500 ppm reaches it every ten seconds, a suspend or a step at once.
 	moved = 5 * time.Millisecond
-	// measureEvery is after how long it is measured again in any case, so that a sleep which a step of the time of day hides is
-	// seen within a tick.
+	// measureEvery is the interval at which suspended time is measured in any case, so that a suspend
+	// hidden by a step of the wall clock is noticed within a tick.
 	measureEvery = 100 * time.Millisecond
-	// closeReads is how far apart two readings of the steady clock may lie around one of the boot clock, and tries how often
-	// they are read for that.
+	// closeReads is the largest acceptable distance between two readings of the monotonic clock around one
+	// of the boot clock, and tries is how often they are repeated to achieve that.
 	closeReads = time.Millisecond
 	tries      = 5
 )
 
-// Boot is a clock that never steps and counts the time in which the machine was suspended. The steady clock of the language
-// does not count it: after a sleep of five seconds a lease of two would seem to hold. The time of day counts it, but steps.
+// Boot is a clock that never steps and counts the time during which the machine was suspended. Go's
+// monotonic clock does not count it: after five suspended seconds a lease of two seconds would still seem
+// valid. The wall clock counts it but may step.
 //
-// The boot clock costs a system call, so it is read only when the time of day has moved against the steady clock, as it
-// does in a sleep, and ten times a second. Set the fields before use, or none of them.
+// Reading the boot clock costs a system call, so it is done only ten times per second and when the wall
+// clock has moved against the monotonic clock, as it does during a suspend. Set both fields before use, or
+// neither.
 type Boot struct {
-	// Read gives the time of day and the steady clock, which are read as one; nil reads the machine's.
+	// Read returns the wall clock and the monotonic clock, read together; nil reads those of the machine.
 	Read func() (wall time.Time, steady time.Duration)
-	// SinceBoot reads the boot clock; nil reads the machine's.
+	// SinceBoot reads the boot clock; nil reads that of the machine.
 	SinceBoot func() (time.Duration, error)
 
 	once     sync.Once
-	origin   time.Time     // the time of day when the clock was begun
-	offset   time.Duration // of the boot clock from the steady one then
-	slept    atomic.Int64  // nanoseconds since then
-	gap      atomic.Int64  // of the time of day from the steady clock, when the sleep was last measured
-	measured atomic.Int64  // the steady clock then
+	origin   time.Time     // wall clock time at monotonic time 0 of Read
+	offset   time.Duration // of the boot clock from the monotonic clock at the start
+	slept    atomic.Int64  // nanoseconds suspended since the start
+	gap      atomic.Int64  // of the wall clock from the monotonic clock at the last measurement
+	measured atomic.Int64  // monotonic time of the last measurement
 
 	mu  sync.Mutex
 	err error // of the last reading of the boot clock
 }
 
-// own is the clock of the machine of this process.
+// own is the clock of this machine.
 var own Boot
 
-// Now is the time on the clock of this process's machine; see Boot.Now.
+// Now returns the time on the clock of this machine; see Boot.Now.
 func Now() time.Time { return own.Now() }
 
-// Err is the error of the last reading of that clock; see Boot.Err.
+// Err returns the error of the last reading of that clock; see Boot.Err.
 func Err() error { return own.Err() }
 
-// Now is the time of day at which the clock was begun and what has gone by since. It has no part that the runtime's timers
-// understand: give them differences.
+// Now returns the wall clock time at which the clock was started plus the time elapsed since. It has no
+// monotonic reading that runtime timers understand; pass them differences.
 func (c *Boot) Now() time.Time {
 	c.once.Do(c.begin)
 	wall, steady := c.Read()
@@ -66,7 +68,8 @@
 	return c.origin.Add(steady + time.Duration(c.slept.Load()))
 }
 
-// Err is the error of the last reading of the boot clock; sleeps are not seen while there is one.
+// Err returns the error of the last reading of the boot clock; while there is one, suspended time is not
+// counted.
 func (c *Boot) Err() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,8 +95,8 @@
 	c.measured.Store(int64(steady))
 }
 
-// measure reads how long the machine has slept. It never says more than is true: the steady clock is read after the boot
-// clock, and a process that is held up between them retries.
+// measure updates the suspended time. It never overestimates it: the monotonic clock is read after the boot
+// clock, and the readings are repeated if the process is delayed between them.
 func (c *Boot) measure(gap int64, steady time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,7 +110,7 @@
 	c.measured.Store(int64(steady))
 }
 
-// together reads the boot clock and then the steady one, as closely as a few tries allow.
+// together reads the boot clock and then the monotonic clock, as close together as a few tries achieve.
 func (c *Boot) together() (boot, after time.Duration, err error) {
 	for range tries {
 		_, before := c.Read()
--- a/src/clock/boot_test.go
+++ b/src/clock/boot_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// machine is a machine's clocks, as a test moves them.
+// machine holds the clocks of a machine under the control of a test.
 type machine struct {
 	wall   time.Time
 	steady time.Duration
@@ -53,7 +53,7 @@
 	}
 }
 
-// A step back hides a sleep of the same length from whoever compares with the time of day.
+// A step back hides a suspend of the same length from a comparison with the wall clock.
 func TestASleepThatAStepHidesIsSeenWithinATick(t *testing.T) {
 	m, c := newMachine()
 	began := c.Now()
