--- a/src/backlog/waits_test.go
+++ b/src/backlog/waits_test.go
@@ -9,7 +9,7 @@
 
 // A piece waits for the pieces that are due before it and not for those it overtakes, unless they have no
 // slack to be overtaken.
-func TestAPieceWaitsForWhatIsDueBeforeIt(t *testing.T) {
+func TestWaitCountsPiecesDueBefore(t *testing.T) {
 	var c Count
 	c.Add(-time.Second, 10)
 	c.Add(700*time.Millisecond, 20)
@@ -31,7 +31,7 @@
 }
 
 // Without steps, or with another number of them, the wait is the one behind all pieces.
-func TestWaitsWithoutPlacesAreTheWholePools(t *testing.T) {
+func TestWaitsWithoutStepsUseAll(t *testing.T) {
 	for _, steps := range [][]time.Duration{nil, {1}, make([]time.Duration, len(places)+1)} {
 		if got := (Waits{All: time.Second, Steps: steps}).At(0); got != time.Second {
 			t.Errorf("%d places: waits %s, want 1s", len(steps), got)
@@ -40,7 +40,7 @@
 }
 
 // No piece waits longer than one that is due later, or longer than behind all pieces.
-func TestWaitsGrowWithTheTimeUntilDue(t *testing.T) {
+func TestWaitsIncreaseWithDueTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c Count
 		for range rapid.IntRange(0, 20).Draw(t, "jobs") {
--- a/src/clock/boot_test.go
+++ b/src/clock/boot_test.go
@@ -38,7 +38,7 @@
 
 func (m *machine) step(d time.Duration) { m.wall = m.wall.Add(d) }
 
-func TestASleepCountsAndAStepOfTheTimeOfDayDoesNot(t *testing.T) {
+func TestSuspendCountsAndWallClockStepDoesNot(t *testing.T) {
 	m, c := newMachine()
 	began := c.Now()
 	m.run(time.Second)
@@ -54,7 +54,7 @@
 }
 
 // A step back hides a suspend of the same length from a comparison with the wall clock.
-func TestASleepThatAStepHidesIsSeenWithinATick(t *testing.T) {
+func TestSuspendHiddenByStepIsNoticed(t *testing.T) {
 	m, c := newMachine()
 	began := c.Now()
 	m.sleep(2 * time.Second)
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestTimeGoesByWhateverTheClocksDo(t *testing.T) {
+func TestTimeIsMonotonicAndComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, c := newMachine()
 		began := c.Now()
@@ -98,7 +98,7 @@
 	})
 }
 
-func TestWithoutABootClockTheSteadyOneIsLeft(t *testing.T) {
+func TestFallsBackToMonotonicClock(t *testing.T) {
 	m, c := newMachine()
 	m.fails = true
 	began := c.Now()
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestTheMachinesOwnClocksAgree(t *testing.T) {
+func TestMachineClocksAgree(t *testing.T) {
 	var c Boot
 	var all sync.WaitGroup
 	began, steady := c.Now(), time.Now()
--- a/src/core/claim_test.go
+++ b/src/core/claim_test.go
@@ -18,7 +18,7 @@
 	return out
 }
 
-func TestAClaimIsKnownToAll(t *testing.T) {
+func TestClaimReachesAllBoxes(t *testing.T) {
 	x := newTableNet(295, 0, 21)
 	x.run(3 * time.Second)
 	x.nodes["b0042"].Claim(testPool)
@@ -39,7 +39,7 @@
 
 // A later claim has a later term, also after the loss of the previous claimant; a new incarnation holds no
 // claim.
-func TestTermsRise(t *testing.T) {
+func TestClaimTermsIncrease(t *testing.T) {
 	x := newTableNet(20, 0, 22)
 	x.run(3 * time.Second)
 	x.nodes["b0005"].Claim(testPool)
--- a/src/core/home_test.go
+++ b/src/core/home_test.go
@@ -16,7 +16,7 @@
 
 // Several boxes read a changing list at different times, stale by up to D, with clocks off by up to half
 // the skew. No two of them may act as home for the same key.
-func TestNoTwoHomes(t *testing.T) {
+func TestKeyHasAtMostOneHome(t *testing.T) {
 	const freshFor, lag, skew = 3 * time.Second, 2 * time.Second, time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Unix(1_000_000, 0)
@@ -82,7 +82,7 @@
 	})
 }
 
-func TestFreshBoxIsHomeToNothingOld(t *testing.T) {
+func TestNewBoxIsNotHomeOfOldKeys(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	v := NewViews(BoxID{Name: "a", Incarnation: 1})
 	v.FreshFor, v.ListLag, v.ClockSkew, v.LedgerKeep = 3*time.Second, 2*time.Second, time.Second, time.Minute
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestHeardBoxKeepsTheHome(t *testing.T) {
+func TestUnlistedLiveBoxPreventsHome(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	var outranked bool
 	for i := range 20 { // some key ranks b above a
@@ -136,7 +136,7 @@
 	}
 }
 
-func TestSubsetsAreEvenAndWhole(t *testing.T) {
+func TestSubsetsAreBalanced(t *testing.T) {
 	c := benchConfig(t, 600, 1)
 	var boxes []string
 	for i := range 420 {
--- a/src/core/ledger_test.go
+++ b/src/core/ledger_test.go
@@ -72,7 +72,7 @@
 	})
 }
 
-func TestRefusalsStick(t *testing.T) {
+func TestRefusedKeyStaysRefused(t *testing.T) {
 	l := NewLedger()
 	now := time.Unix(1_000_000, 0)
 	k := newTestKey(t)
--- a/src/core/members_test.go
+++ b/src/core/members_test.go
@@ -67,7 +67,7 @@
 	return out
 }
 
-func TestMembersNoticeLossAndReturn(t *testing.T) {
+func TestMembersDetectLossAndRestart(t *testing.T) {
 	for _, n := range []int{7, 60} {
 		x := newNet(n, 5)
 		x.run(10 * time.Second)
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestOneWayCutBetweenTwoIsSeenThrough(t *testing.T) {
+func TestOneWayLinkFailureKillsNoMember(t *testing.T) {
 	x := newNet(7, 6)
 	x.run(10 * time.Second)
 	x.cut = func(from, to string) bool { return from == "b01" && to == "b02" }
@@ -105,7 +105,7 @@
 	}
 }
 
-func TestHealedPartitionJoinsAgain(t *testing.T) {
+func TestHealedPartitionMerges(t *testing.T) {
 	x := newNet(8, 7)
 	x.run(10 * time.Second)
 	side := func(n string) bool { return n < "b04" }
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestMessagesPerBoxDoNotGrowWithTheFleet(t *testing.T) {
+func TestMessagesPerBoxAreIndependentOfFleetSize(t *testing.T) {
 	per := map[int]float64{}
 	for _, n := range []int{7, 90} {
 		x := newNet(n, 8)
--- a/src/core/pool_test.go
+++ b/src/core/pool_test.go
@@ -147,7 +147,7 @@
 }
 
 // Large workspaces must not starve a small one: its call is placed as if the others had little work.
-func TestSmallWorkspaceIsNotPushedOut(t *testing.T) {
+func TestSmallWorkspaceIsNotStarved(t *testing.T) {
 	c := benchConfig(t, 1, 3)
 	p := benchPool(c)
 	now := time.Unix(1_000_000, 0)
@@ -180,7 +180,7 @@
 	}
 }
 
-func TestStaleNewsDoesNotUndoLeaving(t *testing.T) {
+func TestStaleReportDoesNotRevertLeaving(t *testing.T) {
 	c := benchConfig(t, 2, 1)
 	p := benchPool(c)
 	now := time.Unix(1_000_000, 0)
@@ -210,7 +210,7 @@
 
 // In a pool with only calls that must not be repeated, failed servers must be tried again by such calls
 // after their backoff, because nothing else would find their recovery.
-func TestOnceCallsTryFailedServersAgain(t *testing.T) {
+func TestOnceCallsProbeFailedServers(t *testing.T) {
 	c := benchConfig(t, 2, 1)
 	raw := config.ExamplePageworks()
 	b, err := config.Marshal(raw)
--- a/src/core/request_test.go
+++ b/src/core/request_test.go
@@ -56,7 +56,7 @@
 	return nil
 }
 
-func TestForeignRepliesChangeNothing(t *testing.T) {
+func TestForeignRepliesAreIgnored(t *testing.T) {
 	r, now := testRequest(t, "caption")
 	id := toStage(r, now, 3)
 	other := Key{ID: MintID(now, [16]byte{9: 2})}
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestMissingTokensAreAskedForAgain(t *testing.T) {
+func TestMissingTokensCauseResume(t *testing.T) {
 	r, now := testRequest(t, "caption")
 	id := toStage(r, now, 3)
 	r.Step(now, Chunk{Attempt: id, Offset: 0, Data: []byte("abcd")})
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestCancelAwaitsASentOnceCall(t *testing.T) {
+func TestCancelWaitsForSentOnceCall(t *testing.T) {
 	r, now := testRequest(t, "tag-stamp")
 	id := toStage(r, now, 2)
 	if acts := r.Step(now, CancelAsked{}); len(acts) > 0 {
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestLateOnceAnswerAmends(t *testing.T) {
+func TestLateOnceAnswerAmendsOutcome(t *testing.T) {
 	r, now := testRequest(t, "tag-stamp")
 	id := toStage(r, now, 2)
 	f := finishes(r.Step(now, DeadlineOver{}))
@@ -266,7 +266,7 @@
 
 // The first chunk gets more time than later ones. Otherwise a call that queues at a busy engine is taken
 // for a broken stream and moves from queue to queue without being served.
-func TestStreamsMayBeginLate(t *testing.T) {
+func TestFirstChunkTimeoutAllowsQueueing(t *testing.T) {
 	if FirstPieceLimit(0) <= StallLimit {
 		t.Errorf("the first chunk has %s, no more than a later one", FirstPieceLimit(0))
 	}
--- a/src/core/table_test.go
+++ b/src/core/table_test.go
@@ -130,7 +130,7 @@
 
 // Boxes that start together know each other within a fixed time, whatever the fleet size, and no single box
 // sends the tables of the others.
-func TestAFleetForms(t *testing.T) {
+func TestFleetForms(t *testing.T) {
 	for _, c := range []struct {
 		boxes int
 		most  time.Duration
@@ -149,7 +149,7 @@
 }
 
 // After the loss of all boxes the fleet forms like the first time, and no earlier incarnation reappears.
-func TestAFleetThatIsLostWholeFormsAgain(t *testing.T) {
+func TestFleetRecoversFromTotalLoss(t *testing.T) {
 	x := newTableNet(120, 0, 12)
 	x.run(3 * time.Second)
 	clear(x.nodes)
@@ -170,7 +170,7 @@
 }
 
 // Both sides of a partition consider the other dead; after it heals they must merge quickly.
-func TestAPartitionHeals(t *testing.T) {
+func TestPartitionHeals(t *testing.T) {
 	for _, c := range []struct {
 		boxes, side int
 	}{{12, 4}, {295, 98}, {295, 1}} {
@@ -216,7 +216,7 @@
 }
 
 // A box that is leaving stays so when it is suspected and answers again.
-func TestALeavingBoxThatIsSuspectedStaysLeaving(t *testing.T) {
+func TestSuspectedLeavingBoxStaysLeaving(t *testing.T) {
 	x := newTableNet(5, 0, 15)
 	x.run(3 * time.Second)
 	x.nodes["b0004"].Leave("")
@@ -236,7 +236,7 @@
 }
 
 // An answer from a suspected box proves that its incarnation is alive, not that it takes work.
-func TestALeavingBoxThatAnswersLateStaysLeaving(t *testing.T) {
+func TestLateAnswerOfLeavingBoxKeepsItLeaving(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	m := NewMembers(Rumour{ID: BoxID{Name: "a", Incarnation: 1}, Address: "a"}, rand.New(rand.NewPCG(1, 1)))
 	leaving := Rumour{ID: BoxID{Name: "b", Incarnation: 1}, Address: "b", State: MemberLeaving, Round: 1}
@@ -255,7 +255,7 @@
 
 // A box that was paused longer than deadAfter learns that it is considered dead, refutes it, and is used
 // again.
-func TestAPausedBoxComesBack(t *testing.T) {
+func TestPausedBoxRejoins(t *testing.T) {
 	x := newTableNet(40, 0, 16)
 	x.run(3 * time.Second)
 	paused := x.nodes["b0020"]
@@ -269,7 +269,7 @@
 
 // The views converge after any history of losses, restarts, partitions and planned departures: in the end
 // no box uses an incarnation that ended or left.
-func TestViewsConverge(t *testing.T) {
+func TestMembershipConverges(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.IntRange(4, 24).Draw(r, "boxes")
 		x := newTableNet(n, 200*time.Millisecond, rapid.Uint64().Draw(r, "seed"))
--- a/src/quota/limiter_test.go
+++ b/src/quota/limiter_test.go
@@ -13,7 +13,7 @@
 
 // In any four seconds the permits stay within what a server can take, whatever is requested and however
 // late permits are used in their time; a limiter that is asked constantly grants nearly the whole limit.
-func TestALimiterHandsOutNoMoreThanTheLimit(t *testing.T) {
+func TestLimiterStaysWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var k Limiter
 		perSecond := rapid.SampledFrom([]float64{0.1, 0.7, 1, 1.1, 4, 20, 333, 5000}).Draw(t, "limit")
@@ -39,7 +39,7 @@
 }
 
 // A box takes a server over from another that does not know it yet, so both grant permits for two seconds.
-func TestTwoLimitersForAWhileStayWithinWhatAServerBears(t *testing.T) {
+func TestTakeoverStaysWithinLimit(t *testing.T) {
 	for _, perSecond := range []float64{1, 4, 50, 2000} {
 		var before, after Limiter
 		var used []time.Time
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestALimiterKeepsToItsPart(t *testing.T) {
+func TestLimiterGrantsItsPart(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		part     float64
@@ -85,7 +85,7 @@
 
 // A changed limit applies at once, also to permits granted ahead; a new incarnation of the server starts
 // afresh.
-func TestALimitThatChangesCountsAtOnce(t *testing.T) {
+func TestChangedLimitAppliesAtOnce(t *testing.T) {
 	var k Limiter
 	for range 20 { // two seconds ahead
 		k.Take(start, Ask{Server: "s", PerSecond: 10, Patience: 2 * time.Second, Wants: 1}, 1)
@@ -102,7 +102,7 @@
 }
 
 // Many boxes that get no permit are told to ask later, so that the load of a limiter follows the limit.
-func TestALimiterIsNotAskedByAllBoxesAllTheTime(t *testing.T) {
+func TestAsksPerSecondAreBounded(t *testing.T) {
 	for _, boxes := range []int{6, 61, 985, 2000} {
 		var k Limiter
 		until := make([]time.Time, boxes)
@@ -125,7 +125,7 @@
 	}
 }
 
-func TestALimiterForgetsWhatNobodyAsksFor(t *testing.T) {
+func TestLimiterForgetsUnusedServers(t *testing.T) {
 	var k Limiter
 	for i := range 100 {
 		k.Take(start, Ask{Server: fmt.Sprint(i), PerSecond: 1, Wants: 1}, 1)
@@ -142,7 +142,7 @@
 
 // Boxes that are replaced one after the other coordinate a server each; each goes on for a second next to
 // its successor.
-func TestCoordinatorsThatFollowInTurnStayWithinWhatAServerBears(t *testing.T) {
+func TestSuccessiveTakeoversStayWithinLimit(t *testing.T) {
 	for _, perSecond := range []float64{4, 50, 2000} {
 		var used []time.Time
 		limiters := make([]Limiter, 10)
--- a/src/retry/budget_test.go
+++ b/src/retry/budget_test.go
@@ -11,7 +11,7 @@
 
 func newBudget() *Budget { return &Budget{Ratio: 0.2, Slack: 50, Window: 10 * time.Second} }
 
-func TestRepeatsFollowRequests(t *testing.T) {
+func TestRetriesFollowRequests(t *testing.T) {
 	b := newBudget()
 	quiet := b.Left(start, 7)
 	for range 100 {
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestFewerPartsTheMoreBoxesThereMayBe(t *testing.T) {
+func TestShareShrinksWithMoreBoxes(t *testing.T) {
 	b := newBudget()
 	if one, many := b.Left(start, 1), b.Left(start, 50); one <= many {
 		t.Errorf("one box may repeat %d times, one of 50 %d", one, many)
@@ -34,7 +34,7 @@
 
 // Boxes that know how many there are stay within the common limit in every window, however the requests are
 // distributed.
-func TestBoxesTogetherStayWithinTheWhole(t *testing.T) {
+func TestBoxesTogetherStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(rt, "boxes")
 		boxes := make([]*Budget, n)
