--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -46,7 +46,7 @@
 	fifo     float64
 	backlog  [config.Classes]backlog // expected slot seconds of the waiting calls
 	stats    PoolStats
-	typical  typical
+	typical  poolAverages
 	prefix   *prefixIndex
 	marks    uint64
 	round    uint64 // number of the current call of Next
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -87,7 +87,7 @@
 	token     float64 // seconds per token on an empty engine
 	prefill   float64 // seconds per computed prompt token
 	learnedAt time.Time
-	typical   *typical
+	typical   *poolAverages
 
 	blocks        *list.List // prefix blocks its cache probably holds, newest first
 	lastEvent     uint64     // number of the last cache event taken
@@ -98,8 +98,8 @@
 	rates rates
 }
 
-// typical holds averages over the servers of a pool.
-type typical struct{ run, token measured }
+// poolAverages holds averages over the servers of a pool.
+type poolAverages struct{ run, token measured }
 
 func (m *measured) learn(v float64, now time.Time) {
 	if m.at.IsZero() {
@@ -108,7 +108,7 @@
 	m.v, m.at = ewma(m.v, v, learnRate), now
 }
 
-func newServer(cfg *config.BackendServer, t *typical) *server {
+func newServer(cfg *config.BackendServer, t *poolAverages) *server {
 	return &server{
 		cfg: cfg, hash: xxhash.Sum64String(cfg.Name()), inFlight: map[Attempt]running{}, peers: map[string]peerLoad{}, users: 1,
 		run: defaultRun.Seconds(), token: defaultTokenTime.Seconds(), prefill: defaultPrefill.Seconds(),
