--- a/src/core/poolreports.go
+++ b/src/core/poolreports.go
@@ -69,7 +69,7 @@
 	r.Incarnation, r.Seq, r.Leaving = incarnation, seq, true
 	if s.reportAt.IsZero() || r.newer(s.report) {
 		s.report.Incarnation, s.report.Seq, s.report.Leaving = incarnation, seq, true
-		s.saysLeaving = true
+		s.reportedLeaving = true
 		s.leavingUntil = now.Add(leavingHold)
 		s.invalidateRates()
 	}
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -80,7 +80,7 @@
 	askedRest           bool // it asked for rest and has not returned from it; Pool.pushback has the details
 	probing             bool
 
-	saysLeaving  bool
+	reportedLeaving  bool
 	leavingUntil time.Time // set by a refused call; reports of the same incarnation do not revert saysLeaving before
 
 	run       float64 // seconds per call of a plain service or an encoder
@@ -117,7 +117,7 @@
 }
 
 // leaving reports whether the server takes no new work, by configuration or by its own report.
-func (s *server) leaving() bool { return s.cfg.Leaving() || s.saysLeaving }
+func (s *server) leaving() bool { return s.cfg.Leaving() || s.reportedLeaving }
 
 // slots returns the smaller of the configured and the reported number of slots.
 func (s *server) slots() int {
@@ -198,13 +198,13 @@
 // does not revert what an answer said, because it may be older.
 func (s *server) hearLeaving(now time.Time, leaving, restarted bool) {
 	if leaving || restarted || now.After(s.leavingUntil) {
-		s.saysLeaving = leaving
+		s.reportedLeaving = leaving
 	}
 }
 
 // answeredLeaving records that the server refused a call because it is leaving.
 func (s *server) answeredLeaving(now time.Time) {
-	s.saysLeaving = true
+	s.reportedLeaving = true
 	s.leavingUntil = now.Add(leavingHold)
 }
 
