--- a/src/core/server.go
+++ b/src/core/server.go
@@ -189,14 +189,14 @@
 	s.reportAt = now
 	s.mineAtReport = len(s.inFlight)
 	s.invalidateRates()
-	s.hearLeaving(now, r.Leaving, restarted)
+	s.updateLeaving(now, r.Leaving, restarted)
 	s.adjustWindow(now)
 	return true
 }
 
-// hearLeaving applies the leaving flag of a report. Until leavingUntil, a report of the same incarnation
+// updateLeaving applies the leaving flag of a report. Until leavingUntil, a report of the same incarnation
 // does not revert what an answer said, because it may be older.
-func (s *server) hearLeaving(now time.Time, leaving, restarted bool) {
+func (s *server) updateLeaving(now time.Time, leaving, restarted bool) {
 	if leaving || restarted || now.After(s.leavingUntil) {
 		s.reportedLeaving = leaving
 	}
