--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -54,7 +54,7 @@
 	ready    []*server // reused by readyFor
 	inside   map[laneKey][]*server
 	slots    int       // configured slots of all servers
-	room     float64   // cached capacity
+	cachedCapacity     float64   // cached capacity
 	roomAt   time.Time // time of its computation
 	busy     int       // this box's calls at the servers of the pool
 	demand   meter     // of arriving prompt work
--- a/src/core/poolcapacity.go
+++ b/src/core/poolcapacity.go
@@ -29,15 +29,15 @@
 // capacity returns how many slots of all servers this box can count on, cached for ratesFor.
 func (p *Pool) capacity(now time.Time) float64 {
 	if !p.roomAt.IsZero() && now.Sub(p.roomAt) < ratesFor {
-		return p.room
+		return p.cachedCapacity
 	}
-	p.room, p.roomAt = 0, now
+	p.cachedCapacity, p.roomAt = 0, now
 	for _, s := range p.order {
 		if !s.leaving() && s.backoff == 0 {
-			p.room += max(s.share(), s.window)
+			p.cachedCapacity += max(s.share(), s.window)
 		}
 	}
-	return p.room
+	return p.cachedCapacity
 }
 
 // WaitFor returns how long a new call of a class would wait for its place behind the calls with earlier
