--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -55,7 +55,7 @@
 	inside   map[laneKey][]*server
 	slots    int       // configured slots of all servers
 	cachedCapacity     float64   // cached capacity
-	roomAt   time.Time // time of its computation
+	capacityAt   time.Time // time of its computation
 	busy     int       // this box's calls at the servers of the pool
 	demand   meter     // of arriving prompt work
 	pace     meter     // of dispatched may-wait work
@@ -122,7 +122,7 @@
 	}
 	p.servers = next
 	p.inside = map[laneKey][]*server{}
-	p.roomAt = time.Time{}
+	p.capacityAt = time.Time{}
 	p.prefix.share(len(next))
 }
 
--- a/src/core/poolcapacity.go
+++ b/src/core/poolcapacity.go
@@ -28,10 +28,10 @@
 
 // capacity returns how many slots of all servers this box can count on, cached for ratesFor.
 func (p *Pool) capacity(now time.Time) float64 {
-	if !p.roomAt.IsZero() && now.Sub(p.roomAt) < ratesFor {
+	if !p.capacityAt.IsZero() && now.Sub(p.capacityAt) < ratesFor {
 		return p.cachedCapacity
 	}
-	p.cachedCapacity, p.roomAt = 0, now
+	p.cachedCapacity, p.capacityAt = 0, now
 	for _, s := range p.order {
 		if !s.leaving() && s.backoff == 0 {
 			p.cachedCapacity += max(s.share(), s.window)
