--- a/src/core/place.go
+++ b/src/core/place.go
@@ -118,7 +118,7 @@
 // the configuration, so it is computed once per lane and configuration.
 func (p *Pool) eligible(c *Call) []*server {
 	k := laneOf(c)
-	list, ok := p.inside[k]
+	list, ok := p.eligibleServers[k]
 	if ok {
 		return list
 	}
@@ -127,7 +127,7 @@
 			list = append(list, s)
 		}
 	}
-	p.inside[k] = list
+	p.eligibleServers[k] = list
 	return list
 }
 
--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -52,7 +52,7 @@
 	round    uint64 // number of the current call of Next
 	hashed   uint64
 	ready    []*server // reused by readyFor
-	inside   map[laneKey][]*server
+	eligibleServers   map[laneKey][]*server
 	slots    int       // configured slots of all servers
 	cachedCapacity     float64   // cached capacity
 	capacityAt   time.Time // time of its computation
@@ -91,7 +91,7 @@
 		servers: map[string]*server{}, lanes: map[laneKey]*lane{}, waiting: map[Attempt]*Call{},
 		retries: newBudget(retryEarned, retryBankMax), hedges: newBudget(hedgeEarned, hedgeBankMax),
 		demand: meter{window: promptWindow}, pace: meter{window: paceWindow},
-		tags: map[string]float64{}, prefix: newPrefixIndex(), inside: map[laneKey][]*server{},
+		tags: map[string]float64{}, prefix: newPrefixIndex(), eligibleServers: map[laneKey][]*server{},
 	}
 }
 
@@ -121,7 +121,7 @@
 		}
 	}
 	p.servers = next
-	p.inside = map[laneKey][]*server{}
+	p.eligibleServers = map[laneKey][]*server{}
 	p.capacityAt = time.Time{}
 	p.prefix.share(len(next))
 }
