--- a/src/core/poolcapacity.go
+++ b/src/core/poolcapacity.go
@@ -47,13 +47,13 @@
 	if class == config.Prompt {
 		return seconds(p.backlog[config.Prompt].before(deadline) / slots)
 	}
-	return seconds((p.backlog[config.Prompt].sum + p.backlog[config.MayWait].before(deadline)) / p.mayWaitPace(now, slots))
+	return seconds((p.backlog[config.Prompt].sum + p.backlog[config.MayWait].before(deadline)) / p.mayWaitThroughput(now, slots))
 }
 
-// mayWaitPace returns how many seconds of may-wait work the pool completes per second. Once such work has
+// mayWaitThroughput returns how many seconds of may-wait work the pool completes per second. Once such work has
 // waited for paceWindow the rate is measured, which accounts for prompt work, other boxes and errors in the
 // expected costs; until then it is estimated from what prompt work leaves.
-func (p *Pool) mayWaitPace(now time.Time, slots float64) float64 {
+func (p *Pool) mayWaitThroughput(now time.Time, slots float64) float64 {
 	if !p.waitsSince.IsZero() && now.Sub(p.waitsSince) > paceWindow {
 		return max(minMayWaitShare*slots, p.pace.read(now))
 	}
