--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -60,7 +60,7 @@
 	demand   meter     // of arriving prompt work
 	pace     meter     // of dispatched may-wait work
 	// since when may-wait work has been waiting without interruption; zero when none waits
-	waitsSince time.Time
+	mayWaitSince time.Time
 }
 
 // PoolStats holds the counters of a pool.
@@ -166,8 +166,8 @@
 	p.waiting[c.Attempt] = c
 	if c.Pipeline.Class() == config.Prompt {
 		p.demand.add(now, c.cost)
-	} else if p.waitsSince.IsZero() {
-		p.waitsSince = now
+	} else if p.mayWaitSince.IsZero() {
+		p.mayWaitSince = now
 	}
 	p.backlog[c.Pipeline.Class()].add(c.Deadline, c.cost)
 	return nil
@@ -251,7 +251,7 @@
 	heap.Remove(h, c.index)
 	p.backlog[c.Pipeline.Class()].remove(c.Deadline, c.cost)
 	if p.backlog[config.MayWait].sum == 0 {
-		p.waitsSince = time.Time{}
+		p.mayWaitSince = time.Time{}
 	}
 	if c.lane.empty() {
 		delete(p.lanes, c.lane.key)
--- a/src/core/poolcapacity.go
+++ b/src/core/poolcapacity.go
@@ -54,7 +54,7 @@
 // waited for paceWindow the rate is measured, which accounts for prompt work, other boxes and errors in the
 // expected costs; until then it is estimated from what prompt work leaves.
 func (p *Pool) mayWaitThroughput(now time.Time, slots float64) float64 {
-	if !p.waitsSince.IsZero() && now.Sub(p.waitsSince) > paceWindow {
+	if !p.mayWaitSince.IsZero() && now.Sub(p.mayWaitSince) > paceWindow {
 		return max(minMayWaitShare*slots, p.pace.read(now))
 	}
 	return slots * max(minMayWaitShare, 1-max(mayWaitRoom, p.demand.read(now)/slots))
