--- a/src/core/place.go
+++ b/src/core/place.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// passedOver returns why a call can not be sent to a server now, including a full window, or "".
-func (p *Pool) passedOver(now time.Time, s *server, c *Call) string {
+// unavailableReason returns why a call can not be sent to a server now, including a full window, or "".
+func (p *Pool) unavailableReason(now time.Time, s *server, c *Call) string {
 	if why := p.rejects(now, s, c); why != "" {
 		return why
 	}
@@ -148,7 +148,7 @@
 		if len(out) == traceCandidates {
 			break
 		}
-		cand := Candidate{Server: s.cfg.Name(), PassedOver: p.passedOver(now, s, c)}
+		cand := Candidate{Server: s.cfg.Name(), PassedOver: p.unavailableReason(now, s, c)}
 		if cand.PassedOver == "" {
 			cand.Expected = s.estimate(now, c, ratio).total()
 			cand.PassedOver = "slower"
