--- a/src/core/place.go
+++ b/src/core/place.go
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// rejects returns why a call must not go to a server now, whatever the placement policy, or "".
-func (p *Pool) rejects(now time.Time, s *server, c *Call) string {
+// rejectReason returns why a call must not go to a server now, whatever the placement policy, or "".
+func (p *Pool) rejectReason(now time.Time, s *server, c *Call) string {
 	if why := s.rejectReason(now, c); why != "" {
 		return why
 	}
@@ -82,7 +82,7 @@
 
 // unavailableReason returns why a call can not be sent to a server now, including a full window, or "".
 func (p *Pool) unavailableReason(now time.Time, s *server, c *Call) string {
-	if why := p.rejects(now, s, c); why != "" {
+	if why := p.rejectReason(now, s, c); why != "" {
 		return why
 	}
 	if s.refresh(now, tickOf(now)); !p.NoAdmission && !s.rates.open[p.classFor(now, c)] {
@@ -106,7 +106,7 @@
 	class, tick := p.classFor(now, c), tickOf(now)
 	for _, s := range p.eligible(c) {
 		s.refresh(now, tick)
-		if !s.rates.open[class] && !p.NoAdmission || !s.rates.usable && p.rejects(now, s, c) != "" || len(c.Avoid) > 0 && c.avoids(s) {
+		if !s.rates.open[class] && !p.NoAdmission || !s.rates.usable && p.rejectReason(now, s, c) != "" || len(c.Avoid) > 0 && c.avoids(s) {
 			continue
 		}
 		p.ready = append(p.ready, s)
