--- a/src/core/place.go
+++ b/src/core/place.go
@@ -65,7 +65,7 @@
 		return nil, nil
 	}
 	s := p.Placement(p, now, c, ready)
-	if s == nil || !p.explains(c) {
+	if s == nil || !p.shouldTrace(c) {
 		return s, nil
 	}
 	return s, p.explain(now, c, s)
@@ -131,9 +131,9 @@
 	return list
 }
 
-// explains reports whether the placement of a call is traced: always in small pools and for repeated
+// shouldTrace reports whether the placement of a call is traced: always in small pools and for repeated
 // attempts, otherwise for a sample.
-func (p *Pool) explains(c *Call) bool {
+func (p *Pool) shouldTrace(c *Call) bool {
 	return len(p.order) <= traceAlways || c.Attempt.N > 0 || c.Attempt.Key.ID[15]%traceOneIn == 0
 }
 
