--- a/src/core/place.go
+++ b/src/core/place.go
@@ -68,7 +68,7 @@
 	if s == nil || !p.shouldTrace(c) {
 		return s, nil
 	}
-	return s, p.explain(now, c, s)
+	return s, p.listCandidates(now, c, s)
 }
 
 // markPrefix records in the servers how many leading blocks of the call's prefix they probably hold.
@@ -137,8 +137,8 @@
 	return len(p.order) <= traceAlways || c.Attempt.N > 0 || c.Attempt.Key.ID[15]%traceOneIn == 0
 }
 
-// explain lists the candidates of a placement for its trace.
-func (p *Pool) explain(now time.Time, c *Call, chosen *server) []Candidate {
+// listCandidates lists the candidates of a placement for its trace.
+func (p *Pool) listCandidates(now time.Time, c *Call, chosen *server) []Candidate {
 	out := make([]Candidate, 0, min(len(p.order), traceCandidates))
 	ratio := p.ratio(c)
 	for _, s := range p.order {
