--- a/src/core/place.go
+++ b/src/core/place.go
@@ -180,7 +180,7 @@
 			}
 			run = s.prefill*left + r.token*tokens
 		}
-		score := (run*(r.queue+r.penalty)+r.delay)*(1+spreadShare*s.jitter(seed)) + p.distance(s)
+		score := (run*(r.queue+r.penalty)+r.delay)*(1+spreadShare*s.jitter(seed)) + p.localityCost(s)
 		if score < least {
 			best, least = s, score
 		}
@@ -188,8 +188,8 @@
 	return best
 }
 
-// distance is the cost of leaving the box's own failure domain or region, in seconds.
-func (p *Pool) distance(s *server) float64 {
+// localityCost is the cost of leaving the box's own failure domain or region, in seconds.
+func (p *Pool) localityCost(s *server) float64 {
 	switch {
 	case s.cfg.Domain() == p.Domain:
 		return 0
