--- a/src/core/constants.go
+++ b/src/core/constants.go
@@ -40,7 +40,7 @@
 	hedgeFloor            = 20 * time.Millisecond  // but no earlier than this
 	prefixEntries         = 32768                  // prefix blocks remembered per pool
 	prefixLeast           = 128                    // least number of prefix blocks remembered per server
-	ratesFor              = 20 * time.Millisecond  // time for which the estimates of a server are cached
+	ratesTTL              = 20 * time.Millisecond  // time for which the estimates of a server are cached
 	traceAlways           = 64                     // number of servers up to which every placement is traced
 	traceOneIn            = 16                     // with more servers, one placement in this many is traced
 	defaultRun            = 50 * time.Millisecond  // estimated run time of a stage before any measurement
--- a/src/core/poolcapacity.go
+++ b/src/core/poolcapacity.go
@@ -28,7 +28,7 @@
 
 // capacity returns how many slots of all servers this box can count on, cached for ratesFor.
 func (p *Pool) capacity(now time.Time) float64 {
-	if !p.capacityAt.IsZero() && now.Sub(p.capacityAt) < ratesFor {
+	if !p.capacityAt.IsZero() && now.Sub(p.capacityAt) < ratesTTL {
 		return p.cachedCapacity
 	}
 	p.cachedCapacity, p.capacityAt = 0, now
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -293,7 +293,7 @@
 func (s *server) invalidateRates() { s.rates.tick = 0 }
 
 // tickOf returns the number of the ratesFor interval that contains now.
-func tickOf(now time.Time) int64 { return now.UnixNano() / int64(ratesFor) }
+func tickOf(now time.Time) int64 { return now.UnixNano() / int64(ratesTTL) }
 
 // refresh recomputes the rates unless they belong to this tick.
 func (s *server) refresh(now time.Time, tick int64) {
