--- a/src/core/constants.go
+++ b/src/core/constants.go
@@ -29,7 +29,7 @@
 	windowCut             = 0.7                    // factor on the window when the server queues
 	otherDomainCost       = 2 * time.Millisecond   // penalty for leaving the failure domain of the box
 	otherRegionCost       = 20 * time.Millisecond  // penalty for leaving the region of the box
-	spreadShare           = 0.05                   // jitter on scores, so that boxes do not all choose the same server
+	scoreJitter           = 0.05                   // jitter on scores, so that boxes do not all choose the same server
 	loadSlope             = 1.0                    // relative slowdown of a token on a full engine compared with an empty one
 	leavingHold           = 30 * time.Second       // time for which reports of the same incarnation do not revert a "leaving" answer
 	retryEarned           = 0.1                    // retry tokens earned by each first attempt
--- a/src/core/place.go
+++ b/src/core/place.go
@@ -180,7 +180,7 @@
 			}
 			run = s.prefill*left + r.token*tokens
 		}
-		score := (run*(r.queue+r.penalty)+r.delay)*(1+spreadShare*s.jitter(seed)) + p.localityCost(s)
+		score := (run*(r.queue+r.penalty)+r.delay)*(1+scoreJitter*s.jitter(seed)) + p.localityCost(s)
 		if score < least {
 			best, least = s, score
 		}
