--- a/src/core/constants.go
+++ b/src/core/constants.go
@@ -46,7 +46,7 @@
 	defaultRun            = 50 * time.Millisecond  // estimated run time of a stage before any measurement
 	defaultTokenTime      = 10 * time.Millisecond  // estimated time per generated token on an empty engine
 	defaultPrefill        = 50 * time.Microsecond  // estimated time per computed prompt token
-	mayWaitRoom           = 0.25                   // part of a server's slots that may-wait calls leave free beyond the box's share
+	mayWaitHeadroom           = 0.25                   // part of a server's slots that may-wait calls leave free beyond the box's share
 	minRunFraction        = 0.3                    // a call is dropped when not even this part of its expected run time is left
 	promptQueueShare      = 0.5                    // part of a server's slots that prompt calls may queue there
 	promptWindow          = 10 * time.Second       // averaging window of the prompt demand
--- a/src/core/poolcapacity.go
+++ b/src/core/poolcapacity.go
@@ -57,5 +57,5 @@
 	if !p.mayWaitSince.IsZero() && now.Sub(p.mayWaitSince) > paceWindow {
 		return max(minMayWaitShare*slots, p.pace.read(now))
 	}
-	return slots * max(minMayWaitShare, 1-max(mayWaitRoom, p.demand.read(now)/slots))
+	return slots * max(minMayWaitShare, 1-max(mayWaitHeadroom, p.demand.read(now)/slots))
 }
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -161,7 +161,7 @@
 func (s *server) admits(class config.Class) bool {
 	next, slots := float64(len(s.inFlight)+1), float64(s.slots())
 	if class == config.MayWait {
-		return next <= s.share() || next <= max(1, s.window) && s.rates.free >= 1+mayWaitRoom*slots
+		return next <= s.share() || next <= max(1, s.window) && s.rates.free >= 1+mayWaitHeadroom*slots
 	}
 	return next <= max(1, s.share()*(1+promptQueueShare)) || next <= s.window*(1+promptQueueShare) && s.rates.free >= 1-promptQueueShare*slots
 }
