--- a/src/core/call.go
+++ b/src/core/call.go
@@ -104,15 +104,15 @@
 	return true
 }
 
-// mayWaitLater is added to the deadline of may-wait calls when they are ordered in a server's queue.
-const mayWaitLater = 10 * time.Minute
+// mayWaitPenalty is added to the deadline of may-wait calls when they are ordered in a server's queue.
+const mayWaitPenalty = 10 * time.Minute
 
 // ServerPriority returns a call's priority in a server's own queue, lowest first: ordered by deadline, with
 // may-wait calls after prompt calls. It does not depend on the sending box, so a server can order the calls
 // of all boxes together.
 func ServerPriority(class config.Class, deadline time.Time) int {
 	if class == config.MayWait {
-		deadline = deadline.Add(mayWaitLater)
+		deadline = deadline.Add(mayWaitPenalty)
 	}
 	return int(deadline.UnixMilli())
 }
