--- a/src/core/constants.go
+++ b/src/core/constants.go
@@ -4,7 +4,7 @@
 
 // Limits on the attempts of a request.
 const (
-	quickAttempts   = 4                     // attempts of one stage that are made without a pause
+	immediateAttempts   = 4                     // attempts of one stage that are made without a pause
 	maxAttempts     = 10                    // attempts of one stage, except for must-finish work
 	maxMustAttempts = 50                    // attempts of one stage of must-finish work
 	retryPause      = 50 * time.Millisecond // first pause before a further attempt
--- a/src/core/recovery.go
+++ b/src/core/recovery.go
@@ -115,7 +115,7 @@
 		most = maxMustAttempts
 	}
 	switch {
-	case r.next < quickAttempts:
+	case r.next < immediateAttempts:
 		return []Action{r.enqueue(now, false)}
 	case r.next < most:
 		return r.pauseThenRetry()
--- a/src/core/request_test.go
+++ b/src/core/request_test.go
@@ -271,13 +271,13 @@
 		t.Errorf("the first chunk has %s, no more than a later one", FirstPieceLimit(0))
 	}
 	sum := time.Duration(0)
-	for n := range quickAttempts {
+	for n := range immediateAttempts {
 		if n > 0 && FirstPieceLimit(n) <= FirstPieceLimit(n-1) {
 			t.Errorf("attempt %d has no more time than the one before", n)
 		}
 		sum += FirstPieceLimit(n)
 	}
 	if sum < time.Minute {
-		t.Errorf("the first %d attempts wait %s in all", quickAttempts, sum)
+		t.Errorf("the first %d attempts wait %s in all", immediateAttempts, sum)
 	}
 }
