--- a/src/core/constants.go
+++ b/src/core/constants.go
@@ -37,7 +37,7 @@
 	hedgeEarned           = 0.03                   // hedge tokens earned by each first attempt
 	hedgeBankMax          = 4.0                    // hedge tokens that can be saved
 	hedgeFactor           = 3.0                    // a hedge is sent after this many expected run times
-	hedgeFloor            = 20 * time.Millisecond  // but no earlier than this
+	minHedgeDelay            = 20 * time.Millisecond  // but no earlier than this
 	prefixEntries         = 32768                  // prefix blocks remembered per pool
 	prefixLeast           = 128                    // least number of prefix blocks remembered per server
 	ratesTTL              = 20 * time.Millisecond  // time for which the estimates of a server are cached
--- a/src/core/request.go
+++ b/src/core/request.go
@@ -236,7 +236,7 @@
 		Offset: len(r.output), Continue: r.output, Once: s.Once(),
 	}}
 	if !s.Once() && s.Kind() != config.Generate && !a.hedge && a.id.N == 0 {
-		after := max(hedgeFloor, time.Duration(hedgeFactor*float64(r.estimates.Run(now, r.pipeline, s))))
+		after := max(minHedgeDelay, time.Duration(hedgeFactor*float64(r.estimates.Run(now, r.pipeline, s))))
 		out = append(out, ArmHedge{Attempt: a.id, After: after})
 	}
 	return out
