--- a/src/core/constants.go
+++ b/src/core/constants.go
@@ -42,7 +42,7 @@
 	prefixLeast           = 128                    // least number of prefix blocks remembered per server
 	ratesTTL              = 20 * time.Millisecond  // time for which the estimates of a server are cached
 	traceAlways           = 64                     // number of servers up to which every placement is traced
-	traceOneIn            = 16                     // with more servers, one placement in this many is traced
+	traceSampleEvery            = 16                     // with more servers, one placement in this many is traced
 	defaultRun            = 50 * time.Millisecond  // estimated run time of a stage before any measurement
 	defaultTokenTime      = 10 * time.Millisecond  // estimated time per generated token on an empty engine
 	defaultPrefill        = 50 * time.Microsecond  // estimated time per computed prompt token
--- a/src/core/place.go
+++ b/src/core/place.go
@@ -134,7 +134,7 @@
 // shouldTrace reports whether the placement of a call is traced: always in small pools and for repeated
 // attempts, otherwise for a sample.
 func (p *Pool) shouldTrace(c *Call) bool {
-	return len(p.order) <= traceAlways || c.Attempt.N > 0 || c.Attempt.Key.ID[15]%traceOneIn == 0
+	return len(p.order) <= traceAlways || c.Attempt.N > 0 || c.Attempt.Key.ID[15]%traceSampleEvery == 0
 }
 
 // listCandidates lists the candidates of a placement for its trace.
