--- a/src/core/estimate.go
+++ b/src/core/estimate.go
@@ -79,7 +79,7 @@
 }
 
 func (e *Estimates) runLocked(now time.Time, p *config.Pipeline, s *config.Stage) time.Duration {
-	guess := firstGuess(s)
+	guess := defaultEstimate(s)
 	m, ok := e.run[nameOf(p, s)]
 	if !ok {
 		return guess
@@ -91,8 +91,8 @@
 	return guess + time.Duration(float64(v-guess)*decay(now.Sub(m.at)))
 }
 
-// firstGuess returns the configured typical run time of a stage, or a default for its kind.
-func firstGuess(s *config.Stage) time.Duration {
+// defaultEstimate returns the configured typical run time of a stage, or a default for its kind.
+func defaultEstimate(s *config.Stage) time.Duration {
 	if s.TypicalRun() > 0 {
 		return s.TypicalRun()
 	}
--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -197,7 +197,7 @@
 func (p *Pool) costOf(now time.Time, c *Call) float64 {
 	if c.MaxTokens == 0 {
 		if p.typical.run.at.IsZero() {
-			return firstGuess(c.Stage).Seconds()
+			return defaultEstimate(c.Stage).Seconds()
 		}
 		return p.typical.run.v
 	}
