--- a/src/core/estimate.go
+++ b/src/core/estimate.go
@@ -16,12 +16,12 @@
 // measure the recovery.
 type Estimates struct {
 	mu    sync.RWMutex
-	run   map[stageName]measured // seconds
-	ratio map[stageName]measured // generated tokens divided by the token limit
+	run   map[stageName]measurement // seconds
+	ratio map[stageName]measurement // generated tokens divided by the token limit
 }
 
-// measured is a moving average and the time of its last update.
-type measured struct {
+// measurement is a moving average and the time of its last update.
+type measurement struct {
 	v  float64
 	at time.Time
 }
@@ -30,7 +30,7 @@
 
 // NewEstimates returns Estimates without measurements.
 func NewEstimates() *Estimates {
-	return &Estimates{run: map[stageName]measured{}, ratio: map[stageName]measured{}}
+	return &Estimates{run: map[stageName]measurement{}, ratio: map[stageName]measurement{}}
 }
 
 func nameOf(p *config.Pipeline, s *config.Stage) stageName { return stageName{p.Name(), s.Name()} }
@@ -52,12 +52,12 @@
 	learn(e.ratio, nameOf(p, s), float64(generated)/float64(limit), now)
 }
 
-func learn(m map[stageName]measured, n stageName, v float64, now time.Time) {
+func learn(m map[stageName]measurement, n stageName, v float64, now time.Time) {
 	old, ok := m[n]
 	if ok {
 		v = ewma(old.v, v, learnRate)
 	}
-	m[n] = measured{v: v, at: now}
+	m[n] = measurement{v: v, at: now}
 }
 
 // ewma returns an exponentially weighted moving average after a new value.
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -99,9 +99,9 @@
 }
 
 // poolAverages holds averages over the servers of a pool.
-type poolAverages struct{ run, token measured }
+type poolAverages struct{ run, token measurement }
 
-func (m *measured) learn(v float64, now time.Time) {
+func (m *measurement) learn(v float64, now time.Time) {
 	if m.at.IsZero() {
 		m.v = v
 	}
@@ -347,7 +347,7 @@
 
 // decayed returns a server's own measurement, decayed towards the pool's average if it was not renewed: a
 // server that was slow once would otherwise never be tried again.
-func (s *server) decayed(now time.Time, own float64, typical measured) float64 {
+func (s *server) decayed(now time.Time, own float64, typical measurement) float64 {
 	if typical.at.IsZero() {
 		return own
 	}
