--- a/src/core/constants.go
+++ b/src/core/constants.go
@@ -71,7 +71,7 @@
 	formingAgain     = 400 * time.Millisecond // and for this long after an exchange that brought many new entries
 	formingSigns     = 4                      // number of new entries in one exchange that counts as many
 	healFor          = 3 * time.Second        // time after the return of a member believed dead for which reports that members are alive override deaths
-	tellDeaths       = 10 * time.Second       // time for which a death is sent in table exchanges; by then heartbeats have spread it
+	deathGossipPeriod       = 10 * time.Second       // time for which a death is sent in table exchanges; by then heartbeats have spread it
 	suspectAfter     = 2 * time.Second        // silence after a heartbeat before a member is suspected and probed through others
 	deadAfter        = 5 * time.Second        // silence before a member counts as dead
 	forgetAfter      = 10 * time.Minute       // time for which a dead member is remembered
--- a/src/core/table.go
+++ b/src/core/table.go
@@ -194,7 +194,7 @@
 	var out []string
 	for _, n := range m.names {
 		e := m.all[n]
-		if e.state != MemberDead || now.Sub(e.since) > tellDeaths {
+		if e.state != MemberDead || now.Sub(e.since) > deathGossipPeriod {
 			continue
 		}
 		if _, differs := theirs[e.hash]; differs {
