--- a/src/core/table.go
+++ b/src/core/table.go
@@ -279,7 +279,7 @@
 
 // healing reports whether a partition seems to have ended recently.
 func (m *Members) healing(now time.Time) bool {
-	return !m.healedAt.IsZero() && now.Sub(m.healedAt) < healFor
+	return !m.healedAt.IsZero() && now.Sub(m.healedAt) < healingPeriod
 }
 
 // noteReturn records that a member believed dead is alive: a partition or pause has ended, and deaths that
