--- a/src/core/table.go
+++ b/src/core/table.go
@@ -249,7 +249,7 @@
 // to it, or a partition has just healed. Tables are exchanged often then.
 func (m *Members) Forming(now time.Time) bool {
 	if m.formUntil.IsZero() {
-		m.formUntil = now.Add(formingFirst)
+		m.formUntil = now.Add(formingPeriod)
 	}
 	return now.Before(m.formUntil)
 }
@@ -287,7 +287,7 @@
 // alive override deaths.
 func (m *Members) noteReturn(now time.Time) {
 	m.healedAt = now
-	m.formsUntil(now.Add(formingFirst))
+	m.formsUntil(now.Add(formingPeriod))
 }
 
 // repeatsOf returns how often a new rumour is sent: O(log n), so that all boxes receive it.
