--- a/src/core/table.go
+++ b/src/core/table.go
@@ -139,7 +139,7 @@
 		}
 	}
 	if learned >= formingSigns {
-		m.formsUntil(now.Add(formingAgain))
+		m.formsUntil(now.Add(formingExtension))
 	}
 }
 
