--- a/src/core/constants.go
+++ b/src/core/constants.go
@@ -69,7 +69,7 @@
 	entriesPerNote   = 32                     // entries in one step of a table exchange, about 3 KB: a seed on a 20 Mbit/s link answers 300 boxes within half a second
 	formingPeriod     = 2 * time.Second        // after its start or the end of a partition, a box exchanges tables often for this long: twice what 1,000 boxes took in virtual time
 	formingExtension     = 400 * time.Millisecond // and for this long after an exchange that brought many new entries
-	formingSigns     = 4                      // number of new entries in one exchange that counts as many
+	formingThreshold     = 4                      // number of new entries in one exchange that counts as many
 	healingPeriod          = 3 * time.Second        // time after the return of a member believed dead for which reports that members are alive override deaths
 	deathGossipPeriod       = 10 * time.Second       // time for which a death is sent in table exchanges; by then heartbeats have spread it
 	suspectAfter     = 2 * time.Second        // silence after a heartbeat before a member is suspected and probed through others
--- a/src/core/table.go
+++ b/src/core/table.go
@@ -138,7 +138,7 @@
 			learned++
 		}
 	}
-	if learned >= formingSigns {
+	if learned >= formingThreshold {
 		m.formsUntil(now.Add(formingExtension))
 	}
 }
