--- a/src/core/table.go
+++ b/src/core/table.go
@@ -139,7 +139,7 @@
 		}
 	}
 	if learned >= formingThreshold {
-		m.formsUntil(now.Add(formingExtension))
+		m.extendForming(now.Add(formingExtension))
 	}
 }
 
@@ -254,8 +254,8 @@
 	return now.Before(m.formUntil)
 }
 
-// formsUntil extends the forming period.
-func (m *Members) formsUntil(t time.Time) {
+// extendForming extends the forming period.
+func (m *Members) extendForming(t time.Time) {
 	if t.After(m.formUntil) {
 		m.formUntil = t
 	}
@@ -287,7 +287,7 @@
 // alive override deaths.
 func (m *Members) noteReturn(now time.Time) {
 	m.healedAt = now
-	m.formsUntil(now.Add(formingPeriod))
+	m.extendForming(now.Add(formingPeriod))
 }
 
 // repeatsOf returns how often a new rumour is sent: O(log n), so that all boxes receive it.
