--- a/src/core/subset.go
+++ b/src/core/subset.go
@@ -23,8 +23,8 @@
 	all   []*config.BackendServer
 }
 
-// leastInDomain is the least number of servers of each pool and failure domain that a box uses.
-const leastInDomain = 2
+// minServersPerDomain is the least number of servers of each pool and failure domain that a box uses.
+const minServersPerDomain = 2
 
 // SubsetSize returns how many servers of each pool and failure domain a box uses if it should watch at most
 // about watch servers in total. It returns the number of all servers if that is not larger.
@@ -33,7 +33,7 @@
 	if all <= watch {
 		return all
 	}
-	return max(leastInDomain, watch/max(1, len(c.Pools())*len(c.FailureDomains())))
+	return max(minServersPerDomain, watch/max(1, len(c.Pools())*len(c.FailureDomains())))
 }
 
 // Subsets computes the subsets of all boxes for a pool, with size servers per failure domain.
