--- a/src/core/subset.go
+++ b/src/core/subset.go
@@ -42,7 +42,7 @@
 	sorted := append([]string(nil), boxes...)
 	sort.Strings(sorted)
 	for _, group := range byDomain(all) {
-		t.deal(group, sorted, size)
+		t.assignDomain(group, sorted, size)
 	}
 	return t
 }
@@ -64,8 +64,8 @@
 	return out
 }
 
-// deal distributes the servers of one domain over the boxes.
-func (t *SubsetTable) deal(group []*config.BackendServer, boxes []string, size int) {
+// assignDomain distributes the servers of one domain over the boxes.
+func (t *SubsetTable) assignDomain(group []*config.BackendServer, boxes []string, size int) {
 	if len(group) <= size {
 		for _, b := range boxes {
 			t.give(b, group)
