--- a/src/core/subset.go
+++ b/src/core/subset.go
@@ -68,7 +68,7 @@
 func (t *SubsetTable) assignDomain(group []*config.BackendServer, boxes []string, size int) {
 	if len(group) <= size {
 		for _, b := range boxes {
-			t.give(b, group)
+			t.assign(b, group)
 		}
 		return
 	}
@@ -76,11 +76,11 @@
 	for i, b := range boxes {
 		ring := shuffled(group, uint64(i/perRound))
 		at := (i % perRound) * size
-		t.give(b, ring[at:at+size])
+		t.assign(b, ring[at:at+size])
 	}
 }
 
-func (t *SubsetTable) give(box string, servers []*config.BackendServer) {
+func (t *SubsetTable) assign(box string, servers []*config.BackendServer) {
 	t.of[box] = append(t.of[box], servers...)
 	for _, s := range servers {
 		t.users[s.Name()]++
