--- a/src/core/backlog.go
+++ b/src/core/backlog.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// before sums the work whose deadline is at most the given one, in whole seconds.
-func (b *backlog) before(deadline time.Time) float64 {
+// costBefore sums the work whose deadline is at most the given one, in whole seconds.
+func (b *backlog) costBefore(deadline time.Time) float64 {
 	sum := 0.0
 	for at, cost := range b.by {
 		if at <= deadline.Unix() {
--- a/src/core/poolcapacity.go
+++ b/src/core/poolcapacity.go
@@ -45,9 +45,9 @@
 func (p *Pool) WaitFor(now time.Time, class config.Class, deadline time.Time) time.Duration {
 	slots := max(1, p.capacity(now))
 	if class == config.Prompt {
-		return seconds(p.backlog[config.Prompt].before(deadline) / slots)
+		return seconds(p.backlog[config.Prompt].costBefore(deadline) / slots)
 	}
-	return seconds((p.backlog[config.Prompt].sum + p.backlog[config.MayWait].before(deadline)) / p.mayWaitThroughput(now, slots))
+	return seconds((p.backlog[config.Prompt].sum + p.backlog[config.MayWait].costBefore(deadline)) / p.mayWaitThroughput(now, slots))
 }
 
 // mayWaitThroughput returns how many seconds of may-wait work the pool completes per second. Once such work has
