--- a/src/core/budget.go
+++ b/src/core/budget.go
@@ -11,7 +11,7 @@
 
 func newBudget(earn, most float64) budget { return budget{earn: earn, most: most, saved: most} }
 
-func (b *budget) earned() { b.saved = min(b.saved+b.earn, b.most) }
+func (b *budget) deposit() { b.saved = min(b.saved+b.earn, b.most) }
 
 func (b *budget) spend() bool {
 	if b.saved < 1 {
--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -187,8 +187,8 @@
 		}
 		p.stats.Retries++
 	default:
-		p.retries.earned()
-		p.hedges.earned()
+		p.retries.deposit()
+		p.hedges.deposit()
 	}
 	return nil
 }
