--- a/src/core/burnrate.go
+++ b/src/core/burnrate.go
@@ -78,14 +78,14 @@
 		if l.doc.Class != s.Class.String() {
 			continue
 		}
-		if good, counts := l.judge(s); counts {
+		if good, counts := l.classify(s); counts {
 			l.add(now, good)
 		}
 	}
 }
 
-// judge reports whether a sample meets the level, and whether it counts at all.
-func (l *burnLevel) judge(s Sample) (good, counts bool) {
+// classify reports whether a sample meets the level, and whether it counts at all.
+func (l *burnLevel) classify(s Sample) (good, counts bool) {
 	within := time.Duration(l.doc.Within)
 	switch l.doc.Measure {
 	case "first_token":
