--- a/src/core/burnrate.go
+++ b/src/core/burnrate.go
@@ -98,8 +98,8 @@
 
 func slotOf(now time.Time) int64 { return now.UnixNano() / int64(burnSlot) }
 
-// forward clears the slots between the newest one and now.
-func (l *burnLevel) forward(now time.Time) {
+// advance clears the slots between the newest one and now.
+func (l *burnLevel) advance(now time.Time) {
 	n := slotOf(now)
 	if n-l.slot > burnSlots {
 		l.slot = n - burnSlots
@@ -111,7 +111,7 @@
 }
 
 func (l *burnLevel) add(now time.Time, good bool) {
-	l.forward(now)
+	l.advance(now)
 	i := l.slot % burnSlots
 	l.total[i]++
 	if good {
@@ -125,7 +125,7 @@
 	defer b.mu.Unlock()
 	var out []BurnReading
 	for _, l := range b.levels {
-		l.forward(now)
+		l.advance(now)
 		for _, w := range BurnWindows {
 			out = append(out, l.read(w))
 		}
