--- a/src/core/constants.go
+++ b/src/core/constants.go
@@ -89,7 +89,7 @@
 
 // Requests that must run at most once.
 const (
-	renounceAskAll = 16 // largest fleet in which all boxes are asked to renounce a key
+	maxRenounceFleet = 16 // largest fleet in which all boxes are asked to renounce a key
 )
 
 // Detection of process pauses.
--- a/src/core/home.go
+++ b/src/core/home.go
@@ -153,7 +153,7 @@
 		return nil, false
 	}
 	names = v.possibleHomes(held, workspace)
-	return names, len(names) > 0 && len(names) <= renounceAskAll
+	return names, len(names) > 0 && len(names) <= maxRenounceFleet
 }
 
 // unsettled returns why this box, first in its newest view, must not act as home, or "".
