--- a/src/quota/constants.go
+++ b/src/quota/constants.go
@@ -22,5 +22,5 @@
 
 	asksBase   = 32               // requests for permits per second that a limiter accepts for one server
 	asksFactor = 4                // and this many more for each request per second of its limit
-	mostPause  = 15 * time.Second // longest time until a box that got no permit asks again
+	maxAskDelay  = 15 * time.Second // longest time until a box that got no permit asks again
 )
--- a/src/quota/limiter.go
+++ b/src/quota/limiter.go
@@ -69,7 +69,7 @@
 		rate *= takeoverPart
 	}
 	if rate <= 0 {
-		return Grant{Next: mostPause}
+		return Grant{Next: maxAskDelay}
 	}
 	interval := time.Duration(float64(time.Second) / rate)
 	burst := time.Duration(burstOf(s.perSecond) * float64(interval))
@@ -127,7 +127,7 @@
 		s.turn = now
 	}
 	s.turn = s.turn.Add(time.Duration(float64(time.Second) / (asksBase + asksFactor*s.perSecond)))
-	return min(s.turn.Sub(now), mostPause)
+	return min(s.turn.Sub(now), maxAskDelay)
 }
 
 // burstOf returns how many permits may be granted at once after a pause.
