--- a/src/quota/constants.go
+++ b/src/quota/constants.go
@@ -16,9 +16,9 @@
 	// takeoverPart is the part of the limit that a new limiter grants during takeoverFor, and a substitute
 	// limiter always. A server can take the full rate of the old limiter plus this part.
 	takeoverPart = 0.5
-	// keptFor is how long an unused server is remembered. It must exceed takeoverFor, or a limiter would
+	// serverTTL is how long an unused server is remembered. It must exceed takeoverFor, or a limiter would
 	// forget that it was the limiter all along.
-	keptFor = time.Minute
+	serverTTL = time.Minute
 
 	asksBase   = 32               // requests for permits per second that a limiter accepts for one server
 	asksFactor = 4                // and this many more for each request per second of its limit
--- a/src/quota/limiter.go
+++ b/src/quota/limiter.go
@@ -141,7 +141,7 @@
 // Sweep removes servers for which no permits were requested within keptFor.
 func (l *Limiter) Sweep(now time.Time) {
 	for id, s := range l.servers {
-		if now.Sub(s.usedAt) > keptFor {
+		if now.Sub(s.usedAt) > serverTTL {
 			delete(l.servers, id)
 		}
 	}
--- a/src/quota/limiter_test.go
+++ b/src/quota/limiter_test.go
@@ -130,11 +130,11 @@
 	for i := range 100 {
 		k.Take(start, Ask{Server: fmt.Sprint(i), PerSecond: 1, Wants: 1}, 1)
 	}
-	k.Sweep(start.Add(keptFor / 2))
+	k.Sweep(start.Add(serverTTL / 2))
 	if k.Size() != 100 {
 		t.Errorf("%d servers are kept of 100", k.Size())
 	}
-	k.Sweep(start.Add(2 * keptFor))
+	k.Sweep(start.Add(2 * serverTTL))
 	if k.Size() != 0 {
 		t.Errorf("%d servers are kept that nobody asks for", k.Size())
 	}
