--- a/src/quota/limiter.go
+++ b/src/quota/limiter.go
@@ -56,7 +56,7 @@
 	next        time.Time // when the next permit begins by the rate alone, without the burst
 	sharesUntil time.Time // until when the previous limiter may still grant permits
 	usedAt      time.Time
-	turn        time.Time // latest time at which a box that got no permit was told to ask again
+	lastTurn        time.Time // latest time at which a box that got no permit was told to ask again
 }
 
 // Take grants permits, or returns when to ask again. part is the part of the limit for the boxes that this
@@ -123,11 +123,11 @@
 // askAgain returns when a box that got no permit may ask again. The times are spaced, so that the load of a
 // limiter depends on the limit and not on the fleet size.
 func (s *server) askAgain(now time.Time) time.Duration {
-	if s.turn.Before(now) {
-		s.turn = now
+	if s.lastTurn.Before(now) {
+		s.lastTurn = now
 	}
-	s.turn = s.turn.Add(time.Duration(float64(time.Second) / (asksBase + asksFactor*s.perSecond)))
-	return min(s.turn.Sub(now), maxAskDelay)
+	s.lastTurn = s.lastTurn.Add(time.Duration(float64(time.Second) / (asksBase + asksFactor*s.perSecond)))
+	return min(s.lastTurn.Sub(now), maxAskDelay)
 }
 
 // burstOf returns how many permits may be granted at once after a pause.
