--- a/src/quota/policies_test.go
+++ b/src/quota/policies_test.go
@@ -8,7 +8,7 @@
 )
 
 // policy decides whether a box may send a request to a server with a limit now.
-type way func(now time.Time, box int) bool
+type policy func(now time.Time, box int) bool
 
 // bucket is a token bucket for one request.
 type bucket struct{ next time.Time }
@@ -22,19 +22,19 @@
 }
 
 // alone has each box keep to the whole limit by its own requests.
-func alone(boxes int, perSecond float64) way {
+func alone(boxes int, perSecond float64) policy {
 	all := make([]bucket, boxes)
 	return func(now time.Time, box int) bool { return all[box].take(now, perSecond) }
 }
 
 // equal gives each box an equal part of the limit.
-func equal(boxes int, perSecond float64) way {
+func equal(boxes int, perSecond float64) policy {
 	all := make([]bucket, boxes)
 	return func(now time.Time, box int) bool { return all[box].take(now, perSecond/float64(boxes)) }
 }
 
 // told has each box count the requests that the others reported, with a delay of 500 ms.
-func told(boxes int, perSecond float64) way {
+func told(boxes int, perSecond float64) policy {
 	type send struct {
 		at  time.Time
 		box int
@@ -56,7 +56,7 @@
 }
 
 // kept uses a Limiter.
-func kept(_ int, perSecond float64) way {
+func kept(_ int, perSecond float64) policy {
 	var k Limiter
 	until := map[int]time.Time{}
 	return func(now time.Time, box int) bool {
@@ -78,7 +78,7 @@
 		for _, boxes := range []int{6, 61, 295, 985} {
 			for _, w := range []struct {
 				name  string
-				make  func(boxes int, perSecond float64) way
+				make  func(boxes int, perSecond float64) policy
 				bound bool
 			}{{"alone", alone, false}, {"equal", equal, false}, {"told", told, false}, {"limiter", kept, true}} {
 				may := w.make(boxes, perSecond)
