--- a/src/clock/boot.go
+++ b/src/clock/boot.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// moved is the change between wall clock and monotonic clock after which suspended time is measured
+	// maxDrift is the change between wall clock and monotonic clock after which suspended time is measured
 	// again. A slew of 500 ppm reaches it every ten seconds, a suspend or a step at once.
-	moved = 5 * time.Millisecond
+	maxDrift = 5 * time.Millisecond
 	// measureEvery is the interval at which suspended time is measured in any case, so that a suspend
 	// hidden by a step of the wall clock is noticed within a tick.
 	measureEvery = 100 * time.Millisecond
@@ -62,7 +62,7 @@
 	wall, steady := c.Read()
 	gap := wall.UnixNano() - int64(steady)
 	apart := time.Duration(gap - c.gap.Load()).Abs()
-	if apart > moved || steady-time.Duration(c.measured.Load()) > measureEvery {
+	if apart > maxDrift || steady-time.Duration(c.measured.Load()) > measureEvery {
 		c.measure(gap, steady)
 	}
 	return c.origin.Add(steady + time.Duration(c.slept.Load()))
--- a/src/clock/boot_test.go
+++ b/src/clock/boot_test.go
@@ -92,7 +92,7 @@
 		}
 		m.run(measureEvery + time.Millisecond)
 		gone += measureEvery + time.Millisecond
-		if d := gone - c.Now().Sub(began); d < 0 || d > moved {
+		if d := gone - c.Now().Sub(began); d < 0 || d > maxDrift {
 			t.Fatalf("%s are missing of %s", d, gone)
 		}
 	})
