--- a/src/clock/boot.go
+++ b/src/clock/boot.go
@@ -89,7 +89,7 @@
 	}
 	wall, steady := c.Read()
 	c.origin = time.Unix(0, wall.UnixNano()-int64(steady))
-	boot, after, err := c.together()
+	boot, after, err := c.readClocks()
 	c.offset, c.err = boot-after, err
 	c.gap.Store(wall.UnixNano() - int64(steady))
 	c.measured.Store(int64(steady))
@@ -100,7 +100,7 @@
 func (c *Boot) measure(gap int64, steady time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	boot, after, err := c.together()
+	boot, after, err := c.readClocks()
 	if c.err = err; err == nil {
 		if slept := int64(boot - after - c.offset); slept > c.slept.Load()+int64(closeReads) {
 			c.slept.Store(slept)
@@ -110,8 +110,8 @@
 	c.measured.Store(int64(steady))
 }
 
-// together reads the boot clock and then the monotonic clock, as close together as a few tries achieve.
-func (c *Boot) together() (boot, after time.Duration, err error) {
+// readClocks reads the boot clock and then the monotonic clock, as close readClocks as a few tries achieve.
+func (c *Boot) readClocks() (boot, after time.Duration, err error) {
 	for range tries {
 		_, before := c.Read()
 		if boot, err = c.SinceBoot(); err != nil {
