--- a/src/clock/boot.go
+++ b/src/clock/boot.go
@@ -46,14 +46,14 @@
 	err error // of the last reading of the boot clock
 }
 
-// own is the clock of this machine.
-var own Boot
+// machineClock is the clock of this machine.
+var machineClock Boot
 
 // Now returns the time on the clock of this machine; see Boot.Now.
-func Now() time.Time { return own.Now() }
+func Now() time.Time { return machineClock.Now() }
 
 // Err returns the error of the last reading of that clock; see Boot.Err.
-func Err() error { return own.Err() }
+func Err() error { return machineClock.Err() }
 
 // Now returns the wall clock time at which the clock was started plus the time elapsed since. It has no
 // monotonic reading that runtime timers understand; pass them differences.
