--- a/src/backlog/waits.go
+++ b/src/backlog/waits.go
@@ -19,8 +19,8 @@
 	"time"
 )
 
-// places are the times until a piece is due for which waits are reported, ascending.
-var places = []time.Duration{
+// steps are the times until a piece is due for which waits are reported, ascending.
+var steps = []time.Duration{
 	100 * time.Millisecond, 250 * time.Millisecond, 500 * time.Millisecond, 750 * time.Millisecond, time.Second, 1500 * time.Millisecond, 2500 * time.Millisecond,
 }
 
@@ -33,15 +33,15 @@
 // At returns the wait of a piece that is due after the given time.
 func (w Waits) At(due time.Duration) time.Duration {
 	due = max(due, w.All)
-	if len(w.Steps) != len(places) || due > places[len(places)-1] {
+	if len(w.Steps) != len(steps) || due > steps[len(steps)-1] {
 		return w.All
 	}
-	i, _ := slices.BinarySearch(places, due)
+	i, _ := slices.BinarySearch(steps, due)
 	if i == 0 {
 		return min(w.All, w.Steps[0])
 	}
 	from, to := w.Steps[i-1], w.Steps[i]
-	part := float64(due-places[i-1]) / float64(places[i]-places[i-1])
+	part := float64(due-steps[i-1]) / float64(steps[i]-steps[i-1])
 	return min(w.All, from+time.Duration(part*float64(to-from)))
 }
 
@@ -54,10 +54,10 @@
 // Add counts pieces that are due after the given time.
 func (c *Count) Add(due time.Duration, pieces int) {
 	if c.at == nil {
-		c.at = make([]int, len(places))
+		c.at = make([]int, len(steps))
 	}
 	c.all += pieces
-	if i, _ := slices.BinarySearch(places, due); i < len(places) {
+	if i, _ := slices.BinarySearch(steps, due); i < len(steps) {
 		c.at[i] += pieces
 	}
 }
@@ -68,9 +68,9 @@
 	wait := func(ahead int) time.Duration {
 		return first + time.Duration(float64(ahead)/perSecond*float64(time.Second))
 	}
-	w := Waits{All: wait(c.all), Steps: make([]time.Duration, len(places))}
+	w := Waits{All: wait(c.all), Steps: make([]time.Duration, len(steps))}
 	ahead := 0
-	for i := range places {
+	for i := range steps {
 		if c.at != nil {
 			ahead += c.at[i]
 		}
--- a/src/backlog/waits_test.go
+++ b/src/backlog/waits_test.go
@@ -32,7 +32,7 @@
 
 // Without steps, or with another number of them, the wait is the one behind all pieces.
 func TestWaitsWithoutStepsUseAll(t *testing.T) {
-	for _, steps := range [][]time.Duration{nil, {1}, make([]time.Duration, len(places)+1)} {
+	for _, steps := range [][]time.Duration{nil, {1}, make([]time.Duration, len(steps)+1)} {
 		if got := (Waits{All: time.Second, Steps: steps}).At(0); got != time.Second {
 			t.Errorf("%d places: waits %s, want 1s", len(steps), got)
 		}
