--- a/src/core/home.go
+++ b/src/core/home.go
@@ -66,6 +66,7 @@
 	return &Views{Self: self, heard: map[string]heardBox{}}
 }
 
+// window returns W, the time before the creation of a key in which every view must agree on its home.
 func (v *Views) window() time.Duration { return v.FreshFor + v.ListLag + v.ClockSkew }
 
 // Observe adds a box list and a configuration that are in force at this box from now on.
--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -173,7 +173,8 @@
 	return nil
 }
 
-// admitExtra charges retries and hedges to their budgets.
+// admitExtra charges retries and hedges to their budgets, to which first attempts add, or returns why the
+// call is refused.
 func (p *Pool) admitExtra(c *Call) *code.Error {
 	switch {
 	case c.Hedge:
@@ -193,7 +194,8 @@
 	return nil
 }
 
-// costOf is the slot time a call is expected to take on a typical server as full as this box's own.
+// costOf estimates the slot time of a call in seconds, on a server of the pool with average times and the
+// load of this box's own calls.
 func (p *Pool) costOf(now time.Time, c *Call) float64 {
 	if c.MaxTokens == 0 {
 		if p.typical.run.at.IsZero() {
--- a/src/core/table_test.go
+++ b/src/core/table_test.go
@@ -139,7 +139,7 @@
 			continue
 		}
 		x := newTableNet(c.boxes, 300*time.Millisecond, 11)
-		x.run(300*time.Millisecond + tablePace) // the last one is up
+		x.run(300*time.Millisecond + tablePace) // all boxes have started
 		took := x.untilAllKnow(10 * time.Second)
 		t.Logf("%d boxes: all know all %s after the last start; a box sent %d messages and %d KB of entries", c.boxes, took, x.sent/c.boxes, x.entries*bytesOfEntry/1000/c.boxes)
 		if took > c.most {
--- a/src/quota/limiter_test.go
+++ b/src/quota/limiter_test.go
@@ -71,7 +71,7 @@
 		part     float64
 		standsIn bool
 		want     float64
-	}{{"all", 1, false, 1}, {"half in sight", 0.5, false, 0.5}, {"stands in", 1, true, takeoverPart}, {"nobody in sight", 0, false, 0}} {
+	}{{"all", 1, false, 1}, {"half reachable", 0.5, false, 0.5}, {"substitute", 1, true, takeoverPart}, {"none reachable", 0, false, 0}} {
 		var k Limiter
 		n := 0
 		for at := time.Duration(0); at < 20*time.Second; at += 10 * time.Millisecond {
