--- a/src/core/home.go
+++ b/src/core/home.go
@@ -58,7 +58,7 @@
 type view struct {
 	from  time.Time
 	boxes []ListedBox
-	may   DomainFilter
+	allows   DomainFilter
 }
 
 // NewViews returns Views without history; set its exported fields before use.
@@ -71,7 +71,7 @@
 
 // Observe adds a box list and a configuration that are in force at this box from now on.
 func (v *Views) Observe(now time.Time, boxes []ListedBox, may DomainFilter) {
-	v.views = append(v.views, view{from: now, boxes: boxes, may: may})
+	v.views = append(v.views, view{from: now, boxes: boxes, allows: may})
 	keep := now.Add(-v.LedgerKeep - v.window())
 	for len(v.views) > 1 && v.views[1].from.Before(keep) {
 		v.views = v.views[1:]
@@ -181,7 +181,7 @@
 func (v *Views) outranked(w view, k Key, workspace string, m time.Time) bool {
 	own := rendezvous(k, v.Self.Name)
 	for n, h := range v.heard {
-		if n == v.Self.Name || h.last.Before(m.Add(-v.window())) || !w.may(workspace, h.domain) {
+		if n == v.Self.Name || h.last.Before(m.Add(-v.window())) || !w.allows(workspace, h.domain) {
 			continue
 		}
 		if rendezvous(k, n) > own {
@@ -216,7 +216,7 @@
 func (v *Views) topRankedIn(w view, k Key, workspace string) string {
 	best, most := "", uint64(0)
 	rank := func(name, domain string) {
-		if !w.may(workspace, domain) {
+		if !w.allows(workspace, domain) {
 			return
 		}
 		if r := rendezvous(k, name); best == "" || r > most || r == most && name < best {
@@ -236,14 +236,14 @@
 	var names []string
 	for _, w := range held {
 		for _, b := range w.boxes {
-			if w.may(workspace, b.FailureDomain) {
+			if w.allows(workspace, b.FailureDomain) {
 				names = append(names, b.Name)
 			}
 		}
 	}
 	last := held[len(held)-1]
 	for n, h := range v.heard {
-		if last.may(workspace, h.domain) {
+		if last.allows(workspace, h.domain) {
 			names = append(names, n)
 		}
 	}
