--- a/src/box/documents.go
+++ b/src/box/documents.go
@@ -61,7 +61,7 @@
 	// Confirmations were timed by a clock that doesn't step; keys carry wall time.
 	step := d.box.wall().Sub(d.box.now())
 	d.views.Confirm(d.list.Confirmed().Add(step), d.config.Confirmed().Add(step))
-	return d.views.Judge(d.box.wall(), k, workspace)
+	return d.views.Resolve(d.box.wall(), k, workspace)
 }
 
 func (d *documents) witnesses(k core.Key, workspace string) ([]string, bool) {
--- a/src/core/bench_test.go
+++ b/src/core/bench_test.go
@@ -212,7 +212,7 @@
 			k := Key{ID: MintID(now, [16]byte{9: 1})}
 			b.ReportAllocs()
 			for b.Loop() {
-				v.Judge(now, k, "w")
+				v.Resolve(now, k, "w")
 			}
 		})
 	}
--- a/src/core/home.go
+++ b/src/core/home.go
@@ -113,9 +113,9 @@
 	Err *code.Error // why no box can be named, or why this box is not certain to be the home
 }
 
-// Judge determines the home of a key. It fails for keys that are too old or from the future, and when this
+// Resolve determines the home of a key. It fails for keys that are too old or from the future, and when this
 // box can not exclude that another one acts as home.
-func (v *Views) Judge(now time.Time, k Key, workspace string) Homing {
+func (v *Views) Resolve(now time.Time, k Key, workspace string) Homing {
 	m := k.Minted()
 	if m.After(now.Add(v.ClockSkew)) {
 		return Homing{Err: code.New(code.KeyFromFuture, "key", "created %s ahead of this box's clock", m.Sub(now).Round(time.Millisecond))}
--- a/src/core/home_test.go
+++ b/src/core/home_test.go
@@ -68,7 +68,7 @@
 				for s := range 8 {
 					made := start.Add(time.Duration(s*5) * time.Second)
 					k := Key{ID: MintID(made, [16]byte{9: byte(s * 3), 15: byte(s)})}
-					if now.After(made) && b.v.Judge(now.Add(off), k, "w").Me {
+					if now.After(made) && b.v.Resolve(now.Add(off), k, "w").Me {
 						homes[k.String()] = append(homes[k.String()], n)
 					}
 				}
@@ -100,7 +100,7 @@
 		fresh := *v
 		at := now.Add(max(c.read, 7*time.Second))
 		fresh.Confirm(now.Add(c.read), now.Add(c.read))
-		h := fresh.Judge(at, Key{ID: MintID(now.Add(c.made), [16]byte{9: 1})}, "w")
+		h := fresh.Resolve(at, Key{ID: MintID(now.Add(c.made), [16]byte{9: 1})}, "w")
 		got := "me"
 		if h.Err != nil {
 			got = h.Err.Code.String()
@@ -120,11 +120,11 @@
 		v.Observe(now.Add(-time.Hour), []ListedBox{{Name: "a"}}, func(string, string) bool { return true })
 		v.Confirm(now, now)
 		k := Key{ID: MintID(now, [16]byte{9: byte(i * 7), 10: byte(i)})}
-		if !v.Judge(now, k, "w").Me {
+		if !v.Resolve(now, k, "w").Me {
 			t.Fatal("not home without another box")
 		}
 		v.Heard(now, "b", "d")
-		if h := v.Judge(now, k, "w"); !h.Me {
+		if h := v.Resolve(now, k, "w"); !h.Me {
 			outranked = true
 			if rendezvous(k, "b") < rendezvous(k, "a") {
 				t.Error("not home although the other box ranks lower")
