--- a/src/box/documents.go
+++ b/src/box/documents.go
@@ -55,7 +55,7 @@
 }
 
 // judge says which box is home to a key.
-func (d *documents) judge(k core.Key, workspace string) core.Homing {
+func (d *documents) judge(k core.Key, workspace string) core.HomeDecision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	// Confirmations were timed by a clock that doesn't step; keys carry wall time.
--- a/src/core/home.go
+++ b/src/core/home.go
@@ -106,8 +106,8 @@
 	return v.confConfirmed
 }
 
-// Homing is the decision on the home of a key.
-type Homing struct {
+// HomeDecision is the decision on the home of a key.
+type HomeDecision struct {
 	Me  bool        // this box is the home
 	Box string      // the box to forward to when it isn't this one; "" when none is known
 	Err *code.Error // why no box can be named, or why this box is not certain to be the home
@@ -115,33 +115,33 @@
 
 // Resolve determines the home of a key. It fails for keys that are too old or from the future, and when this
 // box can not exclude that another one acts as home.
-func (v *Views) Resolve(now time.Time, k Key, workspace string) Homing {
+func (v *Views) Resolve(now time.Time, k Key, workspace string) HomeDecision {
 	m := k.Minted()
 	if m.After(now.Add(v.ClockSkew)) {
-		return Homing{Err: code.New(code.KeyFromFuture, "key", "created %s ahead of this box's clock", m.Sub(now).Round(time.Millisecond))}
+		return HomeDecision{Err: code.New(code.KeyFromFuture, "key", "created %s ahead of this box's clock", m.Sub(now).Round(time.Millisecond))}
 	}
 	if now.Sub(m) > v.LedgerKeep {
-		return Homing{Err: code.New(code.KeyExpired, "key", "created %s ago, longer than outcomes are kept", now.Sub(m).Round(time.Second))}
+		return HomeDecision{Err: code.New(code.KeyExpired, "key", "created %s ago, longer than outcomes are kept", now.Sub(m).Round(time.Second))}
 	}
 	held := v.between(m.Add(-v.window()), m)
 	if len(held) == 0 {
 		held = v.views
 	}
 	if len(held) == 0 {
-		return Homing{Err: code.New(code.NotReady, "", "no box list yet")}
+		return HomeDecision{Err: code.New(code.NotReady, "", "no box list yet")}
 	}
 	first := v.topRanked(held, k, workspace)
 	newest := first[len(first)-1]
 	if newest == "" {
-		return Homing{Err: code.New(code.BoxOutsideBoundary, "workspace", "no box lies inside the workspace's boundary").WithRan(code.RanUnknown)}
+		return HomeDecision{Err: code.New(code.BoxOutsideBoundary, "workspace", "no box lies inside the workspace's boundary").WithRan(code.RanUnknown)}
 	}
 	if newest != v.Self.Name {
-		return Homing{Box: newest}
+		return HomeDecision{Box: newest}
 	}
 	if why := v.unsettled(first, held, k, workspace); why != "" {
-		return Homing{Err: code.New(code.HomeUnsettled, "key", "%s", why)}
+		return HomeDecision{Err: code.New(code.HomeUnsettled, "key", "%s", why)}
 	}
-	return Homing{Me: true}
+	return HomeDecision{Me: true}
 }
 
 // Witnesses lists every box that might consider itself home to a key. If each of them promises that the key
