--- a/src/box/documents.go
+++ b/src/box/documents.go
@@ -67,7 +67,7 @@
 func (d *documents) witnesses(k core.Key, workspace string) ([]string, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.views.Witnesses(k, workspace)
+	return d.views.PossibleHomes(k, workspace)
 }
 
 // confirmed is when the configuration in force was last known to be the newest.
--- a/src/core/home.go
+++ b/src/core/home.go
@@ -144,10 +144,10 @@
 	return HomeDecision{Me: true}
 }
 
-// Witnesses lists every box that might consider itself home to a key. If each of them promises that the key
+// PossibleHomes lists every box that might consider itself home to a key. If each of them promises that the key
 // neither ran nor will run there, it did not run. ok is false when this box has not observed the fleet for
 // long enough to name them all, or when they are too many to ask.
-func (v *Views) Witnesses(k Key, workspace string) (names []string, ok bool) {
+func (v *Views) PossibleHomes(k Key, workspace string) (names []string, ok bool) {
 	m := k.Minted()
 	held := v.between(m.Add(-v.window()), m)
 	if len(held) == 0 || held[0].from.After(m.Add(-v.window())) {
