--- a/src/box/once.go
+++ b/src/box/once.go
@@ -55,7 +55,7 @@
 
 // runTicket runs a ticket if this incarnation issued it, and otherwise takes it there.
 func (b *Box) runTicket(ctx context.Context, q *asked, emit Emit) error {
-	if age := b.wall().Sub(q.key.Minted()); age > time.Duration(b.Settings.AtMostOnce.LedgerKeep) {
+	if age := b.wall().Sub(q.key.CreatedAt()); age > time.Duration(b.Settings.AtMostOnce.LedgerKeep) {
 		return emit(refusal(code.New(code.KeyExpired, "key", "issued %s ago, longer than outcomes are kept", age.Round(time.Second))))
 	}
 	if q.key.Issuer == b.ID {
@@ -207,7 +207,7 @@
 // renounce promises that a key never ran and never will here. A box that started after the key was
 // made can't speak for the life before it, unless that life's ledger was handed over.
 func (b *Box) renounce(r port.Renounce) bool {
-	if r.Key.Minted().Before(b.startedAt().Add(time.Duration(b.Settings.AtMostOnce.ClockSkew))) && !b.imported.hasName(b.ID.Name) {
+	if r.Key.CreatedAt().Before(b.startedAt().Add(time.Duration(b.Settings.AtMostOnce.ClockSkew))) && !b.imported.hasName(b.ID.Name) {
 		return false
 	}
 	s := b.shardOf(r.Key)
--- a/src/core/home.go
+++ b/src/core/home.go
@@ -116,7 +116,7 @@
 // Resolve determines the home of a key. It fails for keys that are too old or from the future, and when this
 // box can not exclude that another one acts as home.
 func (v *Views) Resolve(now time.Time, k Key, workspace string) HomeDecision {
-	m := k.Minted()
+	m := k.CreatedAt()
 	if m.After(now.Add(v.ClockSkew)) {
 		return HomeDecision{Err: code.New(code.KeyFromFuture, "key", "created %s ahead of this box's clock", m.Sub(now).Round(time.Millisecond))}
 	}
@@ -148,7 +148,7 @@
 // neither ran nor will run there, it did not run. ok is false when this box has not observed the fleet for
 // long enough to name them all, or when they are too many to ask.
 func (v *Views) PossibleHomes(k Key, workspace string) (names []string, ok bool) {
-	m := k.Minted()
+	m := k.CreatedAt()
 	held := v.between(m.Add(-v.window()), m)
 	if len(held) == 0 || held[0].from.After(m.Add(-v.window())) {
 		return nil, false
@@ -159,7 +159,7 @@
 
 // unsettled returns why this box, first in its newest view, must not act as home, or "".
 func (v *Views) unsettled(first []string, held []view, k Key, workspace string) string {
-	m := k.Minted()
+	m := k.CreatedAt()
 	if held[0].from.After(m.Add(-v.window())) {
 		return "this box has not observed the box list for long enough"
 	}
--- a/src/core/key.go
+++ b/src/core/key.go
@@ -35,8 +35,8 @@
 // Ticket reports whether the key is bound to a box incarnation.
 func (k Key) Ticket() bool { return k.Issuer.Name != "" }
 
-// Minted returns the creation time in the UUID, which is the same in every copy of the request.
-func (k Key) Minted() time.Time {
+// CreatedAt returns the creation time in the UUID, which is the same in every copy of the request.
+func (k Key) CreatedAt() time.Time {
 	var b [8]byte
 	copy(b[2:], k.ID[:6])
 	return time.UnixMilli(int64(binary.BigEndian.Uint64(b[:])))
