--- a/src/box/bench_test.go
+++ b/src/box/bench_test.go
@@ -144,7 +144,7 @@
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
-		k := core.Key{ID: core.MintID(now, [16]byte{9: byte(i), 10: byte(i >> 8), 11: byte(i >> 16), 12: byte(i >> 24)})}
+		k := core.Key{ID: core.NewKeyID(now, [16]byte{9: byte(i), 10: byte(i >> 8), 11: byte(i >> 16), 12: byte(i >> 24)})}
 		i++
 		if _, fresh, _ := l.Open(k, true, "w", "p", 1); fresh {
 			l.Close(now, k, nil, nil, nil, false)
--- a/src/box/serve.go
+++ b/src/box/serve.go
@@ -138,7 +138,7 @@
 	if _, err := io.ReadFull(b.Entropy, random[:]); err != nil {
 		panic(err) // the system has no randomness left
 	}
-	return core.MintID(b.wall(), random)
+	return core.NewKeyID(b.wall(), random)
 }
 
 // runHere runs a request on this box, or joins the one that runs or ran under its key.
--- a/src/core/bench_test.go
+++ b/src/core/bench_test.go
@@ -54,7 +54,7 @@
 func benchCall(c *config.Config, n int, now time.Time) *Call {
 	p := c.Pipeline("pipeline-01")
 	w := c.Workspace(fmt.Sprintf("workspace-%04d", 1+n%len(c.Workspaces())))
-	id := Attempt{Key: Key{ID: MintID(now, [16]byte{9: byte(n), 15: byte(n*32 + 1)})}, Stage: 3}
+	id := Attempt{Key: Key{ID: NewKeyID(now, [16]byte{9: byte(n), 15: byte(n*32 + 1)})}, Stage: 3}
 	return &Call{
 		Attempt: id, Workspace: w, Pipeline: p, Stage: p.Stages()[3], Deadline: now.Add(10 * time.Second), Enqueued: now,
 		PromptTokens: 400, MaxTokens: 200, Prefix: PrefixBlocks(w.Name(), make([]byte, 1024)),
@@ -209,7 +209,7 @@
 			}
 			v.Observe(now.Add(-time.Minute), list, func(string, string) bool { return true })
 			v.Confirm(now, now)
-			k := Key{ID: MintID(now, [16]byte{9: 1})}
+			k := Key{ID: NewKeyID(now, [16]byte{9: 1})}
 			b.ReportAllocs()
 			for b.Loop() {
 				v.Resolve(now, k, "w")
--- a/src/core/home_test.go
+++ b/src/core/home_test.go
@@ -67,7 +67,7 @@
 				}
 				for s := range 8 {
 					made := start.Add(time.Duration(s*5) * time.Second)
-					k := Key{ID: MintID(made, [16]byte{9: byte(s * 3), 15: byte(s)})}
+					k := Key{ID: NewKeyID(made, [16]byte{9: byte(s * 3), 15: byte(s)})}
 					if now.After(made) && b.v.Resolve(now.Add(off), k, "w").Me {
 						homes[k.String()] = append(homes[k.String()], n)
 					}
@@ -100,7 +100,7 @@
 		fresh := *v
 		at := now.Add(max(c.read, 7*time.Second))
 		fresh.Confirm(now.Add(c.read), now.Add(c.read))
-		h := fresh.Resolve(at, Key{ID: MintID(now.Add(c.made), [16]byte{9: 1})}, "w")
+		h := fresh.Resolve(at, Key{ID: NewKeyID(now.Add(c.made), [16]byte{9: 1})}, "w")
 		got := "me"
 		if h.Err != nil {
 			got = h.Err.Code.String()
@@ -119,7 +119,7 @@
 		v.FreshFor, v.ListLag, v.ClockSkew, v.LedgerKeep = 3*time.Second, 2*time.Second, time.Second, time.Minute
 		v.Observe(now.Add(-time.Hour), []ListedBox{{Name: "a"}}, func(string, string) bool { return true })
 		v.Confirm(now, now)
-		k := Key{ID: MintID(now, [16]byte{9: byte(i * 7), 10: byte(i)})}
+		k := Key{ID: NewKeyID(now, [16]byte{9: byte(i * 7), 10: byte(i)})}
 		if !v.Resolve(now, k, "w").Me {
 			t.Fatal("not home without another box")
 		}
--- a/src/core/key.go
+++ b/src/core/key.go
@@ -42,9 +42,9 @@
 	return time.UnixMilli(int64(binary.BigEndian.Uint64(b[:])))
 }
 
-// MintID makes a UUID version 7 with the given time. The uuid library's generator has one monotonic clock
+// NewKeyID makes a UUID version 7 with the given time. The uuid library's generator has one monotonic clock
 // per process, which does not work for tests with several virtual clocks.
-func MintID(now time.Time, random [16]byte) uuid.UUID {
+func NewKeyID(now time.Time, random [16]byte) uuid.UUID {
 	var ms [8]byte
 	binary.BigEndian.PutUint64(ms[:], uint64(now.UnixMilli()))
 	id := uuid.UUID(random)
--- a/src/core/ledger_test.go
+++ b/src/core/ledger_test.go
@@ -18,7 +18,7 @@
 		now := time.Unix(1_000_000, 0)
 		keys := make([]Key, 4)
 		for i := range keys {
-			keys[i] = Key{ID: MintID(now, [16]byte{9: byte(i)})}
+			keys[i] = Key{ID: NewKeyID(now, [16]byte{9: byte(i)})}
 		}
 		opened, ended := map[Key]time.Time{}, map[Key]time.Time{}
 		renounced := map[Key]bool{}
--- a/src/core/pool_test.go
+++ b/src/core/pool_test.go
@@ -92,7 +92,7 @@
 				w := c.Workspace(rapid.SampledFrom([]string{"lakeside", "hillcrest", "riverview"}).Draw(t, "workspace"))
 				n++
 				call := &Call{
-					Attempt: Attempt{Key: Key{ID: MintID(now, [16]byte{9: byte(n), 10: byte(n >> 8)})}, Stage: 3}, Workspace: w, Pipeline: pipe,
+					Attempt: Attempt{Key: Key{ID: NewKeyID(now, [16]byte{9: byte(n), 10: byte(n >> 8)})}, Stage: 3}, Workspace: w, Pipeline: pipe,
 					Stage: pipe.Stages()[3], Deadline: now.Add(pipe.Deadline()), Enqueued: now, PromptTokens: 100, MaxTokens: 40,
 					Prefix: PrefixBlocks(w.Name(), make([]byte, 64*rapid.IntRange(0, 4).Draw(t, "blocks"))),
 				}
--- a/src/core/request_test.go
+++ b/src/core/request_test.go
@@ -30,7 +30,7 @@
 	}
 	now := time.Unix(1_000_000, 0)
 	p := c.Pipeline(pipeline)
-	key := Key{ID: MintID(now, [16]byte{9: 1})}
+	key := Key{ID: NewKeyID(now, [16]byte{9: 1})}
 	return NewRequest(key, c.Workspace("lakeside"), p, []byte("input"), now.Add(p.Deadline()), 0, NewEstimates()), now
 }
 
@@ -59,7 +59,7 @@
 func TestForeignRepliesAreIgnored(t *testing.T) {
 	r, now := testRequest(t, "caption")
 	id := toStage(r, now, 3)
-	other := Key{ID: MintID(now, [16]byte{9: 2})}
+	other := Key{ID: NewKeyID(now, [16]byte{9: 2})}
 	for _, ev := range []Event{
 		Chunk{Attempt: Attempt{Key: other, Stage: 3}, Data: []byte("x")},
 		Chunk{Attempt: Attempt{Key: r.Key(), Stage: 2}, Data: []byte("x")},
--- a/src/experiment/sim.go
+++ b/src/experiment/sim.go
@@ -190,7 +190,7 @@
 // arrive takes a request from the balancer.
 func (b *simBox) arrive(a load.Arrival, out *outcome, deadline time.Time) {
 	s := b.s
-	key := core.Key{ID: core.MintID(s.now, s.random())}
+	key := core.Key{ID: core.NewKeyID(s.now, s.random())}
 	w := s.conf.Workspace(a.Workspace)
 	if out.came.IsZero() {
 		out.came = s.now
--- a/src/faults/caller_test.go
+++ b/src/faults/caller_test.go
@@ -33,7 +33,7 @@
 	defer f.mu.Unlock()
 	var random [16]byte
 	_, _ = f.entropy.Read(random[:])
-	return core.MintID(time.Now(), random).String()
+	return core.NewKeyID(time.Now(), random).String()
 }
 
 // send is a caller: it connects to a box and reads to the end, or until the box dies.
