--- a/src/core/request.go
+++ b/src/core/request.go
@@ -84,9 +84,9 @@
 // Deadline returns the time by which the answer must be complete.
 func (r *Request) Deadline() time.Time { return r.deadline }
 
-// GiveUp returns when the request ends in any case: its deadline, or for must-finish work the maximum that
+// FinalDeadline returns when the request ends in any case: its deadline, or for must-finish work the maximum that
 // the pipeline allows.
-func (r *Request) GiveUp(begun time.Time) time.Time {
+func (r *Request) FinalDeadline(begun time.Time) time.Time {
 	if !r.pipeline.MustFinish() {
 		return r.deadline
 	}
@@ -100,7 +100,7 @@
 // still completes in the end. It reads nothing that Step changes.
 func (r *Request) CallLimit(now, begun time.Time, id Attempt) time.Duration {
 	s := r.pipeline.Stages()[id.Stage]
-	left := r.GiveUp(begun).Sub(now)
+	left := r.FinalDeadline(begun).Sub(now)
 	switch {
 	case s.Once():
 		return left + OnceGrace
