--- a/src/box/flight.go
+++ b/src/box/flight.go
@@ -160,7 +160,7 @@
 		return
 	}
 	stage := f.req.Pipeline().Stages()[a.Attempt.Stage]
-	ctx, cancel := context.WithTimeout(ctx, f.req.CallLimit(f.box.now(), f.begun, a.Attempt))
+	ctx, cancel := context.WithTimeout(ctx, f.req.CallTimeout(f.box.now(), f.begun, a.Attempt))
 	defer cancel()
 	stall := newStallWatch(stage, a.Attempt.N, cancel)
 	defer stall.end()
--- a/src/core/request.go
+++ b/src/core/request.go
@@ -96,9 +96,9 @@
 	return r.deadline
 }
 
-// CallLimit returns the timeout of one call. It doubles with each attempt, so that a stage that became slow
+// CallTimeout returns the timeout of one call. It doubles with each attempt, so that a stage that became slow
 // still completes in the end. It reads nothing that Step changes.
-func (r *Request) CallLimit(now, begun time.Time, id Attempt) time.Duration {
+func (r *Request) CallTimeout(now, begun time.Time, id Attempt) time.Duration {
 	s := r.pipeline.Stages()[id.Stage]
 	left := r.FinalDeadline(begun).Sub(now)
 	switch {
--- a/src/experiment/sim.go
+++ b/src/experiment/sim.go
@@ -310,7 +310,7 @@
 		return
 	}
 	if stage.Kind() != config.Generate {
-		s.after(f.req.CallLimit(s.now, f.begun, a.Attempt), func() {
+		s.after(f.req.CallTimeout(s.now, f.begun, a.Attempt), func() {
 			f.post(core.Failed{Attempt: a.Attempt, Failure: core.TimedOut})
 		})
 	}
