--- a/src/box/flight.go
+++ b/src/box/flight.go
@@ -250,7 +250,7 @@
 	if s.Kind() != config.Generate {
 		return &stallWatch{}
 	}
-	return &stallWatch{t: time.AfterFunc(core.FirstPieceLimit(attempt), cancel)}
+	return &stallWatch{t: time.AfterFunc(core.FirstChunkTimeout(attempt), cancel)}
 }
 
 func (w *stallWatch) alive() {
--- a/src/core/request.go
+++ b/src/core/request.go
@@ -111,10 +111,10 @@
 	return min(left, first<<min(id.N, maxDoublings))
 }
 
-// FirstPieceLimit returns the timeout for the first chunk of a stream. A call may queue at a busy engine
+// FirstChunkTimeout returns the timeout for the first chunk of a stream. A call may queue at a busy engine
 // behind prompt work, which does not mean that the stream is broken. The timeout doubles with each attempt,
 // or with long queues calls would move from engine to engine and never be served.
-func FirstPieceLimit(attempt int) time.Duration { return StallLimit << min(attempt+1, maxDoublings) }
+func FirstChunkTimeout(attempt int) time.Duration { return StallLimit << min(attempt+1, maxDoublings) }
 
 // Finished reports whether the final answer was given.
 func (r *Request) Finished() bool { return r.finished }
--- a/src/core/request_test.go
+++ b/src/core/request_test.go
@@ -267,15 +267,15 @@
 // The first chunk gets more time than later ones. Otherwise a call that queues at a busy engine is taken
 // for a broken stream and moves from queue to queue without being served.
 func TestFirstChunkTimeoutAllowsQueueing(t *testing.T) {
-	if FirstPieceLimit(0) <= StallLimit {
-		t.Errorf("the first chunk has %s, no more than a later one", FirstPieceLimit(0))
+	if FirstChunkTimeout(0) <= StallLimit {
+		t.Errorf("the first chunk has %s, no more than a later one", FirstChunkTimeout(0))
 	}
 	sum := time.Duration(0)
 	for n := range immediateAttempts {
-		if n > 0 && FirstPieceLimit(n) <= FirstPieceLimit(n-1) {
+		if n > 0 && FirstChunkTimeout(n) <= FirstChunkTimeout(n-1) {
 			t.Errorf("attempt %d has no more time than the one before", n)
 		}
-		sum += FirstPieceLimit(n)
+		sum += FirstChunkTimeout(n)
 	}
 	if sum < time.Minute {
 		t.Errorf("the first %d attempts wait %s in all", immediateAttempts, sum)
