--- a/src/box/flight.go
+++ b/src/box/flight.go
@@ -185,7 +185,7 @@
 func (f *flight) hearRest(s *config.BackendServer, stage *config.Stage, err *port.CallError) {
 	if p := f.box.pools.get(stage.Pool()); p != nil && err.Rest > 0 {
 		f.box.Log.Info("server asks for rest", "server", s.Name(), "pool", stage.Pool(), "asks_ms", err.Rest.Milliseconds())
-		p.locked(func(c *core.Pool) { c.AsksRest(f.box.now(), s.Name(), err.Rest) })
+		p.locked(func(c *core.Pool) { c.RecordRest(f.box.now(), s.Name(), err.Rest) })
 	}
 }
 
--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -358,8 +358,8 @@
 	return min(max(wait, 100*time.Millisecond), 30*time.Second)
 }
 
-// AsksRest records that a server refused a call and asked this box to send nothing for the given time.
-func (p *Pool) AsksRest(now time.Time, name string, length time.Duration) {
+// RecordRest records that a server refused a call and asked this box to send nothing for the given time.
+func (p *Pool) RecordRest(now time.Time, name string, length time.Duration) {
 	if s := p.servers[name]; s != nil && length > 0 {
 		p.pushback.HearRest(now, name, length)
 		s.askedRest = true
