--- a/src/box/beats.go
+++ b/src/box/beats.go
@@ -157,7 +157,7 @@
 				c.PeerLoad(now, m.From.ID.Name, name, int(notes[uint32(xxhash.Sum64String(name))]))
 			}
 			for _, l := range m.Leavings {
-				c.HearLeaving(now, l.Server, l.Incarnation, l.Seq)
+				c.PeerReportedLeaving(now, l.Server, l.Incarnation, l.Seq)
 			}
 		})
 	}
--- a/src/core/pool_test.go
+++ b/src/core/pool_test.go
@@ -201,7 +201,7 @@
 	if leaving() {
 		t.Error("the server's next incarnation still counts as leaving")
 	}
-	p.HearLeaving(now, "engine-0", 2, 5)
+	p.PeerReportedLeaving(now, "engine-0", 2, 5)
 	p.Report(now, "engine-0", Report{Incarnation: 2, Seq: 4})
 	if !leaving() {
 		t.Error("an older report reverted another box's report")
--- a/src/core/poolreports.go
+++ b/src/core/poolreports.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// HearLeaving records that another box reported a server as leaving, with the incarnation and sequence
+// PeerReportedLeaving records that another box reported a server as leaving, with the incarnation and sequence
 // number of the server's report.
-func (p *Pool) HearLeaving(now time.Time, name string, incarnation, seq uint64) {
+func (p *Pool) PeerReportedLeaving(now time.Time, name string, incarnation, seq uint64) {
 	s := p.servers[name]
 	if s == nil {
 		return
