--- a/src/box/documents.go
+++ b/src/box/documents.go
@@ -278,8 +278,8 @@
 func (d *documents) say(now time.Time, b *core.Beat) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	b.Config = d.config.Say(now)
-	b.List = d.list.Say(now)
+	b.Config = d.config.Statement(now)
+	b.List = d.list.Statement(now)
 }
 
 // startPull fetches a newer document that another box told of.
--- a/src/box/status.go
+++ b/src/box/status.go
@@ -71,7 +71,7 @@
 	now := b.now()
 	s := Status{At: now, Draining: b.draining.Load(), Ready: b.Ready(), Members: b.fleet.each(), Running: b.running(), Waiting: b.pools.waiting()}
 	b.docs.mu.Lock()
-	s.Config, s.List = b.docs.config.Say(now), b.docs.list.Say(now)
+	s.Config, s.List = b.docs.config.Statement(now), b.docs.list.Statement(now)
 	s.Conflict, s.Refusal = b.docs.config.Conflict(), b.docs.refusal
 	b.docs.mu.Unlock()
 	for _, p := range b.pools.list() {
--- a/src/core/docsync.go
+++ b/src/core/docsync.go
@@ -59,8 +59,8 @@
 // Conflict returns a version that was published twice with different content, or 0.
 func (s *Spread) Conflict() uint64 { return s.conflict }
 
-// Say returns the statement for the next heartbeat.
-func (s *Spread) Say(now time.Time) Statement {
+// Statement returns the statement for the next heartbeat.
+func (s *Spread) Statement(now time.Time) Statement {
 	st := s.held
 	st.Age = -1
 	if !s.confirmed.IsZero() {
