--- a/src/box/documents.go
+++ b/src/box/documents.go
@@ -267,8 +267,8 @@
 func (d *documents) hear(now time.Time, from string, b core.Beat, askedAt time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.config.Hear(now, from, b.Config, askedAt)
-	d.list.Hear(now, from, b.List, askedAt)
+	d.config.ReceiveStatement(now, from, b.Config, askedAt)
+	d.list.ReceiveStatement(now, from, b.List, askedAt)
 	if b.From.State == core.MemberAlive {
 		d.views.Heard(d.box.wall(), from, b.From.Domain)
 	}
