--- a/src/box/documents.go
+++ b/src/box/documents.go
@@ -157,11 +157,11 @@
 	d.mu.Lock()
 	held := d.config.Held()
 	if digest == held.Digest {
-		d.config.Served(readAt, held.Version, digest)
+		d.config.ReadSucceeded(readAt, held.Version, digest)
 		d.mu.Unlock()
 		return
 	}
-	d.config.Served(readAt, 0, "")
+	d.config.ReadSucceeded(readAt, 0, "")
 	refused := d.config.Refused(digest) || digest == d.older
 	d.mu.Unlock()
 	if refused {
@@ -248,7 +248,7 @@
 	d.mu.Lock()
 	fresh := d.list.Offer(l.Revision, digest)
 	if !readAt.IsZero() {
-		d.list.Served(readAt, l.Revision, digest)
+		d.list.ReadSucceeded(readAt, l.Revision, digest)
 	}
 	if fresh {
 		d.list.Adopt(l.Revision, digest, readAt)
