--- a/src/box/documents.go
+++ b/src/box/documents.go
@@ -83,8 +83,8 @@
 	live := d.box.fleet.regions(d.box.Config())
 	d.mu.Lock()
 	every := time.Duration(d.box.Settings.Platform.PollEvery)
-	readConf := !d.reading[0] && d.config.Reads(now, live, every)
-	readList := !d.reading[1] && d.list.Reads(now, live, every)
+	readConf := !d.reading[0] && d.config.ShouldRead(now, live, every)
+	readList := !d.reading[1] && d.list.ShouldRead(now, live, every)
 	d.reading[0] = d.reading[0] || readConf
 	d.reading[1] = d.reading[1] || readList
 	d.mu.Unlock()
--- a/src/core/docsync.go
+++ b/src/core/docsync.go
@@ -181,9 +181,9 @@
 	}
 }
 
-// Reads reports whether this box should read the service now. live maps usable boxes to their regions,
+// ShouldRead reports whether this box should read the service now. live maps usable boxes to their regions,
 // every is the read interval.
-func (s *Spread) Reads(now time.Time, live map[string]string, every time.Duration) bool {
+func (s *Spread) ShouldRead(now time.Time, live map[string]string, every time.Duration) bool {
 	if now.Sub(s.lastRead) < every {
 		return false
 	}
