--- a/src/box/documents.go
+++ b/src/box/documents.go
@@ -317,7 +317,7 @@
 	if err != nil || a.Pull == nil || config.Digest(raw) != a.Pull.Digest {
 		d.box.Log.Warn("document pull failed", "document", name, "from", from, "version", want.Version, "answered", a.Pull != nil, "cause", fmt.Sprint(err))
 		d.mu.Lock()
-		s.PullEnded(from)
+		s.PullFailed(from)
 		d.mu.Unlock()
 		return
 	}
--- a/src/core/docsync.go
+++ b/src/core/docsync.go
@@ -174,8 +174,8 @@
 	return best, s.wanted
 }
 
-// PullEnded records that the current pull failed, so that another box is asked.
-func (s *Spread) PullEnded(from string) {
+// PullFailed records that the current pull failed, so that another box is asked.
+func (s *Spread) PullFailed(from string) {
 	if s.pulling == from {
 		s.pullSince = time.Time{}
 	}
