--- a/src/box/documents.go
+++ b/src/box/documents.go
@@ -22,8 +22,8 @@
 	box *Box
 
 	mu         sync.Mutex
-	config     *core.Spread
-	list       *core.Spread
+	config     *core.DocumentSync
+	list       *core.DocumentSync
 	views      *core.Views
 	boxes      port.BoxList
 	holders    config.Holders // who may hold what, by the configuration in force
@@ -283,7 +283,7 @@
 }
 
 // startPull fetches a newer document that another box told of.
-func (d *documents) startPull(ctx context.Context, i int, s *core.Spread) {
+func (d *documents) startPull(ctx context.Context, i int, s *core.DocumentSync) {
 	d.mu.Lock()
 	from, want := "", core.Statement{}
 	if !d.pulling[i] {
@@ -303,7 +303,7 @@
 	}()
 }
 
-func (d *documents) pull(ctx context.Context, i int, s *core.Spread, from string, want core.Statement, have string) {
+func (d *documents) pull(ctx context.Context, i int, s *core.DocumentSync, from string, want core.Statement, have string) {
 	ctx, cancel := context.WithTimeout(ctx, core.PullTimeout)
 	defer cancel()
 	name := []string{port.DocumentConfig, port.DocumentList}[i]
--- a/src/core/docsync.go
+++ b/src/core/docsync.go
@@ -16,7 +16,7 @@
 	Reader uint32 `msgpack:"b,omitempty"`
 }
 
-// Spread distributes one published document (the configuration or the box list) to every box with few reads
+// DocumentSync distributes one published document (the configuration or the box list) to every box with few reads
 // of the platform's service.
 //
 // The first few boxes of each region, ranked by hash over the live boxes, read the service. There is no
@@ -30,7 +30,7 @@
 //
 // A document that only a reader holds is lost with it if no other box has heard of it; the next reader
 // finds it again. Not safe for concurrent use.
-type Spread struct {
+type DocumentSync struct {
 	Self   string
 	Region string
 
@@ -46,21 +46,21 @@
 }
 
 // NewSpread returns a Spread that holds no document.
-func NewSpread(self, region string) *Spread {
-	return &Spread{Self: self, Region: region, told: map[string]Statement{}, refused: map[string]bool{}}
+func NewSpread(self, region string) *DocumentSync {
+	return &DocumentSync{Self: self, Region: region, told: map[string]Statement{}, refused: map[string]bool{}}
 }
 
 // Held returns the version and digest in force here.
-func (s *Spread) Held() Statement { return s.held }
+func (s *DocumentSync) Held() Statement { return s.held }
 
 // Confirmed returns when a read last showed the held version to be the newest.
-func (s *Spread) Confirmed() time.Time { return s.confirmed }
+func (s *DocumentSync) Confirmed() time.Time { return s.confirmed }
 
 // Conflict returns a version that was published twice with different content, or 0.
-func (s *Spread) Conflict() uint64 { return s.conflict }
+func (s *DocumentSync) Conflict() uint64 { return s.conflict }
 
 // Statement returns the statement for the next heartbeat.
-func (s *Spread) Statement(now time.Time) Statement {
+func (s *DocumentSync) Statement(now time.Time) Statement {
 	st := s.held
 	st.Age = -1
 	if !s.confirmed.IsZero() {
@@ -71,7 +71,7 @@
 
 // Offer reports whether a version seen anywhere is newer than the held one and should be fetched or
 // adopted. It records a conflict if the held version is offered with another digest.
-func (s *Spread) Offer(version uint64, digest string) bool {
+func (s *DocumentSync) Offer(version uint64, digest string) bool {
 	if version == 0 || s.refused[digest] {
 		return false
 	}
@@ -83,7 +83,7 @@
 }
 
 // ReceiveStatement takes another box's statement. askedAt is when the heartbeat that it answers was sent, or zero.
-func (s *Spread) ReceiveStatement(now time.Time, from string, st Statement, askedAt time.Time) {
+func (s *DocumentSync) ReceiveStatement(now time.Time, from string, st Statement, askedAt time.Time) {
 	s.told[from] = st
 	if s.Offer(st.Version, st.Digest) && st.Version > s.wanted.Version {
 		s.wanted = st
@@ -96,18 +96,18 @@
 	}
 }
 
-func (s *Spread) confirm(at time.Time) {
+func (s *DocumentSync) confirm(at time.Time) {
 	if at.After(s.confirmed) {
 		s.confirmed = at
 	}
 }
 
 // Forget removes the statement of a box that is gone.
-func (s *Spread) Forget(box string) { delete(s.told, box) }
+func (s *DocumentSync) Forget(box string) { delete(s.told, box) }
 
 // ReadSucceeded takes the result of a read of the service that began at the given time, and reports whether the
 // document is newer than the held one and must be adopted. An older document confirms nothing.
-func (s *Spread) ReadSucceeded(at time.Time, version uint64, digest string) bool {
+func (s *DocumentSync) ReadSucceeded(at time.Time, version uint64, digest string) bool {
 	if at.IsZero() {
 		return s.Offer(version, digest)
 	}
@@ -123,7 +123,7 @@
 
 // Adopt puts a validated document in force. readAt is when the service showed it, or zero if it came from
 // another box. It reports whether the version rose.
-func (s *Spread) Adopt(version uint64, digest string, readAt time.Time) bool {
+func (s *DocumentSync) Adopt(version uint64, digest string, readAt time.Time) bool {
 	if version <= s.held.Version {
 		return false
 	}
@@ -137,7 +137,7 @@
 }
 
 // Refuse records that a document failed validation, so that it is not fetched again.
-func (s *Spread) Refuse(digest string) {
+func (s *DocumentSync) Refuse(digest string) {
 	s.refused[digest] = true
 	if s.wanted.Digest == digest {
 		s.wanted = Statement{}
@@ -146,13 +146,13 @@
 }
 
 // Refused reports whether a document failed validation before.
-func (s *Spread) Refused(digest string) bool { return s.refused[digest] }
+func (s *DocumentSync) Refused(digest string) bool { return s.refused[digest] }
 
 // ReadFailed records a failed read of the service.
-func (s *Spread) ReadFailed(at time.Time) { s.lastRead = at }
+func (s *DocumentSync) ReadFailed(at time.Time) { s.lastRead = at }
 
 // Pull returns the box to fetch the wanted document from now, or "".
-func (s *Spread) Pull(now time.Time) (from string, want Statement) {
+func (s *DocumentSync) Pull(now time.Time) (from string, want Statement) {
 	if s.wanted.Version <= s.held.Version || s.refused[s.wanted.Digest] {
 		return "", Statement{}
 	}
@@ -175,7 +175,7 @@
 }
 
 // PullFailed records that the current pull failed, so that another box is asked.
-func (s *Spread) PullFailed(from string) {
+func (s *DocumentSync) PullFailed(from string) {
 	if s.pulling == from {
 		s.pullSince = time.Time{}
 	}
@@ -183,7 +183,7 @@
 
 // ShouldRead reports whether this box should read the service now. live maps usable boxes to their regions,
 // every is the read interval.
-func (s *Spread) ShouldRead(now time.Time, live map[string]string, every time.Duration) bool {
+func (s *DocumentSync) ShouldRead(now time.Time, live map[string]string, every time.Duration) bool {
 	if now.Sub(s.lastRead) < every {
 		return false
 	}
@@ -195,7 +195,7 @@
 }
 
 // isReader reports whether this box is one of the readers of its region.
-func (s *Spread) isReader(live map[string]string) bool {
+func (s *DocumentSync) isReader(live map[string]string) bool {
 	own := rank(0, s.Self)
 	ahead := 0
 	for box, region := range live {
@@ -207,7 +207,7 @@
 }
 
 // Newest returns the highest version that any box reported.
-func (s *Spread) Newest() uint64 {
+func (s *DocumentSync) Newest() uint64 {
 	v := s.held.Version
 	for _, st := range s.told {
 		v = max(v, st.Version)
