--- a/src/box/documents.go
+++ b/src/box/documents.go
@@ -43,8 +43,8 @@
 
 func (d *documents) init(b *Box) {
 	d.box = b
-	d.config = core.NewSpread(b.ID.Name, "")
-	d.list = core.NewSpread(b.ID.Name, "")
+	d.config = core.NewDocumentSync(b.ID.Name, "")
+	d.list = core.NewDocumentSync(b.ID.Name, "")
 	s := b.Settings.AtMostOnce
 	d.views = core.NewViews(b.ID)
 	d.views.FreshFor = time.Duration(s.FreshWithin)
--- a/src/core/docsync.go
+++ b/src/core/docsync.go
@@ -45,8 +45,8 @@
 	lastRead  time.Time
 }
 
-// NewSpread returns a Spread that holds no document.
-func NewSpread(self, region string) *DocumentSync {
+// NewDocumentSync returns a Spread that holds no document.
+func NewDocumentSync(self, region string) *DocumentSync {
 	return &DocumentSync{Self: self, Region: region, told: map[string]Statement{}, refused: map[string]bool{}}
 }
 
--- a/src/core/docsync_test.go
+++ b/src/core/docsync_test.go
@@ -8,7 +8,7 @@
 // An older document, from the service or from another box, must not replace a newer one.
 func TestVersionsNeverDecrease(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
-	s := NewSpread("a", "r")
+	s := NewDocumentSync("a", "r")
 	if !s.Offer(5, "five") || !s.Adopt(5, "five", now) {
 		t.Fatal("the first version was not taken")
 	}
