--- a/src/box/beats.go
+++ b/src/box/beats.go
@@ -197,7 +197,7 @@
 func (f *fleet) setList(now time.Time, boxes []core.ListedBox) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.core.List(now, boxes)
+	f.core.SetList(now, boxes)
 }
 
 func (f *fleet) usable() []string {
--- a/src/core/bench_test.go
+++ b/src/core/bench_test.go
@@ -154,7 +154,7 @@
 				peers = append(peers, Beat{From: r, Seq: uint64(i)})
 				list = append(list, ListedBox{Name: r.ID.Name, Address: "a", FailureDomain: "d"})
 			}
-			m.List(now, list)
+			m.SetList(now, list)
 			for _, p := range peers {
 				m.Receive(now, p)
 			}
--- a/src/core/members.go
+++ b/src/core/members.go
@@ -78,8 +78,8 @@
 	m.gossip(m.Self)
 }
 
-// List takes the platform's box list, which tells whom to contact but not who is alive.
-func (m *Members) List(now time.Time, boxes []ListedBox) {
+// SetList takes the platform's box list, which tells whom to contact but not who is alive.
+func (m *Members) SetList(now time.Time, boxes []ListedBox) {
 	for _, e := range m.all {
 		e.listed = false
 	}
--- a/src/core/members_test.go
+++ b/src/core/members_test.go
@@ -23,7 +23,7 @@
 	}
 	for i, b := range list {
 		m := NewMembers(Rumour{ID: BoxID{Name: b.Name, Incarnation: 1}, Address: b.Address, Domain: "d"}, rand.New(rand.NewPCG(seed, uint64(i))))
-		m.List(x.now, list)
+		m.SetList(x.now, list)
 		x.nodes[b.Name] = m
 	}
 	return x
@@ -81,7 +81,7 @@
 			t.Errorf("%d boxes: 25 s after the loss %v", n, s)
 		}
 		next := NewMembers(Rumour{ID: BoxID{Name: "b03", Incarnation: 2}, Address: "b03", Domain: "d"}, rand.New(rand.NewPCG(9, 9)))
-		next.List(x.now, []ListedBox{{Name: "b00", Address: "b00"}})
+		next.SetList(x.now, []ListedBox{{Name: "b00", Address: "b00"}})
 		x.nodes["b03"] = next
 		x.run(15 * time.Second)
 		if s := x.states("b03"); s[MemberAlive] != n-1 || x.nodes["b01"].Find("b03").ID().Incarnation != 2 {
