--- a/src/box/beats.go
+++ b/src/box/beats.go
@@ -63,7 +63,7 @@
 func (b *Box) tellLoads(context.Context) {
 	f := &b.fleet
 	f.mu.Lock()
-	to, self := f.core.Near(), f.core.Self
+	to, self := f.core.SmallFleetAddresses(), f.core.Self
 	f.mu.Unlock()
 	loads := b.loadNotes(b.now())
 	now := b.now()
--- a/src/box/suspects.go
+++ b/src/box/suspects.go
@@ -49,7 +49,7 @@
 func (b *Box) announceSuspects() {
 	f := &b.fleet
 	f.mu.Lock()
-	to, self := f.core.Near(), f.core.Self
+	to, self := f.core.SmallFleetAddresses(), f.core.Self
 	if len(to) == 0 {
 		to = f.core.Some(announceTo)
 	}
--- a/src/core/memberlists.go
+++ b/src/core/memberlists.go
@@ -17,8 +17,8 @@
 	return out
 }
 
-// Near lists the addresses of the usable members if the fleet is small (smallFleet), otherwise nil.
-func (m *Members) Near() []string {
+// SmallFleetAddresses lists the addresses of the usable members if the fleet is small (smallFleet), otherwise nil.
+func (m *Members) SmallFleetAddresses() []string {
 	var out []string
 	for _, n := range m.names {
 		if e := m.all[n]; e.Usable() && e.id.Incarnation != 0 && e.address != "" {
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -109,7 +109,7 @@
 func (g *Gateway) tellNews(context.Context) {
 	f := &g.fleet
 	f.mu.Lock()
-	to := f.core.Near()
+	to := f.core.SmallFleetAddresses()
 	f.mu.Unlock()
 	g.tellTo(to)
 }
@@ -119,7 +119,7 @@
 func (g *Gateway) announce() {
 	f := &g.fleet
 	f.mu.Lock()
-	to := f.core.Near()
+	to := f.core.SmallFleetAddresses()
 	if len(to) == 0 {
 		to = f.core.Some(announceTo)
 	}
