--- a/src/box/suspects.go
+++ b/src/box/suspects.go
@@ -51,7 +51,7 @@
 	f.mu.Lock()
 	to, self := f.core.SmallFleetAddresses(), f.core.Self
 	if len(to) == 0 {
-		to = f.core.Some(announceTo)
+		to = f.core.RandomAddresses(announceTo)
 	}
 	f.mu.Unlock()
 	notes := b.suspects.Notes(true)
--- a/src/core/memberlists.go
+++ b/src/core/memberlists.go
@@ -31,9 +31,9 @@
 	return out
 }
 
-// Some returns the addresses of up to n random usable members, to gossip news in a fleet that is too large
+// RandomAddresses returns the addresses of up to n random usable members, to gossip news in a fleet that is too large
 // to contact everybody.
-func (m *Members) Some(n int) []string {
+func (m *Members) RandomAddresses(n int) []string {
 	var out []string
 	for _, name := range m.newRound() {
 		if e := m.all[name]; e.Usable() && e.id.Incarnation != 0 && len(out) < n {
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -121,7 +121,7 @@
 	f.mu.Lock()
 	to := f.core.SmallFleetAddresses()
 	if len(to) == 0 {
-		to = f.core.Some(announceTo)
+		to = f.core.RandomAddresses(announceTo)
 	}
 	f.mu.Unlock()
 	g.tellTo(to)
