--- a/src/core/memberlists.go
+++ b/src/core/memberlists.go
@@ -87,9 +87,9 @@
 // Successor returns the box that took over the ledger of an incarnation that stopped as planned, or "".
 func (m *Members) Successor(id BoxID) string { return m.handovers[id].successor }
 
-// Missing counts the members that were lost within the given time without leaving: they may still be
+// RecentlyLost counts the members that were lost within the given time without leaving: they may still be
 // running, unreachable for this box.
-func (m *Members) Missing(now time.Time, within time.Duration) int {
+func (m *Members) RecentlyLost(now time.Time, within time.Duration) int {
 	n := 0
 	for _, e := range m.all {
 		if e.state == MemberDead && !e.left && now.Sub(e.since) < within {
--- a/src/gateway/permits.go
+++ b/src/gateway/permits.go
@@ -208,7 +208,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := max(1, len(f.usableNow))
-	return float64(n) / float64(n+f.core.Missing(now, seenLately))
+	return float64(n) / float64(n+f.core.RecentlyLost(now, seenLately))
 }
 
 // passOver takes a box out of the choice of coordinators: it knows no limits.
