--- a/src/core/table.go
+++ b/src/core/table.go
@@ -261,9 +261,9 @@
 	}
 }
 
-// Seek returns a heartbeat to a random member while the fleet is forming. It is called more often than
+// FormingProbe returns a heartbeat to a random member while the fleet is forming. It is called more often than
 // Tick.
-func (m *Members) Seek(now time.Time) []BeatTo {
+func (m *Members) FormingProbe(now time.Time) []BeatTo {
 	if !m.Forming(now) || len(m.names) == 0 {
 		return nil
 	}
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -74,7 +74,7 @@
 		return
 	}
 	f.core.Expect = g.news(now)
-	out := f.core.Seek(now)
+	out := f.core.FormingProbe(now)
 	if now.Sub(g.startedAt) <= introduceFor {
 		out = append(out, f.seedBeats(now)...)
 	}
