--- a/src/box/beats.go
+++ b/src/box/beats.go
@@ -46,7 +46,7 @@
 	now := b.now()
 	f.mu.Lock()
 	f.core.Expect = b.news(now)
-	out := append(f.core.Tick(now), f.core.Indirect(now)...)
+	out := append(f.core.Tick(now), f.core.IndirectProbes(now)...)
 	changed := f.core.Changed()
 	f.mu.Unlock()
 	for _, o := range out {
--- a/src/core/heartbeats.go
+++ b/src/core/heartbeats.go
@@ -106,9 +106,9 @@
 // News builds a one-way message with the state of this box that wants no answer.
 func (m *Members) News(now time.Time) Beat { return Beat{From: m.self(now), News: true} }
 
-// Indirect builds heartbeats that ask other members to probe the members that became suspects within the
+// IndirectProbes builds heartbeats that ask other members to probe the members that became suspects within the
 // last HeartbeatEvery.
-func (m *Members) Indirect(now time.Time) []BeatTo {
+func (m *Members) IndirectProbes(now time.Time) []BeatTo {
 	var out []BeatTo
 	for _, name := range m.names {
 		e := m.all[name]
--- a/src/core/members_test.go
+++ b/src/core/members_test.go
@@ -42,7 +42,7 @@
 	for end := x.now.Add(d); x.now.Before(end); x.now = x.now.Add(HeartbeatEvery) {
 		for _, n := range x.order() {
 			m := x.nodes[n]
-			x.deliver(n, append(m.Tick(x.now), m.Indirect(x.now)...))
+			x.deliver(n, append(m.Tick(x.now), m.IndirectProbes(x.now)...))
 		}
 	}
 }
--- a/src/core/table_test.go
+++ b/src/core/table_test.go
@@ -80,7 +80,7 @@
 			x.deliver(n, m.FormingProbe(x.now))
 			x.deliver(n, x.introductions(m))
 			if (x.step+i)%int(HeartbeatEvery/tablePace) == 0 {
-				x.deliver(n, append(m.Tick(x.now), m.Indirect(x.now)...))
+				x.deliver(n, append(m.Tick(x.now), m.IndirectProbes(x.now)...))
 			}
 		}
 		x.step++
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -53,7 +53,7 @@
 	now := g.now()
 	f.mu.Lock()
 	f.core.Expect = g.news(now)
-	out := append(f.core.Tick(now), f.core.Indirect(now)...)
+	out := append(f.core.Tick(now), f.core.IndirectProbes(now)...)
 	out = append(out, f.seedBeats(now)...)
 	changed := f.core.Changed()
 	f.mu.Unlock()
