--- a/src/core/members.go
+++ b/src/core/members.go
@@ -196,16 +196,16 @@
 	}
 }
 
-// Heard is the result of a received heartbeat for the rest of the box.
-type Heard struct {
+// ReceiveResult is the result of a received heartbeat for the rest of the box.
+type ReceiveResult struct {
 	Reply   []BeatTo
 	From    BoxID
 	AskedAt time.Time // send time of the heartbeat that this one answers; zero if it is no answer
 }
 
 // Receive processes a heartbeat and returns the messages to send in reply.
-func (m *Members) Receive(now time.Time, b Beat) Heard {
-	h := Heard{From: b.From.ID}
+func (m *Members) Receive(now time.Time, b Beat) ReceiveResult {
+	h := ReceiveResult{From: b.From.ID}
 	if b.From.ID.Name == m.Self.ID.Name {
 		return h
 	}
