--- a/src/box/beats.go
+++ b/src/box/beats.go
@@ -67,7 +67,7 @@
 	f.mu.Unlock()
 	loads := b.loadNotes(b.now())
 	now := b.now()
-	if len(to) == 0 || slices.Equal(loads, f.told) && (len(loads) == 0 || now.Sub(f.toldAt) < core.TellAgain) {
+	if len(to) == 0 || slices.Equal(loads, f.told) && (len(loads) == 0 || now.Sub(f.toldAt) < core.LoadRepeatEvery) {
 		return
 	}
 	f.told, f.toldAt = loads, now
--- a/src/core/constants.go
+++ b/src/core/constants.go
@@ -61,7 +61,7 @@
 const (
 	HeartbeatEvery   = 500 * time.Millisecond // heartbeat interval
 	NewsEvery        = 200 * time.Millisecond // interval at which the boxes of a small fleet tell each other their loads
-	TellAgain        = 600 * time.Millisecond // interval at which unchanged loads are sent again
+	LoadRepeatEvery        = 600 * time.Millisecond // interval at which unchanged loads are sent again
 	smallFleet       = 15                     // largest number of other boxes that counts as a small fleet; in larger ones few boxes share a server
 	heartbeatFanout  = 3                      // members that each heartbeat goes to, whatever the fleet size
 	rumoursPerBeat   = 12                     // rumours in one heartbeat
