--- a/src/box/serve.go
+++ b/src/box/serve.go
@@ -194,7 +194,7 @@
 	}
 	b.entries.mu.Lock()
 	defer b.entries.mu.Unlock()
-	err := b.entries.core.Enter(b.now(), q.workspace, q.pipeline, q.deadline, b.est, b.pools.waitFor)
+	err := b.entries.core.Admit(b.now(), q.workspace, q.pipeline, q.deadline, b.est, b.pools.waitFor)
 	if err != nil {
 		return err.WithRan(code.RanNo)
 	}
--- a/src/core/admission.go
+++ b/src/core/admission.go
@@ -27,9 +27,9 @@
 // don't spread requests evenly.
 const limitSlack = 1.25
 
-// Enter admits a request or returns the reason for refusing it. Each admitted request needs one call of
+// Admit admits a request or returns the reason for refusing it. Each admitted request needs one call of
 // Leave.
-func (a *Admission) Enter(now time.Time, w *config.Workspace, p *config.Pipeline, deadline time.Time, est *Estimates, waits Waits) *code.Error {
+func (a *Admission) Admit(now time.Time, w *config.Workspace, p *config.Pipeline, deadline time.Time, est *Estimates, waits Waits) *code.Error {
 	if a.Off {
 		a.inFlight[w.Name()]++
 		return nil
--- a/src/core/bench_test.go
+++ b/src/core/bench_test.go
@@ -127,12 +127,12 @@
 			waits := func(_ *config.Stage, class config.Class, d time.Time) time.Duration { return p.WaitFor(now, class, d) }
 			pipe := c.Pipeline("pipeline-01")
 			for i := range n {
-				_ = a.Enter(now, c.Workspace(fmt.Sprintf("workspace-%04d", 1+i)), pipe, now.Add(time.Hour), p.Estimates, waits)
+				_ = a.Admit(now, c.Workspace(fmt.Sprintf("workspace-%04d", 1+i)), pipe, now.Add(time.Hour), p.Estimates, waits)
 			}
 			w := c.Workspace("workspace-0001")
 			b.ReportAllocs()
 			for b.Loop() {
-				if a.Enter(now, w, pipe, now.Add(time.Hour), p.Estimates, waits) == nil {
+				if a.Admit(now, w, pipe, now.Add(time.Hour), p.Estimates, waits) == nil {
 					a.Leave(w.Name())
 				}
 			}
--- a/src/experiment/sim.go
+++ b/src/experiment/sim.go
@@ -198,7 +198,7 @@
 	waits := func(st *config.Stage, c config.Class, d time.Time) time.Duration {
 		return b.pools[st.Pool()].WaitFor(s.now, c, d)
 	}
-	if err := b.entries.Enter(s.now, w, a.Pipeline, deadline, b.est, waits); err != nil {
+	if err := b.entries.Admit(s.now, w, a.Pipeline, deadline, b.est, waits); err != nil {
 		out.err, out.done = err, true
 		return
 	}
