--- a/src/core/claim.go
+++ b/src/core/claim.go
@@ -27,8 +27,8 @@
 	m.setClaims(append(m.otherClaims(pool), Claim{Pool: pool, Term: term + 1}))
 }
 
-// Disclaim withdraws this box's claim to a pool.
-func (m *Members) Disclaim(pool uint64) {
+// ReleaseClaim withdraws this box's claim to a pool.
+func (m *Members) ReleaseClaim(pool uint64) {
 	if m.claims(pool) {
 		m.setClaims(m.otherClaims(pool))
 	}
--- a/src/core/claim_test.go
+++ b/src/core/claim_test.go
@@ -28,7 +28,7 @@
 			t.Fatalf("%s knows the claims %v", n, got)
 		}
 	}
-	x.nodes["b0042"].Disclaim(testPool)
+	x.nodes["b0042"].ReleaseClaim(testPool)
 	x.run(2500 * time.Millisecond)
 	for n := range x.nodes {
 		if got := claimants(x, n); len(got) > 0 {
--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -219,7 +219,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	claimed := f.claims(pool)
-	f.core.Disclaim(catalog.Hash(pool))
+	f.core.ReleaseClaim(catalog.Hash(pool))
 	f.roster.forget()
 	if claimed {
 		f.gateway.Log.Info("pool given up", "pool", pool)
