--- a/src/core/admission.go
+++ b/src/core/admission.go
@@ -8,8 +8,8 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// Waits estimates how long a new call of a stage would wait in its pool.
-type Waits func(s *config.Stage, class config.Class, deadline time.Time) time.Duration
+// WaitEstimator estimates how long a new call of a stage would wait in its pool.
+type WaitEstimator func(s *config.Stage, class config.Class, deadline time.Time) time.Duration
 
 // Admission rejects requests that exceed their workspace's limit or can't finish by their deadline, before
 // they use any resources. Not safe for concurrent use.
@@ -29,7 +29,7 @@
 
 // Admit admits a request or returns the reason for refusing it. Each admitted request needs one call of
 // Leave.
-func (a *Admission) Admit(now time.Time, w *config.Workspace, p *config.Pipeline, deadline time.Time, est *Estimates, waits Waits) *code.Error {
+func (a *Admission) Admit(now time.Time, w *config.Workspace, p *config.Pipeline, deadline time.Time, est *Estimates, waits WaitEstimator) *code.Error {
 	if a.Off {
 		a.inFlight[w.Name()]++
 		return nil
@@ -51,7 +51,7 @@
 }
 
 // expectedDuration estimates the time that all stages take, including the current waits in their pools.
-func (a *Admission) expectedDuration(now time.Time, p *config.Pipeline, deadline time.Time, est *Estimates, waits Waits) time.Duration {
+func (a *Admission) expectedDuration(now time.Time, p *config.Pipeline, deadline time.Time, est *Estimates, waits WaitEstimator) time.Duration {
 	run := est.Tail(now, p, 0)
 	var wait time.Duration
 	for _, s := range p.Stages() {
