--- a/src/backend/client.go
+++ b/src/backend/client.go
@@ -178,7 +178,7 @@
 
 // Order sends a fenced order unless it has become void.
 func (c *Client) Order(ctx context.Context, b *config.BackendServer, o core.Order) error {
-	if o.Void(time.Now()) {
+	if o.Expired(time.Now()) {
 		return eris.New("the order waited too long and is void")
 	}
 	r := OrderRequest{Fence: o.Fence, Model: o.Model, Version: o.Version, Adapters: o.Adapters, Role: o.Role, LoadTime: int64(o.LoadTime)}
--- a/src/core/order.go
+++ b/src/core/order.go
@@ -25,8 +25,8 @@
 // drops it and decides again from what it observes then.
 const orderLife = time.Second
 
-// Void reports whether the order has expired.
-func (o Order) Void(now time.Time) bool { return now.Sub(o.Decided) > orderLife }
+// Expired reports whether the order has expired.
+func (o Order) Expired(now time.Time) bool { return now.Sub(o.Decided) > orderLife }
 
 // Orders compares what the configuration requires of an engine with what the engine reports.
 //
--- a/src/faults/links_test.go
+++ b/src/faults/links_test.go
@@ -115,7 +115,7 @@
 
 func (f *fleet) order(b *fakeBox, s *config.BackendServer, o core.Order) error {
 	b.gate()
-	if o.Void(time.Now()) || !f.joined(b, s.Name()) || !f.engines[s.Name()].Take(o) {
+	if o.Expired(time.Now()) || !f.joined(b, s.Name()) || !f.engines[s.Name()].Take(o) {
 		return errLost
 	}
 	return nil
