--- a/src/box/box.go
+++ b/src/box/box.go
@@ -48,7 +48,7 @@
 
 	est     *core.Estimates
 	cost    *core.Cost
-	burn    *core.Burn
+	burn    *core.BurnRates
 	shards  [shardCount]shard
 	pools   poolSet
 	conf    atomic.Pointer[config.Config]
--- a/src/core/burnrate.go
+++ b/src/core/burnrate.go
@@ -7,9 +7,9 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// Burn tracks how fast the error budget of each service level is spent over several windows. Counts are
+// BurnRates tracks how fast the error budget of each service level is spent over several windows. Counts are
 // kept in a ring of time slots, so memory is fixed. Safe for concurrent use.
-type Burn struct {
+type BurnRates struct {
 	mu     sync.Mutex
 	levels []*burnLevel
 }
@@ -50,10 +50,10 @@
 }
 
 // NewBurn returns a Burn without service levels.
-func NewBurn() *Burn { return &Burn{} }
+func NewBurn() *BurnRates { return &BurnRates{} }
 
 // SetLevels replaces the service levels; levels that are unchanged keep their counts.
-func (b *Burn) SetLevels(docs []config.ServiceLevelDoc) {
+func (b *BurnRates) SetLevels(docs []config.ServiceLevelDoc) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	old := map[config.ServiceLevelDoc]*burnLevel{}
@@ -71,7 +71,7 @@
 }
 
 // Add counts one ended request in every level of its class.
-func (b *Burn) Add(now time.Time, s Sample) {
+func (b *BurnRates) Add(now time.Time, s Sample) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, l := range b.levels {
@@ -120,7 +120,7 @@
 }
 
 // Read returns the reading of every level over every window.
-func (b *Burn) Read(now time.Time) []BurnReading {
+func (b *BurnRates) Read(now time.Time) []BurnReading {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []BurnReading
