--- a/src/box/box.go
+++ b/src/box/box.go
@@ -111,7 +111,7 @@
 		b.Rand = rand.New(rand.NewPCG(b.ID.Incarnation, 1))
 	}
 	s := b.Settings
-	b.est, b.cost, b.burn = core.NewEstimates(), core.NewCost(), core.NewBurn()
+	b.est, b.cost, b.burn = core.NewEstimates(), core.NewCost(), core.NewBurnRates()
 	for i := range b.shards {
 		l := core.NewLedger()
 		// A key made by a clock that is ahead must be expired before it is forgotten.
--- a/src/core/burnrate.go
+++ b/src/core/burnrate.go
@@ -49,8 +49,8 @@
 	BetweenTokens time.Duration
 }
 
-// NewBurn returns a Burn without service levels.
-func NewBurn() *BurnRates { return &BurnRates{} }
+// NewBurnRates returns a Burn without service levels.
+func NewBurnRates() *BurnRates { return &BurnRates{} }
 
 // SetLevels replaces the service levels; levels that are unchanged keep their counts.
 func (b *BurnRates) SetLevels(docs []config.ServiceLevelDoc) {
