--- a/src/quota/limiter.go
+++ b/src/quota/limiter.go
@@ -33,7 +33,7 @@
 	Known       time.Duration // time for which boxes have known of the limit
 	Patience    time.Duration // longest acceptable time until the first permit begins
 	Wants       int           // number of permits wanted
-	StandsIn    bool          // the asked box is a substitute for a limiter that does not answer
+	Substitute    bool          // the asked box is a substitute for a limiter that does not answer
 }
 
 // Grant answers an Ask.
@@ -65,7 +65,7 @@
 	s := l.serverOf(now, a)
 	s.usedAt = now
 	rate := s.perSecond * min(1, max(0, part))
-	if a.StandsIn || now.Before(s.sharesUntil) {
+	if a.Substitute || now.Before(s.sharesUntil) {
 		rate *= takeoverPart
 	}
 	if rate <= 0 {
--- a/src/quota/limiter_test.go
+++ b/src/quota/limiter_test.go
@@ -75,7 +75,7 @@
 		var k Limiter
 		n := 0
 		for at := time.Duration(0); at < 20*time.Second; at += 10 * time.Millisecond {
-			n += k.Take(start.Add(at), Ask{Server: "s", PerSecond: 10, Wants: 1, StandsIn: c.standsIn}, c.part).Permits
+			n += k.Take(start.Add(at), Ask{Server: "s", PerSecond: 10, Wants: 1, Substitute: c.standsIn}, c.part).Permits
 		}
 		if got := float64(n) / 200; got < c.want-0.05 || got > c.want+0.05 {
 			t.Errorf("%s: %.2f of the limit granted, want %.2f", c.name, got, c.want)
