--- a/src/gateway/permits.go
+++ b/src/gateway/permits.go
@@ -173,7 +173,7 @@
 	if !limited { // it ended, as this box has heard
 		return port.Permits{N: max(1, q.Wants), Limit: noteOf(l.LimitNote)}
 	}
-	a := quota.Ask{Server: l.Server.ID, Incarnation: l.Server.Incarnation, PerSecond: l.Rate, Known: max(q.Known, l.Known), Patience: q.Patience, Wants: q.Wants, Substitute: standsIn}
+	a := quota.PermitRequest{Server: l.Server.ID, Incarnation: l.Server.Incarnation, PerSecond: l.Rate, Known: max(q.Known, l.Known), Patience: q.Patience, Wants: q.Wants, Substitute: standsIn}
 	part := g.fleet.inSight(now)
 	g.permits.mu.Lock()
 	t := g.permits.limiter.Take(now, a, part)
--- a/src/quota/limiter.go
+++ b/src/quota/limiter.go
@@ -25,8 +25,8 @@
 	"time"
 )
 
-// Ask is a request of a box for permits at a server.
-type Ask struct {
+// PermitRequest is a request of a box for permits at a server.
+type PermitRequest struct {
 	Server      string
 	Incarnation int64         // incarnation of the server
 	PerSecond   float64       // limit of the server, in requests per second
@@ -61,7 +61,7 @@
 
 // Take grants permits, or returns when to ask again. part is the part of the limit for the boxes that this
 // limiter can reach.
-func (l *Limiter) Take(now time.Time, a Ask, part float64) Grant {
+func (l *Limiter) Take(now time.Time, a PermitRequest, part float64) Grant {
 	s := l.serverOf(now, a)
 	s.usedAt = now
 	rate := s.perSecond * min(1, max(0, part))
@@ -98,7 +98,7 @@
 
 // serverOf returns the state of a server, updated with the limit in the request. Permits granted ahead are
 // converted to a changed limit.
-func (l *Limiter) serverOf(now time.Time, a Ask) *server {
+func (l *Limiter) serverOf(now time.Time, a PermitRequest) *server {
 	if l.servers == nil {
 		l.servers = map[string]*server{}
 	}
--- a/src/quota/limiter_test.go
+++ b/src/quota/limiter_test.go
@@ -21,7 +21,7 @@
 		var used []time.Time
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
-			a := Ask{Server: "s", PerSecond: perSecond, Patience: time.Duration(rapid.IntRange(0, 2000).Draw(t, "patience")) * time.Millisecond, Wants: rapid.IntRange(1, 100).Draw(t, "wants")}
+			a := PermitRequest{Server: "s", PerSecond: perSecond, Patience: time.Duration(rapid.IntRange(0, 2000).Draw(t, "patience")) * time.Millisecond, Wants: rapid.IntRange(1, 100).Draw(t, "wants")}
 			g := k.Take(now, a, 1)
 			if g.Permits > 0 && g.Begin > a.Patience {
 				t.Fatalf("a permit that begins after %s for a patience of %s", g.Begin, a.Patience)
@@ -44,7 +44,7 @@
 		var before, after Limiter
 		var used []time.Time
 		take := func(k *Limiter, now time.Time) {
-			g := k.Take(now, Ask{Server: "s", PerSecond: perSecond, Known: time.Minute, Wants: 100}, 1)
+			g := k.Take(now, PermitRequest{Server: "s", PerSecond: perSecond, Known: time.Minute, Wants: 100}, 1)
 			for range g.Permits {
 				used = append(used, now)
 			}
@@ -75,7 +75,7 @@
 		var k Limiter
 		n := 0
 		for at := time.Duration(0); at < 20*time.Second; at += 10 * time.Millisecond {
-			n += k.Take(start.Add(at), Ask{Server: "s", PerSecond: 10, Wants: 1, Substitute: c.standsIn}, c.part).Permits
+			n += k.Take(start.Add(at), PermitRequest{Server: "s", PerSecond: 10, Wants: 1, Substitute: c.standsIn}, c.part).Permits
 		}
 		if got := float64(n) / 200; got < c.want-0.05 || got > c.want+0.05 {
 			t.Errorf("%s: %.2f of the limit granted, want %.2f", c.name, got, c.want)
@@ -88,15 +88,15 @@
 func TestChangedLimitAppliesAtOnce(t *testing.T) {
 	var k Limiter
 	for range 20 { // two seconds ahead
-		k.Take(start, Ask{Server: "s", PerSecond: 10, Patience: 2 * time.Second, Wants: 1}, 1)
+		k.Take(start, PermitRequest{Server: "s", PerSecond: 10, Patience: 2 * time.Second, Wants: 1}, 1)
 	}
-	if g := k.Take(start, Ask{Server: "s", PerSecond: 10, Wants: 1}, 1); g.Next < 1500*time.Millisecond {
+	if g := k.Take(start, PermitRequest{Server: "s", PerSecond: 10, Wants: 1}, 1); g.Next < 1500*time.Millisecond {
 		t.Fatalf("the next permit is free after %s", g.Next)
 	}
-	if g := k.Take(start, Ask{Server: "s", PerSecond: 100, Wants: 1}, 1); g.Next > 300*time.Millisecond {
+	if g := k.Take(start, PermitRequest{Server: "s", PerSecond: 100, Wants: 1}, 1); g.Next > 300*time.Millisecond {
 		t.Errorf("at ten times the limit the next permit is free after %s", g.Next)
 	}
-	if g := k.Take(start, Ask{Server: "s", Incarnation: 1, PerSecond: 10, Wants: 1}, 1); g.Permits != 1 {
+	if g := k.Take(start, PermitRequest{Server: "s", Incarnation: 1, PerSecond: 10, Wants: 1}, 1); g.Permits != 1 {
 		t.Error("a new incarnation of the server has no permit")
 	}
 }
@@ -111,7 +111,7 @@
 		for at := time.Duration(0); at < seconds*time.Second; at += 10 * time.Millisecond {
 			for i := range until {
 				if now := start.Add(at); !now.Before(until[i]) {
-					g := k.Take(now, Ask{Server: "s", PerSecond: 1, Wants: 1}, 1)
+					g := k.Take(now, PermitRequest{Server: "s", PerSecond: 1, Wants: 1}, 1)
 					asked++
 					got += g.Permits
 					until[i] = now.Add(max(g.Next, time.Millisecond))
@@ -128,7 +128,7 @@
 func TestLimiterForgetsUnusedServers(t *testing.T) {
 	var k Limiter
 	for i := range 100 {
-		k.Take(start, Ask{Server: fmt.Sprint(i), PerSecond: 1, Wants: 1}, 1)
+		k.Take(start, PermitRequest{Server: fmt.Sprint(i), PerSecond: 1, Wants: 1}, 1)
 	}
 	k.Sweep(start.Add(serverTTL / 2))
 	if k.Size() != 100 {
@@ -151,7 +151,7 @@
 				if from := time.Duration(i) * time.Second; at < from || at >= from+2*time.Second {
 					continue
 				}
-				g := limiters[i].Take(start.Add(at), Ask{Server: "s", PerSecond: perSecond, Known: time.Minute, Wants: 100}, 1)
+				g := limiters[i].Take(start.Add(at), PermitRequest{Server: "s", PerSecond: perSecond, Known: time.Minute, Wants: 100}, 1)
 				for range g.Permits {
 					used = append(used, start.Add(at))
 				}
--- a/src/quota/policies_test.go
+++ b/src/quota/policies_test.go
@@ -63,7 +63,7 @@
 		if now.Before(until[box]) {
 			return false
 		}
-		g := k.Take(now, Ask{Server: "s", PerSecond: perSecond, Wants: 1}, 1)
+		g := k.Take(now, PermitRequest{Server: "s", PerSecond: perSecond, Wants: 1}, 1)
 		until[box] = now.Add(g.Next)
 		return g.Permits > 0
 	}
@@ -127,6 +127,6 @@
 	}
 	for i := range b.N {
 		now = now.Add(time.Millisecond)
-		k.Take(now, Ask{Server: ids[i%len(ids)], PerSecond: 4, Wants: 1}, 1)
+		k.Take(now, PermitRequest{Server: ids[i%len(ids)], PerSecond: 4, Wants: 1}, 1)
 	}
 }
