--- a/src/core/burnrate.go
+++ b/src/core/burnrate.go
@@ -49,7 +49,7 @@
 	BetweenTokens time.Duration
 }
 
-// NewBurnRates returns a Burn without service levels.
+// NewBurnRates returns BurnRates without service levels.
 func NewBurnRates() *BurnRates { return &BurnRates{} }
 
 // SetLevels replaces the service levels; levels that are unchanged keep their counts.
--- a/src/core/constants.go
+++ b/src/core/constants.go
@@ -4,15 +4,15 @@
 
 // Limits on the attempts of a request.
 const (
-	immediateAttempts   = 4                     // attempts of one stage that are made without a pause
-	maxAttempts     = 10                    // attempts of one stage, except for must-finish work
-	maxMustAttempts = 50                    // attempts of one stage of must-finish work
-	retryPause      = 50 * time.Millisecond // first pause before a further attempt
-	maxRetryPause   = 2 * time.Second       // longest pause
-	bytesPerToken   = 4                     // rough size of a token, to estimate work in advance
-	BlockBytes      = 64                    // bytes of input per prefix hash
-	maxPrefixBlocks = 64                    // prefix hashes kept per call
-	traceCandidates = 8                     // candidates kept per placement trace
+	immediateAttempts = 4                     // attempts of one stage that are made without a pause
+	maxAttempts       = 10                    // attempts of one stage, except for must-finish work
+	maxMustAttempts   = 50                    // attempts of one stage of must-finish work
+	retryPause        = 50 * time.Millisecond // first pause before a further attempt
+	maxRetryPause     = 2 * time.Second       // longest pause
+	bytesPerToken     = 4                     // rough size of a token, to estimate work in advance
+	BlockBytes        = 64                    // bytes of input per prefix hash
+	maxPrefixBlocks   = 64                    // prefix hashes kept per call
+	traceCandidates   = 8                     // candidates kept per placement trace
 )
 
 // Pools: windows, health and estimates.
@@ -37,16 +37,16 @@
 	hedgeEarned           = 0.03                   // hedge tokens earned by each first attempt
 	hedgeBankMax          = 4.0                    // hedge tokens that can be saved
 	hedgeFactor           = 3.0                    // a hedge is sent after this many expected run times
-	minHedgeDelay            = 20 * time.Millisecond  // but no earlier than this
+	minHedgeDelay         = 20 * time.Millisecond  // but no earlier than this
 	prefixEntries         = 32768                  // prefix blocks remembered per pool
 	prefixLeast           = 128                    // least number of prefix blocks remembered per server
 	ratesTTL              = 20 * time.Millisecond  // time for which the estimates of a server are cached
 	traceAlways           = 64                     // number of servers up to which every placement is traced
-	traceSampleEvery            = 16                     // with more servers, one placement in this many is traced
+	traceSampleEvery      = 16                     // with more servers, one placement in this many is traced
 	defaultRun            = 50 * time.Millisecond  // estimated run time of a stage before any measurement
 	defaultTokenTime      = 10 * time.Millisecond  // estimated time per generated token on an empty engine
 	defaultPrefill        = 50 * time.Microsecond  // estimated time per computed prompt token
-	mayWaitHeadroom           = 0.25                   // part of a server's slots that may-wait calls leave free beyond the box's share
+	mayWaitHeadroom       = 0.25                   // part of a server's slots that may-wait calls leave free beyond the box's share
 	minRunFraction        = 0.3                    // a call is dropped when not even this part of its expected run time is left
 	promptQueueShare      = 0.5                    // part of a server's slots that prompt calls may queue there
 	promptWindow          = 10 * time.Second       // averaging window of the prompt demand
@@ -59,23 +59,23 @@
 
 // Membership.
 const (
-	HeartbeatEvery   = 500 * time.Millisecond // heartbeat interval
-	NewsEvery        = 200 * time.Millisecond // interval at which the boxes of a small fleet tell each other their loads
-	LoadRepeatEvery        = 600 * time.Millisecond // interval at which unchanged loads are sent again
-	smallFleet       = 15                     // largest number of other boxes that counts as a small fleet; in larger ones few boxes share a server
-	heartbeatFanout  = 3                      // members that each heartbeat goes to, whatever the fleet size
-	rumoursPerBeat   = 12                     // rumours in one heartbeat
-	rumourRepeats    = 3                      // a rumour is sent this many times log2(fleet size)
-	entriesPerNote   = 32                     // entries in one step of a table exchange, about 3 KB: a seed on a 20 Mbit/s link answers 300 boxes within half a second
+	HeartbeatEvery    = 500 * time.Millisecond // heartbeat interval
+	NewsEvery         = 200 * time.Millisecond // interval at which the boxes of a small fleet tell each other their loads
+	LoadRepeatEvery   = 600 * time.Millisecond // interval at which unchanged loads are sent again
+	smallFleet        = 15                     // largest number of other boxes that counts as a small fleet; in larger ones few boxes share a server
+	heartbeatFanout   = 3                      // members that each heartbeat goes to, whatever the fleet size
+	rumoursPerBeat    = 12                     // rumours in one heartbeat
+	rumourRepeats     = 3                      // a rumour is sent this many times log2(fleet size)
+	entriesPerNote    = 32                     // entries in one step of a table exchange, about 3 KB: a seed on a 20 Mbit/s link answers 300 boxes within half a second
 	formingPeriod     = 2 * time.Second        // after its start or the end of a partition, a box exchanges tables often for this long: twice what 1,000 boxes took in virtual time
-	formingExtension     = 400 * time.Millisecond // and for this long after an exchange that brought many new entries
-	formingThreshold     = 4                      // number of new entries in one exchange that counts as many
-	healingPeriod          = 3 * time.Second        // time after the return of a member believed dead for which reports that members are alive override deaths
-	deathGossipPeriod       = 10 * time.Second       // time for which a death is sent in table exchanges; by then heartbeats have spread it
-	suspectAfter     = 2 * time.Second        // silence after a heartbeat before a member is suspected and probed through others
-	deadAfter        = 5 * time.Second        // silence before a member counts as dead
-	forgetAfter      = 10 * time.Minute       // time for which a dead member is remembered
-	LoadNotesPerBeat = 32                     // load notes in one heartbeat
+	formingExtension  = 400 * time.Millisecond // and for this long after an exchange that brought many new entries
+	formingThreshold  = 4                      // number of new entries in one exchange that counts as many
+	healingPeriod     = 3 * time.Second        // time after the return of a member believed dead for which reports that members are alive override deaths
+	deathGossipPeriod = 10 * time.Second       // time for which a death is sent in table exchanges; by then heartbeats have spread it
+	suspectAfter      = 2 * time.Second        // silence after a heartbeat before a member is suspected and probed through others
+	deadAfter         = 5 * time.Second        // silence before a member counts as dead
+	forgetAfter       = 10 * time.Minute       // time for which a dead member is remembered
+	LoadNotesPerBeat  = 32                     // load notes in one heartbeat
 )
 
 // Distribution of the configuration and the box list.
--- a/src/core/docsync.go
+++ b/src/core/docsync.go
@@ -45,7 +45,7 @@
 	lastRead  time.Time
 }
 
-// NewDocumentSync returns a Spread that holds no document.
+// NewDocumentSync returns a DocumentSync that holds no document.
 func NewDocumentSync(self, region string) *DocumentSync {
 	return &DocumentSync{Self: self, Region: region, told: map[string]Statement{}, refused: map[string]bool{}}
 }
--- a/src/core/home.go
+++ b/src/core/home.go
@@ -56,9 +56,9 @@
 type DomainFilter func(workspace, failureDomain string) bool
 
 type view struct {
-	from  time.Time
-	boxes []ListedBox
-	allows   DomainFilter
+	from   time.Time
+	boxes  []ListedBox
+	allows DomainFilter
 }
 
 // NewViews returns Views without history; set its exported fields before use.
--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -32,33 +32,33 @@
 	Placement   Placer // placement policy
 	NoAdmission bool   // baseline: first come first served, nothing refused, no windows
 
-	pushback pushback.Register // of the servers that refused calls
-	servers  map[string]*server
-	order    []*server
-	lanes    map[laneKey]*lane
-	laneSeq  []*lane
-	waiting  map[Attempt]*Call
-	retries  budget
-	hedges   budget
-	tags     map[string]float64 // last fair-queueing tag of each workspace
-	virtual  float64
-	seed     uint64
-	fifo     float64
-	backlog  [config.Classes]backlog // expected slot seconds of the waiting calls
-	stats    PoolStats
-	typical  poolAverages
-	prefix   *prefixIndex
-	marks    uint64
-	round    uint64 // number of the current call of Next
-	hashed   uint64
-	ready    []*server // reused by readyFor
-	eligibleServers   map[laneKey][]*server
-	slots    int       // configured slots of all servers
-	cachedCapacity     float64   // cached capacity
-	capacityAt   time.Time // time of its computation
-	busy     int       // this box's calls at the servers of the pool
-	demand   meter     // of arriving prompt work
-	pace     meter     // of dispatched may-wait work
+	pushback        pushback.Register // of the servers that refused calls
+	servers         map[string]*server
+	order           []*server
+	lanes           map[laneKey]*lane
+	laneSeq         []*lane
+	waiting         map[Attempt]*Call
+	retries         budget
+	hedges          budget
+	tags            map[string]float64 // last fair-queueing tag of each workspace
+	virtual         float64
+	seed            uint64
+	fifo            float64
+	backlog         [config.Classes]backlog // expected slot seconds of the waiting calls
+	stats           PoolStats
+	typical         poolAverages
+	prefix          *prefixIndex
+	marks           uint64
+	round           uint64 // number of the current call of Next
+	hashed          uint64
+	ready           []*server // reused by readyFor
+	eligibleServers map[laneKey][]*server
+	slots           int       // configured slots of all servers
+	cachedCapacity  float64   // cached capacity
+	capacityAt      time.Time // time of its computation
+	busy            int       // this box's calls at the servers of the pool
+	demand          meter     // of arriving prompt work
+	pace            meter     // of dispatched may-wait work
 	// since when may-wait work has been waiting without interruption; zero when none waits
 	mayWaitSince time.Time
 }
--- a/src/core/poolcapacity.go
+++ b/src/core/poolcapacity.go
@@ -26,7 +26,7 @@
 	return m.rate * math.Exp(-now.Sub(m.at).Seconds()/m.window.Seconds())
 }
 
-// capacity returns how many slots of all servers this box can count on, cached for ratesFor.
+// capacity returns how many slots of all servers this box can count on, cached for ratesTTL.
 func (p *Pool) capacity(now time.Time) float64 {
 	if !p.capacityAt.IsZero() && now.Sub(p.capacityAt) < ratesTTL {
 		return p.cachedCapacity
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -80,8 +80,8 @@
 	askedRest           bool // it asked for rest and has not returned from it; Pool.pushback has the details
 	probing             bool
 
-	reportedLeaving  bool
-	leavingUntil time.Time // set by a refused call; reports of the same incarnation do not revert saysLeaving before
+	reportedLeaving bool
+	leavingUntil    time.Time // set by a refused call; reports of the same incarnation do not revert saysLeaving before
 
 	run       float64 // seconds per call of a plain service or an encoder
 	token     float64 // seconds per token on an empty engine
@@ -276,9 +276,9 @@
 func (w callEstimate) total() time.Duration { return seconds(w.wait + w.run) }
 
 // rates caches the estimates for a server. They are recomputed after a change of the server and otherwise
-// every ratesFor, so that a placement over many servers stays cheap.
+// every ratesTTL, so that a placement over many servers stays cheap.
 type rates struct {
-	tick    int64 // number of the ratesFor interval in which they were computed; 0 after a change
+	tick    int64 // number of the ratesTTL interval in which they were computed; 0 after a change
 	open    [config.Classes]bool
 	usable  bool    // neither leaving nor in backoff nor asking for rest
 	token   float64 // seconds per token at the present load
@@ -292,7 +292,7 @@
 // invalidateRates has the rates recomputed before their next use.
 func (s *server) invalidateRates() { s.rates.tick = 0 }
 
-// tickOf returns the number of the ratesFor interval that contains now.
+// tickOf returns the number of the ratesTTL interval that contains now.
 func tickOf(now time.Time) int64 { return now.UnixNano() / int64(ratesTTL) }
 
 // refresh recomputes the rates unless they belong to this tick.
--- a/src/core/table.go
+++ b/src/core/table.go
@@ -283,7 +283,7 @@
 }
 
 // noteReturn records that a member believed dead is alive: a partition or pause has ended, and deaths that
-// either side inferred from silence may be wrong. For healFor, reports of other boxes that members are
+// either side inferred from silence may be wrong. For healingPeriod, reports of other boxes that members are
 // alive override deaths.
 func (m *Members) noteReturn(now time.Time) {
 	m.healedAt = now
--- a/src/quota/constants.go
+++ b/src/quota/constants.go
@@ -20,7 +20,7 @@
 	// forget that it was the limiter all along.
 	serverTTL = time.Minute
 
-	asksBase   = 32               // requests for permits per second that a limiter accepts for one server
-	asksFactor = 4                // and this many more for each request per second of its limit
-	maxAskDelay  = 15 * time.Second // longest time until a box that got no permit asks again
+	asksBase    = 32               // requests for permits per second that a limiter accepts for one server
+	asksFactor  = 4                // and this many more for each request per second of its limit
+	maxAskDelay = 15 * time.Second // longest time until a box that got no permit asks again
 )
--- a/src/quota/limiter.go
+++ b/src/quota/limiter.go
@@ -33,10 +33,10 @@
 	Known       time.Duration // time for which boxes have known of the limit
 	Patience    time.Duration // longest acceptable time until the first permit begins
 	Wants       int           // number of permits wanted
-	Substitute    bool          // the asked box is a substitute for a limiter that does not answer
+	Substitute  bool          // the asked box is a substitute for a limiter that does not answer
 }
 
-// Grant answers an Ask.
+// Grant answers a PermitRequest.
 type Grant struct {
 	Permits int           // 0 if none is granted
 	Begin   time.Duration // until the permits begin
@@ -56,7 +56,7 @@
 	next        time.Time // when the next permit begins by the rate alone, without the burst
 	sharesUntil time.Time // until when the previous limiter may still grant permits
 	usedAt      time.Time
-	lastTurn        time.Time // latest time at which a box that got no permit was told to ask again
+	lastTurn    time.Time // latest time at which a box that got no permit was told to ask again
 }
 
 // Take grants permits, or returns when to ask again. part is the part of the limit for the boxes that this
@@ -138,7 +138,7 @@
 	return max(1, int(math.Round(perSecond*batchFor.Seconds())))
 }
 
-// Sweep removes servers for which no permits were requested within keptFor.
+// Sweep removes servers for which no permits were requested within serverTTL.
 func (l *Limiter) Sweep(now time.Time) {
 	for id, s := range l.servers {
 		if now.Sub(s.usedAt) > serverTTL {
