--- a/src/core/table_test.go
+++ b/src/core/table_test.go
@@ -101,8 +101,8 @@
 	return out
 }
 
-// knowing counts the boxes that consider exactly the living boxes usable.
-func (x *tableNet) knowing() int {
+// countConverged counts the boxes that consider exactly the living boxes usable.
+func (x *tableNet) countConverged() int {
 	var living []string
 	for _, n := range x.order {
 		if m := x.nodes[n]; m != nil && m.Self.State == MemberAlive {
@@ -122,7 +122,7 @@
 // long that took.
 func (x *tableNet) untilAllKnow(most time.Duration) time.Duration {
 	began := x.now
-	for x.now.Sub(began) < most && x.knowing() < len(x.nodes) {
+	for x.now.Sub(began) < most && x.countConverged() < len(x.nodes) {
 		x.run(tablePace)
 	}
 	return x.now.Sub(began)
@@ -187,7 +187,7 @@
 				t.Errorf("%d boxes, %d of them apart for %s: merged after %s", c.boxes, c.side, length, took)
 			}
 			x.run(8 * time.Second)
-			if n := x.knowing(); n != c.boxes {
+			if n := x.countConverged(); n != c.boxes {
 				t.Errorf("%d boxes, %d of them apart for %s: 8 s later only %d know all", c.boxes, c.side, length, n)
 			}
 		}
