--- a/src/core/table_test.go
+++ b/src/core/table_test.go
@@ -118,9 +118,9 @@
 	return know
 }
 
-// untilAllKnow runs until every living box knows every other, at most for the given time, and returns how
+// runUntilConverged runs until every living box knows every other, at most for the given time, and returns how
 // long that took.
-func (x *tableNet) untilAllKnow(most time.Duration) time.Duration {
+func (x *tableNet) runUntilConverged(most time.Duration) time.Duration {
 	began := x.now
 	for x.now.Sub(began) < most && x.countConverged() < len(x.nodes) {
 		x.run(tablePace)
@@ -140,7 +140,7 @@
 		}
 		x := newTableNet(c.boxes, 300*time.Millisecond, 11)
 		x.run(300*time.Millisecond + tablePace) // all boxes have started
-		took := x.untilAllKnow(10 * time.Second)
+		took := x.runUntilConverged(10 * time.Second)
 		t.Logf("%d boxes: all know all %s after the last start; a box sent %d messages and %d KB of entries", c.boxes, took, x.sent/c.boxes, x.entries*bytesOfEntry/1000/c.boxes)
 		if took > c.most {
 			t.Errorf("%d boxes took %s to know one another, want at most %s", c.boxes, took, c.most)
@@ -157,7 +157,7 @@
 		x.starts[n] = x.now.Add(time.Second + time.Duration(i)*2*time.Millisecond)
 	}
 	x.run(1300 * time.Millisecond)
-	if took := x.untilAllKnow(10 * time.Second); took > 1500*time.Millisecond {
+	if took := x.runUntilConverged(10 * time.Second); took > 1500*time.Millisecond {
 		t.Errorf("after the loss of all it took %s", took)
 	}
 	for n, m := range x.nodes {
@@ -181,7 +181,7 @@
 			x.cut = func(from, to string) bool { return (from < side) != (to < side) }
 			x.run(length)
 			x.cut = func(string, string) bool { return false }
-			took := x.untilAllKnow(20 * time.Second)
+			took := x.runUntilConverged(20 * time.Second)
 			t.Logf("%d and %d boxes, apart for %s: healed after %s", c.side, c.boxes-c.side, length, took)
 			if took > 1500*time.Millisecond {
 				t.Errorf("%d boxes, %d of them apart for %s: merged after %s", c.boxes, c.side, length, took)
@@ -262,7 +262,7 @@
 	delete(x.nodes, "b0020")
 	x.run(9 * time.Second)
 	x.nodes["b0020"] = paused
-	if took := x.untilAllKnow(10 * time.Second); took > 1500*time.Millisecond {
+	if took := x.runUntilConverged(10 * time.Second); took > 1500*time.Millisecond {
 		t.Errorf("a box that was paused is known again after %s", took)
 	}
 }
