--- a/src/core/table_test.go
+++ b/src/core/table_test.go
@@ -318,7 +318,7 @@
 				r.Fatalf("%s would use %v, an incarnation that ended", n, e.ID())
 			}
 		}
-		if m.Self.State != MemberAlive || !x.meets(n) {
+		if m.Self.State != MemberAlive || !x.canMeetOthers(n) {
 			continue
 		}
 		if got := m.Usable(); !slices.Equal(got, living) {
@@ -327,8 +327,8 @@
 	}
 }
 
-// meets reports whether a box can have met the others: at the start it knows only the seeds.
-func (x *tableNet) meets(string) bool {
+// canMeetOthers reports whether a box can have met the others: at the start it knows only the seeds.
+func (x *tableNet) canMeetOthers(string) bool {
 	for _, s := range x.seeds {
 		if x.nodes[s] != nil {
 			return true
