--- a/src/core/table_test.go
+++ b/src/core/table_test.go
@@ -27,7 +27,7 @@
 	order   []string
 	seeds   []string
 	cut     func(from, to string) bool
-	lives   uint64
+	lastIncarnation   uint64
 	sent    int // messages
 	entries int // sent in table exchanges
 	seed    uint64
@@ -46,8 +46,8 @@
 }
 
 func (x *tableNet) start(name string) *Members {
-	x.lives++
-	m := NewMembers(Rumour{ID: BoxID{Name: name, Incarnation: x.lives}, Address: name, Domain: "d"}, rand.New(rand.NewPCG(x.seed, x.lives)))
+	x.lastIncarnation++
+	m := NewMembers(Rumour{ID: BoxID{Name: name, Incarnation: x.lastIncarnation}, Address: name, Domain: "d"}, rand.New(rand.NewPCG(x.seed, x.lastIncarnation)))
 	m.Start = x.now
 	x.nodes[name] = m
 	return m
