--- a/src/core/request_test.go
+++ b/src/core/request_test.go
@@ -11,14 +11,14 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// failer is the common part of *testing.T and *rapid.T.
-type failer interface {
+// testingT is the common part of *testing.T and *rapid.T.
+type testingT interface {
 	Helper()
 	Fatal(args ...any)
 }
 
 // testRequest returns a request of one of the example pipelines.
-func testRequest(tb failer, pipeline string) (*Request, time.Time) {
+func testRequest(tb testingT, pipeline string) (*Request, time.Time) {
 	tb.Helper()
 	raw, err := config.Marshal(config.ExamplePageworks())
 	if err != nil {
