--- a/src/core/request_test.go
+++ b/src/core/request_test.go
@@ -34,8 +34,8 @@
 	return NewRequest(key, c.Workspace("lakeside"), p, []byte("input"), now.Add(p.Deadline()), 0, NewEstimates()), now
 }
 
-// toStage answers the stages before the n-th and returns the live attempt of that stage.
-func toStage(r *Request, now time.Time, n int) Attempt {
+// advanceToStage answers the stages before the n-th and returns the live attempt of that stage.
+func advanceToStage(r *Request, now time.Time, n int) Attempt {
 	r.Step(now, Begin{})
 	for i := range n {
 		id := Attempt{Key: r.Key(), Stage: i}
@@ -58,7 +58,7 @@
 
 func TestForeignRepliesAreIgnored(t *testing.T) {
 	r, now := testRequest(t, "caption")
-	id := toStage(r, now, 3)
+	id := advanceToStage(r, now, 3)
 	other := Key{ID: NewKeyID(now, [16]byte{9: 2})}
 	for _, ev := range []Event{
 		Chunk{Attempt: Attempt{Key: other, Stage: 3}, Data: []byte("x")},
@@ -82,7 +82,7 @@
 
 func TestMissingTokensCauseResume(t *testing.T) {
 	r, now := testRequest(t, "caption")
-	id := toStage(r, now, 3)
+	id := advanceToStage(r, now, 3)
 	r.Step(now, Chunk{Attempt: id, Offset: 0, Data: []byte("abcd")})
 	acts := r.Step(now, Chunk{Attempt: id, Offset: 8, Data: []byte("ijkl")})
 	s, ok := acts[0].(Send)
@@ -93,7 +93,7 @@
 
 func TestCancelWaitsForSentOnceCall(t *testing.T) {
 	r, now := testRequest(t, "tag-stamp")
-	id := toStage(r, now, 2)
+	id := advanceToStage(r, now, 2)
 	if acts := r.Step(now, CancelAsked{}); len(acts) > 0 {
 		t.Fatalf("cancel of a sent call caused %v", acts)
 	}
@@ -118,7 +118,7 @@
 		{Leaving, code.BackendRefused, false, true},
 	} {
 		r, now := testRequest(t, "tag-stamp")
-		id := toStage(r, now, 2)
+		id := advanceToStage(r, now, 2)
 		acts := r.Step(now, Failed{Attempt: id, Failure: c.failure})
 		f := finishes(acts)
 		if c.again != (f == nil) {
@@ -136,7 +136,7 @@
 
 func TestLateOnceAnswerAmendsOutcome(t *testing.T) {
 	r, now := testRequest(t, "tag-stamp")
-	id := toStage(r, now, 2)
+	id := advanceToStage(r, now, 2)
 	f := finishes(r.Step(now, DeadlineOver{}))
 	if f == nil || f.Err.Code != code.OutcomeUnknown {
 		t.Fatalf("finish = %+v", f)
