--- a/src/core/request_test.go
+++ b/src/core/request_test.go
@@ -47,7 +47,7 @@
 	return id
 }
 
-func finishes(acts []Action) *Finish {
+func findFinish(acts []Action) *Finish {
 	for _, a := range acts {
 		if f, ok := a.(Finish); ok {
 			return &f
@@ -97,7 +97,7 @@
 	if acts := r.Step(now, CancelAsked{}); len(acts) > 0 {
 		t.Fatalf("cancel of a sent call caused %v", acts)
 	}
-	f := finishes(r.Step(now, Done{Attempt: id, Output: []byte("stamped")}))
+	f := findFinish(r.Step(now, Done{Attempt: id, Output: []byte("stamped")}))
 	if f == nil || f.Err.Code != code.Cancelled || f.Err.DidRun() != code.RanYes || r.MayRepeat() {
 		t.Errorf("finish = %+v", f)
 	}
@@ -120,7 +120,7 @@
 		r, now := testRequest(t, "tag-stamp")
 		id := advanceToStage(r, now, 2)
 		acts := r.Step(now, Failed{Attempt: id, Failure: c.failure})
-		f := finishes(acts)
+		f := findFinish(acts)
 		if c.again != (f == nil) {
 			t.Errorf("%s: finish = %v", c.failure, f)
 			continue
@@ -137,7 +137,7 @@
 func TestLateOnceAnswerAmendsOutcome(t *testing.T) {
 	r, now := testRequest(t, "tag-stamp")
 	id := advanceToStage(r, now, 2)
-	f := finishes(r.Step(now, DeadlineOver{}))
+	f := findFinish(r.Step(now, DeadlineOver{}))
 	if f == nil || f.Err.Code != code.OutcomeUnknown {
 		t.Fatalf("finish = %+v", f)
 	}
