--- a/src/quota/policies_test.go
+++ b/src/quota/policies_test.go
@@ -33,8 +33,8 @@
 	return func(now time.Time, box int) bool { return all[box].take(now, perSecond/float64(boxes)) }
 }
 
-// told has each box count the requests that the others reported, with a delay of 500 ms.
-func told(boxes int, perSecond float64) policy {
+// reportedSends has each box count the requests that the others reported, with a delay of 500 ms.
+func reportedSends(boxes int, perSecond float64) policy {
 	type send struct {
 		at  time.Time
 		box int
@@ -80,7 +80,7 @@
 				name  string
 				make  func(boxes int, perSecond float64) policy
 				bound bool
-			}{{"alone", alone, false}, {"equal", equal, false}, {"told", told, false}, {"limiter", kept, true}} {
+			}{{"alone", alone, false}, {"equal", equal, false}, {"told", reportedSends, false}, {"limiter", kept, true}} {
 				may := w.make(boxes, perSecond)
 				rnd := rand.New(rand.NewPCG(1, uint64(boxes)))
 				load := max(40, 2*perSecond)
