--- a/src/quota/policies_test.go
+++ b/src/quota/policies_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// kept uses a Limiter.
-func kept(_ int, perSecond float64) policy {
+// withLimiter uses a Limiter.
+func withLimiter(_ int, perSecond float64) policy {
 	var k Limiter
 	until := map[int]time.Time{}
 	return func(now time.Time, box int) bool {
@@ -80,7 +80,7 @@
 				name  string
 				make  func(boxes int, perSecond float64) policy
 				bound bool
-			}{{"alone", alone, false}, {"equal", equal, false}, {"told", reportedSends, false}, {"limiter", kept, true}} {
+			}{{"alone", alone, false}, {"equal", equal, false}, {"told", reportedSends, false}, {"limiter", withLimiter, true}} {
 				may := w.make(boxes, perSecond)
 				rnd := rand.New(rand.NewPCG(1, uint64(boxes)))
 				load := max(40, 2*perSecond)
