--- a/src/quota/limiter_test.go
+++ b/src/quota/limiter_test.go
@@ -32,7 +32,7 @@
 			}
 		}
 		slices.SortFunc(used, time.Time.Compare)
-		if most := mostIn(used, 4*time.Second); most > allowed(perSecond) {
+		if most := maxInWindow(used, 4*time.Second); most > allowed(perSecond) {
 			t.Fatalf("%d permits within 4 s at %g a second, want %d at most", most, perSecond, allowed(perSecond))
 		}
 	})
@@ -57,7 +57,7 @@
 				take(&after, start.Add(at))
 			}
 		}
-		most := mostIn(used, 4*time.Second)
+		most := maxInWindow(used, 4*time.Second)
 		t.Logf("%g a second: at most %d in 4 s, %d allowed", perSecond, most, allowed(perSecond))
 		if most > allowed(perSecond) {
 			t.Errorf("%d permits within 4 s at %g a second, want %d at most", most, perSecond, allowed(perSecond))
@@ -157,7 +157,7 @@
 				}
 			}
 		}
-		most := mostIn(used, 4*time.Second)
+		most := maxInWindow(used, 4*time.Second)
 		t.Logf("%g a second: at most %d in 4 s, %d allowed", perSecond, most, allowed(perSecond))
 		if most > allowed(perSecond) {
 			t.Errorf("%d permits within 4 s at %g a second, want %d at most", most, perSecond, allowed(perSecond))
--- a/src/quota/policies_test.go
+++ b/src/quota/policies_test.go
@@ -92,7 +92,7 @@
 						sent = append(sent, now)
 					}
 				}
-				most := mostIn(sent, 4*time.Second)
+				most := maxInWindow(sent, 4*time.Second)
 				used := float64(len(sent)) / 30 / perSecond
 				t.Logf("%g a second, %d boxes, %s: at most %d in 4 s, %d allowed; %.2f used", perSecond, boxes, w.name, most, allowed(perSecond), used)
 				if w.bound && (most > allowed(perSecond) || used < 0.9) {
@@ -105,8 +105,8 @@
 
 func allowed(perSecond float64) int { return int(6*perSecond) + 5 }
 
-// mostIn returns the largest number of times within any window; the list must be sorted.
-func mostIn(list []time.Time, window time.Duration) int {
+// maxInWindow returns the largest number of times within any window; the list must be sorted.
+func maxInWindow(list []time.Time, window time.Duration) int {
 	most := 0
 	for i, first := 0, 0; i < len(list); i++ {
 		for list[i].Sub(list[first]) >= window {
