--- a/src/core/server.go
+++ b/src/core/server.go
@@ -73,7 +73,7 @@
 
 	window float64 // number of calls this box may have here, including slots that others leave idle
 
-	failShare           float64
+	failureRate           float64
 	consecutiveFailures int
 	backoff             time.Duration
 	backoffUntil        time.Time
@@ -218,14 +218,14 @@
 }
 
 func (s *server) succeeded() {
-	s.failShare = ewma(s.failShare, 0, failRate)
+	s.failureRate = ewma(s.failureRate, 0, failRate)
 	s.consecutiveFailures = 0
 	s.backoff = 0
 	s.probing = false
 }
 
 func (s *server) failed(now time.Time) {
-	s.failShare = ewma(s.failShare, 1, failRate)
+	s.failureRate = ewma(s.failureRate, 1, failRate)
 	s.consecutiveFailures++
 	s.probing = false
 	if s.consecutiveFailures >= failuresBeforeBackoff {
@@ -302,7 +302,7 @@
 	}
 	slots := float64(s.slots())
 	load := float64(len(s.inFlight) + s.peerCalls(now))
-	r := rates{tick: tick, free: slots - load, penalty: 1 + 2*s.failShare, usable: !s.leaving() && s.backoff == 0 && !s.askedRest}
+	r := rates{tick: tick, free: slots - load, penalty: 1 + 2*s.failureRate, usable: !s.leaving() && s.backoff == 0 && !s.askedRest}
 	r.token = s.decayed(now, s.token, s.typical.token) * (1 + loadSlope*min(1, load/slots))
 	r.run = s.decayed(now, s.run, s.typical.run)
 	r.queue = max(0, load+1-slots) / slots
