--- a/src/core/key.go
+++ b/src/core/key.go
@@ -29,8 +29,8 @@
 	Issuer BoxID // zero for a key chosen by the caller
 }
 
-// Zero reports whether the key is unset.
-func (k Key) Zero() bool { return k.ID == uuid.Nil }
+// IsZero reports whether the key is unset.
+func (k Key) IsZero() bool { return k.ID == uuid.Nil }
 
 // Ticket reports whether the key is bound to a box incarnation.
 func (k Key) Ticket() bool { return k.Issuer.Name != "" }
