--- a/src/box/once.go
+++ b/src/box/once.go
@@ -21,12 +21,12 @@
 // runOnce brings a request that may not be repeated to the one incarnation that may run it.
 func (b *Box) runOnce(ctx context.Context, q *asked, emit Emit) error {
 	if e := b.entryOf(q.key); e != nil {
-		if e.Renounced() && !q.key.Ticket() {
+		if e.Renounced() && !q.key.IsTicket() {
 			return emit(b.unsettled(ctx, q, e.Err()))
 		}
 		return b.runHere(ctx, q, emit)
 	}
-	if q.key.Ticket() {
+	if q.key.IsTicket() {
 		return b.runTicket(ctx, q, emit)
 	}
 	h := b.docs.judge(q.key, q.workspace.Name())
@@ -239,7 +239,7 @@
 	if b.known(q.key) {
 		return b.runHere(ctx, q, emit)
 	}
-	if q.key.Ticket() {
+	if q.key.IsTicket() {
 		return b.takeTicket(ctx, q, emit)
 	}
 	if h := b.docs.judge(q.key, q.workspace.Name()); !h.Me {
--- a/src/core/key.go
+++ b/src/core/key.go
@@ -32,8 +32,8 @@
 // IsZero reports whether the key is unset.
 func (k Key) IsZero() bool { return k.ID == uuid.Nil }
 
-// Ticket reports whether the key is bound to a box incarnation.
-func (k Key) Ticket() bool { return k.Issuer.Name != "" }
+// IsTicket reports whether the key is bound to a box incarnation.
+func (k Key) IsTicket() bool { return k.Issuer.Name != "" }
 
 // CreatedAt returns the creation time in the UUID, which is the same in every copy of the request.
 func (k Key) CreatedAt() time.Time {
@@ -61,7 +61,7 @@
 
 // String formats the key as callers pass it. A ticket is t1.<uuid>.<incarnation in hex>.<box>.
 func (k Key) String() string {
-	if !k.Ticket() {
+	if !k.IsTicket() {
 		return k.ID.String()
 	}
 	return ticketMark + k.ID.String() + "." + strconv.FormatUint(k.Issuer.Incarnation, 16) + "." + k.Issuer.Name
