--- a/src/box/flight.go
+++ b/src/box/flight.go
@@ -231,7 +231,7 @@
 
 func (f *flight) request(a core.Send, s *config.Stage) port.CallRequest {
 	r := port.CallRequest{
-		Attempt: a.Attempt.Wire(f.box.ID), Kind: string(s.Kind()), Input: a.Input, Offset: a.Offset,
+		Attempt: a.Attempt.WireID(f.box.ID), Kind: string(s.Kind()), Input: a.Input, Offset: a.Offset,
 		Priority: core.ServerPriority(f.req.Pipeline().Class(), f.req.Deadline()), Salt: f.req.Workspace().Name(), Model: s.Model(), Adapter: s.Adapter(),
 		Once: a.Once, Resume: a.Resume,
 	}
@@ -281,7 +281,7 @@
 		defer f.box.background.Done()
 		ctx, done := context.WithTimeout(context.Background(), stopWait)
 		defer done()
-		f.box.Backends.Stop(ctx, server, a.Attempt.Wire(f.box.ID))
+		f.box.Backends.Stop(ctx, server, a.Attempt.WireID(f.box.ID))
 	}()
 }
 
--- a/src/core/key.go
+++ b/src/core/key.go
@@ -134,9 +134,9 @@
 	N     int
 }
 
-// Wire formats the attempt as backend servers see it. It includes the incarnation of the sending box, so
+// WireID formats the attempt as backend servers see it. It includes the incarnation of the sending box, so
 // that two boxes which got copies of one request do not share an ID at a server.
-func (a Attempt) Wire(by BoxID) string {
+func (a Attempt) WireID(by BoxID) string {
 	return a.Key.ID.String() + "/" + strconv.Itoa(a.Stage) + "/" + strconv.Itoa(a.N) + "/" + by.String()
 }
 
--- a/src/core/key_test.go
+++ b/src/core/key_test.go
@@ -45,10 +45,10 @@
 // the other's stream.
 func TestAttemptsOfTwoBoxesDiffer(t *testing.T) {
 	a := Attempt{Key: newTestKey(t), Stage: 1, N: 0}
-	if a.Wire(BoxID{Name: "a", Incarnation: 1}) == a.Wire(BoxID{Name: "b", Incarnation: 1}) {
+	if a.WireID(BoxID{Name: "a", Incarnation: 1}) == a.WireID(BoxID{Name: "b", Incarnation: 1}) {
 		t.Error("two boxes use the same ID")
 	}
-	if a.Wire(BoxID{Name: "a", Incarnation: 1}) == a.Wire(BoxID{Name: "a", Incarnation: 2}) {
+	if a.WireID(BoxID{Name: "a", Incarnation: 1}) == a.WireID(BoxID{Name: "a", Incarnation: 2}) {
 		t.Error("two incarnations of a box use the same ID")
 	}
 }
--- a/src/experiment/server.go
+++ b/src/experiment/server.go
@@ -92,7 +92,7 @@
 		v.serve()
 		return
 	}
-	id := c.id.Wire(core.BoxID{Name: "sim"})
+	id := c.id.WireID(core.BoxID{Name: "sim"})
 	start := c.held / standin.TokenBytes
 	total := standin.TokenCount(c.input, c.limit)
 	v.calls[id] = &simJob{call: c, base: c.held}
@@ -155,7 +155,7 @@
 
 func (v *simServer) cancel(id core.Attempt) {
 	if v.model != nil {
-		name := id.Wire(core.BoxID{Name: "sim"})
+		name := id.WireID(core.BoxID{Name: "sim"})
 		v.model.Cancel(v.s.now, name)
 		delete(v.calls, name)
 	}
