--- a/src/box/documents.go
+++ b/src/box/documents.go
@@ -270,7 +270,7 @@
 	d.config.ReceiveStatement(now, from, b.Config, askedAt)
 	d.list.ReceiveStatement(now, from, b.List, askedAt)
 	if b.From.State == core.MemberAlive {
-		d.views.Heard(d.box.wall(), from, b.From.Domain)
+		d.views.ObserveHeartbeat(d.box.wall(), from, b.From.Domain)
 	}
 }
 
--- a/src/core/home.go
+++ b/src/core/home.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// Heard records a heartbeat of a box that is not leaving: it is alive even if it is not listed.
-func (v *Views) Heard(now time.Time, name, domain string) {
+// ObserveHeartbeat records a heartbeat of a box that is not leaving: it is alive even if it is not listed.
+func (v *Views) ObserveHeartbeat(now time.Time, name, domain string) {
 	v.heard[name] = heardBox{domain: domain, last: now}
 	for n, h := range v.heard {
 		if now.Sub(h.last) > 2*v.window() {
--- a/src/core/home_test.go
+++ b/src/core/home_test.go
@@ -123,7 +123,7 @@
 		if !v.Resolve(now, k, "w").Me {
 			t.Fatal("not home without another box")
 		}
-		v.Heard(now, "b", "d")
+		v.ObserveHeartbeat(now, "b", "d")
 		if h := v.Resolve(now, k, "w"); !h.Me {
 			outranked = true
 			if rendezvous(k, "b") < rendezvous(k, "a") {
