--- a/src/box/beats.go
+++ b/src/box/beats.go
@@ -225,7 +225,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range f.core.Each() {
-		if m.State() != core.MemberDead && m.Heard().IsZero() {
+		if m.State() != core.MemberDead && m.LastAnswer().IsZero() {
 			return false
 		}
 	}
@@ -273,7 +273,7 @@
 	}
 	out[f.box.ID.Name] = regionOf(f.core.Self.Domain)
 	for _, m := range f.core.Each() {
-		if m.Usable() && m.ID().Incarnation != 0 && !m.Heard().IsZero() {
+		if m.Usable() && m.ID().Incarnation != 0 && !m.LastAnswer().IsZero() {
 			out[m.ID().Name] = regionOf(m.FailureDomain())
 		}
 	}
--- a/src/core/member.go
+++ b/src/core/member.go
@@ -60,8 +60,8 @@
 // State returns the state of the member.
 func (m *Member) State() MemberState { return m.state }
 
-// Heard returns the time of its last direct answer to this box.
-func (m *Member) Heard() time.Time { return m.heard }
+// LastAnswer returns the time of its last direct answer to this box.
+func (m *Member) LastAnswer() time.Time { return m.heard }
 
 // Up returns how long this incarnation of the member has been running, as far as rumours tell.
 func (m *Member) Up(now time.Time) time.Duration { return now.Sub(m.started) }
--- a/src/local/local_test.go
+++ b/src/local/local_test.go
@@ -229,7 +229,7 @@
 func heardAll(s *Set) bool {
 	for _, n := range s.Nodes {
 		for _, m := range n.Box().Status().Members {
-			if m.Heard().IsZero() {
+			if m.LastAnswer().IsZero() {
 				return false
 			}
 		}
--- a/src/rpc/operations.go
+++ b/src/rpc/operations.go
@@ -93,7 +93,7 @@
 func memberStatus(m *core.Member, now time.Time) *pb.MemberStatus {
 	return &pb.MemberStatus{
 		Box: m.ID().Name, Incarnation: m.ID().Incarnation, FailureDomain: m.FailureDomain(), State: m.State().String(),
-		Listed: m.Listed(), Age: age(now, m.Heard()), ConfigVersion: m.Version(),
+		Listed: m.Listed(), Age: age(now, m.LastAnswer()), ConfigVersion: m.Version(),
 	}
 }
 
