--- a/src/box/beats.go
+++ b/src/box/beats.go
@@ -212,7 +212,7 @@
 func (f *fleet) each() []core.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	list := f.core.Each()
+	list := f.core.All()
 	out := make([]core.Member, len(list))
 	for i, m := range list {
 		out[i] = *m
@@ -224,7 +224,7 @@
 func (f *fleet) allHeard() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, m := range f.core.Each() {
+	for _, m := range f.core.All() {
 		if m.State() != core.MemberDead && m.LastAnswer().IsZero() {
 			return false
 		}
@@ -272,7 +272,7 @@
 		return ""
 	}
 	out[f.box.ID.Name] = regionOf(f.core.Self.Domain)
-	for _, m := range f.core.Each() {
+	for _, m := range f.core.All() {
 		if m.Usable() && m.ID().Incarnation != 0 && !m.LastAnswer().IsZero() {
 			out[m.ID().Name] = regionOf(m.FailureDomain())
 		}
--- a/src/core/memberlists.go
+++ b/src/core/memberlists.go
@@ -8,8 +8,8 @@
 // Find returns a member by name, or nil.
 func (m *Members) Find(name string) *Member { return m.all[name] }
 
-// Each lists the members sorted by name, without this box.
-func (m *Members) Each() []*Member {
+// All lists the members sorted by name, without this box.
+func (m *Members) All() []*Member {
 	out := make([]*Member, 0, len(m.all))
 	for _, n := range m.names {
 		out = append(out, m.all[n])
--- a/src/core/table_test.go
+++ b/src/core/table_test.go
@@ -161,7 +161,7 @@
 		t.Errorf("after the loss of all it took %s", took)
 	}
 	for n, m := range x.nodes {
-		for _, e := range m.Each() {
+		for _, e := range m.All() {
 			if e.ID().Incarnation <= 120 {
 				t.Fatalf("%s knows an incarnation from before the loss: %v", n, e.ID())
 			}
@@ -310,7 +310,7 @@
 		}
 	}
 	for n, m := range x.nodes {
-		for _, e := range m.Each() {
+		for _, e := range m.All() {
 			if left[e.ID()] && e.Usable() {
 				r.Fatalf("%s would use %v, which left", n, e.ID())
 			}
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -85,7 +85,7 @@
 // seedBeats asks the seeds that no living member is known to have.
 func (f *fleet) seedBeats(now time.Time) []core.BeatTo {
 	known := map[string]bool{f.gateway.Settings.Address: true}
-	for _, m := range f.core.Each() {
+	for _, m := range f.core.All() {
 		if m.State() != core.MemberDead {
 			known[m.Address()] = true
 		}
@@ -399,7 +399,7 @@
 func (f *fleet) boxAt(address string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, m := range f.core.Each() {
+	for _, m := range f.core.All() {
 		if m.Address() == address {
 			return m.ID().Name
 		}
