--- a/src/box/serve.go
+++ b/src/box/serve.go
@@ -318,7 +318,7 @@
 	if f == nil || entry == nil || entry.Workspace() != c.Workspace {
 		return false
 	}
-	f.post(core.CancelAsked{})
+	f.post(core.CancelRequested{})
 	return true
 }
 
--- a/src/core/message.go
+++ b/src/core/message.go
@@ -99,8 +99,8 @@
 // DeadlineOver means that the request's deadline has passed.
 type DeadlineOver struct{}
 
-// CancelAsked means that the caller asked to cancel the request.
-type CancelAsked struct{}
+// CancelRequested means that the caller asked to cancel the request.
+type CancelRequested struct{}
 
 func (Begin) event()        {}
 func (Granted) event()      {}
@@ -111,7 +111,7 @@
 func (HedgeDue) event()     {}
 func (PauseOver) event()    {}
 func (DeadlineOver) event() {}
-func (CancelAsked) event()  {}
+func (CancelRequested) event()  {}
 
 // Action is an output of Request.Step, to be carried out by the caller of Step.
 type Action interface{ action() }
--- a/src/core/request.go
+++ b/src/core/request.go
@@ -152,7 +152,7 @@
 		return []Action{r.enqueue(now, false)}
 	case DeadlineOver:
 		return r.deadlineOver(now)
-	case CancelAsked:
+	case CancelRequested:
 		return r.cancelAsked(now)
 	}
 	return nil
--- a/src/core/request_test.go
+++ b/src/core/request_test.go
@@ -94,7 +94,7 @@
 func TestCancelWaitsForSentOnceCall(t *testing.T) {
 	r, now := testRequest(t, "tag-stamp")
 	id := advanceToStage(r, now, 2)
-	if acts := r.Step(now, CancelAsked{}); len(acts) > 0 {
+	if acts := r.Step(now, CancelRequested{}); len(acts) > 0 {
 		t.Fatalf("cancel of a sent call caused %v", acts)
 	}
 	f := findFinish(r.Step(now, Done{Attempt: id, Output: []byte("stamped")}))
