--- a/src/core/message.go
+++ b/src/core/message.go
@@ -96,8 +96,8 @@
 // PauseOver means that the pause before another attempt has ended.
 type PauseOver struct{}
 
-// DeadlineOver means that the request's deadline has passed.
-type DeadlineOver struct{}
+// DeadlinePassed means that the request's deadline has passed.
+type DeadlinePassed struct{}
 
 // CancelRequested means that the caller asked to cancel the request.
 type CancelRequested struct{}
@@ -110,7 +110,7 @@
 func (Failed) event()       {}
 func (HedgeDue) event()     {}
 func (PauseOver) event()    {}
-func (DeadlineOver) event() {}
+func (DeadlinePassed) event() {}
 func (CancelRequested) event()  {}
 
 // Action is an output of Request.Step, to be carried out by the caller of Step.
