--- a/src/box/flight.go
+++ b/src/box/flight.go
@@ -105,7 +105,7 @@
 	case core.ArmHedge:
 		time.AfterFunc(a.After, func() { f.post(core.HedgeDue{Attempt: a.Attempt}) })
 	case core.Pause:
-		time.AfterFunc(a.After, func() { f.post(core.PauseOver{}) })
+		time.AfterFunc(a.After, func() { f.post(core.PauseEnded{}) })
 	case core.Emit:
 		f.emit(a.Data)
 	case core.Settle:
--- a/src/core/message.go
+++ b/src/core/message.go
@@ -93,8 +93,8 @@
 // HedgeDue means that an attempt has run long enough to be hedged.
 type HedgeDue struct{ Attempt Attempt }
 
-// PauseOver means that the pause before another attempt has ended.
-type PauseOver struct{}
+// PauseEnded means that the pause before another attempt has ended.
+type PauseEnded struct{}
 
 // DeadlinePassed means that the request's deadline has passed.
 type DeadlinePassed struct{}
@@ -109,7 +109,7 @@
 func (Done) event()         {}
 func (Failed) event()       {}
 func (HedgeDue) event()     {}
-func (PauseOver) event()    {}
+func (PauseEnded) event()    {}
 func (DeadlinePassed) event() {}
 func (CancelRequested) event()  {}
 
--- a/src/core/request.go
+++ b/src/core/request.go
@@ -145,7 +145,7 @@
 		return r.failure(now, e)
 	case HedgeDue:
 		return r.hedge(now, e)
-	case PauseOver:
+	case PauseEnded:
 		if r.finished || len(r.live) > 0 {
 			return nil
 		}
--- a/src/core/request_test.go
+++ b/src/core/request_test.go
@@ -244,7 +244,7 @@
 					do(r.Step(now, Failed{Attempt: id, Failure: f}))
 				}
 			},
-			"pause over": func(t *rapid.T) { do(r.Step(now, PauseOver{})) },
+			"pause over": func(t *rapid.T) { do(r.Step(now, PauseEnded{})) },
 			"late copy": func(t *rapid.T) {
 				id := Attempt{Key: r.Key(), Stage: rapid.IntRange(0, 2).Draw(t, "stage"), N: 70}
 				do(r.Step(now, Done{Attempt: id, Output: []byte("foreign")}))
--- a/src/experiment/sim.go
+++ b/src/experiment/sim.go
@@ -247,7 +247,7 @@
 	case core.ArmHedge:
 		s.after(a.After, func() { f.post(core.HedgeDue{Attempt: a.Attempt}) })
 	case core.Pause:
-		s.after(a.After, func() { f.post(core.PauseOver{}) })
+		s.after(a.After, func() { f.post(core.PauseEnded{}) })
 	case core.Emit:
 		if f.out.first == 0 {
 			f.out.first = s.now.Sub(f.out.came)
