--- a/src/box/box.go
+++ b/src/box/box.go
@@ -146,7 +146,7 @@
 func (b *Box) Start(ctx context.Context) {
 	b.every(ctx, core.TickEvery, b.tick)
 	b.every(ctx, core.HeartbeatEvery, b.beat)
-	b.every(ctx, core.NewsEvery, b.tellLoads)
+	b.every(ctx, core.LoadNotesEvery, b.tellLoads)
 	b.every(ctx, core.TickEvery, b.docs.step)
 	b.every(ctx, reportEvery, b.pollReports)
 	b.every(ctx, sweepEvery, b.sweep)
--- a/src/experiment/sim.go
+++ b/src/experiment/sim.go
@@ -19,7 +19,7 @@
 // The paces and delays of the simulated surroundings.
 const (
 	reportEvery = 250 * time.Millisecond // a box asks, and a server renews its report
-	beatEvery   = core.NewsEvery
+	beatEvery   = core.LoadNotesEvery
 	nearDelay   = 100 * time.Microsecond // one way inside a failure domain
 	farDelay    = 500 * time.Microsecond // one way between failure domains
 	afterwards  = 90 * time.Second       // time for what is running to end
--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -97,7 +97,7 @@
 
 	g.every(ctx, tickEvery, g.tick)
 	g.every(ctx, core.HeartbeatEvery, g.beat)
-	g.every(ctx, core.NewsEvery, g.tellNews)
+	g.every(ctx, core.LoadNotesEvery, g.tellNews)
 	g.every(ctx, introduceEvery, g.introduce)
 	g.every(ctx, scheduleTick, g.desk.tick)
 	g.every(ctx, tickEvery, g.pullPublished)
