--- a/src/box/pools.go
+++ b/src/box/pools.go
@@ -67,7 +67,7 @@
 	set := s.box.Settings
 	p := core.NewPool(name)
 	p.Self = s.box.ID.Name
-	p.Room = set.Policy.WaitingRoom
+	p.MaxWaiting = set.Policy.WaitingRoom
 	p.Estimates = s.box.est
 	p.NoAdmission = set.Policy.NoAdmission
 	p.Placement = core.PlacerByName(set.Policy.Placement)
--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -27,7 +27,7 @@
 	Self        string // name of the box, the seed of its jitter
 	Domain      int    // failure domain of the box, -1 when unknown
 	Region      string
-	Room        int // greatest number of waiting calls
+	MaxWaiting        int // greatest number of waiting calls
 	Estimates   *Estimates
 	Placement   Placer // placement policy
 	NoAdmission bool   // baseline: first come first served, nothing refused, no windows
@@ -87,7 +87,7 @@
 // NewPool returns a pool without servers; set its exported fields before use.
 func NewPool(name string) *Pool {
 	return &Pool{
-		Name: name, Domain: -1, Room: 2000, Placement: ExpectedFinish,
+		Name: name, Domain: -1, MaxWaiting: 2000, Placement: ExpectedFinish,
 		servers: map[string]*server{}, lanes: map[laneKey]*lane{}, waiting: map[Attempt]*Call{},
 		retries: newBudget(retryEarned, retryBankMax), hedges: newBudget(hedgeEarned, hedgeBankMax),
 		demand: meter{window: promptWindow}, pace: meter{window: paceWindow},
@@ -145,7 +145,7 @@
 	if err := p.admitExtra(c); err != nil {
 		return err
 	}
-	if len(p.waiting) >= p.Room && !c.Started {
+	if len(p.waiting) >= p.MaxWaiting && !c.Started {
 		p.stats.Dropped++
 		return code.New(code.QueueFull, "", "pool %s has %d calls waiting", p.Name, len(p.waiting)).After(p.retryAfter(now))
 	}
--- a/src/core/pool_test.go
+++ b/src/core/pool_test.go
@@ -50,7 +50,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c := poolConfig(t)
 		p := NewPool("engines")
-		p.Self, p.Estimates, p.Room = "b", NewEstimates(), 40
+		p.Self, p.Estimates, p.MaxWaiting = "b", NewEstimates(), 40
 		p.SetServers(c.Pool("engines"))
 		now := time.Unix(1_000_000, 0)
 		type placed struct {
