--- a/src/box/box.go
+++ b/src/box/box.go
@@ -122,7 +122,7 @@
 		b.shards[i].flights = map[uuid.UUID]*flight{}
 	}
 	b.entries.core = core.NewAdmission()
-	b.entries.core.Off = s.Policy.NoAdmission
+	b.entries.core.Disabled = s.Policy.NoAdmission
 	b.entries.core.Boxes = b.fleet.size
 	b.orders.core = core.NewOrders(b.ID.Name)
 	b.pools.init(b)
--- a/src/core/admission.go
+++ b/src/core/admission.go
@@ -15,7 +15,7 @@
 // they use any resources. Not safe for concurrent use.
 type Admission struct {
 	Boxes func() int // number of usable boxes, over which the limit of a workspace is divided
-	Off   bool       // baseline for experiments: admits everything
+	Disabled   bool       // baseline for experiments: admits everything
 
 	inFlight map[string]int
 }
@@ -30,7 +30,7 @@
 // Admit admits a request or returns the reason for refusing it. Each admitted request needs one call of
 // Leave.
 func (a *Admission) Admit(now time.Time, w *config.Workspace, p *config.Pipeline, deadline time.Time, est *Estimates, waits WaitEstimator) *code.Error {
-	if a.Off {
+	if a.Disabled {
 		a.inFlight[w.Name()]++
 		return nil
 	}
--- a/src/experiment/sim.go
+++ b/src/experiment/sim.go
@@ -126,7 +126,7 @@
 		s: s, name: fmt.Sprintf("box-%d", i+1), domain: i % len(domains), pools: map[string]*core.Pool{},
 		est: core.NewEstimates(), entries: core.NewAdmission(), cost: core.NewCost(), waiting: map[core.Attempt]*simFlight{}, flights: map[int]*simFlight{},
 	}
-	b.entries.Off = s.policy.NoAdmission
+	b.entries.Disabled = s.policy.NoAdmission
 	b.entries.Boxes = func() int { return boxes }
 	for name, list := range s.conf.Pools() {
 		p := core.NewPool(name)
