--- a/src/core/members.go
+++ b/src/core/members.go
@@ -26,10 +26,10 @@
 	Rand   *rand.Rand
 	Expect func(b *Beat) // adds what other parts of the box send in heartbeats; may be nil
 	Start  time.Time     // start time of this box
-	// Renumbers lets this box raise its incarnation above that of an earlier process at the same address,
+	// MayRaiseIncarnation lets this box raise its incarnation above that of an earlier process at the same address,
 	// which took a higher one because the clock was set back since. Only Members may then identify the box
 	// by its incarnation.
-	Renumbers bool
+	MayRaiseIncarnation bool
 
 	all            map[string]*Member
 	names          []string // keys of all, sorted
--- a/src/core/rumour.go
+++ b/src/core/rumour.go
@@ -260,7 +260,7 @@
 // refute answers a rumour that this incarnation is suspected or dead, or that an earlier process at this
 // address has a higher incarnation.
 func (m *Members) refute(r Rumour) {
-	if m.Renumbers && r.ID.Incarnation > m.Self.ID.Incarnation && r.Address == m.Self.Address {
+	if m.MayRaiseIncarnation && r.ID.Incarnation > m.Self.ID.Incarnation && r.Address == m.Self.Address {
 		m.Self.ID.Incarnation, m.Self.Round = r.ID.Incarnation+1, 0
 		m.gossip(m.Self)
 		return
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -39,7 +39,7 @@
 	f.gateway = g
 	self := core.Rumour{ID: g.ID, Address: g.Settings.Address, Domain: g.Settings.FailureDomain, Capacity: g.Settings.Capacity}
 	f.core = core.NewMembers(self, g.Rand)
-	f.core.Start, f.core.Renumbers = g.startedAt, true
+	f.core.Start, f.core.MayRaiseIncarnation = g.startedAt, true
 	f.addresses, f.seen = map[string]string{}, map[string]time.Time{}
 	f.waits = map[uint64]waitNote{}
 	f.usableNow = []string{g.ID.Name}
