--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -310,7 +310,7 @@
 	e := g.pools.get(v.pool)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.budget.Left(now, boxes) > 0
+	return e.budget.Remaining(now, boxes) > 0
 }
 
 // take judges the head of an answer and passes the answer on.
--- a/src/retry/budget.go
+++ b/src/retry/budget.go
@@ -38,8 +38,8 @@
 // Request counts a request that this box received from a caller.
 func (b *Budget) Request(now time.Time) { b.requests[b.advance(now)]++ }
 
-// Left returns how many retries this box may still send now if the given number of boxes may be alive.
-func (b *Budget) Left(now time.Time, boxes int) int {
+// Remaining returns how many retries this box may still send now if the given number of boxes may be alive.
+func (b *Budget) Remaining(now time.Time, boxes int) int {
 	b.advance(now)
 	requests, repeats := 0, 0
 	for i := range buckets {
@@ -52,7 +52,7 @@
 
 // Take uses one retry and reports whether one was left.
 func (b *Budget) Take(now time.Time, boxes int) bool {
-	if b.Left(now, boxes) < 1 {
+	if b.Remaining(now, boxes) < 1 {
 		return false
 	}
 	b.repeats[b.advance(now)]++
--- a/src/retry/budget_test.go
+++ b/src/retry/budget_test.go
@@ -13,21 +13,21 @@
 
 func TestRetriesFollowRequests(t *testing.T) {
 	b := newBudget()
-	quiet := b.Left(start, 7)
+	quiet := b.Remaining(start, 7)
 	for range 100 {
 		b.Request(start)
 	}
-	if got := b.Left(start, 7) - quiet; got != 17 {
+	if got := b.Remaining(start, 7) - quiet; got != 17 {
 		t.Errorf("100 requests allow %d more repeats, want 17", got)
 	}
-	if b.Left(start.Add(11*time.Second), 7) != quiet {
+	if b.Remaining(start.Add(11*time.Second), 7) != quiet {
 		t.Error("old requests still allow repeats")
 	}
 }
 
 func TestShareShrinksWithMoreBoxes(t *testing.T) {
 	b := newBudget()
-	if one, many := b.Left(start, 1), b.Left(start, 50); one <= many {
+	if one, many := b.Remaining(start, 1), b.Remaining(start, 50); one <= many {
 		t.Errorf("one box may repeat %d times, one of 50 %d", one, many)
 	}
 }
