--- a/src/core/order.go
+++ b/src/core/order.go
@@ -38,8 +38,8 @@
 	sent map[string]time.Time
 }
 
-// orderAgain is the least time between two orders to one engine.
-const orderAgain = 2 * time.Second
+// orderInterval is the least time between two orders to one engine.
+const orderInterval = 2 * time.Second
 
 // NewOrders returns Orders for the named box, with no order sent.
 func NewOrders(self string) *Orders { return &Orders{Self: self, sent: map[string]time.Time{}} }
@@ -52,7 +52,7 @@
 		return Order{}, false
 	}
 	want := Order{Server: b.Name(), Fence: c.Version(), Model: m.Name, Version: m.Version, Adapters: b.Adapters(), Role: b.Role(), LoadTime: time.Duration(m.LoadTime), Decided: now}
-	if o.satisfied(want, b, r) || now.Sub(o.sent[b.Name()]) < orderAgain {
+	if o.satisfied(want, b, r) || now.Sub(o.sent[b.Name()]) < orderInterval {
 		return Order{}, false
 	}
 	o.sent[b.Name()] = now
