--- a/src/box/flight.go
+++ b/src/box/flight.go
@@ -48,7 +48,7 @@
 func (f *flight) start() {
 	f.mu.Lock()
 	f.admitted = true
-	f.deadline = time.AfterFunc(f.req.FinalDeadline(f.begun).Sub(f.box.now()), func() { f.post(core.DeadlinePassed{}) })
+	f.deadline = time.AfterFunc(f.req.FinalDeadline(f.begun).Sub(f.box.now()), func() { f.post(core.DeadlineReached{}) })
 	f.mu.Unlock()
 	f.post(core.Begin{})
 }
--- a/src/core/message.go
+++ b/src/core/message.go
@@ -96,8 +96,8 @@
 // PauseEnded means that the pause before another attempt has ended.
 type PauseEnded struct{}
 
-// DeadlinePassed means that the request's deadline has passed.
-type DeadlinePassed struct{}
+// DeadlineReached means that the request's deadline has passed.
+type DeadlineReached struct{}
 
 // CancelRequested means that the caller asked to cancel the request.
 type CancelRequested struct{}
@@ -110,7 +110,7 @@
 func (Failed) event()       {}
 func (HedgeDue) event()     {}
 func (PauseEnded) event()    {}
-func (DeadlinePassed) event() {}
+func (DeadlineReached) event() {}
 func (CancelRequested) event()  {}
 
 // Action is an output of Request.Step, to be carried out by the caller of Step.
--- a/src/core/request.go
+++ b/src/core/request.go
@@ -150,7 +150,7 @@
 			return nil
 		}
 		return []Action{r.enqueue(now, false)}
-	case DeadlinePassed:
+	case DeadlineReached:
 		return r.deadlineOver(now)
 	case CancelRequested:
 		return r.cancelAsked(now)
--- a/src/core/request_test.go
+++ b/src/core/request_test.go
@@ -137,7 +137,7 @@
 func TestLateOnceAnswerAmendsOutcome(t *testing.T) {
 	r, now := testRequest(t, "tag-stamp")
 	id := advanceToStage(r, now, 2)
-	f := findFinish(r.Step(now, DeadlinePassed{}))
+	f := findFinish(r.Step(now, DeadlineReached{}))
 	if f == nil || f.Err.Code != code.OutcomeUnknown {
 		t.Fatalf("finish = %+v", f)
 	}
--- a/src/experiment/sim.go
+++ b/src/experiment/sim.go
@@ -207,7 +207,7 @@
 		req: core.NewRequest(key, w, a.Pipeline, a.Input, deadline, 0, b.est),
 	}
 	b.flights[a.N] = f
-	s.after(f.req.FinalDeadline(s.now).Sub(s.now), func() { f.post(core.DeadlinePassed{}) })
+	s.after(f.req.FinalDeadline(s.now).Sub(s.now), func() { f.post(core.DeadlineReached{}) })
 	f.post(core.Begin{})
 }
 
