--- a/src/core/place.go
+++ b/src/core/place.go
@@ -31,7 +31,7 @@
 
 // rejectReason returns why a call must not go to a server now, whatever the placement policy, or "".
 func (p *Pool) rejectReason(now time.Time, s *server, c *Call) string {
-	if why := s.rejectReason(now, c); why != "" {
+	if why := s.unreadyReason(now, c); why != "" {
 		return why
 	}
 	if v := p.pushback.Judge(now, pushback.Server{ID: s.cfg.Name()}); !v.Open() {
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -234,8 +234,8 @@
 	}
 }
 
-// rejectReason returns why a call must not go to this server now, or "".
-func (s *server) rejectReason(now time.Time, c *Call) string {
+// unreadyReason returns why a call must not go to this server now, or "".
+func (s *server) unreadyReason(now time.Time, c *Call) string {
 	switch {
 	case !config.MayRun(c.Workspace, c.Stage, s.cfg.Domain()):
 		return "outside the boundary"
