--- a/src/box/documents.go
+++ b/src/box/documents.go
@@ -24,7 +24,7 @@
 	mu         sync.Mutex
 	config     *core.DocumentSync
 	list       *core.DocumentSync
-	views      *core.Views
+	views      *core.HomeResolver
 	boxes      port.BoxList
 	holders    config.Holders // who may hold what, by the configuration in force
 	rawList    []byte
--- a/src/core/home.go
+++ b/src/core/home.go
@@ -8,7 +8,7 @@
 	"github.com/stilemast/stilemast/src/code"
 )
 
-// Views decides which box is the home of a caller's key: the only box that may run it. It keeps the box
+// HomeResolver decides which box is the home of a caller's key: the only box that may run it. It keeps the box
 // lists and configurations that were recently in force at this box.
 //
 // A key carries the time m of its creation. Its home is the box with the highest rendezvous hash among
@@ -24,7 +24,7 @@
 // After a change of the first-ranked box, its keys have no home for W and are refused; callers that can't
 // wait use tickets, which need no home. For lists that change back and forth within W, a box counts as
 // present if any view or heartbeat within the window showed it. Not safe for concurrent use.
-type Views struct {
+type HomeResolver struct {
 	Self       BoxID
 	FreshFor   time.Duration // L: greatest age of the confirmation of the newest view
 	ListLag    time.Duration // D: time in which a change reaches every fresh reader
@@ -62,15 +62,15 @@
 }
 
 // NewViews returns Views without history; set its exported fields before use.
-func NewViews(self BoxID) *Views {
-	return &Views{Self: self, heard: map[string]heardBox{}}
+func NewViews(self BoxID) *HomeResolver {
+	return &HomeResolver{Self: self, heard: map[string]heardBox{}}
 }
 
 // window returns W, the time before the creation of a key in which every view must agree on its home.
-func (v *Views) window() time.Duration { return v.FreshFor + v.ListLag + v.ClockSkew }
+func (v *HomeResolver) window() time.Duration { return v.FreshFor + v.ListLag + v.ClockSkew }
 
 // Observe adds a box list and a configuration that are in force at this box from now on.
-func (v *Views) Observe(now time.Time, boxes []ListedBox, may DomainFilter) {
+func (v *HomeResolver) Observe(now time.Time, boxes []ListedBox, may DomainFilter) {
 	v.views = append(v.views, view{from: now, boxes: boxes, allows: may})
 	keep := now.Add(-v.LedgerKeep - v.window())
 	for len(v.views) > 1 && v.views[1].from.Before(keep) {
@@ -79,7 +79,7 @@
 }
 
 // Confirm records that reads showed the list and the configuration to be unchanged at these times.
-func (v *Views) Confirm(list, conf time.Time) {
+func (v *HomeResolver) Confirm(list, conf time.Time) {
 	if list.After(v.listConfirmed) {
 		v.listConfirmed = list
 	}
@@ -89,7 +89,7 @@
 }
 
 // ObserveHeartbeat records a heartbeat of a box that is not leaving: it is alive even if it is not listed.
-func (v *Views) ObserveHeartbeat(now time.Time, name, domain string) {
+func (v *HomeResolver) ObserveHeartbeat(now time.Time, name, domain string) {
 	v.heard[name] = heardBox{domain: domain, last: now}
 	for n, h := range v.heard {
 		if now.Sub(h.last) > 2*v.window() {
@@ -99,7 +99,7 @@
 }
 
 // Confirmed returns the older of the two confirmations.
-func (v *Views) Confirmed() time.Time {
+func (v *HomeResolver) Confirmed() time.Time {
 	if v.listConfirmed.Before(v.confConfirmed) {
 		return v.listConfirmed
 	}
@@ -115,7 +115,7 @@
 
 // Resolve determines the home of a key. It fails for keys that are too old or from the future, and when this
 // box can not exclude that another one acts as home.
-func (v *Views) Resolve(now time.Time, k Key, workspace string) HomeDecision {
+func (v *HomeResolver) Resolve(now time.Time, k Key, workspace string) HomeDecision {
 	m := k.CreatedAt()
 	if m.After(now.Add(v.ClockSkew)) {
 		return HomeDecision{Err: code.New(code.KeyFromFuture, "key", "created %s ahead of this box's clock", m.Sub(now).Round(time.Millisecond))}
@@ -147,7 +147,7 @@
 // PossibleHomes lists every box that might consider itself home to a key. If each of them promises that the key
 // neither ran nor will run there, it did not run. ok is false when this box has not observed the fleet for
 // long enough to name them all, or when they are too many to ask.
-func (v *Views) PossibleHomes(k Key, workspace string) (names []string, ok bool) {
+func (v *HomeResolver) PossibleHomes(k Key, workspace string) (names []string, ok bool) {
 	m := k.CreatedAt()
 	held := v.between(m.Add(-v.window()), m)
 	if len(held) == 0 || held[0].from.After(m.Add(-v.window())) {
@@ -158,7 +158,7 @@
 }
 
 // unsettled returns why this box, first in its newest view, must not act as home, or "".
-func (v *Views) unsettled(first []string, held []view, k Key, workspace string) string {
+func (v *HomeResolver) unsettled(first []string, held []view, k Key, workspace string) string {
 	m := k.CreatedAt()
 	if held[0].from.After(m.Add(-v.window())) {
 		return "this box has not observed the box list for long enough"
@@ -178,7 +178,7 @@
 }
 
 // outranked reports whether a box heard from within the window ranks above this one, listed or not.
-func (v *Views) outranked(w view, k Key, workspace string, m time.Time) bool {
+func (v *HomeResolver) outranked(w view, k Key, workspace string, m time.Time) bool {
 	own := rendezvous(k, v.Self.Name)
 	for n, h := range v.heard {
 		if n == v.Self.Name || h.last.Before(m.Add(-v.window())) || !w.allows(workspace, h.domain) {
@@ -192,7 +192,7 @@
 }
 
 // between lists the views that were held at any time from a to b.
-func (v *Views) between(a, b time.Time) []view {
+func (v *HomeResolver) between(a, b time.Time) []view {
 	lo := 0
 	for lo+1 < len(v.views) && !v.views[lo+1].from.After(a) {
 		lo++
@@ -205,7 +205,7 @@
 }
 
 // topRanked returns the first-ranked box of each view.
-func (v *Views) topRanked(held []view, k Key, workspace string) []string {
+func (v *HomeResolver) topRanked(held []view, k Key, workspace string) []string {
 	out := make([]string, len(held))
 	for i, w := range held {
 		out[i] = v.topRankedIn(w, k, workspace)
@@ -213,7 +213,7 @@
 	return out
 }
 
-func (v *Views) topRankedIn(w view, k Key, workspace string) string {
+func (v *HomeResolver) topRankedIn(w view, k Key, workspace string) string {
 	best, most := "", uint64(0)
 	rank := func(name, domain string) {
 		if !w.allows(workspace, domain) {
@@ -232,7 +232,7 @@
 }
 
 // possibleHomes lists every box that could consider itself home: listed in one of the views, or heard from.
-func (v *Views) possibleHomes(held []view, workspace string) []string {
+func (v *HomeResolver) possibleHomes(held []view, workspace string) []string {
 	var names []string
 	for _, w := range held {
 		for _, b := range w.boxes {
--- a/src/core/home_test.go
+++ b/src/core/home_test.go
@@ -10,7 +10,7 @@
 
 // homeBox is the view of one box of a list that changes.
 type homeBox struct {
-	v    *Views
+	v    *HomeResolver
 	seen int // index of the list it holds
 }
 
