--- a/src/box/documents.go
+++ b/src/box/documents.go
@@ -46,7 +46,7 @@
 	d.config = core.NewDocumentSync(b.ID.Name, "")
 	d.list = core.NewDocumentSync(b.ID.Name, "")
 	s := b.Settings.AtMostOnce
-	d.views = core.NewViews(b.ID)
+	d.views = core.NewHomeResolver(b.ID)
 	d.views.FreshFor = time.Duration(s.FreshWithin)
 	d.views.ListLag = time.Duration(s.ListLag)
 	d.views.ClockSkew = time.Duration(s.ClockSkew)
--- a/src/core/bench_test.go
+++ b/src/core/bench_test.go
@@ -201,7 +201,7 @@
 	for _, n := range []int{7, 420} {
 		b.Run(fmt.Sprintf("boxes=%d", n), func(b *testing.B) {
 			now := time.Unix(1_000_000, 0)
-			v := NewViews(BoxID{Name: "box-0", Incarnation: 1})
+			v := NewHomeResolver(BoxID{Name: "box-0", Incarnation: 1})
 			v.FreshFor, v.ListLag, v.ClockSkew, v.LedgerKeep = 3*time.Second, time.Second, time.Second, time.Minute
 			var list []ListedBox
 			for i := range n {
--- a/src/core/home.go
+++ b/src/core/home.go
@@ -61,8 +61,8 @@
 	allows DomainFilter
 }
 
-// NewViews returns Views without history; set its exported fields before use.
-func NewViews(self BoxID) *HomeResolver {
+// NewHomeResolver returns Views without history; set its exported fields before use.
+func NewHomeResolver(self BoxID) *HomeResolver {
 	return &HomeResolver{Self: self, heard: map[string]heardBox{}}
 }
 
--- a/src/core/home_test.go
+++ b/src/core/home_test.go
@@ -52,7 +52,7 @@
 		homes := map[string][]string{}
 		for _, n := range names {
 			off := time.Duration(rapid.IntRange(-500, 500).Draw(t, "clock of "+n)) * time.Millisecond
-			b := homeBox{v: NewViews(BoxID{Name: n, Incarnation: 1}), seen: -1}
+			b := homeBox{v: NewHomeResolver(BoxID{Name: n, Incarnation: 1}), seen: -1}
 			b.v.FreshFor, b.v.ListLag, b.v.ClockSkew, b.v.LedgerKeep = freshFor, lag, skew, time.Hour
 			now := start.Add(-time.Minute)
 			for now.Before(start.Add(40 * time.Second)) {
@@ -84,7 +84,7 @@
 
 func TestNewBoxIsNotHomeOfOldKeys(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	v := NewViews(BoxID{Name: "a", Incarnation: 1})
+	v := NewHomeResolver(BoxID{Name: "a", Incarnation: 1})
 	v.FreshFor, v.ListLag, v.ClockSkew, v.LedgerKeep = 3*time.Second, 2*time.Second, time.Second, time.Minute
 	v.Observe(now, []ListedBox{{Name: "a", FailureDomain: "d"}}, func(string, string) bool { return true })
 	for _, c := range []struct {
@@ -115,7 +115,7 @@
 	now := time.Unix(1_000_000, 0)
 	var outranked bool
 	for i := range 20 { // some key ranks b above a
-		v := NewViews(BoxID{Name: "a", Incarnation: 1})
+		v := NewHomeResolver(BoxID{Name: "a", Incarnation: 1})
 		v.FreshFor, v.ListLag, v.ClockSkew, v.LedgerKeep = 3*time.Second, 2*time.Second, time.Second, time.Minute
 		v.Observe(now.Add(-time.Hour), []ListedBox{{Name: "a"}}, func(string, string) bool { return true })
 		v.Confirm(now, now)
