--- a/src/core/server.go
+++ b/src/core/server.go
@@ -69,7 +69,7 @@
 
 	report       Report
 	reportAt     time.Time
-	mineAtReport int
+	inFlightAtReport int
 
 	window float64 // number of calls this box may have here, including slots that others leave idle
 
@@ -148,7 +148,7 @@
 	if now.Sub(s.reportAt) > reportStale || s.reportAt.IsZero() {
 		return heard
 	}
-	return max(heard, s.report.Running+s.report.Waiting-s.mineAtReport)
+	return max(heard, s.report.Running+s.report.Waiting-s.inFlightAtReport)
 }
 
 // admits reports whether this box may send one more call: always within its share, and beyond it only while
@@ -187,7 +187,7 @@
 	restarted := r.Incarnation > s.report.Incarnation && !s.reportAt.IsZero()
 	s.report = r
 	s.reportAt = now
-	s.mineAtReport = len(s.inFlight)
+	s.inFlightAtReport = len(s.inFlight)
 	s.invalidateRates()
 	s.updateLeaving(now, r.Leaving, restarted)
 	s.adjustWindow(now)
