--- a/src/core/heartbeats.go
+++ b/src/core/heartbeats.go
@@ -67,8 +67,8 @@
 // ask builds a heartbeat to a member and records it as pending.
 func (m *Members) ask(now time.Time, name string) BeatTo {
 	e := m.all[name]
-	if e.asked.IsZero() {
-		e.asked = now
+	if e.unansweredSince.IsZero() {
+		e.unansweredSince = now
 	}
 	b := m.beat(now)
 	if e.state >= MemberSuspect && e.id.Incarnation != 0 { // the member can only refute a suspicion that it hears of
--- a/src/core/member.go
+++ b/src/core/member.go
@@ -37,7 +37,7 @@
 	round   uint64    // raised by the member itself to refute a suspicion or to update its entry
 	since   time.Time // time of the last change of state
 	heard   time.Time // time of the last direct answer
-	asked   time.Time // send time of the oldest unanswered heartbeat, or zero
+	unansweredSince   time.Time // send time of the oldest unanswered heartbeat, or zero
 	listed  bool
 	left    bool   // this incarnation announced that it is leaving
 	hash    uint32 // of its name
--- a/src/core/members.go
+++ b/src/core/members.go
@@ -119,7 +119,7 @@
 		e := m.all[name]
 		switch e.state {
 		case MemberAlive, MemberLeaving:
-			if !e.asked.IsZero() && now.Sub(e.asked) > suspectAfter {
+			if !e.unansweredSince.IsZero() && now.Sub(e.unansweredSince) > suspectAfter {
 				m.set(now, e, MemberSuspect)
 			}
 		case MemberSuspect:
@@ -259,7 +259,7 @@
 		return
 	}
 	e.heard = now
-	e.asked = time.Time{}
+	e.unansweredSince = time.Time{}
 	if e.state == MemberDead {
 		m.noteReturn(now)
 	}
--- a/src/core/rumour.go
+++ b/src/core/rumour.go
@@ -224,7 +224,7 @@
 	e.id, e.address, e.domain, e.round = r.ID, r.Address, r.Domain, r.Round
 	e.capacity, e.claims = r.Capacity, r.Claims
 	if newLife || r.State != MemberSuspect && r.State != MemberDead {
-		e.asked = time.Time{}
+		e.unansweredSince = time.Time{}
 	}
 	if e.state != r.State {
 		e.state, e.since = r.State, now
