--- a/src/core/member.go
+++ b/src/core/member.go
@@ -36,7 +36,7 @@
 	state   MemberState
 	round   uint64    // raised by the member itself to refute a suspicion or to update its entry
 	since   time.Time // time of the last change of state
-	heard   time.Time // time of the last direct answer
+	lastAnswer   time.Time // time of the last direct answer
 	unansweredSince   time.Time // send time of the oldest unanswered heartbeat, or zero
 	listed  bool
 	left    bool   // this incarnation announced that it is leaving
@@ -61,7 +61,7 @@
 func (m *Member) State() MemberState { return m.state }
 
 // LastAnswer returns the time of its last direct answer to this box.
-func (m *Member) LastAnswer() time.Time { return m.heard }
+func (m *Member) LastAnswer() time.Time { return m.lastAnswer }
 
 // Up returns how long this incarnation of the member has been running, as far as rumours tell.
 func (m *Member) Up(now time.Time) time.Duration { return now.Sub(m.started) }
--- a/src/core/members.go
+++ b/src/core/members.go
@@ -258,7 +258,7 @@
 	if e.id != id {
 		return
 	}
-	e.heard = now
+	e.lastAnswer = now
 	e.unansweredSince = time.Time{}
 	if e.state == MemberDead {
 		m.noteReturn(now)
