--- a/src/core/request.go
+++ b/src/core/request.go
@@ -47,7 +47,7 @@
 	ran         bool // a call was answered, so something ran
 	onceSent    bool // a call that must not be repeated was sent
 	onceDone    bool // and was answered
-	cancel      bool // stop after the answer of the running call
+	cancelRequested      bool // stop after the answer of the running call
 	finished    bool
 	stale       int
 	uses        []StageUse
@@ -321,7 +321,7 @@
 	u.Use = e.Use
 	r.estimates.Learn(now, r.pipeline, s, now.Sub(a.sent))
 	out = append(out, r.emit()...)
-	if r.cancel {
+	if r.cancelRequested {
 		return append(out, r.finish(now, code.New(code.Cancelled, "", "cancelled after a call that could not be undone"))...)
 	}
 	if r.last() {
@@ -358,7 +358,7 @@
 		return nil
 	}
 	if r.onceSent && !r.onceDone {
-		r.cancel = true // the call can't be undone, so wait for its outcome
+		r.cancelRequested = true // the call can't be undone, so wait for its outcome
 		return nil
 	}
 	return r.finish(now, code.New(code.Cancelled, "", "cancelled by the caller"))
