--- a/src/core/members.go
+++ b/src/core/members.go
@@ -212,7 +212,7 @@
 	m.mergeRumour(now, b.From, byHeartbeat)
 	e := m.all[b.From.ID.Name]
 	if e.id == b.From.ID && e.state == MemberDead {
-		m.noteReturn(now)
+		m.recordReturn(now)
 		m.mergeRumour(now, b.From, byHeartbeat)
 	}
 	if e.id == b.From.ID && !b.News {
@@ -261,7 +261,7 @@
 	e.lastAnswer = now
 	e.unansweredSince = time.Time{}
 	if e.state == MemberDead {
-		m.noteReturn(now)
+		m.recordReturn(now)
 	}
 	if e.state == MemberSuspect || e.state == MemberDead {
 		m.set(now, e, e.serving())
--- a/src/core/rumour.go
+++ b/src/core/rumour.go
@@ -214,7 +214,7 @@
 		e.started = now.Add(-r.Up)
 		e.left = false
 	} else if e.state == MemberDead && r.State < MemberDead {
-		m.noteReturn(now)
+		m.recordReturn(now)
 	}
 	if r.State == MemberLeaving {
 		e.left = true
--- a/src/core/table.go
+++ b/src/core/table.go
@@ -282,10 +282,10 @@
 	return !m.healedAt.IsZero() && now.Sub(m.healedAt) < healingPeriod
 }
 
-// noteReturn records that a member believed dead is alive: a partition or pause has ended, and deaths that
+// recordReturn records that a member believed dead is alive: a partition or pause has ended, and deaths that
 // either side inferred from silence may be wrong. For healingPeriod, reports of other boxes that members are
 // alive override deaths.
-func (m *Members) noteReturn(now time.Time) {
+func (m *Members) recordReturn(now time.Time) {
 	m.healedAt = now
 	m.extendForming(now.Add(formingPeriod))
 }
