--- a/src/core/table.go
+++ b/src/core/table.go
@@ -122,7 +122,7 @@
 		m.answerVersions(now, t, out)
 	}
 	if len(t.Wanted) > 0 {
-		out.Entries = append(out.Entries, m.wanted(now, t.Wanted)...)
+		out.Entries = append(out.Entries, m.entriesByHash(now, t.Wanted)...)
 	}
 	if out.Compared == 0 && len(out.Entries) == 0 && len(out.Wanted) == 0 {
 		return nil
@@ -214,8 +214,8 @@
 	return append(slices.Clone(names[from:]), names[:from]...)[:entriesPerNote]
 }
 
-// wanted returns the entries that another box requested by the hashes of their names.
-func (m *Members) wanted(now time.Time, hashes []uint32) []Rumour {
+// entriesByHash returns the entries that another box requested by the hashes of their names.
+func (m *Members) entriesByHash(now time.Time, hashes []uint32) []Rumour {
 	want := make(map[uint32]bool, len(hashes))
 	for _, h := range hashes {
 		want[h] = true
