--- a/src/core/table.go
+++ b/src/core/table.go
@@ -175,7 +175,7 @@
 		}
 		give = append(give, own.name)
 	}
-	give = append(give, m.deaths(now, theirs)...)
+	give = append(give, m.recentDeaths(now, theirs)...)
 	out.Entries = append(out.Entries, m.entries(now, m.sample(give))...)
 	for _, v := range t.Versions { // not in map order, so that runs are reproducible
 		if _, differs := theirs[uint32(v>>32)]; differs {
@@ -185,9 +185,9 @@
 	out.Wanted = out.Wanted[:min(len(out.Wanted), entriesPerNote)]
 }
 
-// deaths lists the members that the other box believes alive and that died recently in this box's view.
+// recentDeaths lists the members that the other box believes alive and that died recently in this box's view.
 // While a partition heals it lists none, because both sides consider the other's boxes dead.
-func (m *Members) deaths(now time.Time, theirs map[uint32]uint64) []string {
+func (m *Members) recentDeaths(now time.Time, theirs map[uint32]uint64) []string {
 	if m.healing(now) {
 		return nil
 	}
