--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -371,7 +371,7 @@
 func (p *Pool) dispatch(now time.Time, c *Call, s *server) {
 	p.pushback.Begin(now, pushback.Server{ID: s.cfg.Name()}, "")
 	w := s.estimate(now, c, p.ratio(c))
-	s.inFlight[c.Attempt] = running{
+	s.inFlight[c.Attempt] = runningCall{
 		sent: now, expect: w.total(), tokens: w.tokens, prefill: w.prefill, guessed: w.guessed, prefix: c.Prefix,
 	}
 	for _, h := range c.Prefix {
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -41,8 +41,8 @@
 	Removed []uint64 `json:"removed"`
 }
 
-// running is a call that this box has at a server.
-type running struct {
+// runningCall is a call that this box has at a server.
+type runningCall struct {
 	sent    time.Time
 	expect  time.Duration
 	tokens  int // expected number of generated tokens
@@ -61,7 +61,7 @@
 type server struct {
 	cfg      *config.BackendServer
 	hash     uint64
-	inFlight map[Attempt]running
+	inFlight map[Attempt]runningCall
 	peers    map[string]peerLoad
 	users    int // number of boxes that use this server
 
@@ -110,7 +110,7 @@
 
 func newServer(cfg *config.BackendServer, t *poolAverages) *server {
 	return &server{
-		cfg: cfg, hash: xxhash.Sum64String(cfg.Name()), inFlight: map[Attempt]running{}, peers: map[string]peerLoad{}, users: 1,
+		cfg: cfg, hash: xxhash.Sum64String(cfg.Name()), inFlight: map[Attempt]runningCall{}, peers: map[string]peerLoad{}, users: 1,
 		run: defaultRun.Seconds(), token: defaultTokenTime.Seconds(), prefill: defaultPrefill.Seconds(),
 		blocks: list.New(), cacheAccuracy: 1, typical: t,
 	}
@@ -358,7 +358,7 @@
 }
 
 // learn updates the estimates from one answered call.
-func (s *server) learn(now time.Time, r running, u Use) {
+func (s *server) learn(now time.Time, r runningCall, u Use) {
 	took := now.Sub(r.sent).Seconds()
 	if r.tokens == 0 {
 		s.run = s.average(s.run, took)
