--- a/src/core/admission.go
+++ b/src/core/admission.go
@@ -14,8 +14,8 @@
 // Admission rejects requests that exceed their workspace's limit or can't finish by their deadline, before
 // they use any resources. Not safe for concurrent use.
 type Admission struct {
-	Boxes func() int // number of usable boxes, over which the limit of a workspace is divided
-	Disabled   bool       // baseline for experiments: admits everything
+	Boxes    func() int // number of usable boxes, over which the limit of a workspace is divided
+	Disabled bool       // baseline for experiments: admits everything
 
 	inFlight map[string]int
 }
--- a/src/core/home.go
+++ b/src/core/home.go
@@ -61,7 +61,7 @@
 	allows DomainFilter
 }
 
-// NewHomeResolver returns Views without history; set its exported fields before use.
+// NewHomeResolver returns a HomeResolver without history; set its exported fields before use.
 func NewHomeResolver(self BoxID) *HomeResolver {
 	return &HomeResolver{Self: self, heard: map[string]heardBox{}}
 }
--- a/src/core/member.go
+++ b/src/core/member.go
@@ -30,17 +30,17 @@
 
 // Member is what this box knows of another one.
 type Member struct {
-	id      BoxID
-	address string
-	domain  string
-	state   MemberState
-	round   uint64    // raised by the member itself to refute a suspicion or to update its entry
-	since   time.Time // time of the last change of state
-	lastAnswer   time.Time // time of the last direct answer
-	unansweredSince   time.Time // send time of the oldest unanswered heartbeat, or zero
-	listed  bool
-	left    bool   // this incarnation announced that it is leaving
-	hash    uint32 // of its name
+	id              BoxID
+	address         string
+	domain          string
+	state           MemberState
+	round           uint64    // raised by the member itself to refute a suspicion or to update its entry
+	since           time.Time // time of the last change of state
+	lastAnswer      time.Time // time of the last direct answer
+	unansweredSince time.Time // send time of the oldest unanswered heartbeat, or zero
+	listed          bool
+	left            bool   // this incarnation announced that it is leaving
+	hash            uint32 // of its name
 
 	capacity Capacity
 	claims   []Claim
--- a/src/core/message.go
+++ b/src/core/message.go
@@ -102,16 +102,16 @@
 // CancelRequested means that the caller asked to cancel the request.
 type CancelRequested struct{}
 
-func (Begin) event()        {}
-func (Granted) event()      {}
-func (Refused) event()      {}
-func (Chunk) event()        {}
-func (Done) event()         {}
-func (Failed) event()       {}
-func (HedgeDue) event()     {}
-func (PauseEnded) event()    {}
+func (Begin) event()           {}
+func (Granted) event()         {}
+func (Refused) event()         {}
+func (Chunk) event()           {}
+func (Done) event()            {}
+func (Failed) event()          {}
+func (HedgeDue) event()        {}
+func (PauseEnded) event()      {}
 func (DeadlineReached) event() {}
-func (CancelRequested) event()  {}
+func (CancelRequested) event() {}
 
 // Action is an output of Request.Step, to be carried out by the caller of Step.
 type Action interface{ action() }
@@ -157,7 +157,7 @@
 	After   time.Duration
 }
 
-// Pause requests a PauseOver event after a delay.
+// Pause requests a PauseEnded event after a delay.
 type Pause struct{ After time.Duration }
 
 // Emit sends the caller a part of the answer.
--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -27,7 +27,7 @@
 	Self        string // name of the box, the seed of its jitter
 	Domain      int    // failure domain of the box, -1 when unknown
 	Region      string
-	MaxWaiting        int // greatest number of waiting calls
+	MaxWaiting  int // greatest number of waiting calls
 	Estimates   *Estimates
 	Placement   Placer // placement policy
 	NoAdmission bool   // baseline: first come first served, nothing refused, no windows
--- a/src/core/request.go
+++ b/src/core/request.go
@@ -35,23 +35,23 @@
 	maxTokens int
 	estimates *Estimates
 
-	stage       int
-	input       []byte // of the current stage
-	output      []byte // of the current stage so far
-	live        map[int]*liveAttempt
-	next        int // number of the stage's next attempt
-	failed      []string
-	pause       time.Duration
-	emitted     int
-	unconfirmed int  // sent calls that may have run
-	ran         bool // a call was answered, so something ran
-	onceSent    bool // a call that must not be repeated was sent
-	onceDone    bool // and was answered
-	cancelRequested      bool // stop after the answer of the running call
-	finished    bool
-	stale       int
-	uses        []StageUse
-	trace       []Placement
+	stage           int
+	input           []byte // of the current stage
+	output          []byte // of the current stage so far
+	live            map[int]*liveAttempt
+	next            int // number of the stage's next attempt
+	failed          []string
+	pause           time.Duration
+	emitted         int
+	unconfirmed     int  // sent calls that may have run
+	ran             bool // a call was answered, so something ran
+	onceSent        bool // a call that must not be repeated was sent
+	onceDone        bool // and was answered
+	cancelRequested bool // stop after the answer of the running call
+	finished        bool
+	stale           int
+	uses            []StageUse
+	trace           []Placement
 }
 
 // liveAttempt is an attempt whose reply is still accepted.
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -67,13 +67,13 @@
 
 	sameRegion bool // in the region of the box
 
-	report       Report
-	reportAt     time.Time
+	report           Report
+	reportAt         time.Time
 	inFlightAtReport int
 
 	window float64 // number of calls this box may have here, including slots that others leave idle
 
-	failureRate           float64
+	failureRate         float64
 	consecutiveFailures int
 	backoff             time.Duration
 	backoffUntil        time.Time
@@ -81,7 +81,7 @@
 	probing             bool
 
 	reportedLeaving bool
-	leavingUntil    time.Time // set by a refused call; reports of the same incarnation do not revert saysLeaving before
+	leavingUntil    time.Time // set by a refused call; reports of the same incarnation do not revert reportedLeaving before
 
 	run       float64 // seconds per call of a plain service or an encoder
 	token     float64 // seconds per token on an empty engine
--- a/src/core/table_test.go
+++ b/src/core/table_test.go
@@ -20,17 +20,17 @@
 // tableNet simulates a fleet in virtual time whose boxes start at different times and know only three
 // seeds.
 type tableNet struct {
-	now     time.Time
-	step    int
-	nodes   map[string]*Members
-	starts  map[string]time.Time
-	order   []string
-	seeds   []string
-	cut     func(from, to string) bool
-	lastIncarnation   uint64
-	sent    int // messages
-	entries int // sent in table exchanges
-	seed    uint64
+	now             time.Time
+	step            int
+	nodes           map[string]*Members
+	starts          map[string]time.Time
+	order           []string
+	seeds           []string
+	cut             func(from, to string) bool
+	lastIncarnation uint64
+	sent            int // messages
+	entries         int // sent in table exchanges
+	seed            uint64
 }
 
 func newTableNet(n int, spread time.Duration, seed uint64) *tableNet {
