--- a/src/box/at_most_once.go
+++ b/src/box/at_most_once.go
@@ -21,12 +21,12 @@
 // runOnce runs a request that must run at most once, or forwards it to the one box incarnation that may run it.
 func (b *Box) runOnce(ctx context.Context, q *checkedRequest, emit Emit) error {
 	if e := b.entryOf(q.key); e != nil {
-		if e.Renounced() && !q.key.Ticket() {
+		if e.Renounced() && !q.key.IsTicket() {
 			return emit(b.homeUnsettled(ctx, q, e.Err()))
 		}
 		return b.runLocally(ctx, q, emit)
 	}
-	if q.key.Ticket() {
+	if q.key.IsTicket() {
 		return b.runTicket(ctx, q, emit)
 	}
 	h := b.docs.homeOf(q.key, q.workspace.Name())
@@ -57,7 +57,7 @@
 // runTicket runs a request with a ticket if this incarnation issued the ticket, and otherwise forwards it to
 // the issuer.
 func (b *Box) runTicket(ctx context.Context, q *checkedRequest, emit Emit) error {
-	if age := b.wall().Sub(q.key.Minted()); age > time.Duration(b.Settings.AtMostOnce.LedgerKeep) {
+	if age := b.wall().Sub(q.key.CreatedAt()); age > time.Duration(b.Settings.AtMostOnce.LedgerKeep) {
 		return emit(refusal(code.New(code.KeyExpired, "key", "issued %s ago, longer than outcomes are kept", age.Round(time.Second))))
 	}
 	if q.key.Issuer == b.ID {
@@ -210,7 +210,7 @@
 // renounce promises that a key never ran and never will run on this box. A box that started after the key was
 // made can't speak for its previous incarnation, unless it took over that one's ledger.
 func (b *Box) renounce(r port.Renounce) bool {
-	if r.Key.Minted().Before(b.startedAt().Add(time.Duration(b.Settings.AtMostOnce.ClockSkew))) && !b.importedLedgers.hasName(b.ID.Name) {
+	if r.Key.CreatedAt().Before(b.startedAt().Add(time.Duration(b.Settings.AtMostOnce.ClockSkew))) && !b.importedLedgers.hasName(b.ID.Name) {
 		return false
 	}
 	s := b.shardOf(r.Key)
@@ -242,7 +242,7 @@
 	if b.inLedger(q.key) {
 		return b.runLocally(ctx, q, emit)
 	}
-	if q.key.Ticket() {
+	if q.key.IsTicket() {
 		return b.serveTicket(ctx, q, emit)
 	}
 	if h := b.docs.homeOf(q.key, q.workspace.Name()); !h.Me {
--- a/src/box/box.go
+++ b/src/box/box.go
@@ -49,7 +49,7 @@
 
 	estimates    *core.Estimates
 	cost         *core.Cost
-	burn         *core.Burn
+	burn         *core.BurnRates
 	shards       [shardCount]shard
 	pools        poolSet
 	activeConfig atomic.Pointer[config.Config]
@@ -115,7 +115,7 @@
 		b.Rand = rand.New(rand.NewPCG(b.ID.Incarnation, 1))
 	}
 	s := b.Settings
-	b.estimates, b.cost, b.burn = core.NewEstimates(), core.NewCost(), core.NewBurn()
+	b.estimates, b.cost, b.burn = core.NewEstimates(), core.NewCost(), core.NewBurnRates()
 	for i := range b.shards {
 		l := core.NewLedger()
 		// A key from a clock that is ahead must expire before its entry is dropped.
@@ -126,7 +126,7 @@
 		b.shards[i].flights = map[uuid.UUID]*flight{}
 	}
 	b.admission.core = core.NewAdmission()
-	b.admission.core.Off = s.Policy.NoAdmission
+	b.admission.core.Disabled = s.Policy.NoAdmission
 	b.admission.core.Boxes = b.fleet.size
 	b.orders.core = core.NewOrders(b.ID.Name)
 	b.pools.init(b)
@@ -150,7 +150,7 @@
 func (b *Box) Start(ctx context.Context) {
 	b.every(ctx, core.TickEvery, b.tick)
 	b.every(ctx, core.HeartbeatEvery, b.sendHeartbeats)
-	b.every(ctx, core.NewsEvery, b.sendLoads)
+	b.every(ctx, core.LoadNotesEvery, b.sendLoads)
 	b.every(ctx, core.TickEvery, b.docs.step)
 	b.every(ctx, pollInterval, b.pollReports)
 	b.every(ctx, sweepInterval, b.sweep)
--- a/src/box/documents.go
+++ b/src/box/documents.go
@@ -22,9 +22,9 @@
 	box *Box
 
 	mu          sync.Mutex
-	config      *core.Spread
-	list        *core.Spread
-	views       *core.Views
+	config      *core.DocumentSync
+	list        *core.DocumentSync
+	views       *core.HomeResolver
 	boxes       port.BoxList
 	holders     config.Holders // which boxes may hold which data according to the configuration in force
 	rawList     []byte
@@ -43,10 +43,10 @@
 
 func (d *documents) init(b *Box) {
 	d.box = b
-	d.config = core.NewSpread(b.ID.Name, "")
-	d.list = core.NewSpread(b.ID.Name, "")
+	d.config = core.NewDocumentSync(b.ID.Name, "")
+	d.list = core.NewDocumentSync(b.ID.Name, "")
 	s := b.Settings.AtMostOnce
-	d.views = core.NewViews(b.ID)
+	d.views = core.NewHomeResolver(b.ID)
 	d.views.FreshFor = time.Duration(s.FreshWithin)
 	d.views.ListLag = time.Duration(s.ListLag)
 	d.views.ClockSkew = time.Duration(s.ClockSkew)
@@ -55,13 +55,13 @@
 }
 
 // homeOf returns which box is the home of a key.
-func (d *documents) homeOf(k core.Key, workspace string) core.Homing {
+func (d *documents) homeOf(k core.Key, workspace string) core.HomeDecision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	// Confirmations are timed by the monotonic clock, keys contain wall time.
 	step := d.box.wall().Sub(d.box.now())
 	d.views.Confirm(d.list.Confirmed().Add(step), d.config.Confirmed().Add(step))
-	return d.views.Judge(d.box.wall(), k, workspace)
+	return d.views.Resolve(d.box.wall(), k, workspace)
 }
 
 // witnesses returns the boxes that might consider themselves the home of a key; false if this box can't name
@@ -69,7 +69,7 @@
 func (d *documents) witnesses(k core.Key, workspace string) ([]string, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.views.Witnesses(k, workspace)
+	return d.views.PossibleHomes(k, workspace)
 }
 
 // confirmed returns when the configuration in force was last known to be the newest.
@@ -85,8 +85,8 @@
 	live := d.box.fleet.regions(d.box.Config())
 	d.mu.Lock()
 	every := time.Duration(d.box.Settings.Platform.PollEvery)
-	readConf := !d.reading[0] && d.config.Reads(now, live, every)
-	readList := !d.reading[1] && d.list.Reads(now, live, every)
+	readConf := !d.reading[0] && d.config.ShouldRead(now, live, every)
+	readList := !d.reading[1] && d.list.ShouldRead(now, live, every)
 	d.reading[0] = d.reading[0] || readConf
 	d.reading[1] = d.reading[1] || readList
 	d.mu.Unlock()
@@ -160,11 +160,11 @@
 	d.mu.Lock()
 	held := d.config.Held()
 	if digest == held.Digest {
-		d.config.Served(readAt, held.Version, digest)
+		d.config.ReadSucceeded(readAt, held.Version, digest)
 		d.mu.Unlock()
 		return
 	}
-	d.config.Served(readAt, 0, "")
+	d.config.ReadSucceeded(readAt, 0, "")
 	refused := d.config.Refused(digest) || digest == d.olderDigest
 	d.mu.Unlock()
 	if refused {
@@ -253,7 +253,7 @@
 	d.mu.Lock()
 	fresh := d.list.Offer(l.Revision, digest)
 	if !readAt.IsZero() {
-		d.list.Served(readAt, l.Revision, digest)
+		d.list.ReadSucceeded(readAt, l.Revision, digest)
 	}
 	if fresh {
 		d.list.Adopt(l.Revision, digest, readAt)
@@ -272,10 +272,10 @@
 func (d *documents) handleBeat(now time.Time, from string, b core.Beat, askedAt time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.config.Hear(now, from, b.Config, askedAt)
-	d.list.Hear(now, from, b.List, askedAt)
+	d.config.ReceiveStatement(now, from, b.Config, askedAt)
+	d.list.ReceiveStatement(now, from, b.List, askedAt)
 	if b.From.State == core.MemberAlive {
-		d.views.Heard(d.box.wall(), from, b.From.Domain)
+		d.views.ObserveHeartbeat(d.box.wall(), from, b.From.Domain)
 	}
 }
 
@@ -283,12 +283,12 @@
 func (d *documents) fillBeat(now time.Time, b *core.Beat) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	b.Config = d.config.Say(now)
-	b.List = d.list.Say(now)
+	b.Config = d.config.Statement(now)
+	b.List = d.list.Statement(now)
 }
 
 // startPull starts to fetch a newer document from another box, if one is known.
-func (d *documents) startPull(ctx context.Context, i int, s *core.Spread) {
+func (d *documents) startPull(ctx context.Context, i int, s *core.DocumentSync) {
 	d.mu.Lock()
 	from, want := "", core.Statement{}
 	if !d.pulling[i] {
@@ -309,7 +309,7 @@
 }
 
 // pull fetches a document from another box and offers it.
-func (d *documents) pull(ctx context.Context, i int, s *core.Spread, from string, want core.Statement, have string) {
+func (d *documents) pull(ctx context.Context, i int, s *core.DocumentSync, from string, want core.Statement, have string) {
 	ctx, cancel := context.WithTimeout(ctx, core.PullTimeout)
 	defer cancel()
 	name := []string{port.DocumentConfig, port.DocumentList}[i]
@@ -323,7 +323,7 @@
 	if err != nil || a.Pull == nil || config.Digest(raw) != a.Pull.Digest {
 		d.box.Log.Warn("document pull failed", "document", name, "from", from, "version", want.Version, "answered", a.Pull != nil, "cause", fmt.Sprint(err))
 		d.mu.Lock()
-		s.PullEnded(from)
+		s.PullFailed(from)
 		d.mu.Unlock()
 		return
 	}
--- a/src/box/flight.go
+++ b/src/box/flight.go
@@ -48,7 +48,7 @@
 func (f *flight) start() {
 	f.mu.Lock()
 	f.admitted = true
-	f.deadline = time.AfterFunc(f.req.GiveUp(f.startedAt).Sub(f.box.now()), func() { f.post(core.DeadlineOver{}) })
+	f.deadline = time.AfterFunc(f.req.FinalDeadline(f.startedAt).Sub(f.box.now()), func() { f.post(core.DeadlineReached{}) })
 	f.mu.Unlock()
 	f.post(core.Begin{})
 }
@@ -106,7 +106,7 @@
 	case core.ArmHedge:
 		time.AfterFunc(a.After, func() { f.post(core.HedgeDue{Attempt: a.Attempt}) })
 	case core.Pause:
-		time.AfterFunc(a.After, func() { f.post(core.PauseOver{}) })
+		time.AfterFunc(a.After, func() { f.post(core.PauseEnded{}) })
 	case core.Emit:
 		f.emit(a.Data)
 	case core.Settle:
@@ -162,7 +162,7 @@
 		return
 	}
 	stage := f.req.Pipeline().Stages()[a.Attempt.Stage]
-	ctx, cancel := context.WithTimeout(ctx, f.req.CallLimit(f.box.now(), f.startedAt, a.Attempt))
+	ctx, cancel := context.WithTimeout(ctx, f.req.CallTimeout(f.box.now(), f.startedAt, a.Attempt))
 	defer cancel()
 	stall := newStallTimer(stage, a.Attempt.N, cancel)
 	defer stall.stop()
@@ -187,7 +187,7 @@
 func (f *flight) noteRest(s *config.BackendServer, stage *config.Stage, err *port.CallError) {
 	if p := f.box.pools.get(stage.Pool()); p != nil && err.Rest > 0 {
 		f.box.Log.Info("server asks for rest", "server", s.Name(), "pool", stage.Pool(), "asks_ms", err.Rest.Milliseconds())
-		p.locked(func(c *core.Pool) { c.AsksRest(f.box.now(), s.Name(), err.Rest) })
+		p.locked(func(c *core.Pool) { c.RecordRest(f.box.now(), s.Name(), err.Rest) })
 	}
 }
 
@@ -234,7 +234,7 @@
 // request returns the request to the backend server for a call.
 func (f *flight) request(a core.Send, s *config.Stage) port.CallRequest {
 	r := port.CallRequest{
-		Attempt: a.Attempt.Wire(f.box.ID), Kind: string(s.Kind()), Input: a.Input, Offset: a.Offset,
+		Attempt: a.Attempt.WireID(f.box.ID), Kind: string(s.Kind()), Input: a.Input, Offset: a.Offset,
 		Priority: core.ServerPriority(f.req.Pipeline().Class(), f.req.Deadline()), Salt: f.req.Workspace().Name(), Model: s.Model(), Adapter: s.Adapter(),
 		Once: a.Once, Resume: a.Resume,
 	}
@@ -253,7 +253,7 @@
 	if s.Kind() != config.Generate {
 		return &stallTimer{}
 	}
-	return &stallTimer{t: time.AfterFunc(core.FirstPieceLimit(attempt), cancel)}
+	return &stallTimer{t: time.AfterFunc(core.FirstChunkTimeout(attempt), cancel)}
 }
 
 // progress notes that the stream made progress.
@@ -286,7 +286,7 @@
 		defer f.box.background.Done()
 		ctx, done := context.WithTimeout(context.Background(), cancelTimeout)
 		defer done()
-		f.box.Backends.Stop(ctx, server, a.Attempt.Wire(f.box.ID))
+		f.box.Backends.Stop(ctx, server, a.Attempt.WireID(f.box.ID))
 	}()
 }
 
--- a/src/box/membership.go
+++ b/src/box/membership.go
@@ -46,7 +46,7 @@
 	now := b.now()
 	f.mu.Lock()
 	f.core.Expect = b.beatFiller(now)
-	out := append(f.core.Tick(now), f.core.Indirect(now)...)
+	out := append(f.core.Tick(now), f.core.IndirectProbes(now)...)
 	changed := f.core.Changed()
 	f.mu.Unlock()
 	for _, o := range out {
@@ -63,11 +63,11 @@
 func (b *Box) sendLoads(context.Context) {
 	f := &b.fleet
 	f.mu.Lock()
-	to, self := f.core.Near(), f.core.Self
+	to, self := f.core.SmallFleetAddresses(), f.core.Self
 	f.mu.Unlock()
 	loads := b.loadNotes(b.now())
 	now := b.now()
-	if len(to) == 0 || slices.Equal(loads, f.sentLoads) && (len(loads) == 0 || now.Sub(f.sentLoadsAt) < core.TellAgain) {
+	if len(to) == 0 || slices.Equal(loads, f.sentLoads) && (len(loads) == 0 || now.Sub(f.sentLoadsAt) < core.LoadRepeatEvery) {
 		return
 	}
 	f.sentLoads, f.sentLoadsAt = loads, now
@@ -159,7 +159,7 @@
 				c.PeerLoad(now, m.From.ID.Name, name, int(notes[uint32(xxhash.Sum64String(name))]))
 			}
 			for _, l := range m.Leavings {
-				c.HearLeaving(now, l.Server, l.Incarnation, l.Seq)
+				c.PeerReportedLeaving(now, l.Server, l.Incarnation, l.Seq)
 			}
 		})
 	}
@@ -200,7 +200,7 @@
 func (f *fleet) setList(now time.Time, boxes []core.ListedBox) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.core.List(now, boxes)
+	f.core.SetList(now, boxes)
 }
 
 func (f *fleet) usable() []string {
@@ -215,7 +215,7 @@
 func (f *fleet) members() []core.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	list := f.core.Each()
+	list := f.core.All()
 	out := make([]core.Member, len(list))
 	for i, m := range list {
 		out[i] = *m
@@ -227,8 +227,8 @@
 func (f *fleet) allAnswered() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, m := range f.core.Each() {
-		if m.State() != core.MemberDead && m.Heard().IsZero() {
+	for _, m := range f.core.All() {
+		if m.State() != core.MemberDead && m.LastAnswer().IsZero() {
 			return false
 		}
 	}
@@ -276,8 +276,8 @@
 		return ""
 	}
 	out[f.box.ID.Name] = regionOf(f.core.Self.Domain)
-	for _, m := range f.core.Each() {
-		if m.Usable() && m.ID().Incarnation != 0 && !m.Heard().IsZero() {
+	for _, m := range f.core.All() {
+		if m.Usable() && m.ID().Incarnation != 0 && !m.LastAnswer().IsZero() {
 			out[m.ID().Name] = regionOf(m.FailureDomain())
 		}
 	}
--- a/src/box/serve.go
+++ b/src/box/serve.go
@@ -140,7 +140,7 @@
 	if _, err := io.ReadFull(b.Entropy, random[:]); err != nil {
 		panic(err) // no entropy source
 	}
-	return core.MintID(b.wall(), random)
+	return core.NewKeyID(b.wall(), random)
 }
 
 // runLocally runs a request on this box, or attaches to the one that runs or ran under the same key.
@@ -198,7 +198,7 @@
 	}
 	b.admission.mu.Lock()
 	defer b.admission.mu.Unlock()
-	err := b.admission.core.Enter(b.now(), q.workspace, q.pipeline, q.deadline, b.estimates, b.pools.waitFor)
+	err := b.admission.core.Admit(b.now(), q.workspace, q.pipeline, q.deadline, b.estimates, b.pools.waitFor)
 	if err != nil {
 		return err.WithRan(code.RanNo)
 	}
@@ -322,7 +322,7 @@
 	if f == nil || entry == nil || entry.Workspace() != c.Workspace {
 		return false
 	}
-	f.post(core.CancelAsked{})
+	f.post(core.CancelRequested{})
 	return true
 }
 
--- a/src/box/suspects.go
+++ b/src/box/suspects.go
@@ -51,9 +51,9 @@
 func (b *Box) announceSuspects() {
 	f := &b.fleet
 	f.mu.Lock()
-	to, self := f.core.Near(), f.core.Self
+	to, self := f.core.SmallFleetAddresses(), f.core.Self
 	if len(to) == 0 {
-		to = f.core.Some(announceFanout)
+		to = f.core.RandomAddresses(announceFanout)
 	}
 	f.mu.Unlock()
 	notes := b.suspects.Notes(true)
--- a/src/core/bench_test.go
+++ b/src/core/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// benchConfig has one pool of n engines over five domains, and w workspaces.
+// benchConfig returns a configuration with one pool of engines in five failure domains, and workspaces.
 func benchConfig(tb testing.TB, engines, workspaces int) *config.Config {
 	tb.Helper()
 	d := config.ExampleTarget()
@@ -54,14 +54,14 @@
 func benchCall(c *config.Config, n int, now time.Time) *Call {
 	p := c.Pipeline("pipeline-01")
 	w := c.Workspace(fmt.Sprintf("workspace-%04d", 1+n%len(c.Workspaces())))
-	id := Attempt{Key: Key{ID: MintID(now, [16]byte{9: byte(n), 15: byte(n*32 + 1)})}, Stage: 3}
+	id := Attempt{Key: Key{ID: NewKeyID(now, [16]byte{9: byte(n), 15: byte(n*32 + 1)})}, Stage: 3}
 	return &Call{
 		Attempt: id, Workspace: w, Pipeline: p, Stage: p.Stages()[3], Deadline: now.Add(10 * time.Second), Enqueued: now,
 		PromptTokens: 400, MaxTokens: 200, Prefix: PrefixBlocks(w.Name(), make([]byte, 1024)),
 	}
 }
 
-// BenchmarkPlacement is one call through push, placement and end.
+// BenchmarkPlacement measures one call through Push, Next and Done.
 func BenchmarkPlacement(b *testing.B) {
 	for _, n := range []int{18, 120, 600} {
 		b.Run(fmt.Sprintf("engines=%d", n), func(b *testing.B) {
@@ -93,7 +93,7 @@
 	}
 }
 
-// BenchmarkPlace is the choice of a server alone.
+// BenchmarkPlace measures only the choice of a server.
 func BenchmarkPlace(b *testing.B) {
 	for _, n := range []int{18, 120, 600} {
 		b.Run(fmt.Sprintf("engines=%d", n), func(b *testing.B) {
@@ -112,7 +112,7 @@
 	}
 }
 
-// BenchmarkAdmission is one request's admission while many workspaces have requests.
+// BenchmarkAdmission measures the admission of one request while many workspaces have requests.
 func BenchmarkAdmission(b *testing.B) {
 	for _, n := range []int{5, 1300} {
 		b.Run(fmt.Sprintf("workspaces=%d", n), func(b *testing.B) {
@@ -127,12 +127,12 @@
 			waits := func(_ *config.Stage, class config.Class, d time.Time) time.Duration { return p.WaitFor(now, class, d) }
 			pipe := c.Pipeline("pipeline-01")
 			for i := range n {
-				_ = a.Enter(now, c.Workspace(fmt.Sprintf("workspace-%04d", 1+i)), pipe, now.Add(time.Hour), p.Estimates, waits)
+				_ = a.Admit(now, c.Workspace(fmt.Sprintf("workspace-%04d", 1+i)), pipe, now.Add(time.Hour), p.Estimates, waits)
 			}
 			w := c.Workspace("workspace-0001")
 			b.ReportAllocs()
 			for b.Loop() {
-				if a.Enter(now, w, pipe, now.Add(time.Hour), p.Estimates, waits) == nil {
+				if a.Admit(now, w, pipe, now.Add(time.Hour), p.Estimates, waits) == nil {
 					a.Leave(w.Name())
 				}
 			}
@@ -140,7 +140,8 @@
 	}
 }
 
-// BenchmarkHeartbeat is one beat of a box: what it sends, and taking as many questions and answers.
+// BenchmarkHeartbeat measures one heartbeat interval of a box: sending, and receiving as many heartbeats
+// and answers.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, n := range []int{7, 420} {
 		b.Run(fmt.Sprintf("boxes=%d", n), func(b *testing.B) {
@@ -153,12 +154,12 @@
 				peers = append(peers, Beat{From: r, Seq: uint64(i)})
 				list = append(list, ListedBox{Name: r.ID.Name, Address: "a", FailureDomain: "d"})
 			}
-			m.List(now, list)
+			m.SetList(now, list)
 			for _, p := range peers {
 				m.Receive(now, p)
 			}
 			for range 200 {
-				m.Tick(now) // the first rumours are told
+				m.Tick(now) // send the first rumours
 			}
 			b.ReportAllocs()
 			i := 0
@@ -178,7 +179,7 @@
 	}
 }
 
-// BenchmarkSubsets is what a change of membership or configuration costs one box.
+// BenchmarkSubsets measures what a change of membership or configuration costs one box.
 func BenchmarkSubsets(b *testing.B) {
 	for _, n := range []int{7, 420} {
 		b.Run(fmt.Sprintf("boxes=%d", n), func(b *testing.B) {
@@ -195,12 +196,12 @@
 	}
 }
 
-// BenchmarkJudge is the decision which box is home to a key.
+// BenchmarkJudge measures the decision on the home of a key.
 func BenchmarkJudge(b *testing.B) {
 	for _, n := range []int{7, 420} {
 		b.Run(fmt.Sprintf("boxes=%d", n), func(b *testing.B) {
 			now := time.Unix(1_000_000, 0)
-			v := NewViews(BoxID{Name: "box-0", Incarnation: 1})
+			v := NewHomeResolver(BoxID{Name: "box-0", Incarnation: 1})
 			v.FreshFor, v.ListLag, v.ClockSkew, v.LedgerKeep = 3*time.Second, time.Second, time.Second, time.Minute
 			var list []ListedBox
 			for i := range n {
@@ -208,10 +209,10 @@
 			}
 			v.Observe(now.Add(-time.Minute), list, func(string, string) bool { return true })
 			v.Confirm(now, now)
-			k := Key{ID: MintID(now, [16]byte{9: 1})}
+			k := Key{ID: NewKeyID(now, [16]byte{9: 1})}
 			b.ReportAllocs()
 			for b.Loop() {
-				v.Judge(now, k, "w")
+				v.Resolve(now, k, "w")
 			}
 		})
 	}
--- a/src/core/home_test.go
+++ b/src/core/home_test.go
@@ -8,20 +8,20 @@
 	"pgregory.net/rapid"
 )
 
-// homeBox is one box's knowledge of a list that changes.
+// homeBox is the view of one box of a list that changes.
 type homeBox struct {
-	v    *Views
+	v    *HomeResolver
 	seen int // index of the list it holds
 }
 
-// Several boxes read a list that changes, each at its own moments and stale by up to D, with clocks
-// off by up to half the skew. Whatever they do, no two may both be home to one key.
-func TestNoTwoHomes(t *testing.T) {
+// Several boxes read a changing list at different times, stale by up to D, with clocks off by up to half
+// the skew. No two of them may act as home for the same key.
+func TestKeyHasAtMostOneHome(t *testing.T) {
 	const freshFor, lag, skew = 3 * time.Second, 2 * time.Second, time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Unix(1_000_000, 0)
 		names := []string{"a", "b", "c", "d"}
-		// The true list changes at these moments; a box once out stays out for longer than the lag.
+		// The true list changes at these times; a removed box stays out for longer than the lag.
 		type change struct {
 			at    time.Time
 			boxes []ListedBox
@@ -52,7 +52,7 @@
 		homes := map[string][]string{}
 		for _, n := range names {
 			off := time.Duration(rapid.IntRange(-500, 500).Draw(t, "clock of "+n)) * time.Millisecond
-			b := homeBox{v: NewViews(BoxID{Name: n, Incarnation: 1}), seen: -1}
+			b := homeBox{v: NewHomeResolver(BoxID{Name: n, Incarnation: 1}), seen: -1}
 			b.v.FreshFor, b.v.ListLag, b.v.ClockSkew, b.v.LedgerKeep = freshFor, lag, skew, time.Hour
 			now := start.Add(-time.Minute)
 			for now.Before(start.Add(40 * time.Second)) {
@@ -67,8 +67,8 @@
 				}
 				for s := range 8 {
 					made := start.Add(time.Duration(s*5) * time.Second)
-					k := Key{ID: MintID(made, [16]byte{9: byte(s * 3), 15: byte(s)})}
-					if now.After(made) && b.v.Judge(now.Add(off), k, "w").Me {
+					k := Key{ID: NewKeyID(made, [16]byte{9: byte(s * 3), 15: byte(s)})}
+					if now.After(made) && b.v.Resolve(now.Add(off), k, "w").Me {
 						homes[k.String()] = append(homes[k.String()], n)
 					}
 				}
@@ -82,9 +82,9 @@
 	})
 }
 
-func TestFreshBoxIsHomeToNothingOld(t *testing.T) {
+func TestNewBoxIsNotHomeOfOldKeys(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	v := NewViews(BoxID{Name: "a", Incarnation: 1})
+	v := NewHomeResolver(BoxID{Name: "a", Incarnation: 1})
 	v.FreshFor, v.ListLag, v.ClockSkew, v.LedgerKeep = 3*time.Second, 2*time.Second, time.Second, time.Minute
 	v.Observe(now, []ListedBox{{Name: "a", FailureDomain: "d"}}, func(string, string) bool { return true })
 	for _, c := range []struct {
@@ -94,13 +94,13 @@
 		{made: -time.Second, read: time.Second, want: "HOME_UNSETTLED"},
 		{made: 5 * time.Second, read: 5 * time.Second, want: "HOME_UNSETTLED"},
 		{made: 7 * time.Second, read: 7 * time.Second, want: "me"},
-		{made: 7 * time.Second, read: 3 * time.Second, want: "HOME_UNSETTLED"}, // not confirmed lately
+		{made: 7 * time.Second, read: 3 * time.Second, want: "HOME_UNSETTLED"}, // no recent confirmation
 		{made: 20 * time.Second, read: 7 * time.Second, want: "KEY_FROM_FUTURE"},
 	} {
 		fresh := *v
 		at := now.Add(max(c.read, 7*time.Second))
 		fresh.Confirm(now.Add(c.read), now.Add(c.read))
-		h := fresh.Judge(at, Key{ID: MintID(now.Add(c.made), [16]byte{9: 1})}, "w")
+		h := fresh.Resolve(at, Key{ID: NewKeyID(now.Add(c.made), [16]byte{9: 1})}, "w")
 		got := "me"
 		if h.Err != nil {
 			got = h.Err.Code.String()
@@ -111,32 +111,32 @@
 	}
 }
 
-func TestHeardBoxKeepsTheHome(t *testing.T) {
+func TestUnlistedLiveBoxPreventsHome(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	var outranked bool
 	for i := range 20 { // some key ranks b above a
-		v := NewViews(BoxID{Name: "a", Incarnation: 1})
+		v := NewHomeResolver(BoxID{Name: "a", Incarnation: 1})
 		v.FreshFor, v.ListLag, v.ClockSkew, v.LedgerKeep = 3*time.Second, 2*time.Second, time.Second, time.Minute
 		v.Observe(now.Add(-time.Hour), []ListedBox{{Name: "a"}}, func(string, string) bool { return true })
 		v.Confirm(now, now)
-		k := Key{ID: MintID(now, [16]byte{9: byte(i * 7), 10: byte(i)})}
-		if !v.Judge(now, k, "w").Me {
+		k := Key{ID: NewKeyID(now, [16]byte{9: byte(i * 7), 10: byte(i)})}
+		if !v.Resolve(now, k, "w").Me {
 			t.Fatal("not home without another box")
 		}
-		v.Heard(now, "b", "d")
-		if h := v.Judge(now, k, "w"); !h.Me {
+		v.ObserveHeartbeat(now, "b", "d")
+		if h := v.Resolve(now, k, "w"); !h.Me {
 			outranked = true
 			if rendezvous(k, "b") < rendezvous(k, "a") {
-				t.Error("gave way to a lower box")
+				t.Error("not home although the other box ranks lower")
 			}
 		}
 	}
 	if !outranked {
-		t.Error("an unlisted box that heartbeats show alive changes nothing")
+		t.Error("an unlisted box with heartbeats has no effect on the home")
 	}
 }
 
-func TestSubsetsAreEvenAndWhole(t *testing.T) {
+func TestSubsetsAreBalanced(t *testing.T) {
 	c := benchConfig(t, 600, 1)
 	var boxes []string
 	for i := range 420 {
--- a/src/core/members_test.go
+++ b/src/core/members_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// net is a few dozen detectors whose messages arrive at once unless a link is cut.
+// net is a fleet of membership lists whose messages arrive immediately unless a link is cut.
 type net struct {
 	now   time.Time
 	nodes map[string]*Members
@@ -23,7 +23,7 @@
 	}
 	for i, b := range list {
 		m := NewMembers(Rumour{ID: BoxID{Name: b.Name, Incarnation: 1}, Address: b.Address, Domain: "d"}, rand.New(rand.NewPCG(seed, uint64(i))))
-		m.List(x.now, list)
+		m.SetList(x.now, list)
 		x.nodes[b.Name] = m
 	}
 	return x
@@ -42,7 +42,7 @@
 	for end := x.now.Add(d); x.now.Before(end); x.now = x.now.Add(HeartbeatEvery) {
 		for _, n := range x.order() {
 			m := x.nodes[n]
-			x.deliver(n, append(m.Tick(x.now), m.Indirect(x.now)...))
+			x.deliver(n, append(m.Tick(x.now), m.IndirectProbes(x.now)...))
 		}
 	}
 }
@@ -67,7 +67,7 @@
 	return out
 }
 
-func TestMembersNoticeLossAndReturn(t *testing.T) {
+func TestMembersDetectLossAndRestart(t *testing.T) {
 	for _, n := range []int{7, 60} {
 		x := newNet(n, 5)
 		x.run(10 * time.Second)
@@ -81,11 +81,11 @@
 			t.Errorf("%d boxes: 25 s after the loss %v", n, s)
 		}
 		next := NewMembers(Rumour{ID: BoxID{Name: "b03", Incarnation: 2}, Address: "b03", Domain: "d"}, rand.New(rand.NewPCG(9, 9)))
-		next.List(x.now, []ListedBox{{Name: "b00", Address: "b00"}})
+		next.SetList(x.now, []ListedBox{{Name: "b00", Address: "b00"}})
 		x.nodes["b03"] = next
 		x.run(15 * time.Second)
 		if s := x.states("b03"); s[MemberAlive] != n-1 || x.nodes["b01"].Find("b03").ID().Incarnation != 2 {
-			t.Errorf("%d boxes: the next life is seen as %v", n, s)
+			t.Errorf("%d boxes: the new incarnation is seen as %v", n, s)
 		}
 		if lost.Self.ID.Incarnation != 1 {
 			t.Error("unreachable")
@@ -93,19 +93,19 @@
 	}
 }
 
-func TestOneWayCutBetweenTwoIsSeenThrough(t *testing.T) {
+func TestOneWayLinkFailureKillsNoMember(t *testing.T) {
 	x := newNet(7, 6)
 	x.run(10 * time.Second)
 	x.cut = func(from, to string) bool { return from == "b01" && to == "b02" }
 	for range 60 {
 		x.run(time.Second)
 		if s := x.states("b02"); s[MemberDead] > 0 {
-			t.Fatalf("one cut link has others think a live box dead: %v", s)
+			t.Fatalf("one failed link makes others consider a live box dead: %v", s)
 		}
 	}
 }
 
-func TestHealedPartitionJoinsAgain(t *testing.T) {
+func TestHealedPartitionMerges(t *testing.T) {
 	x := newNet(8, 7)
 	x.run(10 * time.Second)
 	side := func(n string) bool { return n < "b04" }
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestMessagesPerBoxDoNotGrowWithTheFleet(t *testing.T) {
+func TestMessagesPerBoxAreIndependentOfFleetSize(t *testing.T) {
 	per := map[int]float64{}
 	for _, n := range []int{7, 90} {
 		x := newNet(n, 8)
--- a/src/core/recovery.go
+++ b/src/core/recovery.go
@@ -7,9 +7,9 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// What a request does about attempts that fail, lose to another, or take long.
+// Handling of attempts that fail, are superseded by another, or take long.
 
-// settle ends an attempt and tells the pool how it went.
+// settle ends an attempt and reports its result to the pool.
 func (r *Request) settle(now time.Time, a *liveAttempt, f Failure, use Use, wasted bool) Action {
 	delete(r.live, a.id.N)
 	outcome := "done"
@@ -26,7 +26,7 @@
 	return Settle{Attempt: a.id, Pool: r.pipeline.Stages()[a.id.Stage].Pool(), Server: a.server, Failure: f, Use: use, Wasted: wasted}
 }
 
-// dropOthers ends the attempts that lost to another: waiting ones are withdrawn, running ones stopped.
+// dropOthers ends all live attempts: waiting ones are withdrawn, running ones stopped.
 func (r *Request) dropOthers(now time.Time) []Action {
 	var out []Action
 	for n := 0; n < r.next; n++ {
@@ -53,56 +53,59 @@
 	if r.finished {
 		return []Action{r.settle(now, a, e.Failure, Use{}, true)}
 	}
-	return r.lost(now, a, e.Failure)
+	return r.handleAttemptFailure(now, a, e.Failure)
 }
 
-// lost decides what follows a failed attempt: resume, another attempt, or the end.
-func (r *Request) lost(now time.Time, a *liveAttempt, f Failure) []Action {
+// handleAttemptFailure decides what follows a failed attempt: resuming the stream, another attempt, or the
+// end of the request.
+func (r *Request) handleAttemptFailure(now time.Time, a *liveAttempt, f Failure) []Action {
 	s := r.current()
 	if f == Broken && s.Kind() == config.Generate && len(r.output) > 0 && !a.resumed {
 		a.resumed = true
 		return []Action{Send{Attempt: a.id, Pool: s.Pool(), Server: a.server, Input: r.input, Offset: len(r.output), Continue: r.output, Resume: true}}
 	}
 	if f == NotSent || f == Busy || f == Leaving {
-		r.maybe--
+		r.unconfirmed--
 	}
 	out := []Action{r.settle(now, a, f, Use{}, true)}
 	if f == TimedOut && !s.Once() {
 		out = append([]Action{Stop{Attempt: a.id, Pool: s.Pool(), Server: a.server}}, out...)
 	}
 	if s.Once() {
-		return append(out, r.onceLost(now, a, f)...)
+		return append(out, r.handleOnceFailure(now, a, f)...)
 	}
 	if f == Wrong {
-		return append(out, r.finish(now, code.New(code.BackendRefused, "", "stage %s was refused as wrong", s.Name()))...)
+		return append(out, r.finish(now, code.New(code.BackendRefused, "", "stage %s: the server rejected the call as invalid", s.Name()))...)
 	}
 	r.failed = append(r.failed, a.server)
 	if len(r.live) > 0 {
 		return out
 	}
-	return append(out, r.again(now)...)
+	return append(out, r.retry(now)...)
 }
 
-// onceLost decides after a failed call that may not be repeated: only one that never left may go again.
-func (r *Request) onceLost(now time.Time, a *liveAttempt, f Failure) []Action {
+// handleOnceFailure decides what follows a failed call that must not be repeated: it is sent again only if
+// it never left this box.
+func (r *Request) handleOnceFailure(now time.Time, a *liveAttempt, f Failure) []Action {
 	s := r.current()
 	switch f {
 	case NotSent:
 		r.onceSent = false
 		r.failed = append(r.failed, a.server)
-		return r.again(now)
+		return r.retry(now)
 	case Wrong:
-		return r.finish(now, code.New(code.BackendRefused, "", "stage %s was refused as wrong", s.Name()))
+		return r.finish(now, code.New(code.BackendRefused, "", "stage %s: the server rejected the call as invalid", s.Name()))
 	case Busy, Leaving:
-		// The server's protocol says that nothing ran; a sent call is not moved all the same.
+		// By the protocol nothing ran, but a call that was sent is still not moved to another server.
 		r.onceSent = false
-		return r.finish(now, code.New(code.BackendRefused, "", "stage %s: server %s answered that it takes no work (%s)", s.Name(), a.server, f))
+		return r.finish(now, code.New(code.BackendRefused, "", "stage %s: server %s answered that it accepts no work (%s)", s.Name(), a.server, f))
 	}
-	return r.finish(now, code.New(code.OutcomeUnknown, "", "stage %s: the call was sent and its outcome is not known (%s)", s.Name(), f))
+	return r.finish(now, code.New(code.OutcomeUnknown, "", "stage %s: the call was sent and its outcome is unknown (%s)", s.Name(), f))
 }
 
-// again asks for another attempt while attempts and time are left: a few at once, then with pauses.
-func (r *Request) again(now time.Time) []Action {
+// retry requests another attempt while attempts and time are left, the first few at once and later ones
+// after pauses.
+func (r *Request) retry(now time.Time) []Action {
 	must := r.pipeline.MustFinish()
 	if !must && !now.Before(r.deadline) {
 		return r.finish(now, code.New(code.DeadlinePassed, "", "no time is left for another attempt"))
@@ -112,7 +115,7 @@
 		most = maxMustAttempts
 	}
 	switch {
-	case r.next < quickAttempts:
+	case r.next < immediateAttempts:
 		return []Action{r.enqueue(now, false)}
 	case r.next < most:
 		return r.pauseThenRetry()
--- a/src/core/request_test.go
+++ b/src/core/request_test.go
@@ -11,14 +11,14 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// failer is what plain and property tests have in common.
-type failer interface {
+// testingT is the common part of *testing.T and *rapid.T.
+type testingT interface {
 	Helper()
 	Fatal(args ...any)
 }
 
-// testRequest is a request of one of the example's pipelines.
-func testRequest(tb failer, pipeline string) (*Request, time.Time) {
+// testRequest returns a request of one of the example pipelines.
+func testRequest(tb testingT, pipeline string) (*Request, time.Time) {
 	tb.Helper()
 	raw, err := config.Marshal(config.ExamplePageworks())
 	if err != nil {
@@ -30,12 +30,12 @@
 	}
 	now := time.Unix(1_000_000, 0)
 	p := c.Pipeline(pipeline)
-	key := Key{ID: MintID(now, [16]byte{9: 1})}
+	key := Key{ID: NewKeyID(now, [16]byte{9: 1})}
 	return NewRequest(key, c.Workspace("lakeside"), p, []byte("input"), now.Add(p.Deadline()), 0, NewEstimates()), now
 }
 
-// toStage answers the stages before the n-th and gives the live attempt there.
-func toStage(r *Request, now time.Time, n int) Attempt {
+// advanceToStage answers the stages before the n-th and returns the live attempt of that stage.
+func advanceToStage(r *Request, now time.Time, n int) Attempt {
 	r.Step(now, Begin{})
 	for i := range n {
 		id := Attempt{Key: r.Key(), Stage: i}
@@ -47,7 +47,7 @@
 	return id
 }
 
-func finishes(acts []Action) *Finish {
+func findFinish(acts []Action) *Finish {
 	for _, a := range acts {
 		if f, ok := a.(Finish); ok {
 			return &f
@@ -56,10 +56,10 @@
 	return nil
 }
 
-func TestForeignRepliesChangeNothing(t *testing.T) {
+func TestForeignRepliesAreIgnored(t *testing.T) {
 	r, now := testRequest(t, "caption")
-	id := toStage(r, now, 3)
-	other := Key{ID: MintID(now, [16]byte{9: 2})}
+	id := advanceToStage(r, now, 3)
+	other := Key{ID: NewKeyID(now, [16]byte{9: 2})}
 	for _, ev := range []Event{
 		Chunk{Attempt: Attempt{Key: other, Stage: 3}, Data: []byte("x")},
 		Chunk{Attempt: Attempt{Key: r.Key(), Stage: 2}, Data: []byte("x")},
@@ -80,9 +80,9 @@
 	}
 }
 
-func TestMissingTokensAreAskedForAgain(t *testing.T) {
+func TestMissingTokensCauseResume(t *testing.T) {
 	r, now := testRequest(t, "caption")
-	id := toStage(r, now, 3)
+	id := advanceToStage(r, now, 3)
 	r.Step(now, Chunk{Attempt: id, Offset: 0, Data: []byte("abcd")})
 	acts := r.Step(now, Chunk{Attempt: id, Offset: 8, Data: []byte("ijkl")})
 	s, ok := acts[0].(Send)
@@ -91,13 +91,13 @@
 	}
 }
 
-func TestCancelAwaitsASentOnceCall(t *testing.T) {
+func TestCancelWaitsForSentOnceCall(t *testing.T) {
 	r, now := testRequest(t, "tag-stamp")
-	id := toStage(r, now, 2)
-	if acts := r.Step(now, CancelAsked{}); len(acts) > 0 {
+	id := advanceToStage(r, now, 2)
+	if acts := r.Step(now, CancelRequested{}); len(acts) > 0 {
 		t.Fatalf("cancel of a sent call caused %v", acts)
 	}
-	f := finishes(r.Step(now, Done{Attempt: id, Output: []byte("stamped")}))
+	f := findFinish(r.Step(now, Done{Attempt: id, Output: []byte("stamped")}))
 	if f == nil || f.Err.Code != code.Cancelled || f.Err.DidRun() != code.RanYes || r.MayRepeat() {
 		t.Errorf("finish = %+v", f)
 	}
@@ -118,9 +118,9 @@
 		{Leaving, code.BackendRefused, false, true},
 	} {
 		r, now := testRequest(t, "tag-stamp")
-		id := toStage(r, now, 2)
+		id := advanceToStage(r, now, 2)
 		acts := r.Step(now, Failed{Attempt: id, Failure: c.failure})
-		f := finishes(acts)
+		f := findFinish(acts)
 		if c.again != (f == nil) {
 			t.Errorf("%s: finish = %v", c.failure, f)
 			continue
@@ -134,10 +134,10 @@
 	}
 }
 
-func TestLateOnceAnswerAmends(t *testing.T) {
+func TestLateOnceAnswerAmendsOutcome(t *testing.T) {
 	r, now := testRequest(t, "tag-stamp")
-	id := toStage(r, now, 2)
-	f := finishes(r.Step(now, DeadlineOver{}))
+	id := advanceToStage(r, now, 2)
+	f := findFinish(r.Step(now, DeadlineReached{}))
 	if f == nil || f.Err.Code != code.OutcomeUnknown {
 		t.Fatalf("finish = %+v", f)
 	}
@@ -146,11 +146,11 @@
 			return
 		}
 	}
-	t.Error("a late answer does not tell that the call ran")
+	t.Error("a late answer does not show that the call ran")
 }
 
-// Whatever order replies, failures and timers come in, the caller gets each byte once and in order,
-// one final answer, and a once-call is sent at most once.
+// With any order of replies, failures and timers, the caller gets each byte once and in order and one final
+// answer, and a call that must not be repeated is sent at most once.
 func TestRequestHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pipe := rapid.SampledFrom([]string{"caption", "spread-draft", "tag-stamp"}).Draw(t, "pipeline")
@@ -219,7 +219,7 @@
 				if rapid.IntRange(0, 9).Draw(t, "gap") > 0 || at+9 > len(whole) {
 					running[id] = max(running[id], end)
 				} else {
-					at, end = at+4, at+8 // a piece got lost
+					at, end = at+4, at+8 // one chunk is lost
 				}
 				do(r.Step(now, Chunk{Attempt: id, Offset: at, Data: whole[at:end]}))
 			},
@@ -244,7 +244,7 @@
 					do(r.Step(now, Failed{Attempt: id, Failure: f}))
 				}
 			},
-			"pause over": func(t *rapid.T) { do(r.Step(now, PauseOver{})) },
+			"pause over": func(t *rapid.T) { do(r.Step(now, PauseEnded{})) },
 			"late copy": func(t *rapid.T) {
 				id := Attempt{Key: r.Key(), Stage: rapid.IntRange(0, 2).Draw(t, "stage"), N: 70}
 				do(r.Step(now, Done{Attempt: id, Output: []byte("foreign")}))
@@ -264,20 +264,20 @@
 	})
 }
 
-// A call in a busy engine's queue was taken for a broken stream after three seconds, went to the next
-// engine's queue, and so on: a planned stop waited a minute for it in vain.
-func TestStreamsMayBeginLate(t *testing.T) {
-	if FirstPieceLimit(0) <= StallLimit {
-		t.Errorf("the first piece has %s, as long as a later one", FirstPieceLimit(0))
+// The first chunk gets more time than later ones. Otherwise a call that queues at a busy engine is taken
+// for a broken stream and moves from queue to queue without being served.
+func TestFirstChunkTimeoutAllowsQueueing(t *testing.T) {
+	if FirstChunkTimeout(0) <= StallLimit {
+		t.Errorf("the first chunk has %s, no more than a later one", FirstChunkTimeout(0))
 	}
 	sum := time.Duration(0)
-	for n := range quickAttempts {
-		if n > 0 && FirstPieceLimit(n) <= FirstPieceLimit(n-1) {
+	for n := range immediateAttempts {
+		if n > 0 && FirstChunkTimeout(n) <= FirstChunkTimeout(n-1) {
 			t.Errorf("attempt %d has no more time than the one before", n)
 		}
-		sum += FirstPieceLimit(n)
+		sum += FirstChunkTimeout(n)
 	}
 	if sum < time.Minute {
-		t.Errorf("the first %d attempts wait %s in all", quickAttempts, sum)
+		t.Errorf("the first %d attempts wait %s in all", immediateAttempts, sum)
 	}
 }
--- a/src/core/table_test.go
+++ b/src/core/table_test.go
@@ -10,26 +10,27 @@
 	"pgregory.net/rapid"
 )
 
-// tablePace is the pace at which the boxes of a tableNet look what they should do, and bytesOfEntry
-// about what an entry takes in a message.
+// tablePace is the interval at which the boxes of a tableNet act, bytesOfEntry the approximate size of an
+// entry in a message.
 const (
 	tablePace    = 50 * time.Millisecond
 	bytesOfEntry = 85
 )
 
-// tableNet is a fleet in virtual time whose boxes start at different moments and know only three seeds.
+// tableNet simulates a fleet in virtual time whose boxes start at different times and know only three
+// seeds.
 type tableNet struct {
-	now     time.Time
-	step    int
-	nodes   map[string]*Members
-	starts  map[string]time.Time
-	order   []string
-	seeds   []string
-	cut     func(from, to string) bool
-	lives   uint64
-	sent    int // messages
-	entries int // in exchanges of tables
-	seed    uint64
+	now             time.Time
+	step            int
+	nodes           map[string]*Members
+	starts          map[string]time.Time
+	order           []string
+	seeds           []string
+	cut             func(from, to string) bool
+	lastIncarnation uint64
+	sent            int // messages
+	entries         int // sent in table exchanges
+	seed            uint64
 }
 
 func newTableNet(n int, spread time.Duration, seed uint64) *tableNet {
@@ -45,8 +46,8 @@
 }
 
 func (x *tableNet) start(name string) *Members {
-	x.lives++
-	m := NewMembers(Rumour{ID: BoxID{Name: name, Incarnation: x.lives}, Address: name, Domain: "d"}, rand.New(rand.NewPCG(x.seed, x.lives)))
+	x.lastIncarnation++
+	m := NewMembers(Rumour{ID: BoxID{Name: name, Incarnation: x.lastIncarnation}, Address: name, Domain: "d"}, rand.New(rand.NewPCG(x.seed, x.lastIncarnation)))
 	m.Start = x.now
 	x.nodes[name] = m
 	return m
@@ -64,7 +65,7 @@
 	}
 }
 
-// run plays the fleet for a while.
+// run simulates the fleet for the given time.
 func (x *tableNet) run(d time.Duration) {
 	for end := x.now.Add(d); x.now.Before(end); x.now = x.now.Add(tablePace) {
 		for i, n := range x.order {
@@ -76,17 +77,17 @@
 			if m == nil {
 				continue
 			}
-			x.deliver(n, m.Seek(x.now))
+			x.deliver(n, m.FormingProbe(x.now))
 			x.deliver(n, x.introductions(m))
 			if (x.step+i)%int(HeartbeatEvery/tablePace) == 0 {
-				x.deliver(n, append(m.Tick(x.now), m.Indirect(x.now)...))
+				x.deliver(n, append(m.Tick(x.now), m.IndirectProbes(x.now)...))
 			}
 		}
 		x.step++
 	}
 }
 
-// introductions asks the seeds that a box has not met, as gateways do.
+// introductions returns heartbeats to the seeds that a box does not know yet, as gateways send them.
 func (x *tableNet) introductions(m *Members) []BeatTo {
 	var out []BeatTo
 	if !m.Forming(x.now) {
@@ -100,8 +101,8 @@
 	return out
 }
 
-// knowing counts the boxes that know exactly the living ones as usable.
-func (x *tableNet) knowing() int {
+// countConverged counts the boxes that consider exactly the living boxes usable.
+func (x *tableNet) countConverged() int {
 	var living []string
 	for _, n := range x.order {
 		if m := x.nodes[n]; m != nil && m.Self.State == MemberAlive {
@@ -117,18 +118,19 @@
 	return know
 }
 
-// untilAllKnow plays until every living box knows every other, and gives how long that took.
-func (x *tableNet) untilAllKnow(most time.Duration) time.Duration {
+// runUntilConverged runs until every living box knows every other, at most for the given time, and returns how
+// long that took.
+func (x *tableNet) runUntilConverged(most time.Duration) time.Duration {
 	began := x.now
-	for x.now.Sub(began) < most && x.knowing() < len(x.nodes) {
+	for x.now.Sub(began) < most && x.countConverged() < len(x.nodes) {
 		x.run(tablePace)
 	}
 	return x.now.Sub(began)
 }
 
-// Boxes that start together know one another at once, however many they are, and no one of them carries
-// the others' tables.
-func TestAFleetForms(t *testing.T) {
+// Boxes that start together know each other within a fixed time, whatever the fleet size, and no single box
+// sends the tables of the others.
+func TestFleetForms(t *testing.T) {
 	for _, c := range []struct {
 		boxes int
 		most  time.Duration
@@ -137,8 +139,8 @@
 			continue
 		}
 		x := newTableNet(c.boxes, 300*time.Millisecond, 11)
-		x.run(300*time.Millisecond + tablePace) // the last one is up
-		took := x.untilAllKnow(10 * time.Second)
+		x.run(300*time.Millisecond + tablePace) // all boxes have started
+		took := x.runUntilConverged(10 * time.Second)
 		t.Logf("%d boxes: all know all %s after the last start; a box sent %d messages and %d KB of entries", c.boxes, took, x.sent/c.boxes, x.entries*bytesOfEntry/1000/c.boxes)
 		if took > c.most {
 			t.Errorf("%d boxes took %s to know one another, want at most %s", c.boxes, took, c.most)
@@ -146,8 +148,8 @@
 	}
 }
 
-// A loss of all is a start like the first: nothing of the lives before comes back.
-func TestAFleetThatIsLostWholeFormsAgain(t *testing.T) {
+// After the loss of all boxes the fleet forms like the first time, and no earlier incarnation reappears.
+func TestFleetRecoversFromTotalLoss(t *testing.T) {
 	x := newTableNet(120, 0, 12)
 	x.run(3 * time.Second)
 	clear(x.nodes)
@@ -155,20 +157,20 @@
 		x.starts[n] = x.now.Add(time.Second + time.Duration(i)*2*time.Millisecond)
 	}
 	x.run(1300 * time.Millisecond)
-	if took := x.untilAllKnow(10 * time.Second); took > 1500*time.Millisecond {
+	if took := x.runUntilConverged(10 * time.Second); took > 1500*time.Millisecond {
 		t.Errorf("after the loss of all it took %s", took)
 	}
 	for n, m := range x.nodes {
-		for _, e := range m.Each() {
+		for _, e := range m.All() {
 			if e.ID().Incarnation <= 120 {
-				t.Fatalf("%s believes in a life of before the loss: %v", n, e.ID())
+				t.Fatalf("%s knows an incarnation from before the loss: %v", n, e.ID())
 			}
 		}
 	}
 }
 
-// Both sides of a partition hold the other for dead; they are one fleet again as soon as it has healed.
-func TestAPartitionHeals(t *testing.T) {
+// Both sides of a partition consider the other dead; after it heals they must merge quickly.
+func TestPartitionHeals(t *testing.T) {
 	for _, c := range []struct {
 		boxes, side int
 	}{{12, 4}, {295, 98}, {295, 1}} {
@@ -179,33 +181,33 @@
 			x.cut = func(from, to string) bool { return (from < side) != (to < side) }
 			x.run(length)
 			x.cut = func(string, string) bool { return false }
-			took := x.untilAllKnow(20 * time.Second)
+			took := x.runUntilConverged(20 * time.Second)
 			t.Logf("%d and %d boxes, apart for %s: healed after %s", c.side, c.boxes-c.side, length, took)
 			if took > 1500*time.Millisecond {
-				t.Errorf("%d boxes, %d of them apart for %s: one fleet again after %s", c.boxes, c.side, length, took)
+				t.Errorf("%d boxes, %d of them apart for %s: merged after %s", c.boxes, c.side, length, took)
 			}
 			x.run(8 * time.Second)
-			if n := x.knowing(); n != c.boxes {
+			if n := x.countConverged(); n != c.boxes {
 				t.Errorf("%d boxes, %d of them apart for %s: 8 s later only %d know all", c.boxes, c.side, length, n)
 			}
 		}
 	}
 }
 
-// In calm nothing is exchanged, and a single change costs no exchange of whole tables.
+// Equal tables are not exchanged, and a single change causes no exchange of whole tables.
 func TestEqualTablesExchangeNothing(t *testing.T) {
 	x := newTableNet(295, 0, 14)
 	x.run(6 * time.Second)
 	x.entries, x.sent = 0, 0
 	x.run(5 * time.Second)
 	if x.entries > 0 {
-		t.Errorf("%d entries exchanged in calm", x.entries)
+		t.Errorf("%d entries exchanged without a change", x.entries)
 	}
 	x.nodes["b0100"].Leave("")
 	x.run(5 * time.Second)
 	for n, m := range x.nodes {
 		if e := m.Find("b0100"); e != nil && e.State() != MemberLeaving {
-			t.Fatalf("%s holds a leaving box for %s", n, e.State())
+			t.Fatalf("%s considers a leaving box %s", n, e.State())
 		}
 	}
 	if per := float64(x.entries) / 295; per > 20 {
@@ -213,8 +215,8 @@
 	}
 }
 
-// A box that leaves stays leaving, also when it is suspected in between and answers.
-func TestALeavingBoxThatIsSuspectedStaysLeaving(t *testing.T) {
+// A box that is leaving stays so when it is suspected and answers again.
+func TestSuspectedLeavingBoxStaysLeaving(t *testing.T) {
 	x := newTableNet(5, 0, 15)
 	x.run(3 * time.Second)
 	x.nodes["b0004"].Leave("")
@@ -222,19 +224,19 @@
 	x.cut = func(from, _ string) bool { return from == "b0004" }
 	x.run(4 * time.Second)
 	if s := x.nodes["b0000"].Find("b0004").State(); s < MemberSuspect {
-		t.Fatalf("a silent box is held for %s", s)
+		t.Fatalf("a silent box is considered %s", s)
 	}
 	x.cut = func(string, string) bool { return false }
 	x.run(3 * time.Second)
 	for _, n := range x.order[:4] {
 		if s := x.nodes[n].Find("b0004").State(); s != MemberLeaving {
-			t.Errorf("%s holds it for %s", n, s)
+			t.Errorf("%s considers it %s", n, s)
 		}
 	}
 }
 
-// An answer that comes after its box was suspected proves that the life is there, not that it serves.
-func TestALeavingBoxThatAnswersLateStaysLeaving(t *testing.T) {
+// An answer from a suspected box proves that its incarnation is alive, not that it takes work.
+func TestLateAnswerOfLeavingBoxKeepsItLeaving(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	m := NewMembers(Rumour{ID: BoxID{Name: "a", Incarnation: 1}, Address: "a"}, rand.New(rand.NewPCG(1, 1)))
 	leaving := Rumour{ID: BoxID{Name: "b", Incarnation: 1}, Address: "b", State: MemberLeaving, Round: 1}
@@ -243,30 +245,31 @@
 	now = now.Add(suspectAfter + time.Millisecond)
 	m.Tick(now)
 	if s := m.Find("b").State(); s != MemberSuspect {
-		t.Fatalf("a silent box is held for %s", s)
+		t.Fatalf("a silent box is considered %s", s)
 	}
 	m.Receive(now, Beat{From: leaving, Seq: question.Beat.Seq, Answer: true})
 	if s := m.Find("b").State(); s != MemberLeaving {
-		t.Errorf("a leaving box that answers late is held for %s", s)
+		t.Errorf("a leaving box that answers late is considered %s", s)
 	}
 }
 
-// A box that was cut off beyond deadAfter hears that it is held for dead, and lives on.
-func TestAPausedBoxComesBack(t *testing.T) {
+// A box that was paused longer than deadAfter learns that it is considered dead, refutes it, and is used
+// again.
+func TestPausedBoxRejoins(t *testing.T) {
 	x := newTableNet(40, 0, 16)
 	x.run(3 * time.Second)
 	paused := x.nodes["b0020"]
 	delete(x.nodes, "b0020")
 	x.run(9 * time.Second)
 	x.nodes["b0020"] = paused
-	if took := x.untilAllKnow(10 * time.Second); took > 1500*time.Millisecond {
+	if took := x.runUntilConverged(10 * time.Second); took > 1500*time.Millisecond {
 		t.Errorf("a box that was paused is known again after %s", took)
 	}
 }
 
-// Views converge after any history of losses, restarts, partitions and planned leaving; no life that
-// ended is believed in at the end, and no life that left is used.
-func TestViewsConverge(t *testing.T) {
+// The views converge after any history of losses, restarts, partitions and planned departures: in the end
+// no box uses an incarnation that ended or left.
+func TestMembershipConverges(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		n := rapid.IntRange(4, 24).Draw(r, "boxes")
 		x := newTableNet(n, 200*time.Millisecond, rapid.Uint64().Draw(r, "seed"))
@@ -307,15 +310,15 @@
 		}
 	}
 	for n, m := range x.nodes {
-		for _, e := range m.Each() {
+		for _, e := range m.All() {
 			if left[e.ID()] && e.Usable() {
 				r.Fatalf("%s would use %v, which left", n, e.ID())
 			}
 			if now := x.nodes[e.ID().Name]; e.Usable() && (now == nil || now.Self.ID != e.ID()) {
-				r.Fatalf("%s would use %v, a life that ended", n, e.ID())
+				r.Fatalf("%s would use %v, an incarnation that ended", n, e.ID())
 			}
 		}
-		if m.Self.State != MemberAlive || !x.meets(n) {
+		if m.Self.State != MemberAlive || !x.canMeetOthers(n) {
 			continue
 		}
 		if got := m.Usable(); !slices.Equal(got, living) {
@@ -324,8 +327,8 @@
 	}
 }
 
-// meets says whether a box can have met the others: all that it begins with are the seeds.
-func (x *tableNet) meets(string) bool {
+// canMeetOthers reports whether a box can have met the others: at the start it knows only the seeds.
+func (x *tableNet) canMeetOthers(string) bool {
 	for _, s := range x.seeds {
 		if x.nodes[s] != nil {
 			return true
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -39,7 +39,7 @@
 	f.gateway = g
 	self := core.Rumour{ID: g.ID, Address: g.Settings.Address, Domain: g.Settings.FailureDomain, Capacity: g.Settings.Capacity}
 	f.core = core.NewMembers(self, g.Rand)
-	f.core.Start, f.core.Renumbers = g.startedAt, true
+	f.core.Start, f.core.MayRaiseIncarnation = g.startedAt, true
 	f.addresses, f.seen = map[string]string{}, map[string]time.Time{}
 	f.waits = map[uint64]waitNote{}
 	f.usableNow = []string{g.ID.Name}
@@ -53,7 +53,7 @@
 	now := g.now()
 	f.mu.Lock()
 	f.core.Expect = g.news(now)
-	out := append(f.core.Tick(now), f.core.Indirect(now)...)
+	out := append(f.core.Tick(now), f.core.IndirectProbes(now)...)
 	out = append(out, f.seedBeats(now)...)
 	changed := f.core.Changed()
 	f.mu.Unlock()
@@ -74,7 +74,7 @@
 		return
 	}
 	f.core.Expect = g.news(now)
-	out := f.core.Seek(now)
+	out := f.core.FormingProbe(now)
 	if now.Sub(g.startedAt) <= introduceFor {
 		out = append(out, f.seedBeats(now)...)
 	}
@@ -85,7 +85,7 @@
 // seedBeats asks the seeds that no living member is known to have.
 func (f *fleet) seedBeats(now time.Time) []core.BeatTo {
 	known := map[string]bool{f.gateway.Settings.Address: true}
-	for _, m := range f.core.Each() {
+	for _, m := range f.core.All() {
 		if m.State() != core.MemberDead {
 			known[m.Address()] = true
 		}
@@ -109,7 +109,7 @@
 func (g *Gateway) tellNews(context.Context) {
 	f := &g.fleet
 	f.mu.Lock()
-	to := f.core.Near()
+	to := f.core.SmallFleetAddresses()
 	f.mu.Unlock()
 	g.tellTo(to)
 }
@@ -119,9 +119,9 @@
 func (g *Gateway) announce() {
 	f := &g.fleet
 	f.mu.Lock()
-	to := f.core.Near()
+	to := f.core.SmallFleetAddresses()
 	if len(to) == 0 {
-		to = f.core.Some(announceTo)
+		to = f.core.RandomAddresses(announceTo)
 	}
 	f.mu.Unlock()
 	g.tellTo(to)
@@ -399,7 +399,7 @@
 func (f *fleet) boxAt(address string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, m := range f.core.Each() {
+	for _, m := range f.core.All() {
 		if m.Address() == address {
 			return m.ID().Name
 		}
