--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -150,7 +150,7 @@
 	complaintLife  = time.Second      // for which the first complaint counts
 	formingFor     = time.Second      // after its start a box waits so long to meet a box that may schedule
 	formingPace    = 10 * time.Millisecond
-	heardLately    = 2 * core.LoadNotesEvery      // a box heard of within this time is not taken for silent on another's word
+	heardLately    = 2 * core.LoadNotesEvery // a box heard of within this time is not taken for silent on another's word
 	hintLife       = 1500 * time.Millisecond // that the word of a scheduler on who follows it counts
 	shunFor        = 3 * time.Second         // that a box which did not answer is passed over
 	rosterLife     = 100 * time.Millisecond  // for which the schedulers once chosen are kept though members change
