--- a/src/balance/popularity.go
+++ b/src/balance/popularity.go
@@ -9,42 +9,43 @@
 	"github.com/stilemast/stilemast/src/catalog"
 )
 
-// popularity measures which part of all prompt tokens is asked under each first prompt part.
+// popularity measures the share of all prompt tokens that belongs to each first prompt part.
 //
-// Idea. Each box counts what it is asked for, decaying, and tells others its counts; the shares are those
-// of the sum over all boxes heard of lately. In a large fleet a box is asked for so little that its own
-// counts say nothing: of ten requests each looks like a tenth of all.
+// Each box keeps decaying counts of its own requests and reports them to the others; the shares are those of the sum over
+// all boxes that reported recently. In a large fleet a box gets too few requests for its own counts to be meaningful: of
+// ten requests each would look like a tenth of all.
 //
-// Cost. askNotes parts a message; the memory of as many for each box heard of in askLife.
+// A message has up to popularityReportParts parts, and as many are stored for each box heard from in
+// popularityReportLifetime.
 type popularity struct {
-	own     map[uint64]float64 // tokens by the hash of the first part
-	total   float64
-	decayed time.Time
+	own     map[uint64]float64 // tokens by hash of the first part
+	total   float64            // tokens of all requests of this box
+	decayed time.Time          // when the counts last decayed
 
-	reports map[string]askReport // of other boxes
-	told    map[uint64]float64   // sums of the reports
-	toldAll float64
+	reports       map[string]popularityReport // of other boxes
+	reported      map[uint64]float64          // sums of the reports, by hash of the first part
+	reportedTotal float64                     // sum of the reports' totals
 }
 
-// askReport is what another box told of its counts.
-type askReport struct {
+// popularityReport is another box's report of its counts.
+type popularityReport struct {
 	at    time.Time
 	total float64
-	parts []Asked
+	parts []PartTokens
 }
 
-// Asked says how many tokens were asked for lately under a first prompt part, named by its hash.
-type Asked struct {
+// PartTokens is the recent number of prompt tokens of requests with a certain first part, identified by its hash.
+type PartTokens struct {
 	Part   uint64
 	Tokens uint32
 }
 
 func newPopularity() popularity {
-	return popularity{own: map[uint64]float64{}, reports: map[string]askReport{}, told: map[uint64]float64{}}
+	return popularity{own: map[uint64]float64{}, reports: map[string]popularityReport{}, reported: map[uint64]float64{}}
 }
 
-// note counts the tokens of a request under its first prompt part.
-func (a *popularity) note(now time.Time, w *Wish) {
+// note adds the tokens of a request to its first prompt part.
+func (a *popularity) note(now time.Time, w *Request) {
 	if len(w.Parts) == 0 {
 		return
 	}
@@ -56,10 +57,10 @@
 
 func (a *popularity) decay(now time.Time) {
 	since := now.Sub(a.decayed)
-	if since <= popularityLife/10 {
+	if since <= popularityDecay/10 {
 		return
 	}
-	f := math.Exp(-float64(since) / float64(popularityLife))
+	f := math.Exp(-float64(since) / float64(popularityDecay))
 	a.total *= f
 	for part, n := range a.own {
 		if n *= f; n < 1 {
@@ -70,58 +71,58 @@
 	}
 	a.decayed = now
 	for box, w := range a.reports {
-		if now.Sub(w.at) > askLife {
-			a.forget(box)
+		if now.Sub(w.at) > popularityReportLifetime {
+			a.dropReport(box)
 		}
 	}
 }
 
-// hear takes another box's counts in place of those that it told before.
-func (a *popularity) hear(now time.Time, box string, total float64, parts []Asked) {
-	a.forget(box)
-	a.reports[box] = askReport{at: now, total: total, parts: parts}
-	a.toldAll += total
+// setReport replaces another box's report.
+func (a *popularity) setReport(now time.Time, box string, total float64, parts []PartTokens) {
+	a.dropReport(box)
+	a.reports[box] = popularityReport{at: now, total: total, parts: parts}
+	a.reportedTotal += total
 	for _, p := range parts {
-		a.told[p.Part] += float64(p.Tokens)
+		a.reported[p.Part] += float64(p.Tokens)
 	}
 }
 
-func (a *popularity) forget(box string) {
+func (a *popularity) dropReport(box string) {
 	w, ok := a.reports[box]
 	if !ok {
 		return
 	}
 	delete(a.reports, box)
-	a.toldAll = max(0, a.toldAll-w.total)
+	a.reportedTotal = max(0, a.reportedTotal-w.total)
 	for _, p := range w.parts {
-		if a.told[p.Part] -= float64(p.Tokens); a.told[p.Part] < 1 {
-			delete(a.told, p.Part)
+		if a.reported[p.Part] -= float64(p.Tokens); a.reported[p.Part] < 1 {
+			delete(a.reported, p.Part)
 		}
 	}
 }
 
-// share is the part of all tokens that is asked for under a first prompt part.
+// share returns the share of all tokens that belongs to a first prompt part.
 func (a *popularity) share(part uint64) float64 {
-	all := a.total + a.toldAll
+	all := a.total + a.reportedTotal
 	if all <= 0 {
 		return 0
 	}
-	return (a.own[part] + a.told[part]) / all
+	return (a.own[part] + a.reported[part]) / all
 }
 
-// Asked gives this box's counts for other boxes: all tokens, and those of the parts asked for most.
-func (p *Pool) Asked(now time.Time) (total float64, parts []Asked) {
-	p.asked.decay(now)
-	for part, n := range p.asked.own {
-		parts = append(parts, Asked{Part: part, Tokens: uint32(min(n, math.MaxUint32))})
+// PopularityReport returns this box's counts to report to other boxes: all tokens, and those of the most requested parts.
+func (p *Pool) PopularityReport(now time.Time) (total float64, parts []PartTokens) {
+	p.popularity.decay(now)
+	for part, n := range p.popularity.own {
+		parts = append(parts, PartTokens{Part: part, Tokens: uint32(min(n, math.MaxUint32))})
 	}
-	slices.SortFunc(parts, func(a, b Asked) int {
+	slices.SortFunc(parts, func(a, b PartTokens) int {
 		if a.Tokens != b.Tokens {
 			return int(int64(b.Tokens) - int64(a.Tokens))
 		}
 		return compareHashes(a.Part, b.Part)
 	})
-	return p.asked.total, parts[:min(len(parts), askNotes)]
+	return p.popularity.total, parts[:min(len(parts), popularityReportParts)]
 }
 
 func compareHashes(a, b uint64) int {
@@ -134,15 +135,15 @@
 	return 0
 }
 
-// HearAsked takes another box's counts.
-func (p *Pool) HearAsked(now time.Time, box string, total float64, parts []Asked) {
-	p.asked.hear(now, box, total, parts)
+// SetBoxPopularity records another box's counts.
+func (p *Pool) SetBoxPopularity(now time.Time, box string, total float64, parts []PartTokens) {
+	p.popularity.setReport(now, box, total, parts)
 }
 
-// homes is how many servers should read a first prompt part: as many as its share of all tokens asks for,
-// rounded up to a power of two, so that boxes whose estimates differ a little agree.
-func (p *Pool) homes(first uint64) int {
-	n := int(math.Ceil(popularitySpare * p.asked.share(first) * float64(len(p.servers))))
+// homeCount returns how many servers should process a first prompt part, in proportion to its share of all tokens. The
+// number is rounded up to a power of two so that boxes with slightly different estimates agree.
+func (p *Pool) homeCount(first uint64) int {
+	n := int(math.Ceil(homesFactor * p.popularity.share(first) * float64(len(p.servers))))
 	if n > 1 {
 		n = 1 << bits.Len(uint(n-1))
 	}
--- a/src/batch/handover.go
+++ b/src/batch/handover.go
@@ -4,72 +4,71 @@
 	"time"
 )
 
-// HandOver gives up the jobs of a scheduler whose pool another box schedules now, those of which nothing
-// is in a call, and tells the next scheduler, once, of the rest. This one goes on counting it: the next
-// may not be there, and then its owners come back here.
+// HandOver ends the jobs that have no piece in a call, since box next schedules the pool now, and returns the results
+// and running calls that next has not been told of yet. This scheduler keeps accounting for them: if next is
+// unreachable, the owners come back here.
 func (s *Scheduler) HandOver(now time.Time, next string) (Handover, Actions) {
 	h := Handover{Pool: s.pool.Name, Idle: s.idle}
 	s.idle = nil
 	var out Actions
 	for _, t := range s.sorted(now) {
-		if t.running == 0 && len(t.pending) == t.Pieces && !t.insisted {
+		if t.running == 0 && len(t.pending) == t.Pieces && !t.resubmitted {
 			s.end(now, t, Message{Failed: &Failed{ID: t.ID, Reason: Moved, To: next}}, &out)
 		}
 	}
 	for handle, r := range s.handles {
-		if r.told == next {
+		if r.handedTo == next {
 			continue
 		}
-		r.told = next
+		r.handedTo = next
 		s.handles[handle] = r
 		h.Held = append(h.Held, HeldResult{Server: r.server, Handle: handle, Bytes: r.bytes, Left: r.until.Sub(now)})
 	}
 	for id, v := range s.servers {
-		if v.call != 0 && v.handed != next {
-			v.handed = next
-			h.Busy = append(h.Busy, BusyServer{Server: id, Left: max(0, v.until.Sub(now)), Bytes: s.calls[v.call].bytes})
+		if v.call != 0 && v.handedTo != next {
+			v.handedTo = next
+			h.Busy = append(h.Busy, BusyServer{Server: id, Left: max(0, v.expectedEnd.Sub(now)), Bytes: s.calls[v.call].bytes})
 		}
 	}
 	return h, out
 }
 
-// TakeOver takes what the scheduler before knew. What this one had handed over itself is forgotten: it
-// has not heard since which of it was given up.
+// TakeOver applies the state of the previous scheduler. Results that this scheduler had handed over itself are
+// dropped first, since it doesn't know which of them have been freed.
 func (s *Scheduler) TakeOver(now time.Time, h Handover) {
-	s.holds = time.Time{}
+	s.holdUntil = time.Time{}
 	for handle, r := range s.handles {
-		if r.told != "" {
+		if r.handedTo != "" {
 			s.forget(handle)
 		}
 	}
-	s.Hold(now, h.Held)
+	s.AddHeld(now, h.Held)
 	for _, b := range h.Busy {
 		v := s.servers[b.Server]
 		if v == nil || v.call != 0 {
 			continue
 		}
-		v.pause = now.Add(2*b.Left + handoverSlack) // or until it is told that the call has ended
-		v.used += b.Bytes                           // until the results themselves are told of
-		s.handles[callAt(b.Server)] = held{server: b.Server, incarnation: v.Incarnation, bytes: b.Bytes, until: v.pause}
+		v.pausedUntil = now.Add(2*b.Left + handoverSlack) // or until the call is reported as ended
+		v.used += b.Bytes                                 // until the results themselves are reported
+		s.handles[placeholderHandle(b.Server)] = held{server: b.Server, incarnation: v.Incarnation, bytes: b.Bytes, until: v.pausedUntil}
 	}
 	for _, id := range h.Idle {
 		v := s.servers[id]
-		r, ok := s.handles[callAt(id)]
+		r, ok := s.handles[placeholderHandle(id)]
 		if v == nil || !ok {
 			continue
 		}
-		delete(s.handles, callAt(id))
+		delete(s.handles, placeholderHandle(id))
 		v.used = max(0, v.used-r.bytes)
-		v.pause = now
+		v.pausedUntil = now
 	}
 }
 
-// callAt stands for the results of a call that another scheduler has at work.
-func callAt(server string) string { return "call at " + server }
+// placeholderHandle returns the placeholder handle for the results of another scheduler's running call at a server.
+func placeholderHandle(server string) string { return "call at " + server }
 
-// HoldUntil puts calls off: a scheduler that has just got a pool waits for the handover of the one
-// before it.
-func (s *Scheduler) HoldUntil(t time.Time) { s.holds = t }
+// HoldUntil forms no calls before t, so that a new scheduler of a pool can wait for the handover of the previous one.
+func (s *Scheduler) HoldUntil(t time.Time) { s.holdUntil = t }
 
-// Empty says whether a handover would tell nothing.
+// Empty reports whether the handover contains nothing.
 func (h Handover) Empty() bool { return len(h.Held) == 0 && len(h.Busy) == 0 && len(h.Idle) == 0 }
--- a/src/batch/pace.go
+++ b/src/batch/pace.go
@@ -6,6 +6,7 @@
 	"github.com/stilemast/stilemast/src/backlog"
 )
 
+// pieceTime returns the learned time per piece of a class.
 func (s *Scheduler) pieceTime(class string) time.Duration {
 	f, ok := s.pieces[class]
 	if !ok {
@@ -14,7 +15,7 @@
 	return time.Duration(f * float64(s.pool.Batch.ItemTime))
 }
 
-// learn compares a call's time with what was expected of it.
+// learn updates the learned times of the server, the classes in the call and the pool from a completed call.
 func (s *Scheduler) learn(now time.Time, rc *runningCall, v *serverState) {
 	if v == nil {
 		return
@@ -27,26 +28,26 @@
 		measured := max(0, float64(took)/v.ratio-float64(s.pool.Batch.CallTime))
 		for _, t := range rc.jobs {
 			f := float64(s.pieceTime(t.Class)) / float64(s.pool.Batch.ItemTime)
-			s.pieces[t.Class] = min(3, max(0.1, f*(1+classLearning/float64(len(rc.jobs))*(measured/max(items, 1)-1))))
+			s.pieces[t.Class] = min(3, max(0.1, f*(1+classWeight/float64(len(rc.jobs))*(measured/max(items, 1)-1))))
 		}
 	}
-	v.ratio += serverLearning * (r - v.ratio)
+	v.ratio += ratioWeight * (r - v.ratio)
 	if waiting, _ := s.Pending(); waiting >= s.pool.Batch.Size {
 		measured := float64(len(rc.jobs)) / took.Seconds()
 		if s.pace == 0 {
 			s.pace = measured
 		}
-		s.pace += paceLearning * (measured - s.pace)
+		s.pace += paceWeight * (measured - s.pace)
 	}
 }
 
-// Place is when a job counts as due among others: a less urgent one later than it is.
-func Place(due time.Time, priority int) time.Time {
+// EffectiveDue returns the due time used to order jobs, which is later for less urgent priorities.
+func EffectiveDue(due time.Time, priority int) time.Time {
 	return due.Add(time.Duration(priority) * priorityStep)
 }
 
-// Waits estimates how long a new piece waits before its call begins, by its place. Jobs that can't be in time any
-// more go last and are not ahead of it.
+// Waits estimates how long a new piece waits before its call begins, by its due time. Jobs that can no longer be in
+// time are served last and don't count as ahead of it.
 func (s *Scheduler) Waits(now time.Time) backlog.Waits {
 	if s.pool.Batch == nil {
 		return backlog.Waits{}
@@ -59,7 +60,7 @@
 	}
 	for _, v := range s.servers {
 		limit := s.limitOf(v)
-		if !v.sound() || !allRest && limit == 0 && s.restLeft(now, v) > 0 {
+		if !v.healthy() || !allRest && limit == 0 && s.restLeft(now, v) > 0 {
 			continue
 		}
 		part := 1.0
@@ -69,7 +70,7 @@
 		sound += part
 		left := max(least, s.restLeft(now, v))
 		if v.call != 0 {
-			left = max(left, v.until.Sub(now))
+			left = max(left, v.expectedEnd.Sub(now))
 		}
 		if soonest < 0 || left < soonest {
 			soonest = left
@@ -80,19 +81,19 @@
 	}
 	var ahead backlog.Count
 	for _, t := range s.jobs {
-		if !s.hopeless(now, t) {
-			ahead.Add(Place(t.Due, t.Priority).Sub(now), len(t.pending))
+		if !s.cannotBeInTime(now, t) {
+			ahead.Add(EffectiveDue(t.Due, t.Priority).Sub(now), len(t.pending))
 		}
 	}
 	return ahead.Waits(soonest, rate*sound)
 }
 
-// fullRate is the pieces a second of one server whose calls are full.
+// fullRate returns the pieces per second of one server with full calls.
 func (s *Scheduler) fullRate() float64 {
 	return float64(s.pool.Batch.Size) / s.fullCall().Seconds()
 }
 
-// fullCall is the time of a full call at a server of the usual pace.
+// fullCall returns the expected time of a full call at a server of normal speed.
 func (s *Scheduler) fullCall() time.Duration {
 	b := s.pool.Batch
 	return b.CallTime + time.Duration(b.Size)*b.ItemTime
--- a/src/core/estimate.go
+++ b/src/core/estimate.go
@@ -8,39 +8,41 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// Estimates learns how long the stages of each pipeline run and how much of its token limit a
-// generate stage uses. It is safe for concurrent use.
+// Estimates learns how long the stages of each pipeline run and how much of its token limit a generate
+// stage uses. Safe for concurrent use.
 //
-// A measurement that nobody renews fades: admission refuses by these estimates, so one bad minute
-// would otherwise lock a pipeline out for good, with no request left to measure that it is over.
+// Run times above the default decay when they are not renewed: admission refuses requests by these
+// estimates, so one slow minute would otherwise block a pipeline for good, with no admitted request left to
+// measure the recovery.
 type Estimates struct {
 	mu    sync.RWMutex
-	run   map[stageName]measured // seconds
-	ratio map[stageName]measured // generated tokens over the limit
+	run   map[stageName]measurement // seconds
+	ratio map[stageName]measurement // generated tokens divided by the token limit
 }
 
-type measured struct {
+// measurement is a moving average and the time of its last update.
+type measurement struct {
 	v  float64
 	at time.Time
 }
 
 type stageName struct{ pipeline, stage string }
 
-// NewEstimates knows nothing yet.
+// NewEstimates returns Estimates without measurements.
 func NewEstimates() *Estimates {
-	return &Estimates{run: map[stageName]measured{}, ratio: map[stageName]measured{}}
+	return &Estimates{run: map[stageName]measurement{}, ratio: map[stageName]measurement{}}
 }
 
 func nameOf(p *config.Pipeline, s *config.Stage) stageName { return stageName{p.Name(), s.Name()} }
 
-// Learn takes how long one finished stage ran, its waiting not counted.
+// Learn adds the run time of a finished stage, without its wait.
 func (e *Estimates) Learn(now time.Time, p *config.Pipeline, s *config.Stage, took time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	learn(e.run, nameOf(p, s), took.Seconds(), now)
 }
 
-// LearnTokens takes how much of its limit a generate stage used.
+// LearnTokens adds how many tokens of its limit a generate stage used.
 func (e *Estimates) LearnTokens(now time.Time, p *config.Pipeline, s *config.Stage, generated, limit int) {
 	if limit <= 0 {
 		return
@@ -50,26 +52,26 @@
 	learn(e.ratio, nameOf(p, s), float64(generated)/float64(limit), now)
 }
 
-func learn(m map[stageName]measured, n stageName, v float64, now time.Time) {
+func learn(m map[stageName]measurement, n stageName, v float64, now time.Time) {
 	old, ok := m[n]
 	if ok {
-		v = mix(old.v, v, learnRate)
+		v = ewma(old.v, v, learnRate)
 	}
-	m[n] = measured{v: v, at: now}
+	m[n] = measurement{v: v, at: now}
 }
 
-// mix moves a mean towards a new value.
-func mix(old, v, rate float64) float64 { return old + rate*(v-old) }
+// ewma returns an exponentially weighted moving average after a new value.
+func ewma(old, v, rate float64) float64 { return old + rate*(v-old) }
 
-// fade is the part of a measurement that is left after some time without a newer one.
-func fade(age time.Duration) float64 {
-	if age <= fadeAfter {
+// decay is the weight that is left of a measurement of the given age, from 1 down to 0.
+func decay(age time.Duration) float64 {
+	if age <= decayAfter {
 		return 1
 	}
-	return math.Exp2(-float64(age-fadeAfter) / float64(fadeHalf))
+	return math.Exp2(-float64(age-decayAfter) / float64(decayHalfLife))
 }
 
-// Run is how long a stage is expected to run.
+// Run returns the expected run time of a stage.
 func (e *Estimates) Run(now time.Time, p *config.Pipeline, s *config.Stage) time.Duration {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
@@ -77,7 +79,7 @@
 }
 
 func (e *Estimates) runLocked(now time.Time, p *config.Pipeline, s *config.Stage) time.Duration {
-	guess := firstGuess(s)
+	guess := defaultEstimate(s)
 	m, ok := e.run[nameOf(p, s)]
 	if !ok {
 		return guess
@@ -86,11 +88,11 @@
 	if v <= guess {
 		return v
 	}
-	return guess + time.Duration(float64(v-guess)*fade(now.Sub(m.at)))
+	return guess + time.Duration(float64(v-guess)*decay(now.Sub(m.at)))
 }
 
-// firstGuess is what the operator wrote, or a guess by kind.
-func firstGuess(s *config.Stage) time.Duration {
+// defaultEstimate returns the configured typical run time of a stage, or a default for its kind.
+func defaultEstimate(s *config.Stage) time.Duration {
 	if s.TypicalRun() > 0 {
 		return s.TypicalRun()
 	}
@@ -100,7 +102,7 @@
 	return defaultRun
 }
 
-// TokenRatio is the part of its limit that a generate stage is expected to use.
+// TokenRatio returns the part of its token limit that a generate stage is expected to use.
 func (e *Estimates) TokenRatio(p *config.Pipeline, s *config.Stage) float64 {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
@@ -110,7 +112,7 @@
 	return 1
 }
 
-// Tail is how long the stages from index on are expected to run.
+// Tail returns the expected run time of the stages from index from on.
 func (e *Estimates) Tail(now time.Time, p *config.Pipeline, from int) time.Duration {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
--- a/src/core/ledger_test.go
+++ b/src/core/ledger_test.go
@@ -9,8 +9,8 @@
 	"github.com/stilemast/stilemast/src/code"
 )
 
-// A model of the ledger: what each key's first end was never changes, but for an unknown that becomes
-// known, and no key that may not be repeated opens twice while it is remembered.
+// Compares the ledger with a model: the outcome of a key never changes, except from unknown to known, and
+// no key that must not be repeated is opened twice while it is remembered.
 func TestLedgerHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewLedger()
@@ -18,7 +18,7 @@
 		now := time.Unix(1_000_000, 0)
 		keys := make([]Key, 4)
 		for i := range keys {
-			keys[i] = Key{ID: MintID(now, [16]byte{9: byte(i)})}
+			keys[i] = Key{ID: NewKeyID(now, [16]byte{9: byte(i)})}
 		}
 		opened, ended := map[Key]time.Time{}, map[Key]time.Time{}
 		renounced := map[Key]bool{}
@@ -72,7 +72,7 @@
 	})
 }
 
-func TestRefusalsStick(t *testing.T) {
+func TestRefusedKeyStaysRefused(t *testing.T) {
 	l := NewLedger()
 	now := time.Unix(1_000_000, 0)
 	k := newTestKey(t)
--- a/src/core/poolnews.go
+++ b/src/core/poolreports.go
@@ -7,15 +7,15 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// What a pool hears of its servers, from themselves and from other boxes, and what it tells of them.
+// State of the servers of a pool, as reported by the servers and by other boxes.
 
-// Report takes a server's load report; it says whether it was news.
+// Report takes a server's load report and returns whether it was newer than the last one.
 func (p *Pool) Report(now time.Time, name string, r Report) bool {
 	s := p.servers[name]
-	return s != nil && s.take(now, r)
+	return s != nil && s.acceptReport(now, r)
 }
 
-// LastReport is the last report that was taken of a server, the zero report when none was.
+// LastReport returns the newest accepted report of a server, or the zero Report.
 func (p *Pool) LastReport(name string) Report {
 	if s := p.servers[name]; s != nil {
 		return s.report
@@ -23,11 +23,11 @@
 	return Report{}
 }
 
-// ReportFailed notes that a server did not answer for its report.
+// ReportFailed records that a server did not answer a request for its report.
 func (p *Pool) ReportFailed(now time.Time, name string) {
 	if s := p.servers[name]; s != nil {
 		s.failed(now)
-		s.stale()
+		s.invalidateRates()
 	}
 }
 
@@ -42,24 +42,25 @@
 	}
 }
 
-// PeerLoad takes another box's note of what it has at a server.
+// PeerLoad records how many calls another box has at a server.
 func (p *Pool) PeerLoad(now time.Time, box, name string, n int) {
 	if s := p.servers[name]; s != nil {
 		s.peers[box] = peerLoad{n: n, at: now}
-		s.stale()
+		s.invalidateRates()
 	}
 }
 
-// ForgetPeer drops the notes of a box that is gone.
+// ForgetPeer removes the load notes of a box that is gone.
 func (p *Pool) ForgetPeer(box string) {
 	for _, s := range p.order {
 		delete(s.peers, box)
-		s.stale()
+		s.invalidateRates()
 	}
 }
 
-// HearLeaving takes another box's word that a server is leaving, in the report's own numbering.
-func (p *Pool) HearLeaving(now time.Time, name string, incarnation, seq uint64) {
+// PeerReportedLeaving records that another box reported a server as leaving, with the incarnation and sequence
+// number of the server's report.
+func (p *Pool) PeerReportedLeaving(now time.Time, name string, incarnation, seq uint64) {
 	s := p.servers[name]
 	if s == nil {
 		return
@@ -68,9 +69,9 @@
 	r.Incarnation, r.Seq, r.Leaving = incarnation, seq, true
 	if s.reportAt.IsZero() || r.newer(s.report) {
 		s.report.Incarnation, s.report.Seq, s.report.Leaving = incarnation, seq, true
-		s.saysLeaving = true
-		s.leavingUntil = now.Add(leavingSticks)
-		s.stale()
+		s.reportedLeaving = true
+		s.leavingUntil = now.Add(leavingHold)
+		s.invalidateRates()
 	}
 }
 
@@ -83,7 +84,7 @@
 	return out
 }
 
-// LastEvent is the number of the last cache event taken of a server.
+// LastEvent returns the sequence number of the last cache event of a server, or 0.
 func (p *Pool) LastEvent(name string) uint64 {
 	if s := p.servers[name]; s != nil {
 		return s.lastEvent
@@ -91,7 +92,7 @@
 	return 0
 }
 
-// ServerView is what the pool knows of one server, for status and for peers.
+// ServerView is the state of one server, for status pages and peers.
 type ServerView struct {
 	Name      string
 	Config    *config.BackendServer
@@ -105,14 +106,14 @@
 	Resting   bool
 }
 
-// View lists the servers by name.
+// View lists the servers sorted by name.
 func (p *Pool) View(now time.Time) []ServerView {
 	out := make([]ServerView, 0, len(p.order))
 	for _, s := range p.order {
 		out = append(out, ServerView{
 			Name: s.cfg.Name(), Config: s.cfg, Report: s.report, ReportAt: s.reportAt,
-			InFlight: len(s.mine), Others: s.countOthers(now), Window: int(max(s.window, s.share())),
-			FailShare: s.failShare, Leaving: s.leaving(), Resting: s.resting(now),
+			InFlight: len(s.inFlight), Others: s.peerCalls(now), Window: int(max(s.window, s.share())),
+			FailShare: s.failureRate, Leaving: s.leaving(), Resting: s.resting(now),
 		})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
--- a/src/crasher/note.go
+++ b/src/crasher/note.go
@@ -9,32 +9,32 @@
 	"time"
 )
 
-// Note is what one box tells another of a content. Times travel as ages, since clocks differ.
+// Note is a box's report on a content. Times are sent as ages, since clocks differ.
 type Note struct {
 	Key  Key           `msgpack:"k"`
 	Ends []EndNote     `msgpack:"e"`
-	Good time.Duration `msgpack:"g,omitempty"` // age of the latest good answer, 0 when none is known
+	Good time.Duration `msgpack:"g,omitempty"` // age of the latest good response, 0 for none
 }
 
-// EndNote is the end of a server's life under a content.
+// EndNote reports a crash of a server while it ran a content.
 type EndNote struct {
 	Life Life          `msgpack:"l"`
 	Age  time.Duration `msgpack:"a"`
 }
 
-// News are the notes for all boxes that changed a moment ago, those with most against them first: of contents under which
-// two servers ended or more. What one end speaks against goes to two boxes only (Counters): of a failure of half a pool
-// with a thousand requests at work each box would hear a thousand times otherwise: 44 and 60 kB of notes a second and box at 6
-// and 61 boxes over 12 s, against 3.6 and 1.5 (TestAThousandSuspectsCostLittleAndHideNobody of the gateway, virtual time).
+// News returns the notes that changed within newsPeriod, for all boxes, those with the most crashes first. It includes only
+// contents with at least two crashes; those with one are reported to two counter boxes (see Counters). Otherwise, when
+// half a pool fails with a thousand running requests, each box would receive notes on all of them: 44 and 60 kB/s per box
+// with 6 and 61 boxes over 12 s, instead of 3.6 and 1.5 kB/s (simulated).
 func (r *Register) News(now time.Time) []Note {
 	if len(r.entries) == 0 {
 		return nil
 	}
-	keys := r.keys(func(e *entry) bool { return len(e.ends) >= AloneFrom && now.Sub(e.changed) < freshFor })
-	return r.notes(now, keys[:min(len(keys), newsMost)])
+	keys := r.keys(func(e *entry) bool { return len(e.ends) >= IsolationThreshold && now.Sub(e.changed) < newsPeriod })
+	return r.notes(now, keys[:min(len(keys), maxNews)])
 }
 
-// NotesOf are the notes of some contents.
+// NotesOf returns the notes on the given contents that are known.
 func (r *Register) NotesOf(now time.Time, keys []Key) []Note {
 	var known []Key
 	for _, k := range keys {
@@ -45,36 +45,37 @@
 	return r.notes(now, known)
 }
 
-// Notes are the news and, by turns, some of all that is known: for boxes that joined since or missed the news.
+// Notes returns the news and a rotating selection of the older notes, for boxes that joined later or missed the news.
 func (r *Register) Notes(now time.Time) []Note {
 	out := r.News(now)
-	keys := r.keys(func(e *entry) bool { return e.counted() >= AloneFrom && now.Sub(e.changed) >= freshFor })
+	keys := r.keys(func(e *entry) bool { return e.uncleared() >= IsolationThreshold && now.Sub(e.changed) >= newsPeriod })
 	if len(keys) == 0 {
 		return out
 	}
-	if r.turn >= len(keys) {
-		r.turn = 0
+	if r.rotation >= len(keys) {
+		r.rotation = 0
 	}
-	turn := keys[r.turn:min(len(keys), r.turn+repairs)]
-	r.turn += repairs
+	turn := keys[r.rotation:min(len(keys), r.rotation+maxRepeatedNotes)]
+	r.rotation += maxRepeatedNotes
 	return append(out, r.notes(now, turn)...)
 }
 
-// Counters names the boxes, out of those that take work, that add up the ends of servers under a content which other boxes
-// saw: two, of which one may be lost.
+// Counters returns the counter boxes of a content, chosen from boxes by rendezvous hashing: they add up the crashes that
+// all boxes observed. There are two so that one may be lost.
 func Counters(k Key, boxes []string) []string {
 	ranked := slices.SortedFunc(slices.Values(boxes), func(a, b string) int {
 		return cmp.Or(cmp.Compare(rank(k, b), rank(k, a)), cmp.Compare(a, b))
 	})
-	return ranked[:min(len(ranked), counters)]
+	return ranked[:min(len(ranked), counterBoxes)]
 }
 
+// rank returns the rendezvous hash of a box for a key.
 func rank(k Key, box string) uint64 {
 	sum := sha256.Sum256(append(k[:], box...))
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// keys lists the contents for which a condition holds, those with the most ends first.
+// keys returns the contents for which a condition holds, those with the most crashes first.
 func (r *Register) keys(holds func(*entry) bool) []Key {
 	var out []Key
 	for k, e := range r.entries {
@@ -83,7 +84,7 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b Key) int {
-		return cmp.Or(cmp.Compare(r.entries[b].counted(), r.entries[a].counted()), bytes.Compare(a[:], b[:]))
+		return cmp.Or(cmp.Compare(r.entries[b].uncleared(), r.entries[a].uncleared()), bytes.Compare(a[:], b[:]))
 	})
 	return out
 }
@@ -104,23 +105,23 @@
 	return out
 }
 
-// Hear takes the notes of another box. It gives the contents of which this box now thinks otherwise: that is news to
-// others.
-func (r *Register) Hear(now time.Time, notes []Note) []Counted {
+// Merge merges the notes of another box. It returns the contents whose verdict may have changed, which is news for other
+// boxes.
+func (r *Register) Merge(now time.Time, notes []Note) []Counted {
 	var out []Counted
-	for _, n := range notes[:min(len(notes), NotesMost)] {
-		if r.hear(now, n) {
-			out = append(out, Counted{Key: n.Key, Verdict: r.Judge(now, n.Key)})
+	for _, n := range notes[:min(len(notes), MaxNotes)] {
+		if r.mergeNote(now, n) {
+			out = append(out, Counted{Key: n.Key, Verdict: r.Verdict(now, n.Key)})
 		}
 	}
 	return out
 }
 
-// hear takes one note; true when it told something new.
-func (r *Register) hear(now time.Time, n Note) bool {
+// mergeNote merges one note and reports whether it changed anything.
+func (r *Register) mergeNote(now time.Time, n Note) bool {
 	changed := false
-	for _, x := range n.Ends[:min(len(n.Ends), endsKept)] {
-		if x.Age >= 0 && x.Age < barMost && r.count(now, n.Key, end{life: x.Life, at: now.Add(-x.Age)}) {
+	for _, x := range n.Ends[:min(len(n.Ends), maxEnds)] {
+		if x.Age >= 0 && x.Age < maxBarTime && r.addEnd(now, n.Key, end{life: x.Life, at: now.Add(-x.Age)}) {
 			changed = true
 		}
 	}
@@ -129,9 +130,9 @@
 		return changed
 	}
 	if at := now.Add(-n.Good); at.After(e.goodAt) {
-		before := e.counted()
+		before := e.uncleared()
 		e.goodAt = at
-		if e.counted() != before {
+		if e.uncleared() != before {
 			e.changed, changed = now, true
 		}
 	}
--- a/src/experiment/sim.go
+++ b/src/experiment/sim.go
@@ -19,7 +19,7 @@
 // The paces and delays of the simulated surroundings.
 const (
 	reportEvery = 250 * time.Millisecond // a box asks, and a server renews its report
-	beatEvery   = core.NewsEvery
+	beatEvery   = core.LoadNotesEvery
 	nearDelay   = 100 * time.Microsecond // one way inside a failure domain
 	farDelay    = 500 * time.Microsecond // one way between failure domains
 	afterwards  = 90 * time.Second       // time for what is running to end
@@ -126,7 +126,7 @@
 		s: s, name: fmt.Sprintf("box-%d", i+1), domain: i % len(domains), pools: map[string]*core.Pool{},
 		est: core.NewEstimates(), entries: core.NewAdmission(), cost: core.NewCost(), waiting: map[core.Attempt]*simFlight{}, flights: map[int]*simFlight{},
 	}
-	b.entries.Off = s.policy.NoAdmission
+	b.entries.Disabled = s.policy.NoAdmission
 	b.entries.Boxes = func() int { return boxes }
 	for name, list := range s.conf.Pools() {
 		p := core.NewPool(name)
@@ -190,7 +190,7 @@
 // arrive takes a request from the balancer.
 func (b *simBox) arrive(a load.Arrival, out *outcome, deadline time.Time) {
 	s := b.s
-	key := core.Key{ID: core.MintID(s.now, s.random())}
+	key := core.Key{ID: core.NewKeyID(s.now, s.random())}
 	w := s.conf.Workspace(a.Workspace)
 	if out.came.IsZero() {
 		out.came = s.now
@@ -198,7 +198,7 @@
 	waits := func(st *config.Stage, c config.Class, d time.Time) time.Duration {
 		return b.pools[st.Pool()].WaitFor(s.now, c, d)
 	}
-	if err := b.entries.Enter(s.now, w, a.Pipeline, deadline, b.est, waits); err != nil {
+	if err := b.entries.Admit(s.now, w, a.Pipeline, deadline, b.est, waits); err != nil {
 		out.err, out.done = err, true
 		return
 	}
@@ -207,7 +207,7 @@
 		req: core.NewRequest(key, w, a.Pipeline, a.Input, deadline, 0, b.est),
 	}
 	b.flights[a.N] = f
-	s.after(f.req.GiveUp(s.now).Sub(s.now), func() { f.post(core.DeadlineOver{}) })
+	s.after(f.req.FinalDeadline(s.now).Sub(s.now), func() { f.post(core.DeadlineReached{}) })
 	f.post(core.Begin{})
 }
 
@@ -247,7 +247,7 @@
 	case core.ArmHedge:
 		s.after(a.After, func() { f.post(core.HedgeDue{Attempt: a.Attempt}) })
 	case core.Pause:
-		s.after(a.After, func() { f.post(core.PauseOver{}) })
+		s.after(a.After, func() { f.post(core.PauseEnded{}) })
 	case core.Emit:
 		if f.out.first == 0 {
 			f.out.first = s.now.Sub(f.out.came)
@@ -310,7 +310,7 @@
 		return
 	}
 	if stage.Kind() != config.Generate {
-		s.after(f.req.CallLimit(s.now, f.begun, a.Attempt), func() {
+		s.after(f.req.CallTimeout(s.now, f.begun, a.Attempt), func() {
 			f.post(core.Failed{Attempt: a.Attempt, Failure: core.TimedOut})
 		})
 	}
--- a/src/faults/links_test.go
+++ b/src/faults/links_test.go
@@ -115,7 +115,7 @@
 
 func (f *fleet) order(b *fakeBox, s *config.BackendServer, o core.Order) error {
 	b.gate()
-	if o.Void(time.Now()) || !f.joined(b, s.Name()) || !f.engines[s.Name()].Take(o) {
+	if o.Expired(time.Now()) || !f.joined(b, s.Name()) || !f.engines[s.Name()].Take(o) {
 		return errLost
 	}
 	return nil
@@ -126,7 +126,7 @@
 		time.Sleep(linkDelay)
 		if t := f.target(to); t != nil && b.ctx.Err() == nil && !f.isCut(b.name, to) {
 			t.gate()
-			t.TakeBeat(m)
+			t.HandleBeat(m)
 		}
 	}()
 }
@@ -151,7 +151,7 @@
 		return port.Answer{}, err
 	}
 	t.gate()
-	a := t.TakeQuestion(ctx, q)
+	a := t.HandleQuestion(ctx, q)
 	if err := f.through(ctx, to, b.name); err != nil {
 		return port.Answer{}, err
 	}
@@ -174,7 +174,7 @@
 	}
 	t.gate()
 	ended := false
-	t.TakeForward(ctx, q, func(e port.ForwardEvent) error {
+	t.HandleForward(ctx, q, func(e port.ForwardEvent) error {
 		t.gate()
 		if f.through(ctx, to, b.name) != nil {
 			return errLost
--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -75,7 +75,7 @@
 	}
 	v.made.mu.Lock()
 	defer v.made.mu.Unlock()
-	for _, i := range v.pipeline.Final() {
+	for _, i := range v.pipeline.FinalStages() {
 		if v.made.freed[i] {
 			return true
 		}
@@ -141,7 +141,7 @@
 	v.wish.Within = v.confinesNow()
 	e.mu.Lock()
 	s, why, ok := e.picker.Pick(now, &v.wish)
-	source, copied := e.picker.Source(now, s.ID, &v.wish)
+	source, copied := e.picker.CopySource(now, s.ID, &v.wish)
 	e.mu.Unlock()
 	reserved := v.wish.Only != ""
 	v.wish.Only = ""
@@ -193,9 +193,9 @@
 		g.words.giveBack(s.ID, v.request.ID)
 		outcome := balance.Broken
 		switch {
-		case exchange.Refused(err):
+		case exchange.ConnectionRefused(err):
 			outcome = balance.Absent
-			g.suspects.Ended(lifeOf(s), suspects.Refused)
+			g.suspects.RecordCrash(lifeOf(s), suspects.Refused)
 		case errors.Is(err, ErrServerRests):
 			outcome, v.withheld, v.turnedAway = balance.Dropped, true, append(v.turnedAway, s.ID)
 		case errors.Is(err, ErrServerLeft), errors.Is(err, errOutside):
@@ -238,9 +238,9 @@
 	if err := g.barredAt(v.content, v.pool); err != nil {
 		return err
 	}
-	d := g.suspects.Judge(v.content.At(v.pool))
+	d := g.suspects.Verdict(v.content.At(v.pool))
 	v.wish.LeastLoaded = d.Ends > 0
-	if d.Ends >= crasher.AloneFrom && v.attempts > 0 {
+	if d.Ends >= crasher.IsolationThreshold && v.attempts > 0 {
 		return code.New(code.CrashesServers, "body", "%d servers of %s ended while they ran this content", d.Ends, v.pool)
 	}
 	return nil
@@ -256,7 +256,7 @@
 // went tells of a whole answer. Only a success that the server signed shows that it ran the content and lives.
 func (v *visit) went(reply *Reply) {
 	if reply.Signed && isSuccess(reply.Status) {
-		v.gateway.suspects.Good(v.content.At(v.pool))
+		v.gateway.suspects.RecordGood(v.content.At(v.pool))
 	}
 }
 
@@ -310,7 +310,7 @@
 	e := g.pools.get(v.pool)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.budget.Left(now, boxes) > 0
+	return e.budget.Remaining(now, boxes) > 0
 }
 
 // take judges the head of an answer and passes the answer on.
@@ -411,7 +411,7 @@
 	e.mu.Unlock()
 	took := now.Sub(began)
 	g.Log.Info("exchange", "request", v.request.ID, "pool", e.name, "content", v.content.String(), "server", s.ID, "incarnation", s.Incarnation, "domain", s.Domain, "outcome", o.String(), "took_ms", took.Milliseconds(), "detail", detail, "chosen", why, "rests", rests, "says_leaving", v.said.Leaving, "asks_rest_ms", v.said.Rest.Milliseconds(), "names_limit", v.said.Limit)
-	v.said = pushback.Word{}
+	v.said = pushback.Signals{}
 	if g.Watch.Exchanged != nil {
 		g.Watch.Exchanged(e.name, o.String(), took)
 	}
--- a/src/gateway/attempts_test.go
+++ b/src/gateway/attempts_test.go
@@ -12,7 +12,7 @@
 	"github.com/stilemast/stilemast/src/exchange"
 )
 
-func TestAMuteServerIsLeftForARequestThatMayBeRepeated(t *testing.T) {
+func TestRepeatableRequestLeavesUnresponsiveServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
 		var first string
@@ -31,7 +31,7 @@
 	})
 }
 
-func TestNothingSentIsTriedElsewhereAndThenRefused(t *testing.T) {
+func TestUnsentRequestTriesAllServersBeforeRefusal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
 		tried := map[string]bool{}
@@ -47,7 +47,7 @@
 	})
 }
 
-func TestTheDeadlineIsTheShorterOfCallerAndPipeline(t *testing.T) {
+func TestDeadlineIsShorterOfCallerAndPipeline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
 		f.send = func(ctx context.Context, _ string, c *Call) (*Reply, error) {
@@ -58,14 +58,14 @@
 		for left, want := range map[time.Duration]time.Duration{time.Second: time.Second, time.Minute: 5 * time.Second} {
 			a := f.ask("box0", "/look/x", "r", func(r *Request) { r.Left = left })
 			if a.refused == nil || a.refused.Code != code.DeadlinePassed || a.took != want || a.refused.RetryAfter != 0 {
-				t.Errorf("a caller that waits %s: %+v", left, a)
+				t.Errorf("caller with %s left: %+v", left, a)
 			}
 		}
 	})
 }
 
-// A deadline that no server can keep says nothing of one server: none is left alone for it.
-func TestDeadlinesThatNobodyKeepsRestNoServer(t *testing.T) {
+// A deadline that no server can meet says nothing about a single server: none is put into backoff for it.
+func TestUnmeetableDeadlineBacksOffNoServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
 		f.send = func(ctx context.Context, _ string, c *Call) (*Reply, error) {
@@ -81,13 +81,13 @@
 		e := f.box("box0").pools.get("model")
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if r := e.picker.Resting(time.Now()); len(r) > 0 {
-			t.Errorf("%v rest", r)
+		if r := e.picker.PausedServers(time.Now()); len(r) > 0 {
+			t.Errorf("%v are in backoff", r)
 		}
 	})
 }
 
-func TestOnceIsSentOnceThoughMoreAttemptsAreAllowed(t *testing.T) {
+func TestOncePipelineIsSentOnlyOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 1)
 		sent := 0
--- a/src/gateway/late_test.go
+++ b/src/gateway/burst_test.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// A burst of 6 s of the servers' work comes at once, of callers that wait 10 s. Half are late, and a late answer is
-// better for them than none: all are answered, as soon as the servers can.
-func TestABurstIsWorkedOffWithinTheCallersTime(t *testing.T) {
+// A burst of 6 s of the servers' work arrives at once, from callers that wait 10 s. Half miss their
+// objective, but a late answer is better than none: all are answered as soon as the servers can.
+func TestBurstIsServedWithinCallersDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
-		f.streams(1)
+		f.serveStreams(1)
 		settle()
 		for i := range 3 {
 			f.box(fmt.Sprint("box", i)).Settings.Admission = false
--- a/src/gateway/claim_test.go
+++ b/src/gateway/claim_test.go
@@ -13,8 +13,8 @@
 	"github.com/stilemast/stilemast/src/catalog"
 )
 
-// callers counts the boxes that make calls to the pieces' servers, from now on.
-func (f *testFleet) callers() func() map[string]int {
+// countCallers counts the calls to the stage servers by box, from now on.
+func (f *testFleet) countCallers() func() map[string]int {
 	var mu sync.Mutex
 	at := map[string]int{}
 	run := f.runPieces
@@ -39,24 +39,24 @@
 	return out
 }
 
-// A pool stays with the box that has it: the seeds' term does not end by the clock, and boxes that join
-// do not take it though they come first by hash.
-func TestAPoolStaysWithItsSchedulerWhenBoxesJoin(t *testing.T) {
+// A pool stays with the box that holds it: the seeds' term does not end by the clock, and boxes that join do
+// not take the pool even if they come first by hash.
+func TestPoolKeepsSchedulerWhenBoxesJoin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
-		f.streams(1)
+		f.serveStreams(1)
 		time.Sleep(500 * time.Millisecond) // the seeds schedule
 		if a := f.ask("box2", "/draft/x", "first", nil); !a.ended {
 			t.Fatalf("%+v", a)
 		}
 		first := f.box("box2").schedulerOf("encode", nil)
 		if first != "box0" && first != "box1" {
-			t.Fatalf("%s schedules, want a seed", first)
+			t.Fatalf("%s is the scheduler, want a seed", first)
 		}
 		for i := 4; i < 16; i++ {
 			f.start(fmt.Sprint("box", i))
 		}
-		callers := f.callers()
+		callers := f.countCallers()
 		for i := range 24 {
 			if a := f.ask(fmt.Sprint("box", i%16), "/draft/x", fmt.Sprint("r", i), nil); !a.ended {
 				t.Fatalf("r%d: %+v", i, a)
@@ -69,11 +69,11 @@
 	})
 }
 
-// A new box that every other would choose by hash learns of the claim before it gets a job.
-func TestAllAgreeOnTheClaimant(t *testing.T) {
+// A new box that every other box would select by hash learns of the claim before it gets a job.
+func TestAllBoxesAgreeOnClaimant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 12)
-		f.streams(1)
+		f.serveStreams(1)
 		time.Sleep(settledAfter + time.Second)
 		if a := f.ask("box3", "/draft/x", "first", nil); !a.ended {
 			t.Fatalf("%+v", a)
@@ -86,7 +86,7 @@
 				rest = append(rest, n)
 			}
 		}
-		callers := f.callers()
+		callers := f.countCallers()
 		var all sync.WaitGroup
 		for i, n := range rest {
 			all.Go(func() {
@@ -107,17 +107,18 @@
 		}
 		for _, n := range append(slices.Clone(rest), first) {
 			if got := f.box(n).schedulerOf("encode", nil); got != next {
-				t.Errorf("%s has %s schedule, %s says %s", n, got, rest[0], next)
+				t.Errorf("%s takes %s for the scheduler, %s takes %s", n, got, rest[0], next)
 			}
 		}
 	})
 }
 
-// Two boxes that claimed one pool apart agree as soon as they hear of one another: one hands it over.
-func TestOfTwoClaimantsOneHandsOver(t *testing.T) {
+// Two boxes that claimed one pool independently converge as soon as they hear of each other: one hands it
+// over.
+func TestConflictingClaimsConverge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
-		f.streams(1)
+		f.serveStreams(1)
 		time.Sleep(settledAfter + time.Second)
 		for _, n := range boxNames(4)[:2] {
 			f.box(n).fleet.claim("encode")
@@ -128,7 +129,7 @@
 		for _, n := range boxNames(4) {
 			g := f.box(n)
 			if got := g.schedulerOf("encode", nil); got != want {
-				t.Errorf("%s has %s schedule, box3 says %s", n, got, want)
+				t.Errorf("%s takes %s for the scheduler, box3 takes %s", n, got, want)
 			}
 			g.fleet.mu.Lock()
 			if g.fleet.claims("encode") && n == want {
@@ -137,13 +138,14 @@
 			g.fleet.mu.Unlock()
 		}
 		if claims != 1 {
-			t.Errorf("%s claims the pool no more", want)
+			t.Errorf("%s no longer claims the pool", want)
 		}
 	})
 }
 
-// In a large fleet one box's word that a scheduler is silent may come of a lost message; it takes two.
-func TestInALargeFleetASchedulerIsSilentOnTheWordOfTwo(t *testing.T) {
+// In a large fleet a single report that a scheduler does not answer may be caused by a lost message; two are
+// needed.
+func TestLargeFleetNeedsTwoReportsOfUnresponsiveScheduler(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, complaintsFrom+2)
 		time.Sleep(5 * time.Second)
@@ -153,16 +155,16 @@
 		g.fleet.toldSilent(g.now(), "box1", "box2")
 		g.fleet.toldSilent(g.now(), "box1", "box2")
 		if !g.fleet.mayAsk(g.now(), "box1") {
-			t.Error("a scheduler is passed over on the word of one box")
+			t.Error("a scheduler is skipped after the report of one box")
 		}
 		time.Sleep(2 * complaintLife)
 		g.fleet.toldSilent(g.now(), "box1", "box3")
 		if !g.fleet.mayAsk(g.now(), "box1") {
-			t.Error("a scheduler is passed over on an old word")
+			t.Error("a scheduler is skipped after an expired report")
 		}
 		g.fleet.toldSilent(g.now(), "box1", "box4")
 		if g.fleet.mayAsk(g.now(), "box1") {
-			t.Error("a scheduler that two boxes found silent is asked")
+			t.Error("a scheduler that two boxes reported as unresponsive is asked")
 		}
 	})
 }
--- a/src/gateway/clock_test.go
+++ b/src/gateway/clock_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// knownBy counts the boxes that hold a box for one that works.
+// knownBy counts the boxes that take a box for usable.
 func (f *testFleet) knownBy(name string, boxes int) int {
 	n := 0
 	for i := range boxes {
@@ -19,7 +19,7 @@
 	return n
 }
 
-func TestABoxThatStartsAgainUnderAClockThatWasSetBackIsKnown(t *testing.T) {
+func TestBoxRestartedWithEarlierClockIsKnown(t *testing.T) {
 	for _, boxes := range []int{6, 61} {
 		for _, down := range []time.Duration{100 * time.Millisecond, 10 * time.Second} {
 			t.Run(fmt.Sprint(boxes, " boxes, down for ", down), func(t *testing.T) {
@@ -33,7 +33,7 @@
 					time.Sleep(3 * time.Second)
 					for range 20 {
 						if n := f.knownBy("box3", boxes); n < boxes {
-							t.Fatalf("%d of %d boxes know a box that started again over three seconds ago", n, boxes)
+							t.Fatalf("%d of %d boxes know a box that restarted over three seconds ago", n, boxes)
 						}
 						time.Sleep(500 * time.Millisecond)
 					}
--- a/src/gateway/confined_test.go
+++ b/src/gateway/confined_test.go
@@ -19,13 +19,14 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// twoRegions is a fleet before servers of both pools in two failure domains of each of two regions, and what each domain was sent.
+// twoRegions is a fleet with servers of both pools in two failure domains of each of two regions, and a
+// record of what each domain was sent.
 type twoRegions struct {
 	f       *testFleet
-	refusal time.Duration // that a request takes to be refused, at most; set by ask
+	refusal time.Duration // the longest time until a refusal; set by serve
 
 	mu    sync.Mutex
-	sent  map[string]int  // requests and pieces by failure domain
+	sent  map[string]int  // requests and pieces, by failure domain
 	tried map[string]bool // requests that arrived at a server
 }
 
@@ -37,21 +38,21 @@
 	for i, d := range []string{"w1", "w2", "c1", "c2", "nowhere"} {
 		f.servers = append(f.servers, catalog.Server{ID: fmt.Sprint("piece", i), Pool: "encode", Domain: d, Slots: 1}, catalog.Server{ID: fmt.Sprint("model", i), Pool: "model", Domain: d, Slots: 64})
 	}
-	f.catalog = s.bounded(1, bounds)
+	f.catalog = s.catalogWith(1, bounds)
 	f.callPieces = func(ctx context.Context, _ string, c PieceCall) PieceReply {
-		s.note(c.Server)
+		s.record(c.Server)
 		wait(ctx, 100*time.Millisecond)
-		return PieceReply{Outcome: batch.CallDone, Results: piecesOf(c.Server, c.Items)}
+		return PieceReply{Outcome: batch.CallDone, Results: resultsOf(c.Server, c.Items)}
 	}
 	f.send = s.send
 	for i := range 6 {
 		f.start(fmt.Sprint("box", i))
 	}
-	time.Sleep(2 * unsureFor) // until the boxes know how many they are, and so how much they may repeat
+	time.Sleep(2 * unsureFor) // until the boxes know the size of the fleet, on which their retry budgets depend
 	return s
 }
 
-func (s *twoRegions) bounded(version uint64, bounds func(*catalog.Catalog)) *catalog.Catalog {
+func (s *twoRegions) catalogWith(version uint64, bounds func(*catalog.Catalog)) *catalog.Catalog {
 	c := testCatalog(version)
 	if bounds != nil {
 		bounds(c)
@@ -59,19 +60,19 @@
 	return c
 }
 
-func (s *twoRegions) note(v catalog.Server) {
+func (s *twoRegions) record(v catalog.Server) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sent[v.Domain]++
 }
 
-// send has a third of the requests turned away by the first server, so that they are sent to another.
+// send has the first server refuse a third of the requests, so that they are sent to another.
 func (s *twoRegions) send(ctx context.Context, _ string, c *Call) (*Reply, error) {
-	wait(ctx, 5*time.Millisecond) // a connection opens
+	wait(ctx, 5*time.Millisecond) // until the connection is open
 	if err := c.Start(); err != nil {
 		return nil, &exchange.NotSent{Cause: err}
 	}
-	s.note(c.Server)
+	s.record(c.Server)
 	s.mu.Lock()
 	turnedAway := !s.tried[c.Request.ID] && catalog.Hash(c.Request.ID)%3 == 0
 	s.tried[c.Request.ID] = true
@@ -85,7 +86,8 @@
 	return textReply(http.StatusOK, "ok"), nil
 }
 
-// serve sends requests of a path at all boxes and gives how many were answered and refused for their boundary.
+// serve sends requests for a path to all boxes and returns how many were answered and how many were refused
+// because of their boundary.
 func (s *twoRegions) serve(path string, n int) (answered, nowhere int) {
 	var all sync.WaitGroup
 	var mu sync.Mutex
@@ -111,8 +113,8 @@
 	return answered, nowhere
 }
 
-// outside adds up what was sent outside some failure domains, and forgets all that was sent.
-func (s *twoRegions) outside(inside ...string) int {
+// sentOutside returns how much was sent outside some failure domains, and resets the record.
+func (s *twoRegions) sentOutside(inside ...string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
@@ -127,9 +129,9 @@
 
 func regions(names ...string) *catalog.Boundary { return &catalog.Boundary{Regions: names} }
 
-// Requests, their repeats and the pieces of their stages are sent inside the boundaries of their pipeline and their workspace only; where
-// no server stands inside them, callers hear it at once.
-func TestRequestsAreSentInsideTheirBoundaries(t *testing.T) {
+// Requests, their retries and the pieces of their stages are sent only inside the boundaries of their
+// pipeline and workspace; callers are refused at once where no server stands inside them.
+func TestRequestsStayInsideBoundaries(t *testing.T) {
 	bind := func(pipeline, workspace *catalog.Boundary) func(*catalog.Catalog) {
 		return func(c *catalog.Catalog) {
 			for i := range c.Pipelines {
@@ -156,13 +158,13 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := newTwoRegions(t, c.bounds)
 				for _, path := range []string{"/draft/x", "/stamp/x", "/look/x"} {
-					time.Sleep(s.f.box("box0").Settings.RetryWindow) // for a whole budget of repeats
+					time.Sleep(s.f.box("box0").Settings.RetryWindow) // for a full retry budget
 					answered, nowhere := s.serve(path, 60)
-					if out := s.outside(c.inside...); out > 0 {
-						t.Errorf("%s: %d were sent outside", path, out)
+					if out := s.sentOutside(c.inside...); out > 0 {
+						t.Errorf("%s: %d were sent outside the boundary", path, out)
 					}
 					if c.inside != nil && answered != 60 || c.inside == nil && nowhere != 60 {
-						t.Errorf("%s: of 60 %d were answered and %d refused for their boundary", path, answered, nowhere)
+						t.Errorf("%s: of 60 requests %d were answered and %d refused because of their boundary", path, answered, nowhere)
 					}
 				}
 				if s.refusal > 10*time.Millisecond {
@@ -173,9 +175,9 @@
 	}
 }
 
-// A boundary that comes into force binds the requests that come after it, and those that were at work but not yet sent: a request
-// whose server was chosen before goes to one inside.
-func TestABoundaryBindsWhatIsNotYetSent(t *testing.T) {
+// A boundary that comes into force applies to later requests and to those under way but not yet sent: a
+// request whose server was selected before goes to one inside the boundary.
+func TestNewBoundaryAppliesToUnsentRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTwoRegions(t, nil)
 		chosen, opened := 0, make(chan struct{})
@@ -187,27 +189,27 @@
 			if err := c.Start(); err != nil {
 				return nil, &exchange.NotSent{Cause: err}
 			}
-			s.note(c.Server)
+			s.record(c.Server)
 			return textReply(http.StatusOK, "ok"), nil
 		}
 		time.AfterFunc(100*time.Millisecond, func() {
-			s.f.publish(s.bounded(2, func(c *catalog.Catalog) { c.Workspaces[0].Boundary = regions("central") }))
+			s.f.publish(s.catalogWith(2, func(c *catalog.Catalog) { c.Workspaces[0].Boundary = regions("central") }))
 		})
 		time.AfterFunc(1500*time.Millisecond, func() { close(opened) })
 		answered, _ := s.serve("/stamp/x", 60)
-		if out := s.outside("c1", "c2"); out > 0 || answered != 60 || chosen <= 60 {
-			t.Errorf("of 60 requests %d were answered, after %d choices; %d were sent outside", answered, chosen, out)
+		if out := s.sentOutside("c1", "c2"); out > 0 || answered != 60 || chosen <= 60 {
+			t.Errorf("of 60 requests %d were answered, after %d selections; %d were sent outside", answered, chosen, out)
 		}
 	})
 }
 
-// A box of a release that knows no boundaries gives configurations without them. They are not taken, and the box reads the
-// store itself.
-func TestAConfigurationWithoutItsBoundariesIsNotTaken(t *testing.T) {
+// A box of a release that does not know boundaries passes configurations on without them. They are rejected,
+// and the receiving box reads the store itself.
+func TestConfigurationStrippedOfBoundariesIsRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 9)
 		settle()
-		readers := f.readersOf()
+		readers := f.storeReaders()
 		name := "box0"
 		for i := 1; name == readers[0] || name == readers[1] || name == readers[2]; i++ {
 			name = fmt.Sprint("box", i)
@@ -215,12 +217,12 @@
 		next := testCatalog(2)
 		next.Workspaces[0].Boundary = regions("west")
 		asked := 0
-		f.listen(name, func(_ string, _ port.Question, a *port.Answer) error {
+		f.intercept(name, func(_ string, _ port.Question, a *port.Answer) error {
 			if a.Publish == nil || a.Publish.Part == nil {
 				return nil
 			}
 			asked++
-			raw, err := msgpack.Marshal(testCatalog(2)) // as an earlier release knows it
+			raw, err := msgpack.Marshal(testCatalog(2)) // as an earlier release encodes it
 			if err != nil {
 				return err
 			}
@@ -235,7 +237,7 @@
 			}
 		}
 		if f.box(name).Version() != 2 || asked == 0 {
-			t.Errorf("version %d is in force %s after the change, and %d times a box was asked", f.box(name).Version(), applyBound, asked)
+			t.Errorf("version %d is in force %s after the change, and boxes were asked %d times", f.box(name).Version(), applyBound, asked)
 		}
 	})
 }
--- a/src/gateway/crashing_test.go
+++ b/src/gateway/crashing_test.go
@@ -20,46 +20,43 @@
 	"github.com/stilemast/stilemast/src/exchange"
 )
 
-// The story. Model engines of one site stopped answering, one every second or so, thirteen in eight seconds, each back
-// after some five seconds; the streams that were at work there broke off with them, and their callers lost a letter or a
-// review. Order of events: a caller sent a request under which its engine ended; the caller got an unknown outcome and sent the
-// same content again, under a new id, to another box; that box knew nothing and gave it to the next engine; and so on, 6 and
-// 8 times more than the three seconds after the third engine's end in which the boxes were to have learned of it.
-//
-// Evidence: at each end, the lines of all boxes show the streams at that engine broken off in the same millisecond, and one
-// digest of content is in each of these groups, from another box each time, with one attempt; no other digest is in three.
-//
-// Cause: all that a box knew of a request was its id, which is new at each try. A break spoke against the server alone.
+// These tests guard against one request that crashes server after server. A request crashes the server that
+// runs it, its caller gets an unknown outcome and sends the same content again under a new id to another box,
+// which knows nothing of the first attempt: thirteen engines crashed within eight seconds with all streams on
+// them, and the content was sent six to eight more times after the three seconds in which all boxes should
+// have learned of it. Counting broken connections against the server alone does not stop this, since a
+// request's id is new with each try. Boxes must count crashes by content and agree within three seconds of
+// the third crash.
 
-// crashSite is a fleet before servers that end when they run a request whose id begins with "bad". An ended server refuses
-// connections for some time and then begins a new life.
+// crashSite is a fleet with servers that crash when they run a request whose id begins with "bad". A crashed
+// server refuses connections for some time and then restarts.
 type crashSite struct {
-	f      *testFleet
-	at     string        // the pool whose servers it ends
-	dark   bool          // an ended server answers no connection; its entry goes after three heartbeats
-	newID  bool          // a new life has a new id, and the entry of the old one is removed
-	downAt time.Duration // time from the beginning of a run to the server's end
-	downs  time.Duration // that an ended server refuses connections
+	f           *testFleet
+	pool        string        // the pool whose servers crash
+	unreachable bool          // a crashed server does not answer connections; its entry is removed after three heartbeats
+	newID       bool          // a restarted server has a new id, and its old entry is removed
+	crashDelay  time.Duration // from the start of a request to the crash
+	downtime    time.Duration // how long a crashed server refuses connections
 
-	mu     sync.Mutex
-	lives  map[string]chan struct{} // of servers that run; closed at their end
-	ended  int
-	third  time.Time // when the third ended
-	late   int       // sends of the bad content over 3 s after that
-	sends  int
-	births int
+	mu         sync.Mutex
+	processes  map[string]chan struct{} // of running servers; closed when they crash
+	crashed    int
+	thirdCrash time.Time // when the third server crashed
+	late       int       // sends of the crashing content later than knownWithin after that
+	sends      int
+	restarts   int
 }
 
-// knownWithin is how long after the third server's end the content may still be sent, and lateSends how often it may be
-// after that: as the users ask.
+// Bounds that users ask for: knownWithin is how long after the third crash the content may still be sent, and
+// maxLateSends how often it may be sent after that.
 const (
-	knownWithin = 3 * time.Second
-	lateSends   = 3
+	knownWithin  = 3 * time.Second
+	maxLateSends = 3
 )
 
 func newCrashSite(t *testing.T, boxes int, at string) *crashSite {
 	f := newTestFleet(t, boxes)
-	s := &crashSite{f: f, at: at, downAt: 40 * time.Millisecond, downs: 3 * time.Second, lives: map[string]chan struct{}{}}
+	s := &crashSite{f: f, pool: at, crashDelay: 40 * time.Millisecond, downtime: 3 * time.Second, processes: map[string]chan struct{}{}}
 	var servers []catalog.Server
 	for i := range 24 {
 		servers = append(servers, catalog.Server{ID: fmt.Sprint("model", i), Address: fmt.Sprint("model", i), Pool: "model", Domain: "d", Slots: 64, Incarnation: 1})
@@ -68,106 +65,107 @@
 		servers = append(servers, catalog.Server{ID: fmt.Sprint("piece", i), Address: fmt.Sprint("piece", i), Pool: "encode", Domain: "d", Slots: 1, Incarnation: 1})
 	}
 	for _, v := range servers {
-		s.lives[v.ID] = make(chan struct{})
+		s.processes[v.ID] = make(chan struct{})
 	}
 	f.setStore(true, servers)
 	f.send, f.runPieces, f.probe = s.send, s.runPieces, s.probe
 	return s
 }
 
-// life is the life of a server, nil while no process listens there.
-func (s *crashSite) life(id string) chan struct{} {
+// process returns a channel that is closed when the running process of a server ends; it is nil while none
+// runs.
+func (s *crashSite) process(id string) chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lives[id]
+	return s.processes[id]
 }
 
-// end ends a server's life, once, and lets the next one begin later.
-func (s *crashSite) end(id string, life chan struct{}) {
+// crash ends the given process of a server, once, and schedules its restart.
+func (s *crashSite) crash(id string, proc chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lives[id] != life {
+	if s.processes[id] != proc {
 		return
 	}
-	close(life)
-	delete(s.lives, id)
-	if s.ended++; s.ended == 3 {
-		s.third = time.Now()
+	close(proc)
+	delete(s.processes, id)
+	if s.crashed++; s.crashed == 3 {
+		s.thirdCrash = time.Now()
 	}
-	if s.dark {
+	if s.unreachable {
 		time.AfterFunc(3600*time.Millisecond, func() { s.f.remove(id) })
 		return
 	}
-	time.AfterFunc(s.downs, func() { s.begin(id) })
+	time.AfterFunc(s.downtime, func() { s.restart(id) })
 }
 
-// begin starts a server again.
-func (s *crashSite) begin(id string) {
+// restart starts a server again.
+func (s *crashSite) restart(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.newID {
-		s.lives[id] = make(chan struct{})
+		s.processes[id] = make(chan struct{})
 		s.f.restart(id)
 		return
 	}
-	s.births++
-	born := fmt.Sprint("born", s.births)
-	s.lives[born] = make(chan struct{})
+	s.restarts++
+	newID := fmt.Sprint("born", s.restarts)
+	s.processes[newID] = make(chan struct{})
 	s.f.mu.Lock()
 	defer s.f.mu.Unlock()
 	list := slices.Clone(s.f.servers)
 	i := slices.IndexFunc(list, func(v catalog.Server) bool { return v.ID == id })
-	list[i].ID, list[i].Address = born, born
-	s.f.list(list)
+	list[i].ID, list[i].Address = newID, newID
+	s.f.listLocked(list)
 }
 
-// strike ends a server in a moment, when the request is one that ends it.
-func (s *crashSite) strike(request, pool, id string, life chan struct{}) {
-	if !strings.HasPrefix(request, "bad") || pool != s.at {
+// crashSoon crashes a server after crashDelay if the request is one that crashes servers of this pool.
+func (s *crashSite) crashSoon(request, pool, id string, proc chan struct{}) {
+	if !strings.HasPrefix(request, "bad") || pool != s.pool {
 		return
 	}
 	s.mu.Lock()
 	s.sends++
-	if !s.third.IsZero() && time.Since(s.third) > knownWithin {
+	if !s.thirdCrash.IsZero() && time.Since(s.thirdCrash) > knownWithin {
 		s.late++
 	}
 	s.mu.Unlock()
-	time.AfterFunc(s.downAt, func() { s.end(id, life) })
+	time.AfterFunc(s.crashDelay, func() { s.crash(id, proc) })
 }
 
 func (s *crashSite) send(ctx context.Context, _ string, c *Call) (*Reply, error) {
-	life := s.life(c.Server.ID)
-	if life == nil {
-		return nil, &exchange.NotSent{Cause: s.unreached(ctx)}
+	proc := s.process(c.Server.ID)
+	if proc == nil {
+		return nil, &exchange.NotSent{Cause: s.connectError(ctx)}
 	}
 	if err := c.Start(); err != nil {
 		return nil, &exchange.NotSent{Cause: err}
 	}
-	s.strike(c.Request.ID, "model", c.Server.ID, life)
+	s.crashSoon(c.Request.ID, "model", c.Server.ID, proc)
 	select {
-	case <-life:
+	case <-proc:
 		return nil, errBroken
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-time.After(100 * time.Millisecond):
 	}
 	if strings.HasPrefix(c.Request.Path, "/draft/") {
-		return events(ctx, 1, 2, time.Millisecond, io.EOF), nil
+		return eventStream(ctx, 1, 2, time.Millisecond, io.EOF), nil
 	}
 	return textReply(http.StatusOK, "ok"), nil
 }
 
-// probe answers as the address of a server does, which is its id.
+// probe answers a connection attempt to a server, whose address is its id.
 func (s *crashSite) probe(address string) error {
-	if s.life(address) == nil {
-		return s.unreached(s.f.ctx)
+	if s.process(address) == nil {
+		return s.connectError(s.f.ctx)
 	}
 	return nil
 }
 
-// unreached is the error of a connection to a server that has ended.
-func (s *crashSite) unreached(ctx context.Context) error {
-	if !s.dark {
+// connectError is the error of a connection to a crashed server.
+func (s *crashSite) connectError(ctx context.Context) error {
+	if !s.unreachable {
 		return syscall.ECONNREFUSED
 	}
 	sleep(ctx, 300*time.Millisecond)
@@ -175,34 +173,34 @@
 }
 
 func (s *crashSite) runPieces(ctx context.Context, _ string, v catalog.Server, items []batch.Item) (batch.CallOutcome, []batch.ItemResult) {
-	life := s.life(v.ID)
-	if life == nil {
+	proc := s.process(v.ID)
+	if proc == nil {
 		return batch.CallAbsent, nil
 	}
-	struck := map[string]bool{}
+	seen := map[string]bool{}
 	for _, it := range items {
-		if !struck[it.Request] {
-			struck[it.Request] = true
-			s.strike(it.Request, "encode", v.ID, life)
+		if !seen[it.Request] {
+			seen[it.Request] = true
+			s.crashSoon(it.Request, "encode", v.ID, proc)
 		}
 	}
 	select {
-	case <-life:
+	case <-proc:
 		return batch.CallBroken, nil
 	case <-ctx.Done():
 		return batch.CallBroken, nil
 	case <-time.After(300 * time.Millisecond):
 	}
-	return batch.CallDone, piecesOf(v, items)
+	return batch.CallDone, resultsOf(v, items)
 }
 
-// tally counts what callers got.
+// tally counts the outcomes of callers.
 type tally struct {
 	mu                 sync.Mutex
 	answered, unserved int
 }
 
-func (y *tally) add(a answerOf) {
+func (y *tally) add(a callResult) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	if a.ended {
@@ -212,8 +210,8 @@
 	y.unserved++
 }
 
-// askAs sends a request with a body.
-func (s *crashSite) askAs(box, path, id, body string) answerOf {
+// askWithBody sends a request with the given body.
+func (s *crashSite) askWithBody(box, path, id, body string) callResult {
 	return s.f.ask(box, path, id, func(r *Request) {
 		r.Body = []byte(body)
 		if r.Pieces = nil; strings.HasPrefix(path, "/draft/") {
@@ -222,26 +220,26 @@
 	})
 }
 
-// play sends good requests, each with a body of its own, at all boxes, and one bad content again and again at one box after
-// the other.
-func (s *crashSite) play(path string, boxes int, pace, length time.Duration) (others *tally, last answerOf) {
+// run sends harmless requests, each with a body of its own, to all boxes, and one crashing content again and
+// again to one box after the other.
+func (s *crashSite) run(path string, boxes int, pace, length time.Duration) (others *tally, last callResult) {
 	others = &tally{}
 	between := 15 * time.Millisecond
 	if strings.HasPrefix(path, "/draft/") {
-		between *= 2 // what the stage's servers can make
+		between *= 2 // what the stage's servers can process
 	}
 	var all sync.WaitGroup
 	all.Go(func() {
 		for i := range int(length / between) {
 			all.Go(func() {
-				others.add(s.askAs(fmt.Sprint("box", i%boxes), path, fmt.Sprint("good", i), fmt.Sprint("body", i)))
+				others.add(s.askWithBody(fmt.Sprint("box", i%boxes), path, fmt.Sprint("good", i), fmt.Sprint("body", i)))
 			})
 			time.Sleep(between)
 		}
 	})
 	for i := range int(length / pace) {
 		all.Go(func() {
-			a := s.askAs(fmt.Sprint("box", i*7%boxes), path, fmt.Sprint("bad", i), "the same")
+			a := s.askWithBody(fmt.Sprint("box", i*7%boxes), path, fmt.Sprint("bad", i), "the same")
 			s.mu.Lock()
 			last = a
 			s.mu.Unlock()
@@ -252,17 +250,17 @@
 	return others, last
 }
 
-func TestARequestThatCrashesServersIsNotSentOn(t *testing.T) {
+func TestCrashingRequestIsNotSentOn(t *testing.T) {
 	cases := []struct {
 		name, path, at string
 		newID          bool
-		unserved       int // good requests that may go without an answer: those beside it at the servers that it ended
+		unserved       int // harmless requests that may fail: those that ran beside it on the servers that crashed
 	}{
 		{"repeatable", "/look/x", "model", false, 10},
-		{"repeatable, a new id with each life", "/look/x", "model", true, 10},
-		{"may run once", "/stamp/x", "model", false, 10},
+		{"repeatable, a new id with each restart", "/look/x", "model", true, 10},
+		{"at most once", "/stamp/x", "model", false, 10},
 		{"stream", "/draft/x", "model", false, 10},
-		{"piece of a stage", "/draft/x", "encode", false, 15},
+		{"pieces of a stage", "/draft/x", "encode", false, 15},
 	}
 	for _, c := range cases {
 		for _, boxes := range []int{6, 61} {
@@ -271,30 +269,30 @@
 					s := newCrashSite(t, boxes, c.at)
 					s.newID = c.newID
 					settle()
-					others, last := s.play(c.path, boxes, 300*time.Millisecond, 20*time.Second)
-					t.Logf("%d servers ended, %d sends, %d of them late; others: %d answered, %d not", s.ended, s.sends, s.late, others.answered, others.unserved)
-					if s.late > lateSends {
-						t.Errorf("sent %d times later than %s after the third server's end, want %d at most", s.late, knownWithin, lateSends)
+					others, last := s.run(c.path, boxes, 300*time.Millisecond, 20*time.Second)
+					t.Logf("%d servers crashed, %d sends, %d of them late; others: %d answered, %d not", s.crashed, s.sends, s.late, others.answered, others.unserved)
+					if s.late > maxLateSends {
+						t.Errorf("sent %d times later than %s after the third crash, want at most %d", s.late, knownWithin, maxLateSends)
 					}
-					if s.ended > 8 {
-						t.Errorf("%d servers ended, want 8 at most", s.ended)
+					if s.crashed > 8 {
+						t.Errorf("%d servers crashed, want at most 8", s.crashed)
 					}
 					if others.unserved > c.unserved {
-						t.Errorf("%d good requests of %d had no answer, want %d at most", others.unserved, others.answered+others.unserved, c.unserved)
+						t.Errorf("%d harmless requests of %d had no answer, want at most %d", others.unserved, others.answered+others.unserved, c.unserved)
 					}
 					if last.refused == nil || last.refused.DidRun() != code.RanNo || last.took > 50*time.Millisecond {
-						t.Errorf("the last try got %v after %s, want a refusal at once that says that nothing ran", last.refused, last.took)
+						t.Errorf("the last try got %v after %s, want an immediate refusal that says that nothing ran", last.refused, last.took)
 					}
-					time.Sleep(5 * time.Second) // servers that are down begin their next lives
+					time.Sleep(5 * time.Second) // until crashed servers have restarted
 				})
 			})
 		}
 	}
 }
 
-// Half of a pool is lost at one moment, three times, and one and the same good request runs on all its servers. It is no
-// cause, and nobody is shut out.
-func TestAGoodRequestIsNotShutOutWhenHalfAPoolIsLost(t *testing.T) {
+// Half of a pool fails at once, three times, while the same harmless request runs on all its servers. The
+// request is not taken for the cause, and no caller is refused.
+func TestHarmlessRequestIsNotBarredWhenHalfAPoolFails(t *testing.T) {
 	for _, boxes := range []int{6, 61} {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -307,14 +305,16 @@
 						time.Sleep(5 * time.Second)
 						for i := range 12 {
 							id := fmt.Sprint("model", i)
-							if life := s.life(id); life != nil {
-								s.end(id, life)
+							if proc := s.process(id); proc != nil {
+								s.crash(id, proc)
 							}
 						}
 					}
 				})
 				for i := range 2500 {
-					all.Go(func() { others.add(s.askAs(fmt.Sprint("box", i%boxes), "/look/x", fmt.Sprint("r", i), "the same")) })
+					all.Go(func() {
+						others.add(s.askWithBody(fmt.Sprint("box", i%boxes), "/look/x", fmt.Sprint("r", i), "the same"))
+					})
 					time.Sleep(8 * time.Millisecond)
 				}
 				all.Wait()
@@ -327,14 +327,14 @@
 	}
 }
 
-// A box that starts after the verdict knows it before it serves such a request.
-func TestABoxThatStartsLaterSendsNoRequestThatCrashesServers(t *testing.T) {
+// A box that starts after the content was identified knows it before it serves such a request.
+func TestLateStartingBoxKnowsCrashingRequests(t *testing.T) {
 	for _, boxes := range []int{6, 61} {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newCrashSite(t, boxes, "model")
 				settle()
-				s.play("/look/x", boxes, 300*time.Millisecond, 6*time.Second)
+				s.run("/look/x", boxes, 300*time.Millisecond, 6*time.Second)
 				before := s.sends
 				for i := range 4 {
 					name := fmt.Sprint("box", i+1)
@@ -342,12 +342,12 @@
 					time.Sleep(time.Second)
 					s.f.start(name)
 					for range 20 {
-						s.askAs(name, "/look/x", "bad", "the same")
+						s.askWithBody(name, "/look/x", "bad", "the same")
 						time.Sleep(100 * time.Millisecond)
 					}
 				}
 				if s.sends > before || s.late > 0 {
-					t.Errorf("boxes that started later sent it %d times", s.sends-before)
+					t.Errorf("boxes that started later sent the content %d times", s.sends-before)
 				}
 				time.Sleep(5 * time.Second)
 			})
@@ -355,8 +355,8 @@
 	}
 }
 
-// The content comes at several boxes at the same moment, again and again.
-func TestARequestThatComesAtSeveralBoxesAtOnceIsNotSentOn(t *testing.T) {
+// The same content arrives at several boxes at the same moment, repeatedly.
+func TestConcurrentCrashingRequestsAreNotSentOn(t *testing.T) {
 	for _, boxes := range []int{6, 61} {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -365,13 +365,13 @@
 				var all sync.WaitGroup
 				for i := range 10 {
 					for b := range 5 {
-						all.Go(func() { s.askAs(fmt.Sprint("box", b), "/stamp/x", fmt.Sprint("bad", i, "-", b), "the same") })
+						all.Go(func() { s.askWithBody(fmt.Sprint("box", b), "/stamp/x", fmt.Sprint("bad", i, "-", b), "the same") })
 					}
 					time.Sleep(2 * time.Second)
 				}
 				all.Wait()
-				if s.late > 0 || s.ended > 5 {
-					t.Errorf("%d servers ended, %d sends were late", s.ended, s.late)
+				if s.late > 0 || s.crashed > 5 {
+					t.Errorf("%d servers crashed, %d sends were late", s.crashed, s.late)
 				}
 				time.Sleep(5 * time.Second)
 			})
@@ -379,18 +379,19 @@
 	}
 }
 
-// Servers that end refuse no connections, as when a machine is lost: only the list shows the end.
-func TestARequestThatTakesMachinesWithItIsNotSentOn(t *testing.T) {
+// Crashed servers do not refuse connections, as when a whole machine is lost: only the list of servers shows
+// the crash.
+func TestRequestThatTakesDownMachinesIsNotSentOn(t *testing.T) {
 	for _, pace := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second} {
 		t.Run(pace.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newCrashSite(t, 6, "model")
-				s.dark = true
+				s.unreachable = true
 				settle()
-				_, last := s.play("/stamp/x", 6, pace, 30*time.Second)
-				t.Logf("%d ended, %d sends, %d late", s.ended, s.sends, s.late)
-				if s.late > 0 || s.ended > 8 {
-					t.Errorf("%d servers ended, want 8 at most; sent %d times later than %s after the third", s.ended, s.late, knownWithin)
+				_, last := s.run("/stamp/x", 6, pace, 30*time.Second)
+				t.Logf("%d servers crashed, %d sends, %d late", s.crashed, s.sends, s.late)
+				if s.late > 0 || s.crashed > 8 {
+					t.Errorf("%d servers crashed, want at most 8; sent %d times later than %s after the third crash", s.crashed, s.late, knownWithin)
 				}
 				if last.refused == nil || last.refused.Code != code.CrashesServers {
 					t.Errorf("the last try got %v", last.refused)
@@ -401,9 +402,10 @@
 	}
 }
 
-// A thousand requests break at one moment with half of their pool, and the one that crashes servers comes beside them. What
-// boxes tell one another of a thousand suspects stays small, and the guilty one is found among them.
-func TestAThousandSuspectsCostLittleAndHideNobody(t *testing.T) {
+// A thousand requests fail at one moment with half of their pool while one content crashes servers beside
+// them. The notes about a thousand suspects that boxes exchange stay small, and the crashing content is found
+// among them.
+func TestManySuspectsAreCheapAndHideNoCrash(t *testing.T) {
 	for _, boxes := range []int{6, 61} {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -413,30 +415,30 @@
 				others := &tally{}
 				for i := range 2000 {
 					all.Go(func() {
-						others.add(s.askAs(fmt.Sprint("box", i%boxes), "/stamp/x", fmt.Sprint("good", i), fmt.Sprint("body", i)))
+						others.add(s.askWithBody(fmt.Sprint("box", i%boxes), "/stamp/x", fmt.Sprint("good", i), fmt.Sprint("body", i)))
 					})
 				}
 				time.Sleep(50 * time.Millisecond)
 				for i := range 12 {
-					if id := fmt.Sprint("model", i); s.life(id) != nil {
-						s.end(id, s.life(id))
+					if id := fmt.Sprint("model", i); s.process(id) != nil {
+						s.crash(id, s.process(id))
 					}
 				}
 				s.mu.Lock()
-				s.ended, s.third = 0, time.Time{} // of the content that crashes servers, from here on
+				s.crashed, s.thirdCrash = 0, time.Time{} // from here on only crashes by the content are counted
 				s.mu.Unlock()
 				for i := range 60 {
-					all.Go(func() { s.askAs(fmt.Sprint("box", i*7%boxes), "/stamp/x", fmt.Sprint("bad", i), "the same") })
+					all.Go(func() { s.askWithBody(fmt.Sprint("box", i*7%boxes), "/stamp/x", fmt.Sprint("bad", i), "the same") })
 					time.Sleep(200 * time.Millisecond)
 				}
 				all.Wait()
 				perBox := s.f.noteBytes() / boxes / 12
-				t.Logf("%d servers ended, %d sends, %d late; %d others unserved; %d bytes of notes a second and box", s.ended, s.sends, s.late, others.unserved, perBox)
+				t.Logf("%d servers crashed, %d sends, %d late; %d others unserved; %d bytes of notes per second and box", s.crashed, s.sends, s.late, others.unserved, perBox)
 				if s.late > 0 {
 					t.Errorf("%d sends were late", s.late)
 				}
 				if perBox > 6000 {
-					t.Errorf("%d bytes of notes a second and box, want 6,000 at most: a third of what a box may spend on control", perBox)
+					t.Errorf("%d bytes of notes per second and box, want at most 6,000: a third of a box's budget for control traffic", perBox)
 				}
 				time.Sleep(5 * time.Second)
 			})
@@ -444,8 +446,8 @@
 	}
 }
 
-// The boxes that add up the ends under a content are lost without a word as it begins to come.
-func TestARequestThatCrashesServersIsNotSentOnWhenWhoCountsIsLost(t *testing.T) {
+// The boxes that count the crashes of a content are lost without notice as it begins to arrive.
+func TestCrashingRequestIsNotSentOnWhenCountersAreLost(t *testing.T) {
 	for _, boxes := range []int{6, 61} {
 		t.Run(fmt.Sprint(boxes, " boxes"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -459,13 +461,13 @@
 				for i := range 60 {
 					box := fmt.Sprint("box", i*7%boxes)
 					if !slices.Contains(lost, box) {
-						go s.askAs(box, "/stamp/x", fmt.Sprint("bad", i), "the same")
+						go s.askWithBody(box, "/stamp/x", fmt.Sprint("bad", i), "the same")
 					}
 					time.Sleep(300 * time.Millisecond)
 				}
-				t.Logf("%d servers ended, %d sends, %d late", s.ended, s.sends, s.late)
-				if s.late > lateSends {
-					t.Errorf("sent %d times later than %s after the third server's end", s.late, knownWithin)
+				t.Logf("%d servers crashed, %d sends, %d late", s.crashed, s.sends, s.late)
+				if s.late > maxLateSends {
+					t.Errorf("sent %d times later than %s after the third crash", s.late, knownWithin)
 				}
 				time.Sleep(5 * time.Second)
 			})
--- a/src/gateway/leaving_test.go
+++ b/src/gateway/leaving_test.go
@@ -15,24 +15,15 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// The story. Users saw requests arrive at backend servers that had left: up to 0.9 s after the time in which a
-// leaving server may still get some. Order of events: the store refused some boxes for half a second; a server that
-// never says that it leaves had its entry removed; the boxes that could read dropped it at once; a box that had been
-// refused read again, missed the server, took its own failed call for an outage of the store in which entries lapse
-// without their servers' doing, and kept the server for two seconds; and since it numbered that list by the store's
-// newest revision, the boxes that had dropped the server took it back from there. Another refusal within the two
-// seconds began them anew. The last boxes' requests then waited for connections, and nothing asked again whether the
-// server was still wanted before the first byte.
-//
-// Evidence: the boxes' lines. "server gone" of a revision, then "servers without an entry after an outage" at a box with
-// one failed call, then "server that had left is listed again ... from" that box on the others, and "sending to a server
-// that takes no new work" for a choice made before.
-//
-// Cause: what a box believes without a word of the store was handed on as the store's list, and an older knowledge came
-// with a newer number.
+// These tests guard against requests to servers that have left, which arrived up to 0.9 s later than allowed.
+// A box whose store read failed took a missing entry for one that had lapsed in a store outage, and kept the
+// server for two seconds. It numbered this list with the store's newest revision, so boxes that had already
+// dropped the server took it back; each further refused read restarted the two seconds. Requests that were
+// waiting for a connection were sent without another check. So a list that a box keeps without confirmation
+// by the store must not be passed on as the store's, and a server is checked again before the first byte.
 
-// users lists the boxes that would still use a server.
-func (f *testFleet) users(id string, boxes int) []string {
+// boxesUsing lists the boxes that would still use a server.
+func (f *testFleet) boxesUsing(id string, boxes int) []string {
 	var out []string
 	for i := range boxes {
 		name := fmt.Sprint("box", i)
@@ -43,46 +34,46 @@
 	return out
 }
 
-// lastUse watches for a while until when any box would use a server, from now on.
+// lastUse returns when, during a period from now on, any box would last have used a server.
 func (f *testFleet) lastUse(id string, boxes int, watch time.Duration) time.Duration {
 	last := time.Duration(0)
 	for began := time.Now(); time.Since(began) < watch; time.Sleep(10 * time.Millisecond) {
-		if len(f.users(id, boxes)) > 0 {
+		if len(f.boxesUsing(id, boxes)) > 0 {
 			last = time.Since(began)
 		}
 	}
 	return last
 }
 
-// turnAway has the store refuse boxes.
-func (f *testFleet) turnAway(refused func(box string) bool) {
+// refuseReads sets which boxes the store refuses; nil refuses none.
+func (f *testFleet) refuseReads(refused func(box string) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.turnsAway = refused
+	f.storeRefuses = refused
 }
 
-// readersOf names the boxes that read the store for the others.
-func (f *testFleet) readersOf() []string { return f.box("box0").fleet.readers(time.Now()) }
+// storeReaders returns the boxes that read the store on behalf of the others.
+func (f *testFleet) storeReaders() []string { return f.box("box0").fleet.readers(time.Now()) }
 
-// heldRevision is the store's revision of the list that a box holds.
+// heldRevision returns the store revision of the list that a box holds.
 func (f *testFleet) heldRevision(box string) uint64 {
 	_, _, held := f.box(box).published.behind(port.DocumentServers)
 	return held.Number()
 }
 
-// stopsWithin is how long after a server's removal the last box may use it where some box can read the store: the
-// shortest time in which a leaving server may get requests is 2 s, of which a connection takes up to 0.7 s.
-const stopsWithin = time.Second
+// dropBound is how long after a server's removal the last box may use it where some box can read the store.
+// The tightest bound for requests to a leaving server is 2 s, of which connecting takes up to 0.7 s.
+const dropBound = time.Second
 
-func TestAServerThatIsGoneIsDroppedWhereverTheStoreRefusesSomeBoxes(t *testing.T) {
+func TestRemovedServerIsDroppedWhileStoreRefusesReads(t *testing.T) {
 	everyone := func(string) bool { return true }
 	cases := []struct {
 		name    string
 		boxes   int
 		refused func(f *testFleet) func(string) bool
-		before  time.Duration // that they are refused before the removal
+		before  time.Duration // how long they are refused before the removal
 		after   time.Duration // and after it
-		again   int           // times that they are refused so once more, with a second between
+		again   int           // how often they are refused again, a second apart
 	}{
 		{"readers, until the removal", 6, nil, 500 * time.Millisecond, 0, 0},
 		{"readers, until the removal", 61, nil, 500 * time.Millisecond, 0, 0},
@@ -97,43 +88,43 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := newTestFleet(t, c.boxes)
 				time.Sleep(5 * time.Second)
-				readers := f.readersOf()
+				readers := f.storeReaders()
 				refused := func(box string) bool { return slices.Contains(readers, box) }
 				if c.refused != nil {
 					refused = c.refused(f)
 				}
-				f.turnAway(refused)
+				f.refuseReads(refused)
 				time.Sleep(c.before)
 				f.remove("model1")
 				go func() {
 					for range c.again + 1 {
 						time.Sleep(c.after)
-						f.turnAway(nil)
+						f.refuseReads(nil)
 						time.Sleep(time.Second)
 						if c.again > 0 {
-							f.turnAway(refused)
+							f.refuseReads(refused)
 							time.Sleep(c.before)
 						}
 					}
-					f.turnAway(nil)
+					f.refuseReads(nil)
 				}()
-				if last := f.lastUse("model1", c.boxes, 14*time.Second); last > stopsWithin {
-					t.Errorf("a box used the server for %s after its removal, want %s at most", last, stopsWithin)
+				if last := f.lastUse("model1", c.boxes, 14*time.Second); last > dropBound {
+					t.Errorf("a box used the server for %s after its removal, want %s at most", last, dropBound)
 				}
 			})
 		})
 	}
 }
 
-// A box that was away comes back with a list of long ago. What the others know of departures stands.
-func TestABoxThatWasAwayBringsNoServerBack(t *testing.T) {
+// A box that was cut off comes back with an old list. What the others know of removed servers stays.
+func TestReturningBoxDoesNotReviveRemovedServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 6)
 		time.Sleep(5 * time.Second)
-		away := f.readersOf()[0]
-		others := slices.DeleteFunc([]string{"box0", "box1", "box2", "box3", "box4", "box5"}, func(b string) bool { return b == away })
-		f.setLost(away, true)
-		f.turnAway(func(box string) bool { return box == away })
+		cutOff := f.storeReaders()[0]
+		others := slices.DeleteFunc([]string{"box0", "box1", "box2", "box3", "box4", "box5"}, func(b string) bool { return b == cutOff })
+		f.setLost(cutOff, true)
+		f.refuseReads(func(box string) bool { return box == cutOff })
 		time.Sleep(time.Second)
 		f.remove("model1")
 		leaving := slices.Clone(f.servers)
@@ -142,23 +133,23 @@
 		time.Sleep(5 * time.Second)
 		f.remove("model2")
 		time.Sleep(time.Second)
-		f.turnAway(func(string) bool { return true })
-		time.Sleep(1100 * time.Millisecond) // open watches have ended
+		f.refuseReads(func(string) bool { return true })
+		time.Sleep(1100 * time.Millisecond) // until open watches have ended
 		f.remove("piece2")
-		f.turnAway(func(box string) bool { return box != away }) // the news of this come from the box that was away
-		for f.heldRevision(away) < f.rev {
+		f.refuseReads(func(box string) bool { return box != cutOff }) // only the returning box reads this change
+		for f.heldRevision(cutOff) < f.rev {
 			time.Sleep(10 * time.Millisecond)
 		}
-		f.setLost(away, false)
+		f.setLost(cutOff, false)
 		for i := range 400 {
 			if i == 100 {
-				f.turnAway(nil)
+				f.refuseReads(nil)
 			}
 			time.Sleep(10 * time.Millisecond)
 			for _, id := range []string{"model1", "model2"} {
 				for _, box := range others {
 					if f.box(box).mayUse(id) {
-						t.Fatalf("%s uses %s, which had left long before %s came back", box, id, away)
+						t.Fatalf("%s uses %s, which had left long before %s returned", box, id, cutOff)
 					}
 				}
 			}
@@ -166,9 +157,9 @@
 	})
 }
 
-// A choice may wait for its connection while the server leaves. It is looked at once more before the first byte,
-// and another server gets the request.
-func TestAServerThatLeftAfterItWasChosenIsSentNothing(t *testing.T) {
+// A server leaves while a request that selected it waits for its connection. The server is checked again
+// before the first byte, and another one gets the request.
+func TestServerRemovedAfterSelectionGetsNoRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 4)
 		var mu sync.Mutex
@@ -179,7 +170,7 @@
 				first = c.Server.ID
 			}
 			mu.Unlock()
-			wait(ctx, 600*time.Millisecond) // the connection opens
+			wait(ctx, 600*time.Millisecond) // until the connection is open
 			if err := c.Start(); err != nil {
 				return nil, &exchange.NotSent{Cause: err}
 			}
@@ -201,7 +192,7 @@
 			t.Errorf("the caller got %d %v, want the answer of another server", a.status, a.refused)
 		}
 		if got[first] || len(got) != 1 {
-			t.Errorf("servers %v got the request, chosen first was %s, which had left", got, first)
+			t.Errorf("servers %v got the request; %s was selected first and had left", got, first)
 		}
 	})
 }
--- a/src/gateway/pacing_test.go
+++ b/src/gateway/pacing_test.go
@@ -11,7 +11,8 @@
 	"github.com/stilemast/stilemast/src/catalog"
 )
 
-// A pipeline of a chain of three stages and of a fourth with large results that only the request reads.
+// pacedCatalog returns a pipeline with a chain of three stages and a fourth stage whose results, of the given
+// size, only the request reads.
 func pacedCatalog(large int) *catalog.Catalog {
 	c := testCatalog(1)
 	c.Pipelines[0].Stages = []catalog.Stage{
@@ -23,14 +24,15 @@
 	return c
 }
 
-// begunStages plays one request and gives when each stage's first piece went out, from the request's start.
-func begunStages(t *testing.T, c *catalog.Catalog) map[int]time.Duration {
+// stageStarts runs one request and returns when each stage's first piece was sent, relative to the start of
+// the request.
+func stageStarts(t *testing.T, c *catalog.Catalog) map[int]time.Duration {
 	t.Helper()
 	out := map[int]time.Duration{}
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(t, 3)
 		f.publish(c)
-		f.streams(1)
+		f.serveStreams(1)
 		settle()
 		var mu sync.Mutex
 		inner, began := f.runPieces, time.Now()
@@ -52,15 +54,15 @@
 	return out
 }
 
-func TestLargeResultsAreMadeWhenTheirPartnersAre(t *testing.T) {
-	began := begunStages(t, pacedCatalog(largeResults))
+func TestLargeResultsWaitForParallelStages(t *testing.T) {
+	began := stageStarts(t, pacedCatalog(largeResults))
 	if began[0] < began[2] || began[0] > began[3]+partnerPace {
-		t.Errorf("large results were begun %s after the start, the stages of the chain beside them at %s, %s and %s", began[0], began[1], began[2], began[3])
+		t.Errorf("the stage with large results started after %s, the stages of the parallel chain after %s, %s and %s", began[0], began[1], began[2], began[3])
 	}
 }
 
-func TestSmallResultsAreMadeAtOnce(t *testing.T) {
-	if began := begunStages(t, pacedCatalog(10)); began[0] > began[1] {
-		t.Errorf("small results waited until %s", began[0])
+func TestSmallResultsStartImmediately(t *testing.T) {
+	if began := stageStarts(t, pacedCatalog(10)); began[0] > began[1] {
+		t.Errorf("the stage with small results waited until %s", began[0])
 	}
 }
--- a/src/gateway/permits.go
+++ b/src/gateway/permits.go
@@ -45,9 +45,9 @@
 }
 
 // limitAt gives the limit in force at a server; false for none.
-func (g *Gateway) limitAt(s catalog.Server) (pushback.Limited, bool) {
+func (g *Gateway) limitAt(s catalog.Server) (pushback.ActiveLimit, bool) {
 	if !g.words.any.Load() {
-		return pushback.Limited{}, false
+		return pushback.ActiveLimit{}, false
 	}
 	w := &g.words
 	w.mu.Lock()
@@ -83,8 +83,8 @@
 	}
 	news := false
 	g.words.with(func(r *pushback.Register) {
-		news = r.HearNote(now, noteFrom(a.Limit))
-		r.Granted(now, s.ID, owner, a.N, a.Begin, a.Next)
+		news = r.MergeNote(now, noteFrom(a.Limit))
+		r.AddPermits(now, s.ID, owner, a.N, a.Begin, a.Next)
 	})
 	if news {
 		g.announceLimits()
@@ -162,9 +162,9 @@
 		return port.Permits{Coordinator: box, Next: coordinatorPause}
 	}
 	news, limited := false, false
-	var l pushback.Limited
+	var l pushback.ActiveLimit
 	g.words.with(func(r *pushback.Register) {
-		news = r.HearNote(now, note)
+		news = r.MergeNote(now, note)
 		l, limited = r.LimitOf(now, note.Server)
 	})
 	if news {
@@ -173,7 +173,7 @@
 	if !limited { // it ended, as this box has heard
 		return port.Permits{N: max(1, q.Wants), Limit: noteOf(l.LimitNote)}
 	}
-	a := quota.Ask{Server: l.Server.ID, Incarnation: l.Server.Incarnation, PerSecond: l.Rate, Known: max(q.Known, l.Known), Patience: q.Patience, Wants: q.Wants, StandsIn: standsIn}
+	a := quota.PermitRequest{Server: l.Server.ID, Incarnation: l.Server.Incarnation, PerSecond: l.Rate, Known: max(q.Known, l.Known), Patience: q.Patience, Wants: q.Wants, Substitute: standsIn}
 	part := g.fleet.inSight(now)
 	g.permits.mu.Lock()
 	t := g.permits.limiter.Take(now, a, part)
@@ -208,7 +208,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := max(1, len(f.usableNow))
-	return float64(n) / float64(n+f.core.Missing(now, seenLately))
+	return float64(n) / float64(n+f.core.RecentlyLost(now, seenLately))
 }
 
 // passOver takes a box out of the choice of coordinators: it knows no limits.
--- a/src/gateway/pulling.go
+++ b/src/gateway/pulling.go
@@ -31,7 +31,7 @@
 	p := &g.published
 	p.mu.Lock()
 	p.catalogs.Links, p.lists.Links = links, links
-	fromCatalog, fromList := p.catalogs.Pull(now), p.lists.Pull(now)
+	fromCatalog, fromList := p.catalogs.NextPull(now), p.lists.NextPull(now)
 	p.mu.Unlock()
 	if fromCatalog != "" {
 		go g.pull(ctx, fromCatalog, port.DocumentConfig)
@@ -62,7 +62,7 @@
 		feed := p.feed(document)
 		switch {
 		case more:
-			feed.PullGoesOn(g.now())
+			feed.PullProgressed(g.now())
 		case busy:
 			feed.PullBusy(g.now(), from, d.Busy.For)
 		case err != nil:
@@ -171,7 +171,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, box := range d.Busy.Holders {
-		p.catalogs.Holds(box, catalog.State(d.AsOf), d.Digest)
+		p.catalogs.NoteHolder(box, catalog.State(d.AsOf), d.Digest)
 	}
 }
 
@@ -183,7 +183,7 @@
 	defer p.mu.Unlock()
 	if document == port.DocumentServers {
 		if p.known {
-			q.Held = p.list.Held(namedLists)
+			q.Held = p.list.KnownDigests(namedLists)
 		}
 		return q
 	}
--- a/src/gateway/pushback.go
+++ b/src/gateway/pushback.go
@@ -36,7 +36,7 @@
 func (w *words) judge(now time.Time, s catalog.Server) pushback.Verdict {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.register.Judge(now, wordLife(s))
+	return w.register.Check(now, wordLife(s))
 }
 
 // begin judges a server just before the first byte of a request goes there.
@@ -52,7 +52,7 @@
 // giveBack leaves the permit of a request that was not sent to others.
 func (w *words) giveBack(id, owner string) {
 	if w.any.Load() {
-		w.with(func(r *pushback.Register) { r.GiveBack(id, owner) })
+		w.with(func(r *pushback.Register) { r.ReleasePermit(id, owner) })
 	}
 }
 
@@ -77,8 +77,8 @@
 
 // hear takes what the answer of a server says of it. what names the exchange, for logs; sent is when it began, zero where no answer
 // of that server came.
-func (g *Gateway) hear(s catalog.Server, w pushback.Word, what string, sent time.Time) {
-	if w == (pushback.Word{}) && !g.words.any.Load() {
+func (g *Gateway) hear(s catalog.Server, w pushback.Signals, what string, sent time.Time) {
+	if w == (pushback.Signals{}) && !g.words.any.Load() {
 		return
 	}
 	if w.Limit != 0 || !sent.IsZero() {
@@ -89,12 +89,12 @@
 	leaves, rests := false, false
 	g.words.with(func(r *pushback.Register) {
 		if w.Leaving {
-			leaves = r.HearLeaving(now, wordLife(s))
+			leaves = r.RecordLeaving(now, wordLife(s))
 		}
 		if w.Rest > 0 {
-			until, rests = r.HearRest(now, s.ID, w.Rest)
+			until, rests = r.RecordRest(now, s.ID, w.Rest)
 		} else {
-			r.Answered(now, s.ID)
+			r.RecordResponse(now, s.ID)
 		}
 	})
 	if rests {
@@ -143,7 +143,7 @@
 	defer p.mu.Unlock()
 	var out []core.LeavingNote
 	g.words.with(func(r *pushback.Register) {
-		for _, s := range r.Departed(p.named) {
+		for _, s := range r.LeavingServers(p.named) {
 			out = append(out, core.LeavingNote{Server: s.ID, Incarnation: uint64(s.Incarnation)})
 		}
 	})
@@ -152,7 +152,7 @@
 
 // named says whether a server is listed as one that takes work, or used without an entry. p.mu is held.
 func (p *published) named(id string) bool {
-	if s := p.list.Get(id); s != nil && s.Works() {
+	if s := p.list.Get(id); s != nil && s.AcceptsWork() {
 		return true
 	}
 	_, works := p.registry.Get(id)
@@ -167,9 +167,9 @@
 	now := g.now()
 	news := map[string]catalog.Server{}
 	g.words.with(func(r *pushback.Register) {
-		for _, n := range notes[:min(len(notes), pushback.NotesMost)] {
+		for _, n := range notes[:min(len(notes), pushback.MaxNotes)] {
 			s := pushback.Server{ID: n.Server, Incarnation: int64(n.Incarnation)}
-			if r.HearLeaving(now, s) {
+			if r.RecordLeaving(now, s) {
 				news[s.ID] = catalog.Server{ID: s.ID, Incarnation: catalog.Incarnation(s.Incarnation)}
 			}
 		}
--- a/src/gateway/reading.go
+++ b/src/gateway/reading.go
@@ -31,8 +31,8 @@
 		living, chosen := g.fleet.usable(), g.fleet.readers(g.now())
 		g.published.mu.Lock()
 		r.feed.Chosen = chosen
-		reads := r.feed.Reads(g.now(), living)
-		round, relieves := r.feed.Relieves(g.now())
+		reads := r.feed.ShouldRead(g.now(), living)
+		round, relieves := r.feed.ReadsForOthers(g.now())
 		g.published.mu.Unlock()
 		if relieves != r.relieves {
 			r.relieves = relieves
@@ -50,7 +50,7 @@
 // of them finds the store again, the rest hear of it, and every call counts while it is down.
 func (r *reader) backoff() time.Duration {
 	living := r.gateway.fleet.usable() // the feed ranks those chosen as it did when this box began to read
-	most := maxBackoff * time.Duration(1+r.feed.Ahead(living)/backoffBoxes)
+	most := maxBackoff * time.Duration(1+r.feed.ReadersAhead(living)/backoffBoxes)
 	return min(most, readBackoff<<min(r.failures-1, mostBackoffs))
 }
 
@@ -81,7 +81,7 @@
 	living := g.fleet.usable()
 	p := &g.published
 	p.mu.Lock()
-	plea := p.feed(document).Unanswered(now, living)
+	plea := p.feed(document).ReadUnanswered(now, living)
 	p.mu.Unlock()
 	g.plead(now, document, plea)
 }
@@ -95,14 +95,14 @@
 	living := g.fleet.usable()
 	p := &g.published
 	p.mu.Lock()
-	plea := p.feed(u.Document).UnansweredToo(now, living)
+	plea := p.feed(u.Document).PeerUnanswered(now, living)
 	p.mu.Unlock()
 	g.plead(now, u.Document, plea)
 }
 
 // plead tells other boxes that reads of a document bring nothing.
-func (g *Gateway) plead(now time.Time, document string, plea catalog.Plea) {
-	if len(plea.Beside)+len(plea.Next) == 0 {
+func (g *Gateway) plead(now time.Time, document string, plea catalog.ReliefRequest) {
+	if len(plea.Readers)+len(plea.Next) == 0 {
 		return
 	}
 	if plea.First {
@@ -110,7 +110,7 @@
 	}
 	b := g.newsBeat(now)
 	b.Unanswered = &core.Unanswered{Document: document}
-	g.tellBoxes(plea.Beside, b)
+	g.tellBoxes(plea.Readers, b)
 	b.Unanswered = &core.Unanswered{Document: document, Round: uint8(plea.Round)}
 	g.tellBoxes(plea.Next, b)
 }
@@ -288,9 +288,9 @@
 	p := &g.published
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.lists.Say(at).Digest != digest {
+	if p.lists.Statement(at).Digest != digest {
 		return asOf < p.lists.AsOf()
 	}
-	p.lists.Read(at, asOf, digest, 0)
+	p.lists.ApplyRead(at, asOf, digest, 0)
 	return true
 }
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -32,14 +32,14 @@
 	limitedBy  string // what set the deadline: the caller or the pipeline
 	made       *results
 	stages     *stageRun
-	wish       balance.Wish
+	wish       balance.Request
 	attempts   int
 	remade     bool
 	maybeRan   bool
-	said       pushback.Word // by the server of the attempt that is at work
-	turnedAway []string      // servers that asked for rest in place of taking this request
-	withheld   bool          // from a server that asked for rest since it was chosen, or had no permit left
-	asked      int           // times that it found no permit, or waited for one, at servers with limits
+	said       pushback.Signals // by the server of the attempt that is at work
+	turnedAway []string         // servers that asked for rest in place of taking this request
+	withheld   bool             // from a server that asked for rest since it was chosen, or had no permit left
+	asked      int              // times that it found no permit, or waited for one, at servers with limits
 
 	// of a stream that has begun
 	begun     bool
@@ -124,7 +124,7 @@
 		v.deadline, v.limitedBy = v.began.Add(r.Left), "caller"
 	}
 	v.objective = v.began.Add(p.Objective)
-	v.pool = p.Target(r.ID)
+	v.pool = p.PickPool(r.ID)
 	return v.checkPieces()
 }
 
@@ -179,7 +179,7 @@
 		v.refuse(err)
 		return
 	}
-	v.wish = balance.Wish{Parts: v.request.Parts, Exclude: map[string]bool{}, Makers: g.makersOf(p), Within: v.confines}
+	v.wish = balance.Request{Parts: v.request.Parts, Exclude: map[string]bool{}, Producers: g.makersOf(p), Within: v.confines}
 	if err := v.checkRest(e); err != nil {
 		v.refuse(err)
 		return
@@ -285,7 +285,7 @@
 // itself reads; nil when they are small.
 func (g *Gateway) makersOf(p *catalog.Pipeline) map[string]int {
 	pool, most := "", 0
-	for _, i := range p.Final() {
+	for _, i := range p.FinalStages() {
 		if n := p.Stages[i].ResultBytes; n >= largeResults && n > most {
 			pool, most = p.Stages[i].Pool, n
 		}
--- a/src/gateway/serverlist.go
+++ b/src/gateway/serverlist.go
@@ -13,7 +13,7 @@
 
 // takeServers takes a whole list of servers by id in a state. readAt is zero when it came from a peer.
 func (g *Gateway) takeServers(after map[string]catalog.Server, asOf catalog.State, readAt time.Time, from string) {
-	g.takeList(asOf, readAt, from, func(l *catalog.List) (catalog.Difference, bool) { return l.Becomes(after), true })
+	g.takeList(asOf, readAt, from, func(l *catalog.List) (catalog.Difference, bool) { return l.DifferenceTo(after), true })
 }
 
 // takeListing takes what a reader of the store follows: what has changed since this box took it last, unless another list
@@ -24,7 +24,7 @@
 		if d, ok := l.Rebase(base, since); ok && l.DigestAfter(d) == listing.Digest() {
 			return d, true
 		}
-		return l.Becomes(listing.Servers()), true
+		return l.DifferenceTo(listing.Servers()), true
 	})
 }
 
@@ -40,11 +40,11 @@
 		return false
 	}
 	digest, changed := p.list.DigestAfter(d), false
-	held, revision := p.lists.Say(now), catalog.ListRevision(asOf)
+	held, revision := p.lists.Statement(now), catalog.ListRevision(asOf)
 	if readAt.IsZero() {
-		changed = p.lists.Pulled(now, asOf, digest, 0)
+		changed = p.lists.ApplyPull(now, asOf, digest, 0)
 	} else {
-		changed = p.lists.Read(readAt, asOf, digest, 0)
+		changed = p.lists.ApplyRead(readAt, asOf, digest, 0)
 	}
 	p.known = true
 	rise, heldRevision := p.takeEra(revision.Era()), catalog.ListRevision(catalog.State(held.Version))
@@ -61,7 +61,7 @@
 		warm(now, p.list.Get(d.Put[i].ID), &d.Put[i])
 	}
 	c := p.list.Apply(d)
-	effects := p.registry.Take(now, d, revision, p.lists.Returned())
+	effects := p.registry.Apply(now, d, revision, p.lists.PlatformReturnedAt())
 	listed := p.list.Len()
 	p.mu.Unlock()
 	g.noteRise(rise, heldRevision, revision, from)
@@ -91,7 +91,7 @@
 func (g *Gateway) dropLapsed(now time.Time) {
 	p := &g.published
 	p.mu.Lock()
-	dropped := p.registry.DropLapsed(now, p.lists.Answering(now))
+	dropped := p.registry.DropLapsed(now, p.lists.PlatformAnswering(now))
 	p.mu.Unlock()
 	if len(dropped) == 0 {
 		return
@@ -223,7 +223,7 @@
 // whatever the list says: while the store takes no writes a list names leaving servers as ready for as long as that lasts.
 // p.mu is held.
 func (p *published) inUse(s *catalog.Server) bool {
-	return !p.closures.Closed(s.Domain) && !p.gateway.leaves(*s)
+	return !p.closures.IsEvacuated(s.Domain) && !p.gateway.leaves(*s)
 }
 
 // takeDifference takes a list of servers that was told as a difference to another. When that other is
--- a/src/gateway/stages.go
+++ b/src/gateway/stages.go
@@ -53,7 +53,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	best := 0.0
-	for _, i := range r.pipeline.Final() {
+	for _, i := range r.pipeline.FinalStages() {
 		handles = append(handles, r.handles[i]...)
 		n := float64(len(r.handles[i]) * r.pipeline.Stages[i].ResultBytes)
 		size += n
@@ -182,7 +182,7 @@
 		select {
 		case <-s.done[a]:
 		case <-ctx.Done():
-			return batch.Stopped
+			return batch.Withdrawn
 		}
 	}
 	if s.request.Pieces[i] == 0 {
@@ -195,7 +195,7 @@
 	j := s.job(i)
 	done, reason := g.runJob(ctx, j, func() { s.freeRead(i) })
 	if done == nil {
-		if reason != batch.Stopped {
+		if reason != batch.Withdrawn {
 			g.Log.Warn("stage failed", "request", s.request.ID, "stage", i, "pool", st.Pool, "reason", reason.String(), "took_ms", g.now().Sub(began).Milliseconds())
 		}
 		return reason
--- a/src/gateway/urgency_test.go
+++ b/src/gateway/urgency_test.go
@@ -15,7 +15,7 @@
 	"github.com/stilemast/stilemast/src/catalog"
 )
 
-// callerClass is one kind of request of a play.
+// callerClass is one kind of request in a run.
 type callerClass struct {
 	name      string
 	priority  int
@@ -26,7 +26,7 @@
 	pieces    func(r *rand.Rand) []int
 }
 
-// classOutcome is what the callers of a class got, counted from their first try.
+// classOutcome counts the outcomes of a class, relative to the first try.
 type classOutcome struct{ asked, inTime, served, refused int }
 
 func (o classOutcome) share(n int) float64 { return float64(n) / float64(max(1, o.asked)) }
@@ -35,8 +35,9 @@
 	return classOutcome{o.asked + p.asked, o.inTime + p.inTime, o.served + p.served, o.refused + p.refused}
 }
 
-// urgencyClasses are three kinds of request before three pools: a short one of a single stage, one of a chain whose objective is long, and
-// one of the same chain whose objective is short, which is the more urgent of the two.
+// urgencyClasses returns three kinds of request for three pools: a short one with a single stage, one with a
+// chain of stages and a long objective, and one with the same chain and a short objective, which is the more
+// urgent of the two.
 func urgencyClasses() []callerClass {
 	light, heavy := 8_000, 3_000_000
 	chain := []catalog.Stage{{Pool: "fetch", ResultBytes: heavy}, {Pool: "fetch", ResultBytes: light}, {Pool: "rank", ResultBytes: 60_000, After: []int{1}}, {Pool: "join", ResultBytes: 6_000, After: []int{2}}}
@@ -53,7 +54,7 @@
 	}
 }
 
-// urgencyFleet is boxes before pools whose calls take as long as their pieces say.
+// urgencyFleet returns a fleet with pools whose calls take time in proportion to their pieces.
 func urgencyFleet(t *testing.T, boxes int, classes []callerClass) *testFleet {
 	f := newEmptyFleet(t)
 	limits := func(pool string, size int, item time.Duration, room float64) catalog.Pool {
@@ -81,13 +82,13 @@
 		if !wait(ctx, 150*time.Millisecond+time.Duration(len(list))*items[s.Pool]) {
 			return batch.CallBroken, nil
 		}
-		return batch.CallDone, piecesOf(s, list)
+		return batch.CallDone, resultsOf(s, list)
 	}
 	f.send = func(ctx context.Context, _ string, _ *Call) (*Reply, error) {
 		if !wait(ctx, 100*time.Millisecond) {
 			return nil, ctx.Err()
 		}
-		return events(ctx, 1, 3, 10*time.Millisecond, io.EOF), nil
+		return eventStream(ctx, 1, 3, 10*time.Millisecond, io.EOF), nil
 	}
 	for i := range boxes {
 		f.start(fmt.Sprint("box", i))
@@ -96,9 +97,9 @@
 	return f
 }
 
-// playClasses has callers of all classes come for a while, those of one class more often in the seconds of a burst. Who is refused
-// comes back once, as it was told.
-func (f *testFleet) playClasses(boxes int, classes []callerClass, length time.Duration, burst classBurst, seed uint64) map[string]classOutcome {
+// runClasses sends requests of all classes for a while, those of one class at a higher rate during a burst. A
+// refused caller retries once, after the time that it was told but at most a third of what it has left.
+func (f *testFleet) runClasses(boxes int, classes []callerClass, length time.Duration, burst classBurst, seed uint64) map[string]classOutcome {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	out := map[string]classOutcome{}
@@ -109,7 +110,7 @@
 			for i := 0; time.Since(began) < length; i++ {
 				pieces, box := c.pieces(r), r.IntN(boxes)
 				all.Go(func() {
-					o := f.callOnceAgain(c, pieces, box, boxes, fmt.Sprintf("%s-%d", c.name, i))
+					o := f.callWithRetry(c, pieces, box, boxes, fmt.Sprintf("%s-%d", c.name, i))
 					mu.Lock()
 					defer mu.Unlock()
 					out[c.name] = out[c.name].plus(o)
@@ -123,19 +124,19 @@
 		})
 	}
 	all.Wait()
-	time.Sleep(2 * time.Second) // calls at work end
+	time.Sleep(2 * time.Second) // until running calls end
 	return out
 }
 
-// callOnceAgain sends one request and, when it is refused, once more at another box.
-func (f *testFleet) callOnceAgain(c callerClass, pieces []int, box, boxes int, id string) (o classOutcome) {
+// callWithRetry sends one request and, if it is refused, once more to another box.
+func (f *testFleet) callWithRetry(c callerClass, pieces []int, box, boxes int, id string) (o classOutcome) {
 	began, left := time.Now(), c.left
 	o.asked = 1
 	for try := range 2 {
 		a := f.ask(fmt.Sprint("box", box), "/"+c.name+"/x", fmt.Sprint(id, "-", try), func(r *Request) {
 			r.Left, r.Pieces, r.Body = left, append([]int(nil), pieces...), []byte(id)
 		})
-		first := time.Since(began) - 30*time.Millisecond // the events after the first
+		first := time.Since(began) - 30*time.Millisecond // minus the events after the first
 		left = c.left - time.Since(began)
 		switch {
 		case a.ended && a.status == http.StatusOK:
@@ -155,21 +156,21 @@
 	return o
 }
 
-// The shares by which a class may be served less than a less urgent one, at all and in time.
+// By how much the shares of a class that are served, and in time, may be below those of a less urgent one.
 const (
-	servedLess = 0.05
-	inTimeLess = 0.15
+	maxServedGap = 0.05
+	maxInTimeGap = 0.15
 )
 
-// classBurst has one class come more often for half of a play.
+// classBurst raises the rate of one class for half of a run.
 type classBurst struct {
 	class  string
 	factor float64
 }
 
-// A burst of requests with a long objective fills the pools of a chain that more urgent requests with a short one pass too. No class is
-// put behind one that is less urgent.
-func TestNoClassIsPutBehindALessUrgentOne(t *testing.T) {
+// A burst of requests with a long objective fills the pools of a chain that more urgent requests with a short
+// objective use too. No class is served worse than a less urgent one.
+func TestNoPriorityInversion(t *testing.T) {
 	for _, boxes := range []int{6, 24} {
 		for _, burst := range []classBurst{{"", 1}, {"explain", 1.6}} {
 			checkUrgency(t, boxes, burst)
@@ -177,8 +178,9 @@
 	}
 }
 
-// The same where the pools of the chain can't carry the burst: from explain x2.2 on 1,152 pieces a second come to one that makes 1,105.
-func TestNoClassIsPutBehindALessUrgentOneInAnOverload(t *testing.T) {
+// The same where the pools of the chain can't carry the burst: from explain x2.2 on, 1,152 pieces per second
+// arrive at a pool that processes 1,105.
+func TestNoPriorityInversionUnderOverload(t *testing.T) {
 	for _, boxes := range []int{6, 24} {
 		for _, burst := range []classBurst{{"explain", 2.2}, {"explain", 3}, {"digest", 2.5}, {"notes", 4}} {
 			checkUrgency(t, boxes, burst)
@@ -186,14 +188,15 @@
 	}
 }
 
-// checkUrgency adds up what callers of four plays got.
+// checkUrgency adds up the outcomes of four runs with different seeds and compares each class with the less
+// urgent ones.
 func checkUrgency(t *testing.T, boxes int, burst classBurst) {
 	t.Run(fmt.Sprintf("%d boxes, %s x%.1f", boxes, burst.class, burst.factor), func(t *testing.T) {
 		classes, sums := urgencyClasses(), map[string]classOutcome{}
 		for seed := range uint64(4) {
 			synctest.Test(t, func(t *testing.T) {
 				f := urgencyFleet(t, boxes, classes)
-				for name, o := range f.playClasses(boxes, classes, 12*time.Second, burst, seed) {
+				for name, o := range f.runClasses(boxes, classes, 12*time.Second, burst, seed) {
 					sums[name] = sums[name].plus(o)
 				}
 			})
@@ -203,8 +206,8 @@
 			t.Logf("%-8s asked %d, in time %.3f, served %.3f, refused %.3f", c.name, o.asked, o.share(o.inTime), o.share(o.served), o.share(o.refused))
 			for _, less := range classes[i+1:] {
 				p := sums[less.name]
-				if o.share(o.served) < p.share(p.served)-servedLess || o.share(o.inTime) < p.share(p.inTime)-inTimeLess {
-					t.Errorf("%s is put behind %s, which is less urgent", c.name, less.name)
+				if o.share(o.served) < p.share(p.served)-maxServedGap || o.share(o.inTime) < p.share(p.inTime)-maxInTimeGap {
+					t.Errorf("%s is served worse than %s, which is less urgent", c.name, less.name)
 				}
 			}
 		}
--- a/src/node/node.go
+++ b/src/node/node.go
@@ -75,7 +75,7 @@
 func (n *Node) Stopped() <-chan struct{} { return n.stopped }
 
 // PeerBytes counts the bytes sent to other boxes.
-func (n *Node) PeerBytes() int64 { return n.peers.Sent.Load() }
+func (n *Node) PeerBytes() int64 { return n.peers.BytesSent.Load() }
 
 // Start opens the listeners and begins to serve.
 func (n *Node) Start() error {
@@ -104,7 +104,7 @@
 	}
 	logClock(n.Log)
 	set := metrics.New()
-	n.box.Watch = set.Watcher()
+	n.box.Observer = set.Watcher()
 	if n.Adjust != nil {
 		n.Adjust(n.box)
 	}
@@ -153,7 +153,7 @@
 }
 
 func (n *Node) servePeers(ctx context.Context, cfg *tls.Config) {
-	s := &peer.Server{TLS: cfg, Handlers: peer.Handlers{Beat: n.box.TakeBeat, Ask: n.box.TakeQuestion, Forward: n.box.TakeForward}}
+	s := &peer.Server{TLS: cfg, Handlers: peer.Handlers{Beat: n.box.HandleBeat, Ask: n.box.HandleQuestion, Forward: n.box.HandleForward}}
 	n.done.Add(1)
 	go func() {
 		defer n.done.Done()
--- a/src/pushback/register.go
+++ b/src/pushback/register.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// State is what a server's own words leave open for it.
+// State says whether requests may be sent to a server, according to its own responses.
 type State uint8
 
-// The states.
+// States of a server.
 const (
-	Open      State = iota // it may get requests
-	Leaving                // it gets no new work any more
-	Resting                // it wants nothing until a time
-	Returning              // its rest is over, and as many requests try it as may do so at once
-	Full                   // no permit is left of the requests a second that it takes from all boxes together
+	Open      State = iota // requests may be sent
+	Leaving                // the server takes no new work
+	Resting                // the server has asked for no requests until a certain time
+	Returning              // its rest is over, and as many requests as currently allowed are trying it
+	Full                   // no permit is available within its request limit
 )
 
 // String names the state for logs.
@@ -33,84 +33,86 @@
 	return "open"
 }
 
-// Verdict says whether a server may get a request. Until is when one that rests may be asked, when one that returns is to be
-// judged again, and when the next permit of one that is full is free.
+// Verdict says whether a request may be sent to a server. Until is the end of the rest of a Resting server, the time at
+// which to check a Returning one again, and the time of the next permit of a Full one.
 type Verdict struct {
 	State State
 	Until time.Time
 }
 
-// Open says whether the server may get a request.
+// Open reports whether a request may be sent to the server.
 func (v Verdict) Open() bool { return v.State == Open }
 
-// Register holds what servers said of themselves to one box. It is the only place that decides by it: the choice of a server asks
-// Judge, and the sender asks Begin just before the first byte.
+// Register holds what servers have said about themselves to one box, and decides by it: Check is used when a server is
+// chosen, and Begin just before the first byte of a request is sent.
 //
-// Idea. A server's own word is stronger than any list of it. It is kept apart from the lists, so that none of them replaces it: no
-// entry that is written again, no whole read after an outage, no list of another box. That a server leaves holds for the life
-// that said it, at all boxes; its rest holds between it and this box alone, whichever life asked. Its limit of requests a second holds
-// for the life that named it and for all boxes together: a request needs a permit, which the coordinator of the server grants
-// (package quota).
+// A server's own statements take precedence over any list of servers. They are stored separately, so that a rewritten
+// entry, a full read after an outage or a list from another box doesn't replace them. A departure applies to the
+// incarnation that announced it, at all boxes. A rest applies to this box only, for any incarnation. A request limit
+// applies to the incarnation that set it and to all boxes together: each request needs a permit from the server's
+// coordinator (package quota).
 //
-// Pure: time comes in, on a clock that counts a machine's sleep. Not safe for concurrent use.
+// The register does no I/O. Times passed to it must come from a clock that advances while the machine is suspended. It is
+// not safe for concurrent use.
 type Register struct {
-	left   map[string]departure
-	rests  map[string]rest
-	limits map[string]limit
-	told   int // of limits, in turn
+	departures map[string]departure // by server id, as are the others
+	rests      map[string]rest
+	limits     map[string]limit
+	rotation   int // position in the rotation of LimitNotes
 }
 
-// departure is a life that said that it leaves.
+// departure is an incarnation that announced that it takes no new work.
 type departure struct {
 	incarnation int64
 	listedAt    time.Time // when its server was last listed
 }
 
-// rest is the rest that a server asked for and, after its end, its return: one request tries it first, and with each answer twice
-// as many may follow at once.
+// rest is the time for which a server asked for no requests, and the gradual increase after it: one request tries the
+// server first, and each response doubles the number of requests allowed at once.
 type rest struct {
-	until  time.Time
-	window int       // requests that may go there at once
-	begun  int       // of them, since round
-	round  time.Time // when the last answer came, or the first of them went
+	until  time.Time // end of the rest
+	window int       // requests allowed at once after the rest
+	begun  int       // requests begun since round
+	round  time.Time // time of the last response, or of the first request begun
 }
 
-// free says whether one more request may go there after the rest.
-func (p rest) free(now time.Time) bool {
-	return p.begun < p.window || now.Sub(p.round) >= trialFor
+// mayTry reports whether another request may be sent after the rest.
+func (p rest) mayTry(now time.Time) bool {
+	return p.begun < p.window || now.Sub(p.round) >= trialTimeout
 }
 
-// HearLeaving takes that a life leaves, from itself or by way of another box. It says whether that is news.
-func (r *Register) HearLeaving(now time.Time, s Server) bool {
-	d, known := r.left[s.ID]
+// RecordLeaving records that a server's incarnation takes no new work, as announced by itself or reported by another
+// box. It reports whether that is new.
+func (r *Register) RecordLeaving(now time.Time, s Server) bool {
+	d, known := r.departures[s.ID]
 	if known && d.incarnation == 0 {
-		r.left[s.ID] = departure{incarnation: s.Incarnation, listedAt: d.listedAt}
+		r.departures[s.ID] = departure{incarnation: s.Incarnation, listedAt: d.listedAt}
 	}
-	if known && !d.before(s) || !known && len(r.left) >= lifeMost {
+	if known && !d.earlierThan(s) || !known && len(r.departures) >= maxEntries {
 		return false
 	}
-	if r.left == nil {
-		r.left = map[string]departure{}
+	if r.departures == nil {
+		r.departures = map[string]departure{}
 	}
-	r.left[s.ID] = departure{incarnation: s.Incarnation, listedAt: now}
+	r.departures[s.ID] = departure{incarnation: s.Incarnation, listedAt: now}
 	return true
 }
 
-// before says whether a server's life began after the one that left. Lives of which one does not say when it began are taken
-// for the same: a server that is passed over costs less than requests to one that leaves.
-func (d departure) before(s Server) bool {
+// earlierThan reports whether the departed incarnation is earlier than that of s. If either is unknown (0) they count as
+// the same: skipping a server costs less than sending requests to one that is leaving.
+func (d departure) earlierThan(s Server) bool {
 	return d.incarnation > 0 && s.Incarnation > d.incarnation
 }
 
-// HearRest takes for how long a server wants nothing from this box, from now on. The latest end counts, so that an answer which
-// was overtaken shortens nothing. It gives the end and whether it is later than what was known.
-func (r *Register) HearRest(now time.Time, id string, length time.Duration) (until time.Time, later bool) {
-	until = now.Add(min(length, mostRest))
+// RecordRest records that a server wants no requests from this box for the given time. The latest end counts, so a delayed
+// response doesn't shorten a rest. It returns the end and whether it is later than the one known before.
+func (r *Register) RecordRest(now time.Time, id string, length time.Duration) (until time.Time, later bool) {
+	until = now.Add(min(length, maxRest))
 	known, ok := r.rests[id]
 	if ok && !until.After(known.until) {
 		return known.until, false
 	}
-	if !ok && len(r.rests) >= lifeMost {
+	if !ok && len(r.rests) >= maxEntries {
 		return until, false
 	}
 	if r.rests == nil {
@@ -120,41 +122,42 @@
 	return until, true
 }
 
-// Answered takes that a server answered without asking for rest: one that returns may get twice as many requests at once.
-func (r *Register) Answered(now time.Time, id string) {
+// RecordResponse records a response that asked for no rest. It doubles the number of concurrent requests allowed at a
+// returning server.
+func (r *Register) RecordResponse(now time.Time, id string) {
 	p, ok := r.rests[id]
 	if !ok || now.Before(p.until) {
 		return
 	}
 	p.window, p.begun, p.round = 2*p.window, 0, now
-	if p.window > returnMost {
+	if p.window > maxReturnWindow {
 		delete(r.rests, id)
 		return
 	}
 	r.rests[id] = p
 }
 
-// Judge says whether a server may get a request now.
-func (r *Register) Judge(now time.Time, s Server) Verdict {
-	if d, ok := r.left[s.ID]; ok && !d.before(s) {
+// Check returns whether a request may be sent to a server now.
+func (r *Register) Check(now time.Time, s Server) Verdict {
+	if d, ok := r.departures[s.ID]; ok && !d.earlierThan(s) {
 		return Verdict{State: Leaving}
 	}
 	p, ok := r.rests[s.ID]
 	switch {
 	case !ok:
-		return r.judgeLimit(now, s)
+		return r.checkLimit(now, s)
 	case now.Before(p.until):
 		return Verdict{State: Resting, Until: p.until}
-	case !p.free(now):
-		return Verdict{State: Returning, Until: now.Add(answerSoon)}
+	case !p.mayTry(now):
+		return Verdict{State: Returning, Until: now.Add(returnRecheckDelay)}
 	}
-	return r.judgeLimit(now, s)
+	return r.checkLimit(now, s)
 }
 
-// Begin judges a server just before the first byte of a request goes there, and counts the request where it may go. owner names the
-// request for which a permit was asked.
+// Begin is Check for the moment before the first byte of a request is sent. If the request may be sent it consumes a
+// permit and counts the request. owner identifies the request for which a permit was reserved.
 func (r *Register) Begin(now time.Time, s Server, owner string) Verdict {
-	v := r.Judge(now, s)
+	v := r.Check(now, s)
 	if v.Open() || v.State == Full {
 		v = r.takePermit(now, s, owner)
 	}
@@ -171,42 +174,45 @@
 	return v
 }
 
-// Remembers says whether a server asked for rest and has not returned from it whole.
-func (r *Register) Remembers(id string) bool {
+// HasRest reports whether a server has asked for a rest and is not back to unlimited requests yet.
+func (r *Register) HasRest(id string) bool {
 	_, ok := r.rests[id]
 	return ok
 }
 
-// Departed lists lives that leave and are still listed as if they took work, which other boxes should be told, at most NotesMost.
-func (r *Register) Departed(works func(id string) bool) []Server {
+// LeavingServers returns at most MaxNotes leaving incarnations that are still listed as taking work, to report to other
+// boxes.
+func (r *Register) LeavingServers(works func(id string) bool) []Server {
 	var out []Server
-	for id, d := range r.left {
+	for id, d := range r.departures {
 		if works(id) {
 			out = append(out, Server{ID: id, Incarnation: d.incarnation})
 		}
 	}
 	slices.SortFunc(out, func(a, b Server) int { return strings.Compare(a.ID, b.ID) })
-	return out[:min(len(out), NotesMost)]
+	return out[:min(len(out), MaxNotes)]
 }
 
-// Sweep forgets what is over: rests, limits, and words of servers that have not been listed for a while.
+// Sweep removes expired rests and limits, and departures of servers that are no longer listed.
 func (r *Register) Sweep(now time.Time, listed func(id string) bool) {
 	for id, p := range r.rests {
-		if now.Sub(p.until) > restKept {
+		if now.Sub(p.until) > restRetention {
 			delete(r.rests, id)
 		}
 	}
 	r.sweepLimits(now, listed)
-	for id, d := range r.left {
+	for id, d := range r.departures {
 		switch {
 		case listed(id):
 			d.listedAt = now
-			r.left[id] = d
-		case now.Sub(d.listedAt) > departureKept:
-			delete(r.left, id)
+			r.departures[id] = d
+		case now.Sub(d.listedAt) > departureRetention:
+			delete(r.departures, id)
 		}
 	}
 }
 
-// Empty says whether nothing is known.
-func (r *Register) Empty() bool { return len(r.left) == 0 && len(r.rests) == 0 && len(r.limits) == 0 }
+// Empty reports whether the register holds nothing.
+func (r *Register) Empty() bool {
+	return len(r.departures) == 0 && len(r.rests) == 0 && len(r.limits) == 0
+}
--- a/src/quota/ways_test.go
+++ b/src/quota/policies_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// way decides for one box whether it may send a request to a server with a limit.
-type way func(now time.Time, box int) bool
+// policy decides whether a box may send a request to a server with a limit now.
+type policy func(now time.Time, box int) bool
 
-// bucket lets a rate pass with a burst of one request.
+// bucket is a token bucket for one request.
 type bucket struct{ next time.Time }
 
 func (b *bucket) take(now time.Time, perSecond float64) bool {
@@ -21,20 +21,20 @@
 	return true
 }
 
-// alone has each box keep the whole limit by its own sends.
-func alone(boxes int, perSecond float64) way {
+// alone has each box keep to the whole limit by its own requests.
+func alone(boxes int, perSecond float64) policy {
 	all := make([]bucket, boxes)
 	return func(now time.Time, box int) bool { return all[box].take(now, perSecond) }
 }
 
-// equal gives each box the same part of the limit.
-func equal(boxes int, perSecond float64) way {
+// equal gives each box an equal part of the limit.
+func equal(boxes int, perSecond float64) policy {
 	all := make([]bucket, boxes)
 	return func(now time.Time, box int) bool { return all[box].take(now, perSecond/float64(boxes)) }
 }
 
-// told has each box count what the others told of their sends a while ago.
-func told(boxes int, perSecond float64) way {
+// reportedSends has each box count the requests that the others reported, with a delay of 500 ms.
+func reportedSends(boxes int, perSecond float64) policy {
 	type send struct {
 		at  time.Time
 		box int
@@ -55,31 +55,32 @@
 	}
 }
 
-func kept(_ int, perSecond float64) way {
+// withLimiter uses a Limiter.
+func withLimiter(_ int, perSecond float64) policy {
 	var k Limiter
 	until := map[int]time.Time{}
 	return func(now time.Time, box int) bool {
 		if now.Before(until[box]) {
 			return false
 		}
-		g := k.Take(now, Ask{Server: "s", PerSecond: perSecond, Wants: 1}, 1)
+		g := k.Take(now, PermitRequest{Server: "s", PerSecond: perSecond, Wants: 1}, 1)
 		until[box] = now.Add(g.Next)
 		return g.Permits > 0
 	}
 }
 
-// Load: requests arrive at boxes by chance, 40 a second or twice the limit in all, the server being the best for each. A box that keeps
-// the limit alone overruns it the more the larger the fleet; an equal part, or what was told, overruns it at first or leaves it idle;
-// a limiter does neither.
+// Requests arrive at random boxes at 40 per second or twice the limit, whichever is more, and all prefer
+// the same server. Boxes that each keep to the limit alone exceed it the more the larger the fleet; equal
+// parts or reported counts exceed it at first or leave it unused. A limiter does neither.
 func TestWaysToShareALimit(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for _, perSecond := range []float64{1, 4, 200} {
 		for _, boxes := range []int{6, 61, 295, 985} {
 			for _, w := range []struct {
 				name  string
-				make  func(boxes int, perSecond float64) way
+				make  func(boxes int, perSecond float64) policy
 				bound bool
-			}{{"alone", alone, false}, {"equal", equal, false}, {"told", told, false}, {"limiter", kept, true}} {
+			}{{"alone", alone, false}, {"equal", equal, false}, {"told", reportedSends, false}, {"limiter", withLimiter, true}} {
 				may := w.make(boxes, perSecond)
 				rnd := rand.New(rand.NewPCG(1, uint64(boxes)))
 				load := max(40, 2*perSecond)
@@ -91,7 +92,7 @@
 						sent = append(sent, now)
 					}
 				}
-				most := mostIn(sent, 4*time.Second)
+				most := maxInWindow(sent, 4*time.Second)
 				used := float64(len(sent)) / 30 / perSecond
 				t.Logf("%g a second, %d boxes, %s: at most %d in 4 s, %d allowed; %.2f used", perSecond, boxes, w.name, most, allowed(perSecond), used)
 				if w.bound && (most > allowed(perSecond) || used < 0.9) {
@@ -104,8 +105,8 @@
 
 func allowed(perSecond float64) int { return int(6*perSecond) + 5 }
 
-// mostIn is the largest number of times within any window.
-func mostIn(list []time.Time, window time.Duration) int {
+// maxInWindow returns the largest number of times within any window; the list must be sorted.
+func maxInWindow(list []time.Time, window time.Duration) int {
 	most := 0
 	for i, first := 0, 0; i < len(list); i++ {
 		for list[i].Sub(list[first]) >= window {
@@ -116,7 +117,7 @@
 	return most
 }
 
-// BenchmarkTake is a limiter's work for one question, with a thousand servers kept.
+// BenchmarkTake measures one request for permits with a thousand known servers.
 func BenchmarkTake(b *testing.B) {
 	var k Limiter
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -126,6 +127,6 @@
 	}
 	for i := range b.N {
 		now = now.Add(time.Millisecond)
-		k.Take(now, Ask{Server: ids[i%len(ids)], PerSecond: 4, Wants: 1}, 1)
+		k.Take(now, PermitRequest{Server: ids[i%len(ids)], PerSecond: 4, Wants: 1}, 1)
 	}
 }
--- a/src/retry/budget_test.go
+++ b/src/retry/budget_test.go
@@ -11,29 +11,30 @@
 
 func newBudget() *Budget { return &Budget{Ratio: 0.2, Slack: 50, Window: 10 * time.Second} }
 
-func TestRepeatsFollowRequests(t *testing.T) {
+func TestRetriesFollowRequests(t *testing.T) {
 	b := newBudget()
-	quiet := b.Left(start, 7)
+	quiet := b.Remaining(start, 7)
 	for range 100 {
 		b.Request(start)
 	}
-	if got := b.Left(start, 7) - quiet; got != 17 {
+	if got := b.Remaining(start, 7) - quiet; got != 17 {
 		t.Errorf("100 requests allow %d more repeats, want 17", got)
 	}
-	if b.Left(start.Add(11*time.Second), 7) != quiet {
+	if b.Remaining(start.Add(11*time.Second), 7) != quiet {
 		t.Error("old requests still allow repeats")
 	}
 }
 
-func TestFewerPartsTheMoreBoxesThereMayBe(t *testing.T) {
+func TestShareShrinksWithMoreBoxes(t *testing.T) {
 	b := newBudget()
-	if one, many := b.Left(start, 1), b.Left(start, 50); one <= many {
+	if one, many := b.Remaining(start, 1), b.Remaining(start, 50); one <= many {
 		t.Errorf("one box may repeat %d times, one of 50 %d", one, many)
 	}
 }
 
-// Boxes that know how many there are stay within the whole in every window, however requests fall on them.
-func TestBoxesTogetherStayWithinTheWhole(t *testing.T) {
+// Boxes that know how many there are stay within the common limit in every window, however the requests are
+// distributed.
+func TestBoxesTogetherStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(rt, "boxes")
 		boxes := make([]*Budget, n)
