--- a/src/gateway/giving.go
+++ b/src/gateway/giving.go
@@ -11,9 +11,9 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// given is what a box hands on of the configuration: the encoded catalogs that it holds or held, and
+// catalogSource is what a box hands on of the configuration: the encoded catalogs that it holds or held, and
 // how much of its link is promised.
-type given struct {
+type catalogSource struct {
 	gateway *Gateway
 
 	mu       sync.Mutex
@@ -40,10 +40,10 @@
 	sum          uint64
 }
 
-func (v *given) init(g *Gateway) { v.gateway = g }
+func (v *catalogSource) init(g *Gateway) { v.gateway = g }
 
 // hold notes the catalog in force.
-func (v *given) hold(digest string, raw []byte) {
+func (v *catalogSource) hold(digest string, raw []byte) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.held.raw != nil {
@@ -62,7 +62,7 @@
 }
 
 // raw is the encoded catalog with a digest, nil when it is not known any more.
-func (v *given) raw(digest string) []byte {
+func (v *catalogSource) raw(digest string) []byte {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.held.digest == digest {
@@ -77,7 +77,7 @@
 }
 
 // base is the newest of the digests whose catalog is known here, "" for none.
-func (v *given) base(held []string) string {
+func (v *catalogSource) base(held []string) string {
 	for _, d := range held {
 		if v.raw(d) != nil {
 			return d
@@ -87,7 +87,7 @@
 }
 
 // pack gives a packed catalog; it is made once for all that ask. It is nil when the catalog is not known any more.
-func (v *given) pack(asOf uint64, digest, base string) *packed {
+func (v *catalogSource) pack(asOf uint64, digest, base string) *packed {
 	v.packing.Lock()
 	defer v.packing.Unlock()
 	for i := range v.packs {
@@ -107,7 +107,7 @@
 }
 
 // bySum gives a packed catalog that another box has begun to take, nil when it is not kept any more.
-func (v *given) bySum(sum uint64) *packed {
+func (v *catalogSource) bySum(sum uint64) *packed {
 	v.packing.Lock()
 	defer v.packing.Unlock()
 	for i := range v.packs {
@@ -119,7 +119,7 @@
 }
 
 // promise sets link time aside for bytes; while enough is set aside it gives how long to wait instead.
-func (v *given) promise(now time.Time, bytes int) (wait time.Duration) {
+func (v *catalogSource) promise(now time.Time, bytes int) (wait time.Duration) {
 	link := v.gateway.Settings.Capacity.Link
 	if link == 0 {
 		link = assumedLink
@@ -137,7 +137,7 @@
 }
 
 // noteHolder notes a box that has been given the newest.
-func (v *given) noteHolder(box string) {
+func (v *catalogSource) noteHolder(box string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if box != "" && !slices.Contains(v.holders, box) {
@@ -145,7 +145,7 @@
 	}
 }
 
-func (v *given) namedHolders() []string {
+func (v *catalogSource) namedHolders() []string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return slices.Clone(v.holders)
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -27,7 +27,7 @@
 	closures catalog.Closures
 	eras     eras
 	known    bool // a list of servers was seen
-	given    given
+	given    catalogSource
 	taking   taking
 }
 
