--- a/src/gateway/admission.go
+++ b/src/gateway/admission.go
@@ -7,8 +7,8 @@
 	"github.com/stilemast/stilemast/src/code"
 )
 
-// admit refuses a request that can't be in time any more: served late it is worth little and makes
-// others late, while its caller may come back when the backlog is gone.
+// admit refuses a request that is forecast to miss its objective. Served late it would be worth little and
+// delay others; its caller can retry when the backlog is gone.
 func (g *Gateway) admit(s *stageRun) *code.Error {
 	now := g.now()
 	total, waits := s.forecast(now).expected()
@@ -18,13 +18,13 @@
 		g.Log.Info("admitted", "request", s.request.ID, "pipeline", s.pipeline.Name, "priority", s.priority, "expected_ms", total.Milliseconds(), "waits_ms", waits.Milliseconds(), "left_ms", left.Milliseconds(), "config_age_ms", g.published.catalogAge(now).Milliseconds())
 		return nil
 	}
-	err := code.New(code.CannotFinish, "deadline", "expected in %s, of which %s are waits; %s are left to be in time", total.Round(time.Millisecond), waits.Round(time.Millisecond), left.Round(time.Millisecond))
+	err := code.New(code.CannotFinish, "deadline", "expected in %s, of which %s are waits; %s are left to the objective", total.Round(time.Millisecond), waits.Round(time.Millisecond), left.Round(time.Millisecond))
 	err.Ran = code.RanNo
 	err.RetryAfter = min(mostReturn, max(leastReturn, time.Duration(returnPart*float64(total-limit))))
 	return err
 }
 
-// refusal makes an error for a request that has not run, with the time to come back.
+// refusal returns the error of a request that has not run, with a retry-after time.
 func refusal(c code.Code, field string, after time.Duration, format string, args ...any) *code.Error {
 	err := code.New(c, field, format, args...)
 	err.Ran = code.RanNo
@@ -32,8 +32,8 @@
 	return err
 }
 
-// waitsIn is how long a piece waits in a pool: asked of the scheduler when it is in this box, or as it
-// told lately.
+// waitsIn returns how long a piece waits in a pool: from the scheduler if it runs in this box, otherwise as
+// the scheduler last reported.
 func (g *Gateway) waitsIn(now time.Time, pool string) backlog.Waits {
 	if g.schedulerOf(pool, nil) != g.ID.Name {
 		return g.fleet.waitsIn(now, pool)
--- a/src/gateway/confined.go
+++ b/src/gateway/confined.go
@@ -7,10 +7,12 @@
 	"github.com/stilemast/stilemast/src/code"
 )
 
-// errOutside says that nothing was sent, since the server stands outside the regions in which the request may run now.
-var errOutside = errors.New("the server stands outside the request's boundary")
+// errOutside means that nothing was sent because the server is outside the regions in which the request may
+// run.
+var errOutside = errors.New("the server is outside the request's boundary")
 
-// confinesNow gives where the request may run by the configuration in force. What is missing there binds as it did before.
+// confinesNow returns where the request may run under the configuration in force. A pipeline or workspace
+// that is no longer configured keeps its previous boundary.
 func (v *visit) confinesNow() *catalog.Confines {
 	g, r := v.gateway, v.request
 	x := g.index.Load()
@@ -29,21 +31,22 @@
 	return g.Settings.Regions.Confine(bounds...)
 }
 
-// startInside asks the boundary once more just before the first byte: the configuration may have changed since the server was chosen.
+// startInside checks the boundary again just before the first byte is sent, as the configuration may have
+// changed since the server was chosen.
 func (v *visit) startInside(s catalog.Server, start func() error) func() error {
 	return func() error {
 		if err := start(); err != nil {
 			return err
 		}
 		if !v.confinesNow().Allow(s.Domain) {
-			v.gateway.Log.Warn("nothing sent outside a boundary", "request", v.request.ID, "server", s.ID, "domain", s.Domain, "version", v.gateway.Version())
+			v.gateway.Log.Warn("request not sent, server is outside the boundary", "request", v.request.ID, "server", s.ID, "domain", s.Domain, "version", v.gateway.Version())
 			return errOutside
 		}
 		return nil
 	}
 }
 
-// nowhere refuses a request at once where a pool that it needs has servers, but none inside its boundary.
+// nowhere refuses a request if a pool that it needs has servers, but none inside its boundary.
 func (v *visit) nowhere() *code.Error {
 	if v.confines == nil {
 		return nil
@@ -62,7 +65,7 @@
 	return nil
 }
 
-// standsInside says whether a pool has a server inside the request's boundary, or none at all.
+// standsInside reports whether a pool has a server inside the request's boundary, or no servers at all.
 func (v *visit) standsInside(pool string) bool {
 	e := v.gateway.pools.get(pool)
 	e.mu.Lock()
@@ -76,7 +79,7 @@
 	return len(domains) == 0
 }
 
-// outside is the refusal of a request that may run at no server there is.
+// outside returns the refusal of a request for which no server is inside its boundary.
 func (v *visit) outside(what string) *code.Error {
-	return refusal(code.NowhereToRun, "boundary", failureReturn, "no server of %s stands inside the boundary", what)
+	return refusal(code.NowhereToRun, "boundary", failureReturn, "no server of %s is inside the boundary", what)
 }
--- a/src/gateway/forecast.go
+++ b/src/gateway/forecast.go
@@ -6,16 +6,18 @@
 	"github.com/stilemast/stilemast/src/batch"
 )
 
-// forecast is how the stages of a request go on as its pools wait and work now.
+// forecast estimates the progress of a request's stages under the current load of its pools.
 type forecast struct {
-	run   *stageRun
-	waits []time.Duration // of a piece of each stage, at its place among what waits; 0 for a stage without pieces
-	calls []time.Duration // that each stage's calls take; 0 for a stage without pieces
+	run *stageRun
+	// Queueing time of a piece of each stage at its place in the queue; 0 for a stage without pieces.
+	waits []time.Duration
+	calls []time.Duration // duration of each stage's calls; 0 for a stage without pieces
 	rests []time.Duration // from the end of each stage to the first output
-	first time.Duration   // from the last stage's end to the first output
+	first time.Duration   // from the end of the last stage to the first output
 }
 
-// forecast works backwards from the objective: when a stage is due, and so how long it waits, depends on those after it.
+// forecast works backwards from the objective: the due time of a stage, and so its queueing time, depends on
+// the stages after it.
 func (s *stageRun) forecast(now time.Time) forecast {
 	n := len(s.pipeline.Stages)
 	f := forecast{run: s, waits: make([]time.Duration, n), calls: make([]time.Duration, n), rests: make([]time.Duration, n), first: s.gateway.estimates.get(s.pipeline.Name)}
@@ -33,8 +35,9 @@
 	return f
 }
 
-// underLoad is the time that a stage's calls take: the fuller the longer work waits in its pool, until all are full where a call's time
-// of work waits. Taken for half full under load, chains of three pools would be admitted that are late, and make others late.
+// underLoad estimates the duration of a stage's calls. Calls get fuller the longer work waits in the pool, up
+// to full calls when one call's duration of work waits. Assuming half-full calls under load would admit
+// chains of three pools that are late and delay others.
 func (s *stageRun) underLoad(stage int, wait time.Duration) time.Duration {
 	usual, full := s.typical(stage), s.callTime(stage, 1)
 	if full == 0 {
@@ -44,8 +47,8 @@
 	return usual + time.Duration(part*float64(full-usual))
 }
 
-// expected estimates the time from now to the first output where nothing is made yet. The second result is the part of it that
-// is waiting.
+// expected estimates the time from now to the first output if no stage has been made yet, and the part of it
+// that is queueing.
 func (f forecast) expected() (total, waits time.Duration) {
 	n := len(f.waits)
 	end, waited := make([]time.Duration, n), make([]time.Duration, n)
--- a/src/gateway/held.go
+++ b/src/gateway/held.go
@@ -8,21 +8,22 @@
 	"github.com/stilemast/stilemast/src/batch"
 )
 
-// holdings are the results of stages that requests of this box hold, by pool. When another box schedules
-// a pool, it is told of them: the scheduler before may be gone, and with it what it knew of the servers'
-// room.
+// holdings are the stage results that this box's requests hold, by pool. A box that becomes the scheduler of
+// a pool is informed of them: the previous scheduler may be gone, and with it the knowledge of the servers'
+// memory use.
 type holdings struct {
 	gateway *Gateway
 
 	mu    sync.Mutex
 	pools map[string]map[string]holding // by pool and handle
-	told  map[string]string             // the box that was last told of a pool's results
+	told  map[string]string             // the box last informed of a pool's results
 }
 
+// holding is one stage result held at a server.
 type holding struct {
 	server string
 	bytes  float64
-	until  time.Time // when it is lost by age
+	until  time.Time // when it expires
 	of     *results
 	stage  int
 }
@@ -32,7 +33,7 @@
 	h.pools, h.told = map[string]map[string]holding{}, map[string]string{}
 }
 
-// add notes the results of one job, which makes a stage of a request.
+// add records the results of a job, which makes a stage of a request.
 func (h *holdings) add(pool string, done *batch.Done, bytes float64, until time.Time, of *results, stage int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -48,7 +49,7 @@
 	}
 }
 
-// take removes results that are given up and lists them for their scheduler.
+// take removes released results and returns them for their scheduler.
 func (h *holdings) take(now time.Time, pool string, handles []string) []batch.HeldResult {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -62,8 +63,8 @@
 	return out
 }
 
-// lose drops the results that lay at a server which has started again, and tells the requests that hold them. It gives
-// how many there were.
+// lose drops the results at a server that restarted, notifies the requests that hold them and returns their
+// number.
 func (h *holdings) lose(server string) (results int) {
 	lost := map[resultsOfStage]bool{}
 	h.mu.Lock()
@@ -83,13 +84,14 @@
 	return results
 }
 
-// resultsOfStage are those of one stage of a request.
+// resultsOfStage identifies the results of one stage of a request.
 type resultsOfStage struct {
 	of    *results
 	stage int
 }
 
-// news lists what a box that is to schedule a pool has not been told, and notes that it is told now.
+// news returns the results that a box that is to schedule a pool has not been informed of, and marks it as
+// informed.
 func (h *holdings) news(now time.Time, pool, box string) []batch.HeldResult {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -109,12 +111,12 @@
 	return out
 }
 
-// submit sends a job to a scheduler. One that is new to this box hears first of the results that the
-// box holds in the pool.
+// submit sends a job to a scheduler. A scheduler that is new to this box is first informed of the results
+// that the box holds in the pool.
 func (g *Gateway) submit(box string, j *batch.Job, silent string) {
 	now := g.now()
 	if held := g.holdings.news(now, j.Pool, box); len(held) > 0 {
-		g.Log.Info("scheduler told of results", "pool", j.Pool, "to", box, "results", len(held))
+		g.Log.Info("scheduler informed of held results", "pool", j.Pool, "to", box, "results", len(held))
 		for part := range slices.Chunk(held, resultsPerMessage) {
 			g.tell(box, batch.Message{Held: &batch.Held{Pool: j.Pool, Results: part}})
 		}
--- a/src/gateway/inputs.go
+++ b/src/gateway/inputs.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// An engine fetches the results of stages that a request needs before it reads the prompt, and the first
-// output comes only when that is read. Their room at the makers is given up after the time that fetching
-// takes, which is learned: a request whose inputs were gone doubles it.
+// An engine fetches the stage results that a request needs before it reads the prompt, and the first output
+// comes only after that. The results are released at their servers after the time that fetching takes. That
+// time is learned: it doubles when a request finds its inputs gone.
 
-// giveUpInputs has the inputs of a request that is being sent given up when its engine will have fetched
-// them. The function that it gives calls this off.
+// giveUpInputs releases the inputs of a request that is being sent once its engine should have fetched them.
+// The returned function cancels the release.
 func (v *visit) giveUpInputs(e *pool, any bool) func() {
 	if !any {
 		return func() {}
@@ -16,7 +16,7 @@
 	return func() { timer.Stop() }
 }
 
-// fetchTime is how long an engine of the pool may take to fetch inputs.
+// fetchTime returns how long an engine of the pool may take to fetch inputs.
 func (p *pool) fetchTime() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -24,7 +24,7 @@
 	return p.fetch
 }
 
-// inputGone notes that an input was gone when an engine wanted it.
+// inputGone records that an input was gone when an engine fetched it.
 func (p *pool) inputGone() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/src/gateway/pacing.go
+++ b/src/gateway/pacing.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// A large result takes up room at its maker from the call that makes it until it is read. Room is what
-// bounds a pool of makers, so a stage with large results is begun no sooner than it must be: so that it
-// ends together with the other results that its reader needs.
+// A large result occupies memory at its server from the call that makes it until it is read. That memory limits
+// the pool's throughput, so a stage with large results starts only as early as needed to end together with the
+// other results that its reader needs.
 
-// remaining estimates the time until a stage is made, 0 when it is.
+// remaining estimates the time until a stage is complete, 0 when it is.
 func (s *stageRun) remaining(now time.Time, stage int) time.Duration {
 	if s.request.Pieces[stage] == 0 || s.isMade(stage) {
 		return 0
@@ -46,8 +46,8 @@
 	return out
 }
 
-// awaitPartners holds a stage with large results back until the results that are read together with
-// them would be made no sooner.
+// awaitPartners delays a stage with large results until it would end no earlier than the stages whose results
+// are read together with its own.
 func (s *stageRun) awaitPartners(ctx context.Context, stage int) {
 	if float64(s.request.Pieces[stage]*s.pipeline.Stages[stage].ResultBytes) < largeResults {
 		return
@@ -75,7 +75,7 @@
 	}
 }
 
-// expectedEnd is when a stage that was submitted should be made; zero before.
+// expectedEnd returns when a submitted stage should be complete, zero before its submission.
 func (s *stageRun) expectedEnd(stage int) time.Time {
 	s.results.mu.Lock()
 	defer s.results.mu.Unlock()
--- a/src/gateway/pools.go
+++ b/src/gateway/pools.go
@@ -9,7 +9,7 @@
 	"github.com/stilemast/stilemast/src/retry"
 )
 
-// pools holds a picker and a retry budget for each pool, each under its own lock.
+// pools holds the servers and the retry budget of each pool, each pool under its own lock.
 type pools struct {
 	gateway *Gateway
 	mu      sync.RWMutex
@@ -21,7 +21,7 @@
 	name   string
 	picker *balance.Pool
 	budget *retry.Budget
-	fetch  time.Duration // that a server takes to fetch a request's inputs, as learned
+	fetch  time.Duration // learned time that a server takes to fetch a request's inputs
 }
 
 func (p *pools) init(g *Gateway) {
@@ -29,7 +29,7 @@
 	p.all = map[string]*pool{}
 }
 
-// get gives a pool, making it when it is new.
+// get returns a pool and creates it if it is new.
 func (p *pools) get(name string) *pool {
 	p.mu.RLock()
 	e := p.all[name]
@@ -63,7 +63,7 @@
 	return out
 }
 
-// configure gives all pools their servers that take new work. One that is not named has none.
+// configure sets the servers of all pools that take new work. A pool missing from the map gets none.
 func (p *pools) configure(servers map[string][]*catalog.Server) {
 	for name := range servers {
 		p.get(name)
@@ -75,7 +75,7 @@
 	}
 }
 
-// change takes a change of the servers of a pool that take new work.
+// change applies a change of the servers of a pool that take new work.
 func (p *pools) change(pool string, c *poolChange) {
 	e := p.get(pool)
 	e.mu.Lock()
@@ -83,7 +83,7 @@
 	e.picker.Change(c.put, c.gone)
 }
 
-// estimates are moving means of how long pipelines take from dispatch to the first output.
+// estimates are moving averages of the time from dispatch to first output, by pipeline.
 type estimates struct {
 	mu    sync.Mutex
 	first map[string]time.Duration
