--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -1,13 +1,13 @@
-// Package gateway serves opaque requests: it does not look into them, but decides where each stage
+// Package gateway serves opaque requests. It does not interpret their bodies, but decides where each stage
 // and the request itself run, what waits and what is refused.
 //
 //	callers ─► serve.go ─► admission.go ─► stages.go ─► scheduling.go (one box for each pool) ─► pieces
-//	                │                                                                          at servers
-//	                └────► attempts.go ─► balance.Pool, retry.Budget ─► server ─► relay.go ─► caller
+//	               │                                                                          at servers
+//	               └────► attempts.go ─► balance.Pool, retry.Budget ─► server ─► relay.go ─► caller
 //	platform ─► published.go ─► catalog and servers ◄─► peers (fleet.go: heartbeats, loads, waits)
 //
-// Decisions lie in the pure packages batch, balance, retry, catalog and core; this package holds the
-// state under its locks and carries the decisions out through ports.
+// The decisions are made by the pure packages batch, balance, retry, catalog and core. This package holds
+// their state under its locks and carries the decisions out through ports.
 package gateway
 
 import (
@@ -25,21 +25,21 @@
 	"github.com/stilemast/stilemast/src/suspects"
 )
 
-// Settings are what a gateway is told at its start.
+// Settings configure a gateway at its start.
 type Settings struct {
 	Address       string // where other boxes reach this one
-	FailureDomain string // where it stands
+	FailureDomain string // of this box
 	Regions       catalog.Regions
-	Seeds         []string // addresses of boxes to begin with; they may be gone
+	Seeds         []string // addresses of boxes to contact first; they may be gone
 	Capacity      core.Capacity
 	RetryRatio    float64
 	RetrySlack    float64
 	RetryWindow   time.Duration
-	Admission     bool // refuse at arrival what can't be in time
-	SharedBatches bool // one box forms the calls of a pool; false is a baseline
+	Admission     bool // refuse requests at arrival that are forecast to miss their objective
+	SharedBatches bool // one box schedules all calls of a pool; false is a baseline for comparison
 }
 
-// Gateway is the opaque-request side of one box. Set the exported fields before Run.
+// Gateway is the opaque-request side of one box. The exported fields must be set before Init.
 type Gateway struct {
 	Settings Settings
 	ID       core.BoxID
@@ -48,7 +48,7 @@
 	Peers    port.Peers
 	Log      *slog.Logger
 	Watch    Watcher
-	Clock    func() time.Time // never steps
+	Clock    func() time.Time // monotonic
 	Rand     *rand.Rand
 
 	index     atomic.Pointer[catalog.Index]
@@ -62,34 +62,36 @@
 	suspects  suspects.Tracker
 	words     words
 	permits   permits
-	limitsDue atomic.Bool // a message on servers' limits is to be sent
+	limitsDue atomic.Bool // a message on servers' limits is scheduled
 
-	stages     context.Context // ends when no more stages are waited for
+	stages     context.Context // ends when no further stages may run
 	endStages  context.CancelFunc
 	draining   atomic.Bool
-	drainedAt  atomic.Int64 // unix nanoseconds at which the planned stop began
+	drainedAt  atomic.Int64 // unix nanoseconds of the start of the planned stop
 	lastTick   atomic.Int64 // unix nanoseconds
 	wokenAt    atomic.Int64 // end of the last pause of this process, 0 for none
 	startedAt  time.Time
 	running    atomic.Int64
-	deadlines  sync.Map // of *visit to the context.CancelFunc of its deadline
+	deadlines  sync.Map // *visit to the context.CancelFunc of its deadline
 	background sync.WaitGroup
 }
 
-// Watcher is told what happened, for metrics. Nil fields are skipped.
+// Watcher receives events for metrics. Nil fields are skipped.
 type Watcher struct {
 	Ended     func(pipeline, result string, took, first time.Duration)
 	Exchanged func(pool, outcome string, took time.Duration)
 	Batched   func(pool string, pieces int, outcome string, took time.Duration)
 	StoreRead func(document string, ok bool)
-	Restored  func()                                             // the store came back from an older copy
+	Restored  func()                                             // the store was restored from an older copy
 	Pulled    func(document string, ok bool, took time.Duration) // from another box
 	Retried   func(pool string, allowed bool)
-	Refused   func(document, reason string) // an entry or a configuration that can't be used was read
-	Withheld  func(pool string)             // a server that was chosen takes no new work when the first byte is due
-	Suspected func(contents int)            // a server ended under so many contents
-	Said      func(pool, word string)       // a server said that it leaves, wants rest or limits its requests, or another box that it leaves
-	Permitted func(pool string, ok bool)    // a permit for a server with a limit was asked for
+	Refused   func(document, reason string) // an unusable server entry or configuration was read
+	Withheld  func(pool string)             // a chosen server stopped taking new work before the first byte was sent
+	Suspected func(contents int)            // a server ended while it ran so many contents
+	// A server signalled that it leaves, wants rest or limits its requests, or another box passed its leaving
+	// on.
+	Said      func(pool, word string)
+	Permitted func(pool string, ok bool) // a permit of a server with a limit was requested
 }
 
 // Run works until the context ends. Init must have been called.
@@ -108,7 +110,7 @@
 	g.background.Wait()
 }
 
-// Init fills what Run needs; it must be called before Run and before any message is taken.
+// Init prepares the gateway. It must be called before Run and before any message is handled.
 func (g *Gateway) Init() {
 	if g.Clock == nil {
 		g.Clock = time.Now
@@ -135,6 +137,7 @@
 
 func (g *Gateway) now() time.Time { return g.Clock() }
 
+// every runs a function at once and then at each tick until the context ends.
 func (g *Gateway) every(ctx context.Context, pace time.Duration, fn func(context.Context)) {
 	g.background.Add(1)
 	go func() {
@@ -152,7 +155,7 @@
 	}()
 }
 
-// tick watches for pauses of this process.
+// tick detects pauses of this process and expires old state.
 func (g *Gateway) tick(context.Context) {
 	now := g.now()
 	g.logMembers()
@@ -170,9 +173,8 @@
 	g.permits.sweep(now)
 }
 
-// awake says whether this process can trust what it believes: it was not paused since its documents
-// were last confirmed. It looks at the clock itself, since after a pause a sender may run before the
-// tick does.
+// awake reports whether the held documents can be trusted: the process was not paused since they were last
+// confirmed. It reads the clock itself, because after a pause a request may run before the next tick.
 func (g *Gateway) awake() bool {
 	now := g.now()
 	if now.Sub(time.Unix(0, g.lastTick.Load())) > pauseLimit {
@@ -189,16 +191,16 @@
 	return false
 }
 
-// awaitAwake holds a request back after a pause until beliefs are confirmed, for a bounded time.
+// awaitAwake holds a request after a pause until the documents are confirmed, for at most wakeWait.
 func (g *Gateway) awaitAwake(ctx context.Context) {
 	for !g.awake() && ctx.Err() == nil {
 		sleep(ctx, 20*time.Millisecond)
 	}
 }
 
-// awaitKnown holds a request for the short time in which a box that has just started gets its documents: a caller
-// that is refused meanwhile spends its return, while the wait is a part of its time. After a loss of 59 boxes at once
-// it keeps the return of some 260 callers (counted in the boxes' logs).
+// awaitKnown holds a request while a newly started box fetches its first documents. Waiting takes a part of
+// the caller's time, but a refusal would use up its one retry: after a loss of 59 boxes at once the wait
+// saves the retry of about 260 callers.
 func (g *Gateway) awaitKnown(ctx context.Context, r *Request) {
 	if g.knows() {
 		return
@@ -211,44 +213,44 @@
 	for !g.knows() && ctx.Err() == nil && g.now().Sub(began) < wait {
 		sleep(ctx, knownPace)
 	}
-	g.Log.Info("request waited for the documents", "request", r.ID, "waited_ms", g.now().Sub(began).Milliseconds(), "known", g.knows(), "box_age_ms", g.now().Sub(g.startedAt).Milliseconds())
+	g.Log.Info("request waited for the first documents", "request", r.ID, "waited_ms", g.now().Sub(began).Milliseconds(), "known", g.knows(), "box_age_ms", g.now().Sub(g.startedAt).Milliseconds())
 }
 
-// knows says whether this box has a configuration and a list of servers.
+// knows reports whether this box has a configuration and a list of servers.
 func (g *Gateway) knows() bool { return g.index.Load() != nil && g.published.hasServers() }
 
-// Ready says whether the balancer should send callers here.
+// Ready reports whether the load balancer should send requests here.
 func (g *Gateway) Ready() bool {
 	return !g.draining.Load() && g.knows()
 }
 
-// Drain begins a planned stop: this box is not ready any more and tells the others that it leaves.
+// Drain begins a planned stop: this box is no longer ready and announces to the others that it leaves.
 func (g *Gateway) Drain() {
 	if g.draining.Swap(true) {
 		return
 	}
 	g.drainedAt.Store(g.now().UnixNano())
 	g.fleet.leave()
-	g.Log.Info("planned stop begins", "running", g.running.Load())
+	g.Log.Info("planned stop started", "running", g.running.Load())
 }
 
-// EndStages refuses the requests whose stages are not made yet: late in a planned stop there is no
-// time left to run them, and their callers may come back elsewhere.
+// EndStages refuses the requests whose stages have not completed: late in a planned stop there is no time
+// left to run them, and their callers can retry at another box.
 func (g *Gateway) EndStages() { g.endStages() }
 
-// closing says whether a planned stop has come so far that no further request is taken: it might not
-// end in the time that is left.
+// closing reports whether a planned stop is so advanced that further requests are refused, because they might
+// not complete in the time left.
 func (g *Gateway) closing() bool {
 	return g.draining.Load() && g.now().Sub(time.Unix(0, g.drainedAt.Load())) > takesFor
 }
 
-// Draining says whether a planned stop has begun.
+// Draining reports whether a planned stop has begun.
 func (g *Gateway) Draining() bool { return g.draining.Load() }
 
-// Running counts the requests that this box serves and the jobs that it schedules for others.
+// Running returns the number of requests that this box serves and of jobs that it schedules for others.
 func (g *Gateway) Running() int { return int(g.running.Load()) + g.desk.foreign() }
 
-// Version is the version of the catalog in force, 0 for none.
+// Version returns the version of the catalog in force, 0 for none.
 func (g *Gateway) Version() uint64 {
 	if x := g.index.Load(); x != nil {
 		return x.Version()
@@ -256,10 +258,11 @@
 	return 0
 }
 
-// WriteBy is until when a caller must have taken a piece of its answer that is written now, on the clock of connections.
+// WriteBy returns the write deadline of a piece of an answer that is written now, on the wall clock that
+// connections use.
 func (g *Gateway) WriteBy() time.Time { return time.Now().Add(writeTime) }
 
-// Limits are what callers may send: as configured, or defaults while nothing is known.
+// Limits returns the size limits of requests: those configured, or defaults.
 func (g *Gateway) Limits() catalog.Limits {
 	l := catalog.Limits{}
 	if x := g.index.Load(); x != nil {
@@ -274,6 +277,7 @@
 	return l
 }
 
+// sleep pauses for a duration or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -283,7 +287,7 @@
 	}
 }
 
-// TakeBatch takes another box's message on jobs.
+// TakeBatch handles another box's message on jobs.
 func (g *Gateway) TakeBatch(m batch.Message) {
 	g.fleet.heardFrom(m.From, m.Address)
 	if m.Submit != nil || m.Withdraw != nil || m.Free != nil || m.Held != nil || m.Handover != nil {
@@ -293,11 +297,12 @@
 	g.waiting.take(m)
 }
 
-// ConfirmedAge is how long ago both published documents were last known to be the newest.
+// ConfirmedAge returns the time since both published documents were last confirmed to be the newest.
 func (g *Gateway) ConfirmedAge() time.Duration { return g.now().Sub(g.published.confirmedAt()) }
 
-// BehindFor is for how long this box has known of a newer configuration than it holds, 0 when it holds the newest known.
+// BehindFor returns for how long a newer configuration than the held one has been known, 0 when the held one
+// is the newest known.
 func (g *Gateway) BehindFor() time.Duration { return g.published.catalogBehind(g.now()) }
 
-// Members counts the boxes that take work, as far as this one knows.
+// Members returns the number of boxes that take work, as far as this box knows.
 func (g *Gateway) Members() int { return len(g.fleet.usable()) }
