--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -19,24 +19,24 @@
 // errSilent ends an attempt whose server stayed silent too long.
 var errSilent = errors.New("the server stayed silent")
 
-// verdict says what to do after an attempt.
+// verdict is the next step after an attempt.
 type verdict uint8
 
 const (
 	answered verdict = iota + 1 // the caller has its answer
-	again                       // another server may be asked
-	over                        // the request ends with the error
+	again                       // try another server
+	over                        // end the request with the error
 )
 
-// repeatable says whether the request may be sent again after it may have run.
+// repeatable reports whether the request may be sent again although it may have run.
 func (v *visit) repeatable() bool {
 	p := v.pipeline
 	return p.Kind == catalog.Repeatable || p.Kind == catalog.Stream && p.Resumable
 }
 
-// attempt sends the request to one server after another until the caller has its answer. A server that refused the
-// connection was sent nothing, and the next one is tried: on a day on which a fifth of the engines crashed 206 of
-// 14,165 requests met three such servers and ended (counted in the boxes' logs).
+// attempt sends the request to one server after another until the caller has its answer. A server that
+// refused the connection was sent nothing, so the next one is tried. Ending requests after three such servers
+// lost 206 of 14,165 on a day on which a fifth of the engines crashed.
 func (v *visit) attempt(ctx context.Context) {
 	unsent, began := 0, v.gateway.now()
 	for {
@@ -68,7 +68,7 @@
 	}
 }
 
-// needsStages says whether results that were given up are needed again.
+// needsStages reports whether results that were released are needed again.
 func (v *visit) needsStages() bool {
 	if v.made == nil {
 		return false
@@ -83,7 +83,7 @@
 	return false
 }
 
-// takeRetry spends one repeat of the budget that all boxes share.
+// takeRetry spends one retry of the budget that all boxes share.
 func (v *visit) takeRetry() bool {
 	g := v.gateway
 	now := g.now()
@@ -102,7 +102,7 @@
 // fail ends a request that no server answered.
 func (v *visit) fail(ctx context.Context, err *code.Error) {
 	if v.begun && v.callerLeft(ctx) {
-		v.ended("cancelled", "cause", "the caller left within the stream", "last_event", v.lastEvent)
+		v.ended("cancelled", "cause", "the caller left during the stream", "last_event", v.lastEvent)
 		v.caller.Cut()
 		return
 	}
@@ -123,17 +123,17 @@
 	v.refuse(err)
 }
 
-// once makes one attempt. The last result says whether any byte of the request left this box.
+// once makes one attempt. The last result reports whether any byte of the request left this box.
 func (v *visit) once(ctx context.Context) (verdict, *code.Error, bool) {
 	g := v.gateway
 	e := g.pools.get(v.pool)
-	g.awaitAwake(ctx) // before it is worked out what time is left
+	g.awaitAwake(ctx) // before the remaining time is computed
 	if err := v.awaitRest(ctx, e); err != nil {
 		return over, err, false
 	}
 	now := g.now()
-	if !now.Before(v.deadline) { // a pause took it, and the timer that ends the request is late by as much
-		return over, code.New(code.DeadlinePassed, "deadline", "no time is left for an attempt").WithRan(v.ran()), false
+	if !now.Before(v.deadline) { // the process was paused, which delays the deadline timer as well
+		return over, code.New(code.DeadlinePassed, "deadline", "no time left for an attempt").WithRan(v.ran()), false
 	}
 	if err := v.mayTry(); err != nil {
 		return over, err, false
@@ -145,7 +145,7 @@
 	e.mu.Unlock()
 	reserved := v.wish.Only != ""
 	v.wish.Only = ""
-	if !ok && reserved { // the server left while its permit was waited for
+	if !ok && reserved { // the server left while the request waited for its permit
 		v.withheld = true
 		return again, v.noServer(e, now), false
 	}
@@ -222,7 +222,7 @@
 	return v.take(ctx, e, s, reply, began, watch, why)
 }
 
-// ran says whether anything of the request may have run.
+// ran reports whether any part of the request may have run.
 func (v *visit) ran() code.Ran {
 	if v.maybeRan {
 		return code.RanUnknown
@@ -230,9 +230,9 @@
 	return code.RanNo
 }
 
-// mayTry says whether the request may be sent once more, for all that is known of its content. Where servers have ended under
-// it, it is given to the server with the least work, and not repeated from the second end on: of what is at work
-// there as little as can be may be lost with it.
+// mayTry checks whether the request may be sent once more, given what is known of its content. A content
+// under which servers ended is sent to the server with the least work, so that as little other work as
+// possible is lost with it, and is not retried from the second end on.
 func (v *visit) mayTry() *code.Error {
 	g := v.gateway
 	if err := g.barredAt(v.content, v.pool); err != nil {
@@ -246,22 +246,23 @@
 	return nil
 }
 
-// broke tells that the exchange with a server broke, unless the caller ended it.
+// broke records that the exchange with a server broke, unless the caller ended it.
 func (v *visit) broke(ctx context.Context, s catalog.Server) {
 	if !v.callerLeft(ctx) || errors.Is(context.Cause(ctx), errSilent) {
 		v.gateway.brokeAt(s, v.content.At(v.pool))
 	}
 }
 
-// went tells of a whole answer. Only a success that the server signed shows that it ran the content and lives.
+// went records a complete answer. Only a success signed by the server shows that it ran the content and
+// survived.
 func (v *visit) went(reply *Reply) {
 	if reply.Signed && isSuccess(reply.Status) {
 		v.gateway.suspects.Good(v.content.At(v.pool))
 	}
 }
 
-// blame says how far a broken exchange speaks against the server: not at all when the caller left, and
-// no more than a failure when the deadline passed, which may be too short for any server.
+// blame returns how a broken exchange counts against the server: not at all when the caller left, and only as
+// a failure when the deadline passed, which may be too short for any server.
 func (v *visit) blame(ctx context.Context) balance.Outcome {
 	switch {
 	case errors.Is(context.Cause(ctx), errSilent):
@@ -274,7 +275,7 @@
 	return balance.Broken
 }
 
-// afterBreak says whether a request that may have run may be sent again.
+// afterBreak returns whether a request that may have run can be sent again.
 func (v *visit) afterBreak() verdict {
 	if v.repeatable() {
 		return again
@@ -282,7 +283,7 @@
 	return over
 }
 
-// patience ends an attempt whose server stays silent, where another server may be asked.
+// patience starts a timer that ends an attempt whose server stays silent, if another server may be tried.
 func (v *visit) patience(cancel context.CancelCauseFunc) *time.Timer {
 	limit := v.deadline.Sub(v.gateway.now()) + time.Hour
 	p := v.pipeline
@@ -301,8 +302,8 @@
 	})
 }
 
-// retryLeft says whether the request could be sent again; where it could not, a silent server is
-// better than none.
+// retryLeft reports whether the retry budget allows another attempt; otherwise a silent server is better than
+// none.
 func (v *visit) retryLeft() bool {
 	g := v.gateway
 	now := g.now()
@@ -313,7 +314,7 @@
 	return e.budget.Left(now, boxes) > 0
 }
 
-// take judges the head of an answer and passes the answer on.
+// take handles the head of an answer and passes the answer on.
 func (v *visit) take(ctx context.Context, e *pool, s catalog.Server, reply *Reply, began time.Time, watch *time.Timer, why string) (verdict, *code.Error, bool) {
 	g := v.gateway
 	switch {
@@ -324,12 +325,12 @@
 		v.made.freeAll()
 		delete(v.wish.Exclude, s.ID)
 		if v.remade {
-			return over, refusal(code.BackendFailed, "stages", failureReturn, "results of stages were gone twice"), true
+			return over, refusal(code.BackendFailed, "stages", failureReturn, "stage results were gone twice"), true
 		}
 		v.remade = true
 		v.attempts--
-		return again, refusal(code.BackendFailed, "stages", failureReturn, "results of stages were gone"), true
-	case reply.Moved: // it was sent to a server all the same: the operator's limit of servers counts it
+		return again, refusal(code.BackendFailed, "stages", failureReturn, "stage results were gone"), true
+	case reply.Moved: // a server got the request, so it counts towards the operator's limit of attempts
 		reply.Close(false)
 		v.settle(e, s, balance.Replaced, began, "another server has the address", why)
 		return again, refusal(code.BackendsDown, "pool", failureReturn, "%s is gone", s.ID), true
@@ -353,8 +354,8 @@
 	if err != nil {
 		reply.Close(false)
 		v.broke(ctx, s)
-		v.settle(e, s, v.blame(ctx), began, "answer broke off: "+err.Error(), why)
-		return v.afterBreak(), code.New(code.OutcomeUnknown, "", "the answer of %s broke off: %v", s.ID, err), true
+		v.settle(e, s, v.blame(ctx), began, "answer interrupted: "+err.Error(), why)
+		return v.afterBreak(), code.New(code.OutcomeUnknown, "", "the answer of %s was interrupted: %v", s.ID, err), true
 	}
 	reply.Close(true)
 	if reply.Status >= http.StatusInternalServerError && v.repeatable() && v.attempts < v.pipeline.Attempts && !v.begun && v.takeRetry() {
@@ -369,7 +370,7 @@
 	}
 	if v.begun {
 		v.settle(e, s, balance.Failed, began, "status "+http.StatusText(reply.Status), why)
-		return over, code.New(code.AnswerInterrupted, "", "the stream could not go on: status %d", reply.Status), true
+		return over, code.New(code.AnswerInterrupted, "", "the stream could not be resumed: status %d", reply.Status), true
 	}
 	outcome := balance.Good
 	if reply.Status >= http.StatusInternalServerError {
@@ -383,7 +384,7 @@
 	return answered, nil, true
 }
 
-// readWhole reads the body of an answer that is no stream.
+// readWhole reads the body of a non-streaming answer.
 func readWhole(r *Reply) ([]byte, error) {
 	var body []byte
 	buf := make([]byte, 8<<10)
@@ -402,7 +403,7 @@
 	}
 }
 
-// settle tells the pool how an exchange ended.
+// settle records in the pool how an exchange ended.
 func (v *visit) settle(e *pool, s catalog.Server, o balance.Outcome, began time.Time, detail, why string) {
 	g := v.gateway
 	now := g.now()
--- a/src/gateway/relay.go
+++ b/src/gateway/relay.go
@@ -18,7 +18,7 @@
 	held []byte
 }
 
-// add takes bytes and gives all whole events in them; what is left of the last one is kept.
+// add appends bytes and returns all complete events; an incomplete last one is kept.
 func (e *eventSplitter) add(b []byte) []byte {
 	e.held = append(e.held, b...)
 	end := bytes.LastIndex(e.held, []byte("\n\n"))
@@ -33,7 +33,7 @@
 	return whole
 }
 
-// lastID is the id of the last event in a run of whole events that has one, or "".
+// lastID returns the last event id in a run of whole events, "" for none.
 func lastID(whole []byte) string {
 	id := ""
 	for line := range bytes.Lines(whole) {
@@ -66,7 +66,7 @@
 	return out
 }
 
-// relay passes a stream on, event by event.
+// relay passes a stream on to the caller, event by event.
 func (v *visit) relay(ctx context.Context, e *pool, s catalog.Server, reply *Reply, began time.Time, watch *time.Timer, why string) (verdict, *code.Error, bool) {
 	g := v.gateway
 	var split eventSplitter
@@ -82,7 +82,7 @@
 			if e := v.pass(whole, reply, e, s, began); e != nil {
 				reply.Close(false)
 				v.settle(g.pools.get(v.pool), s, balance.Dropped, began, "caller gone", why)
-				v.ended("cancelled", "cause", "the caller left within the stream", "server", s.ID)
+				v.ended("cancelled", "cause", "the caller left during the stream", "server", s.ID)
 				v.caller.Cut()
 				return answered, nil, true
 			}
@@ -112,12 +112,12 @@
 			err = cause
 		}
 		v.broke(ctx, s)
-		v.settle(e, s, v.blame(ctx), began, "stream broke off: "+err.Error(), why)
-		return v.afterBreak(), code.New(code.AnswerInterrupted, "", "the stream of %s broke off after event %q: %v", s.ID, v.lastEvent, err), true
+		v.settle(e, s, v.blame(ctx), began, "stream interrupted: "+err.Error(), why)
+		return v.afterBreak(), code.New(code.AnswerInterrupted, "", "the stream of %s was interrupted after event %q: %v", s.ID, v.lastEvent, err), true
 	}
 }
 
-// pass gives whole events to the caller; the first of them also gives up the results of stages.
+// pass sends whole events to the caller; the first of them also releases the stage results.
 func (v *visit) pass(whole []byte, reply *Reply, e *pool, s catalog.Server, began time.Time) error {
 	if len(whole) == 0 {
 		return nil
--- a/src/gateway/resting.go
+++ b/src/gateway/resting.go
@@ -10,8 +10,9 @@
 	"github.com/stilemast/stilemast/src/pushback"
 )
 
-// awaitRest holds a request while every server that may be tried wants rest, for as long as it can wait; otherwise it refuses it
-// at once and says when the first of them can be asked again. The urgent go first.
+// awaitRest holds a request while every eligible server wants rest, for as long as the request can wait;
+// otherwise it refuses it at once with the time at which the first server is available again. More urgent
+// requests go first.
 func (v *visit) awaitRest(ctx context.Context, e *pool) *code.Error {
 	g := v.gateway
 	if !g.words.any.Load() {
@@ -45,8 +46,8 @@
 	return nil
 }
 
-// restEnds is when the first server that may be tried can be asked, and whether all of them want rest until then. Those
-// that turned this request away are among them, once they have had their rest.
+// restEnds returns when the first eligible server is available, and whether all of them want rest until then.
+// Servers that turned this request away are eligible again after their rest.
 func (v *visit) restEnds(e *pool, now time.Time) (time.Time, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -63,7 +64,8 @@
 	return e.picker.RestEnds(now, &v.wish)
 }
 
-// nextPermit is the server that can be asked first, where all want rest or have no permit free, if it has a limit.
+// nextPermit returns the server that is available first, when all want rest or have no free permit, if it has
+// a limit.
 func (v *visit) nextPermit(e *pool, now time.Time) (catalog.Server, bool) {
 	e.mu.Lock()
 	s, _, ok := e.picker.FirstToWake(now, &v.wish)
@@ -74,8 +76,8 @@
 	return s, v.gateway.words.judge(now, s).State == pushback.Full
 }
 
-// mayWait says whether a server was free, or will be, when none was at the choice: another request may have taken its turn, or an
-// answer may have come, since it was looked for.
+// mayWait reports whether a server is or will be available although the choice found none: since then another
+// request may have taken a permit, or an answer may have come.
 func (v *visit) mayWait(e *pool, now time.Time) bool {
 	if _, resting := v.restEnds(e, now); resting {
 		return true
@@ -85,19 +87,19 @@
 	return e.picker.Awake(now, &v.wish)
 }
 
-// tooLong says whether a request can't wait for a server until a time: what is left then would not do for its run or, unless the
-// server is returning already, for its caller to come back.
+// tooLong reports whether a request can't wait for a server until a time, because what is left would not
+// suffice for its run or, unless the server is available within restPace, for its caller to retry.
 func (v *visit) tooLong(now, end time.Time) bool {
 	run := v.gateway.estimates.get(v.pipeline.Name)
 	return end.After(v.deadline.Add(-run)) || end.Sub(now) > restPace && end.After(v.startBy())
 }
 
-// startBy is until when a request may wait for a rest to end.
+// startBy returns until when a request may wait for a rest to end.
 func (v *visit) startBy() time.Time {
 	return v.began.Add(time.Duration(restPart * float64(v.deadline.Sub(v.began))))
 }
 
-// checkRest refuses a request, before anything is made for it, whose servers all want rest for longer than it can wait.
+// checkRest refuses a request before any stage runs if all its servers want rest for longer than it can wait.
 func (v *visit) checkRest(e *pool) *code.Error {
 	if !v.gateway.words.any.Load() {
 		return nil
@@ -113,14 +115,14 @@
 	return nil
 }
 
-// resting is the refusal of a request whose servers want rest until a time. Callers are asked back over some time after it,
-// or all would meet the first server that takes requests again.
+// resting returns the refusal of a request whose servers want rest until a time. The retry-after times are
+// spread, as otherwise all callers would meet the first server that is available again.
 func (v *visit) resting(now, end time.Time) *code.Error {
 	spread := time.Duration(catalog.Hash(v.request.ID) % uint64(restSpread))
-	return refusal(code.BackendsResting, "pool", end.Sub(now)+spread, "all servers of %s want rest or take no more requests, the first for another %s", v.pool, end.Sub(now).Round(time.Millisecond))
+	return refusal(code.BackendsResting, "pool", end.Sub(now)+spread, "all servers of %s want rest or take no more requests, the first is available in %s", v.pool, end.Sub(now).Round(time.Millisecond))
 }
 
-// noServer is the refusal of a request that no server is left for.
+// noServer returns the refusal of a request that has no server left to try.
 func (v *visit) noServer(e *pool, now time.Time) *code.Error {
 	e.mu.Lock()
 	end, resting := e.picker.RestEnds(now, &v.wish)
@@ -128,5 +130,5 @@
 	if resting {
 		return v.resting(now, end)
 	}
-	return refusal(code.BackendsDown, "pool", failureReturn, "no server of %s is left to be tried", v.pool)
+	return refusal(code.BackendsDown, "pool", failureReturn, "no server of %s is left to try", v.pool)
 }
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -14,7 +14,7 @@
 	"github.com/stilemast/stilemast/src/pushback"
 )
 
-// visit is one request on its way through the gateway.
+// visit is the state of one request that the gateway serves.
 type visit struct {
 	gateway    *Gateway
 	request    *Request
@@ -36,18 +36,19 @@
 	attempts   int
 	remade     bool
 	maybeRan   bool
-	said       pushback.Word // by the server of the attempt that is at work
-	turnedAway []string      // servers that asked for rest in place of taking this request
-	withheld   bool          // from a server that asked for rest since it was chosen, or had no permit left
-	asked      int           // times that it found no permit, or waited for one, at servers with limits
+	said       pushback.Word // signals in the answer of the current attempt
+	turnedAway []string      // servers that asked for rest instead of taking this request
+	// The last attempt sent nothing because the server asked for rest or had no permit; it does not count.
+	withheld bool
+	asked    int // permits requested at servers with limits that were not free at once
 
-	// of a stream that has begun
+	// State of a stream that has begun.
 	begun     bool
 	lastEvent string
 	firstOut  time.Time
 }
 
-// Serve runs one request and gives its answer to the caller.
+// Serve runs one request and passes its answer to the caller.
 func (g *Gateway) Serve(ctx context.Context, r *Request, c *Caller) {
 	g.running.Add(1)
 	defer g.running.Add(-1)
@@ -65,7 +66,8 @@
 	v.run(ctx)
 }
 
-// endLapsed ends the requests whose time passed while the machine was suspended: timers did not move meanwhile.
+// endLapsed ends the requests whose deadline passed while the machine was suspended, as timers don't advance
+// meanwhile.
 func (g *Gateway) endLapsed(now time.Time) {
 	ended := 0
 	g.deadlines.Range(func(key, cancel any) bool {
@@ -76,12 +78,12 @@
 		return true
 	})
 	if ended > 0 {
-		g.Log.Warn("requests ended whose time passed in a pause", "requests", ended)
+		g.Log.Warn("requests ended, their deadlines passed during a pause", "requests", ended)
 	}
 }
 
-// route finds the pipeline and the workspace of a request. That there is none is said only with a
-// configuration that was confirmed lately; otherwise the caller is asked to come back.
+// route finds the pipeline and the workspace of a request. It reports that there is none only if the
+// configuration was confirmed recently; otherwise the caller is asked to retry.
 func (v *visit) route() *code.Error {
 	g, r := v.gateway, v.request
 	if err := v.checkSize(); err != nil {
@@ -99,7 +101,7 @@
 	p := x.Route(r.Host, r.Path)
 	if p == nil {
 		if unsure {
-			return refusal(code.NotReady, "path", notReadyAfter, "no pipeline there, but the configuration is not confirmed")
+			return refusal(code.NotReady, "path", notReadyAfter, "no pipeline matches, but the configuration is not confirmed")
 		}
 		return refusal(code.UnknownPipeline, "path", 0, "no pipeline there")
 	}
@@ -128,7 +130,7 @@
 	return v.checkPieces()
 }
 
-// checkSize refuses a request without an id and what is larger than callers may send.
+// checkSize refuses a request without an id and one that exceeds the size limits.
 func (v *visit) checkSize() *code.Error {
 	r, limits := v.request, v.gateway.Limits()
 	switch {
@@ -142,7 +144,7 @@
 	return nil
 }
 
-// checkPieces makes the counts of pieces as many as there are stages.
+// checkPieces checks the numbers of pieces and completes them with 0 for the remaining stages.
 func (v *visit) checkPieces() *code.Error {
 	r, n := v.request, len(v.pipeline.Stages)
 	for _, c := range r.Pieces {
@@ -156,7 +158,7 @@
 	return nil
 }
 
-// run takes a routed request to its end.
+// run serves a routed request.
 func (v *visit) run(ctx context.Context) {
 	g, p := v.gateway, v.pipeline
 	if err := v.barred(); err != nil {
@@ -171,8 +173,8 @@
 	e.mu.Lock()
 	e.budget.Request(g.now())
 	e.mu.Unlock()
-	// The stages may take all that the caller's time leaves: a late answer is worth more than a second try, which is late
-	// too. It gains 0.003 to 0.013 of worth over 0.45 of the time (four sites, 6 and 15 runs of each way).
+	// The stages may take all of the caller's remaining time: a late answer is worth more than a second try, which
+	// is late too. This gains 0.003 to 0.013 of worth over 0.45 of the time (four sites, 6 and 15 runs of each).
 	v.stages = &stageRun{gateway: g, pipeline: p, request: v.request, content: v.content, priority: v.priority, objective: v.objective, deadline: v.deadline, confines: v.confines}
 	v.stages.followers = followersOf(p)
 	if err := g.admit(v.stages); err != nil {
@@ -195,7 +197,7 @@
 	v.attempt(ctx)
 }
 
-// makeStages has the stages made and notes where their results lie.
+// makeStages runs the stages and records where their results are held.
 func (v *visit) makeStages(ctx context.Context) *code.Error {
 	if len(v.pipeline.Stages) == 0 {
 		return nil
@@ -218,11 +220,11 @@
 	return nil
 }
 
-// stageError says why the stages were not made. The request itself has not run.
+// stageError returns the refusal for stages that were not made. The request itself has not run.
 func (v *visit) stageError(ctx context.Context, r batch.Reason) *code.Error {
 	switch {
 	case v.gateway.stages.Err() != nil:
-		return refusal(code.Draining, "box", elsewhereAfter, "this box is stopping and the stages are not made")
+		return refusal(code.Draining, "box", elsewhereAfter, "this box is stopping and the stages are not complete")
 	case ctx.Err() != nil && v.callerLeft(ctx):
 		return refusal(code.Cancelled, "", 0, "the caller left during the stages")
 	case r == batch.Late || ctx.Err() != nil:
@@ -239,13 +241,14 @@
 	return refusal(code.BackendsDown, "stages", leastReturn, "the stages could not be made: %s", r)
 }
 
-// stagesReturn is when a caller should come back whose stages could not be made: when the longest wait of their pools is over.
+// stagesReturn returns the retry-after of a request whose stages could not be made: the longest waiting time
+// in their pools.
 func (v *visit) stagesReturn() time.Duration {
 	longest := slices.Max(v.stages.forecast(v.gateway.now()).waits)
 	return min(mostReturn, max(leastReturn, longest))
 }
 
-// callerLeft tells a caller that went away from a deadline that passed.
+// callerLeft reports whether the context ended because the caller left and not because the deadline passed.
 func (v *visit) callerLeft(ctx context.Context) bool {
 	return ctx.Err() == context.Canceled && v.gateway.now().Before(v.deadline)
 }
@@ -256,7 +259,7 @@
 	v.caller.Refuse(err)
 }
 
-// ended writes the line of a request's end and counts it.
+// ended logs and counts the end of a request.
 func (v *visit) ended(result string, more ...any) {
 	g := v.gateway
 	now := g.now()
@@ -276,13 +279,13 @@
 	}
 }
 
-// isSuccess says whether a status is a success.
+// isSuccess reports whether a status is 2xx.
 func isSuccess(status int) bool {
 	return status >= http.StatusOK && status < http.StatusMultipleChoices
 }
 
-// makersOf counts, by domain, the servers that make a pipeline's largest results, those that the request
-// itself reads; nil when they are small.
+// makersOf counts, by failure domain, the servers of the pool that makes the largest results that the request
+// itself reads; nil if the results are small.
 func (g *Gateway) makersOf(p *catalog.Pipeline) map[string]int {
 	pool, most := "", 0
 	for _, i := range p.Final() {
--- a/src/gateway/stages.go
+++ b/src/gateway/stages.go
@@ -20,12 +20,13 @@
 	freed   []bool
 	read    []bool // stages that have read their inputs
 	domains []string
-	expires []time.Time // when they are lost by age
+	expires []time.Time // when they expire at their servers
 	lost    bool        // some were lost with their server before they were read
-	onLoss  func()      // ends the work on later stages; set before any stage is made
+	onLoss  func()      // cancels the later stages; set before any stage is made
 }
 
-// lose notes that results of a stage are gone with their server. What still needs them is made again.
+// lose records that the results of a stage are lost with their server. Stages that still need them are made
+// again.
 func (r *results) lose(stage int) {
 	r.mu.Lock()
 	gone := !r.freed[stage]
@@ -37,15 +38,15 @@
 	}
 }
 
-// wasLost says whether results were lost that were still needed.
+// wasLost reports whether results were lost that were still needed.
 func (r *results) wasLost() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lost
 }
 
-// final lists the handles that the request itself needs, the domain where most of their bytes lie
-// and how many bytes they have.
+// final returns the handles that the request itself needs, the domain that holds most of their bytes, and
+// their size in bytes.
 func (r *results) final() (handles []string, domain string, size float64) {
 	if r == nil {
 		return nil, "", 0
@@ -64,7 +65,7 @@
 	return handles, domain, size
 }
 
-// free gives up the results of one stage, once.
+// free releases the results of one stage, once.
 func (r *results) free(stage int) {
 	r.mu.Lock()
 	handles := r.handles[stage]
@@ -78,7 +79,7 @@
 	g.tell(g.schedulerOf(pool, nil), batch.Message{Free: &batch.Free{Pool: pool, Results: g.holdings.take(g.now(), pool, handles)}})
 }
 
-// freeAll gives up whatever is still held.
+// freeAll releases all results still held.
 func (r *results) freeAll() {
 	if r == nil {
 		return
@@ -88,7 +89,7 @@
 	}
 }
 
-// stageRun is the work on the stages of one request.
+// stageRun is the execution of the stages of one request.
 type stageRun struct {
 	gateway   *Gateway
 	pipeline  *catalog.Pipeline
@@ -97,18 +98,18 @@
 	priority  int
 	objective time.Time
 	deadline  time.Time
-	domain    string // where results that the request itself reads are best made, "" for anywhere
+	domain    string // preferred domain of results that the request itself reads, "" for any
 	confines  *catalog.Confines
 	results   *results
 	followers [][]int
 	done      []chan struct{}
-	ends      []time.Time // when submitted stages are expected to be made
+	ends      []time.Time // expected completion of submitted stages
 }
 
-// typical is the time that a stage's calls take, which hold pieces of other requests too.
+// typical returns the duration of a stage's calls at typical fill; calls also hold pieces of other requests.
 func (s *stageRun) typical(stage int) time.Duration { return s.callTime(stage, typicalFill) }
 
-// callTime is the time of a stage's calls where calls are that full.
+// callTime returns the duration of a stage's calls at a fill, as a share of the batch size.
 func (s *stageRun) callTime(stage int, fill float64) time.Duration {
 	n := s.request.Pieces[stage]
 	p := s.gateway.index.Load().Pool(s.pipeline.Stages[stage].Pool)
@@ -119,7 +120,7 @@
 	return p.Batch.CallTime + time.Duration(n)*p.Batch.ItemTime + stageMargin
 }
 
-// followersOf lists, for each stage, those that need its results.
+// followersOf lists, for each stage, the stages that need its results.
 func followersOf(p *catalog.Pipeline) [][]int {
 	out := make([][]int, len(p.Stages))
 	for i, st := range p.Stages {
@@ -132,8 +133,8 @@
 	return out
 }
 
-// runStages has all stages of a request made. Reason is 0 when the results are whole; otherwise
-// nothing is held any more.
+// runStages runs all stages of a request. The reason is 0 if all results are complete; otherwise no results
+// are held.
 func (g *Gateway) runStages(ctx context.Context, s *stageRun) (*results, batch.Reason) {
 	n := len(s.pipeline.Stages)
 	s.gateway, s.followers = g, followersOf(s.pipeline)
@@ -172,7 +173,7 @@
 	return s.results, 0
 }
 
-// runStage waits for the stages before one and has it made.
+// runStage waits for the stages that one depends on and runs it.
 func (s *stageRun) runStage(ctx context.Context, i int) batch.Reason {
 	st := s.pipeline.Stages[i]
 	for _, a := range st.After {
@@ -210,7 +211,7 @@
 	return 0
 }
 
-// job describes the work on a stage to its pool's scheduler.
+// job returns the job for a stage that is sent to its pool's scheduler.
 func (s *stageRun) job(i int) *batch.Job {
 	st, rest := s.pipeline.Stages[i], s.forecast(s.gateway.now()).rests[i]
 	j := &batch.Job{
@@ -234,8 +235,8 @@
 	return j
 }
 
-// inputs lists the handles that a stage's pieces need, the domain where the most of them lie, their size in
-// bytes and when the first of them is lost by age, less what a call may take to come to its turn.
+// inputs returns the handles that a stage's pieces need, the domain that holds most of them, their size in
+// bytes and when the first expires, less a margin for the queueing of a call.
 func (s *stageRun) inputs(i int) (handles []string, domain string, size float64, expires time.Time) {
 	r := s.results
 	r.mu.Lock()
@@ -257,7 +258,7 @@
 	return handles, domain, size, expires
 }
 
-// freeRead gives up the results that a stage was the last to read.
+// freeRead releases the results that a stage was the last to read.
 func (s *stageRun) freeRead(i int) {
 	r := s.results
 	r.mu.Lock()
@@ -279,7 +280,7 @@
 	}
 }
 
-// lifeOf is how long the results of a stage last from now, less a margin for messages and turns.
+// lifeOf returns the remaining lifetime of new results of a stage, less a margin for messages and queueing.
 func (s *stageRun) lifeOf(i int) time.Duration {
 	p := s.gateway.index.Load().Pool(s.pipeline.Stages[i].Pool)
 	if p == nil || p.Batch == nil || p.Batch.ResultTTL == 0 {
