--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -9,14 +9,16 @@
 	"github.com/stilemast/stilemast/src/pushback"
 )
 
-// eras is what a box knows of the store's eras.
+// eras is what a box knows of the store's eras. The store begins a new era when it is restored from an older
+// copy.
 type eras struct {
-	newest catalog.Era // seen or heard of
-	base   catalog.Era // from which boxes count the numbers that they tell one another: the earliest that any of them knows
+	newest catalog.Era // read from the store or received from a peer
+	base   catalog.Era // the earliest era known to any box; revisions in messages count from it
 	known  bool        // base is known
 }
 
-// takeEra notes an era. It gives the one before where the era rose: the store came back from an older copy. p.mu is held.
+// takeEra records an era. If it is newer than the known one, the store was restored from an older copy, and
+// the previous era is returned. p.mu is held.
 func (p *published) takeEra(era catalog.Era) (before catalog.Era) {
 	e := &p.eras
 	if !e.known && era > 0 {
@@ -32,12 +34,13 @@
 	return before
 }
 
-// confirmList has the registry know the era of the list that is held: the same list may be that of a later one. p.mu is held.
+// confirmList confirms the registry for the era of the held list; the same list may belong to a later era.
+// p.mu is held.
 func (p *published) confirmList(now time.Time) {
 	p.registry.Confirm(now, p.heldRevision(port.DocumentServers).Era())
 }
 
-// noteRise tells that the store came back from an older copy; before is 0 where it did not.
+// noteRise reports that the store was restored from an older copy; before is 0 if it was not.
 func (g *Gateway) noteRise(before catalog.Era, held, revision catalog.Revision, from string) {
 	if before == 0 {
 		return
@@ -48,7 +51,8 @@
 	}
 }
 
-// tellEra fills a heartbeat with the era from which its numbers count, and with what no document of the newest era has. p.mu is held.
+// tellEra fills a heartbeat with the base era of its revisions, and with evacuations and doubts about servers
+// that no document of the newest era contains. p.mu is held.
 func (p *published) tellEra(now time.Time, b *core.Beat) {
 	base := p.eras.base
 	b.Era = uint64(base)
@@ -64,10 +68,11 @@
 	}
 }
 
-// configEra is the era of the configuration that is held. p.mu is held.
+// configEra returns the era of the held configuration. p.mu is held.
 func (p *published) configEra() catalog.Era { return p.heldRevision(port.DocumentConfig).Era() }
 
-// heardBase is the era from which a message's numbers count, 0 where it does not say: then as this box's. p.mu is held.
+// heardBase returns the base era of a message's revisions: this box's own if the message has none. p.mu is
+// held.
 func (p *published) heardBase(era uint64) catalog.Era {
 	e := &p.eras
 	if era == 0 {
@@ -79,9 +84,9 @@
 	return catalog.Era(era)
 }
 
-// checkNumbers compares a read that began at a time with what is held. The store never goes back within an era, so a held revision
-// that is later counts from an earlier era than was taken: boxes of earlier releases tell none, and a box that first hears of one
-// after a restore takes their numbers for the same.
+// checkNumbers compares the revision of a read that began at a time with the held one. Within an era the
+// store never goes back, so a held revision that is later belongs to an earlier era than assumed: boxes of
+// earlier releases send no era, and a box that learns of one after a restore assigns their revisions to it.
 func (g *Gateway) checkNumbers(document string, began time.Time, at catalog.Revision) {
 	p := &g.published
 	asOf := catalog.ConfigAt(at)
@@ -96,11 +101,11 @@
 	}
 	p.mu.Unlock()
 	if mistaken {
-		g.Log.Warn("revisions of boxes that tell no era were taken for those of a later one", "document", document, "revision", at, "held_revision", held)
+		g.Log.Warn("revisions from boxes that send no era were assigned to a later era", "document", document, "revision", at, "held_revision", held)
 	}
 }
 
-// heldRevision is as of when the held document was the newest. p.mu is held.
+// heldRevision returns the revision at which the held document was the newest. p.mu is held.
 func (p *published) heldRevision(document string) catalog.Revision {
 	if document == port.DocumentConfig {
 		return catalog.ConfigRevision(p.catalogs.AsOf())
@@ -108,14 +113,15 @@
 	return catalog.ListRevision(p.lists.AsOf())
 }
 
-// hearEra turns the numbers of a heartbeat into states. p.mu is held.
+// hearEra converts the revisions of a heartbeat into states. p.mu is held.
 func (p *published) hearEra(b *core.Beat) {
 	base := p.heardBase(b.Era)
 	b.Config.Version = uint64(catalog.ConfigHeard(b.Config.Version, base))
 	b.List.Version = uint64(catalog.ListHeard(b.List.Version, base))
 }
 
-// hearNotes takes what another box tells of evacuations and of servers that no document of the newest era has.
+// hearNotes merges another box's notes on evacuations and doubted servers that no document of the newest era
+// contains.
 func (g *Gateway) hearNotes(b core.Beat) {
 	if len(b.Closures)+len(b.Doubts) == 0 {
 		return
@@ -128,7 +134,7 @@
 		note := catalog.ClosureNote{Domain: n.Domain, Closed: n.Closed, At: catalog.RevisionTold(n.Revision, base)}
 		if p.closures.Hear(now, note, p.configEra()) {
 			closed = true
-			g.Log.Warn("evacuation heard that the store does not say", "domain", n.Domain, "evacuated", n.Closed, "revision", note.At, "from", b.From.ID.Name)
+			g.Log.Warn("evacuation learned from a peer is missing in the store", "domain", n.Domain, "evacuated", n.Closed, "revision", note.At, "from", b.From.ID.Name)
 		}
 	}
 	var doubted []catalog.Changed
@@ -136,7 +142,7 @@
 		note := catalog.DoubtNote{Server: n.Server, Incarnation: catalog.Incarnation(n.Incarnation), For: n.For}
 		if c, changed := p.registry.HearDoubt(now, note); changed {
 			doubted = append(doubted, c)
-			g.Log.Warn("server not used, had left before the store was restored", "server", n.Server, "for_ms", n.For.Milliseconds(), "from", b.From.ID.Name)
+			g.Log.Warn("server not used, it had left before the store was restored", "server", n.Server, "for_ms", n.For.Milliseconds(), "from", b.From.ID.Name)
 		}
 	}
 	p.mu.Unlock()
@@ -147,7 +153,7 @@
 	}
 }
 
-// liftClosures takes the operator's word that failure domains are not evacuated any more.
+// liftClosures applies that the operator ended the evacuation of failure domains.
 func (g *Gateway) liftClosures(domains []string, at catalog.Revision) {
 	if len(domains) == 0 {
 		return
@@ -157,14 +163,15 @@
 	changed := p.closures.Lift(g.now(), domains, at)
 	p.mu.Unlock()
 	if changed {
-		g.Log.Info("evacuations taken back", "domains", domains, "revision", at)
+		g.Log.Info("evacuations ended", "domains", domains, "revision", at)
 		g.applyAll()
 		g.announce()
 	}
 }
 
-// hearRestored takes that servers which a restored list names as working had said that they leave. All boxes are told as of a server's
-// own word: one that started since knows of none.
+// hearRestored handles servers that a restored list names as working although they had signalled that they
+// leave. All boxes are notified as if the server had signalled it now, because boxes that started since don't
+// know.
 func (g *Gateway) hearRestored(servers []catalog.Server) {
 	now := g.now()
 	var news []catalog.Server
@@ -180,7 +187,7 @@
 	}
 }
 
-// endDoubts takes servers back whose entries outlasted a lease since the store was restored.
+// endDoubts readmits doubted servers whose entries outlasted a lease since the store was restored.
 func (g *Gateway) endDoubts(now time.Time) {
 	p := &g.published
 	p.mu.Lock()
@@ -193,11 +200,11 @@
 	for i, c := range back {
 		names[i] = c.ID
 	}
-	g.Log.Info("servers used again, their entries outlasted a lease", "servers", len(back), "names", firstOf(names))
+	g.Log.Info("servers used again, their entries outlasted a lease after the restore", "servers", len(back), "names", firstOf(names))
 	g.applyChanged(back)
 }
 
-// tellPublished turns the revisions of a document that is given into numbers.
+// tellPublished converts the revisions of a document to be sent into numbers that count from the base era.
 func (p *published) tellPublished(document string, d *port.Published) {
 	p.mu.Lock()
 	base := p.eras.base
@@ -211,7 +218,7 @@
 	eachEntry(d, func(s *catalog.Server) { s.Revision = catalog.Revision(s.Revision.Told(base)) })
 }
 
-// hearPublished turns the numbers of a document that another box gave into revisions.
+// hearPublished converts the numbers of a document received from another box into revisions.
 func (p *published) hearPublished(document string, d *port.Published) {
 	p.mu.Lock()
 	base := p.heardBase(d.Era)
@@ -224,6 +231,7 @@
 	eachEntry(d, func(s *catalog.Server) { s.Revision = catalog.RevisionTold(uint64(s.Revision), base) })
 }
 
+// eachEntry calls do for each server entry of a document.
 func eachEntry(d *port.Published, do func(s *catalog.Server)) {
 	for i := range d.Servers {
 		do(&d.Servers[i])
--- a/src/gateway/giving.go
+++ b/src/gateway/giving.go
@@ -11,28 +11,28 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// catalogSource is what a box hands on of the configuration: the encoded catalogs that it holds or held, and
-// how much of its link is promised.
+// catalogSource holds what a box needs to send configurations to others: the encoded catalogs that it holds
+// or held, and how much of its link is reserved.
 type catalogSource struct {
 	gateway *Gateway
 
 	mu       sync.Mutex
 	held     encoded
-	past     []encoded // earlier ones, the newest first
-	packs    []packed  // the latest, the newest last
-	promised time.Time // until when the promised bytes take this box's part of its link
-	holders  []string  // boxes that were given the newest lately, the last one last
+	past     []encoded // earlier ones, newest first
+	packs    []packed  // cached, newest last
+	promised time.Time // end of the link time reserved for transfers
+	holders  []string  // boxes that recently received the newest catalog, latest last
 
-	packing sync.Mutex // held while packing: those that ask meanwhile take the same bytes
+	packing sync.Mutex // held while packing, so that concurrent pulls share the result
 }
 
-// encoded is a catalog as it goes between boxes.
+// encoded is a catalog in the encoding used between boxes.
 type encoded struct {
 	digest string
 	raw    []byte
 }
 
-// packed is an encoded catalog compressed, whole or as the difference to another.
+// packed is a compressed encoded catalog, whole or as the difference to another.
 type packed struct {
 	asOf         uint64 // state at which it was the newest
 	digest, base string
@@ -42,7 +42,7 @@
 
 func (v *catalogSource) init(g *Gateway) { v.gateway = g }
 
-// hold notes the catalog in force.
+// hold records the catalog in force.
 func (v *catalogSource) hold(digest string, raw []byte) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -61,7 +61,7 @@
 	}
 }
 
-// raw is the encoded catalog with a digest, nil when it is not known any more.
+// raw returns the encoded catalog with a digest, nil if it is no longer kept.
 func (v *catalogSource) raw(digest string) []byte {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// base is the newest of the digests whose catalog is known here, "" for none.
+// base returns the first of the digests whose catalog is kept here, "" for none.
 func (v *catalogSource) base(held []string) string {
 	for _, d := range held {
 		if v.raw(d) != nil {
@@ -86,7 +86,7 @@
 	return ""
 }
 
-// pack gives a packed catalog; it is made once for all that ask. It is nil when the catalog is not known any more.
+// pack returns a packed catalog, made once for all pulls, or nil if the catalog is no longer kept.
 func (v *catalogSource) pack(asOf uint64, digest, base string) *packed {
 	v.packing.Lock()
 	defer v.packing.Unlock()
@@ -100,13 +100,13 @@
 		return nil
 	}
 	p := packed{asOf: asOf, digest: digest, base: base}
-	p.bytes = pack.Pack(raw, v.raw(base)) // no base has an empty digest
+	p.bytes = pack.Pack(raw, v.raw(base)) // an unset base has an empty digest
 	p.sum = catalog.Hash(string(p.bytes))
 	v.packs = append(slices.Clone(v.packs[max(0, len(v.packs)+1-packsKept):]), p)
 	return &v.packs[len(v.packs)-1]
 }
 
-// bySum gives a packed catalog that another box has begun to take, nil when it is not kept any more.
+// bySum returns a packed catalog that another box has begun to pull, nil if it is no longer cached.
 func (v *catalogSource) bySum(sum uint64) *packed {
 	v.packing.Lock()
 	defer v.packing.Unlock()
@@ -118,7 +118,8 @@
 	return nil
 }
 
-// promise sets link time aside for bytes; while enough is set aside it gives how long to wait instead.
+// promise reserves link time for a transfer. If too much is reserved already, it returns how long to wait
+// instead.
 func (v *catalogSource) promise(now time.Time, bytes int) (wait time.Duration) {
 	link := v.gateway.Settings.Capacity.Link
 	if link == 0 {
@@ -136,7 +137,7 @@
 	return 0
 }
 
-// noteHolder notes a box that has been given the newest.
+// noteHolder records a box that received the newest catalog.
 func (v *catalogSource) noteHolder(box string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -151,7 +152,7 @@
 	return slices.Clone(v.holders)
 }
 
-// give gives another box a document or a part of it.
+// give answers another box's pull of a document.
 func (g *Gateway) give(q *port.PullPublished) *port.Published {
 	d := g.giveDocument(q)
 	g.published.tellPublished(q.Document, d)
@@ -186,12 +187,12 @@
 			return &port.Published{}
 		}
 		if pk.sum != q.Sum {
-			q.Offset = 0 // it has begun with another
+			q.Offset = 0 // the pull began with other bytes
 		}
 		if wait := v.promise(g.now(), len(pk.bytes)-q.Offset); wait > 0 {
 			return g.refuseCatalog(q, st, wait)
 		}
-		g.Log.Info("document given", "document", q.Document, "to", q.From, "revision", catalog.ConfigRevision(catalog.State(st.Version)), "base", pk.base, "bytes", len(pk.bytes), "offset", q.Offset)
+		g.Log.Info("document sent", "document", q.Document, "to", q.From, "revision", catalog.ConfigRevision(catalog.State(st.Version)), "base", pk.base, "bytes", len(pk.bytes), "offset", q.Offset)
 	}
 	if q.Offset < 0 || q.Offset >= len(pk.bytes) {
 		q.Offset = 0
@@ -208,9 +209,9 @@
 	return out
 }
 
-// refuseCatalog names other boxes that have the catalog while the link is promised.
+// refuseCatalog refuses a pull while the link is reserved and names other boxes that hold the catalog.
 func (g *Gateway) refuseCatalog(q *port.PullPublished, st core.Statement, wait time.Duration) *port.Published {
 	named := g.published.given.namedHolders()
-	g.Log.Info("document refused, link promised", "document", q.Document, "to", q.From, "revision", catalog.ConfigRevision(catalog.State(st.Version)), "wait_ms", wait.Milliseconds(), "named", named)
+	g.Log.Info("document pull refused, link is reserved", "document", q.Document, "to", q.From, "revision", catalog.ConfigRevision(catalog.State(st.Version)), "wait_ms", wait.Milliseconds(), "named", named)
 	return &port.Published{AsOf: st.Version, Digest: st.Digest, Busy: &port.Busy{For: wait, Holders: named}}
 }
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -12,21 +12,21 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// published holds the two documents of the platform.
+// published holds the two documents of the platform: the configuration and the list of servers.
 type published struct {
 	gateway *Gateway
 
-	applying sync.Mutex // held while pools and schedulers are given their servers, so that the newest change wins
+	applying sync.Mutex // held while pools and schedulers get their servers, so that the newest change wins
 
 	mu       sync.Mutex
 	catalogs *catalog.Feed
 	lists    *catalog.Feed
 	held     *catalog.Catalog
-	list     *catalog.List    // of servers, as the platform has it
-	registry catalog.Registry // what this box believes of them
+	list     *catalog.List    // of servers, as published
+	registry catalog.Registry // this box's view of the servers
 	closures catalog.Closures
 	eras     eras
-	known    bool // a list of servers was seen
+	known    bool // a list of servers has been received
 	given    catalogSource
 	taking   taking
 }
@@ -49,7 +49,7 @@
 	return p.known
 }
 
-// confirmedAt is when both documents were last known to be the newest.
+// confirmedAt returns when both documents were last known to be the newest.
 func (p *published) confirmedAt() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -60,7 +60,7 @@
 	return b
 }
 
-// catalogBehind is for how long this box has known of a newer configuration than it holds.
+// catalogBehind returns for how long a newer configuration than the held one has been known.
 func (p *published) catalogBehind(now time.Time) time.Duration {
 	since, _, _ := p.behind(port.DocumentConfig)
 	if since.IsZero() {
@@ -69,14 +69,14 @@
 	return now.Sub(since)
 }
 
-// catalogAge is how long ago the catalog was last known to be the newest.
+// catalogAge returns the time since the catalog was last known to be the newest.
 func (p *published) catalogAge(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return now.Sub(p.catalogs.Confirmed())
 }
 
-// say fills the statements of a heartbeat.
+// say fills the statements on documents in a heartbeat.
 func (p *published) say(now time.Time, b *core.Beat) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -84,7 +84,7 @@
 	p.tellEra(now, b)
 }
 
-// hear takes the statements of a heartbeat. It says whether something newer is known than is held.
+// hear merges the statements of a heartbeat and reports whether a newer document than a held one is known.
 func (p *published) hear(b core.Beat, askedAt time.Time) (behind bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,14 +106,14 @@
 	return !config.IsZero() || !list.IsZero()
 }
 
-// empty says whether this box has neither document yet, or lacks one.
+// empty reports whether this box lacks one of the documents.
 func (p *published) empty() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.catalogs.AsOf() == 0 || p.lists.AsOf() == 0
 }
 
-// woke notes that this process stood still since a time.
+// woke records that this process was paused since a time.
 func (p *published) woke(now, since time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -129,30 +129,30 @@
 	p.lists.Forget(box)
 }
 
-// sayCatalog is what this box says of the catalog that it holds.
+// sayCatalog returns this box's statement on the catalog that it holds.
 func (p *published) sayCatalog(now time.Time) core.Statement {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.catalogs.Say(now)
 }
 
-// heldCatalog is the configuration in force, nil for none.
+// heldCatalog returns the configuration in force, nil for none.
 func (p *published) heldCatalog() *catalog.Catalog {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.held
 }
 
-// listAge is how long ago the list of servers was last known to be the newest.
+// listAge returns the time since the list of servers was last known to be the newest.
 func (p *published) listAge(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return now.Sub(p.lists.Confirmed())
 }
 
-// takeCatalog puts a catalog in force unless it is older than the one that is. readAt is zero when
-// it came from a peer; raw is its encoded form, nil when that is not known. Of what the store shows below the version in force,
-// which it lost, the evacuations are taken.
+// takeCatalog puts a catalog in force unless it is older than the current one. readAt is zero if it came from
+// a peer; raw is its encoded form, nil if unknown. If the store returns a version below the one in force,
+// which it lost, only the evacuations are applied.
 func (g *Gateway) takeCatalog(c *catalog.Catalog, raw []byte, asOf catalog.State, readAt time.Time, from string) {
 	p := &g.published
 	if raw == nil && (p.heldCatalog() == nil || c.Version > p.heldCatalog().Version) {
@@ -206,7 +206,8 @@
 	g.announce()
 }
 
-// encode gives a catalog as it goes between boxes, nil when that can't be: then this box hands nothing on.
+// encode returns a catalog in the encoding used between boxes, nil if that fails; this box then sends it to
+// nobody.
 func (g *Gateway) encode(c *catalog.Catalog) []byte {
 	out := *c
 	out.Bounded = true
@@ -218,7 +219,7 @@
 	return raw
 }
 
-// versionOf is a catalog's version, 0 for none.
+// versionOf returns a catalog's version, 0 for none.
 func versionOf(c *catalog.Catalog) uint64 {
 	if c == nil {
 		return 0
@@ -226,7 +227,7 @@
 	return c.Version
 }
 
-// logChanges says what a version changes; lists of names are shortened.
+// logChanges logs what a version changes, with shortened lists of names.
 func (g *Gateway) logChanges(version uint64, c catalog.Changes) {
 	line := []any{"version", version}
 	for _, f := range []struct {
--- a/src/gateway/pulling.go
+++ b/src/gateway/pulling.go
@@ -13,18 +13,18 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// taking is a packed catalog of which this box has some parts. They are kept when the box that gave
-// them fails: another that packed the same gives the rest.
+// taking is a partially received packed catalog. Its parts are kept when the sending box fails: another box
+// with the same packed bytes sends the rest.
 type taking struct {
 	sum    uint64
 	size   int
 	base   string
 	digest string
 	bytes  []byte
-	whole  bool // the difference did not fit: ask for the whole next
+	whole  bool // the difference did not apply: request the whole catalog next
 }
 
-// pullPublished asks peers for what they hold newer.
+// pullPublished pulls newer documents from peers.
 func (g *Gateway) pullPublished(ctx context.Context) {
 	now := g.now()
 	links := g.fleet.links(now)
@@ -41,7 +41,7 @@
 	}
 }
 
-// pull takes a document of a box, in as many parts as it has.
+// pull requests a document from a box, part by part.
 func (g *Gateway) pull(ctx context.Context, from, document string) {
 	began := g.now()
 	p := &g.published
@@ -66,7 +66,7 @@
 		case busy:
 			feed.PullBusy(g.now(), from, d.Busy.For)
 		case err != nil:
-			feed.PullFailed(g.now(), from) // another box gives what is missing
+			feed.PullFailed(g.now(), from) // the rest is pulled from another box
 		default:
 			feed.PullEnded(from)
 		}
@@ -77,7 +77,7 @@
 	}
 }
 
-// takePublished takes what a box gave. more says that parts are missing.
+// takePublished applies a box's answer to a pull. more reports whether parts are missing.
 func (g *Gateway) takePublished(d *port.Published, from string, began time.Time) (more bool, err error) {
 	switch {
 	case d.Busy != nil:
@@ -96,7 +96,7 @@
 			return false, errUnbounded
 		}
 		if c.Digest() != d.Digest {
-			return false, eris.Errorf("the configuration is %s and not %s", c.Digest(), d.Digest)
+			return false, eris.Errorf("the configuration's digest is %s, want %s", c.Digest(), d.Digest)
 		}
 		g.logPull(port.DocumentConfig, from, began, d, nil)
 		g.takeCatalog(c, raw, catalog.State(d.AsOf), time.Time{}, from)
@@ -110,12 +110,14 @@
 
 var (
 	errNotHeld = errors.New("the box does not hold the document")
-	errBusy    = errors.New("the box gives others")
-	errStrange = errors.New("the part does not follow those that are here")
-	// errUnbounded keeps boundaries that a box of an earlier release left out from being taken for none: this box reads the store itself.
-	errUnbounded = errors.New("the configuration comes from a release that knows no boundaries")
+	errBusy    = errors.New("the box is busy sending to others")
+	errStrange = errors.New("the part does not follow those already received")
+	// errUnbounded rejects a configuration from a release that drops boundaries, which would look as if there were
+	// none: this box reads the store itself.
+	errUnbounded = errors.New("the configuration comes from a release without support for boundaries")
 )
 
+// askDocument requests one part of a document from a box.
 func (g *Gateway) askDocument(ctx context.Context, from, document string) (*port.Published, error) {
 	address := g.fleet.addressOf(from)
 	if address == "" {
@@ -134,7 +136,7 @@
 	return a.Publish, nil
 }
 
-// addPart adds a part to those that are here, and gives the document when all are.
+// addPart adds a part to those received and returns the document when it is complete.
 func (p *published) addPart(d *port.Published) (raw []byte, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -166,7 +168,7 @@
 	return raw, err
 }
 
-// hearHolders notes the boxes that a busy one names.
+// hearHolders records the other holders that a busy box names.
 func (p *published) hearHolders(d *port.Published) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -175,8 +177,8 @@
 	}
 }
 
-// question asks for a document; only for what differs from one that is known here, and only for what is
-// missing of it.
+// question returns a pull of a document that asks only for the difference to a held one and only for the
+// missing parts.
 func (p *published) question(document string) *port.PullPublished {
 	q := &port.PullPublished{Document: document, From: p.gateway.ID.Name}
 	p.mu.Lock()
@@ -194,7 +196,7 @@
 	return q
 }
 
-// logPull tells how asking a box for a document went. What the list of servers brings has lines of its own.
+// logPull logs the outcome of a pull. Changes of the list of servers have log lines of their own.
 func (g *Gateway) logPull(document, from string, began time.Time, d *port.Published, err error) {
 	took := g.now().Sub(began)
 	since, newest, held := g.published.behind(document)
@@ -216,7 +218,7 @@
 	}
 }
 
-// milliseconds is how long ago something was, 0 when it was not.
+// milliseconds returns the time since an event, 0 if it has not happened.
 func milliseconds(now, since time.Time) int64 {
 	if since.IsZero() {
 		return 0
@@ -224,7 +226,8 @@
 	return now.Sub(since).Milliseconds()
 }
 
-// behind is since when a newer state of a document is known than is held, its revision, and the revision held.
+// behind returns since when a newer state of a document than the held one has been known, its revision and
+// the held revision.
 func (p *published) behind(document string) (since time.Time, newest, held catalog.Revision) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -236,7 +239,7 @@
 	return since, catalog.ListRevision(state), catalog.ListRevision(f.AsOf())
 }
 
-// feed is that of a document.
+// feed returns the feed of a document.
 func (p *published) feed(document string) *catalog.Feed {
 	if document == port.DocumentConfig {
 		return p.catalogs
--- a/src/gateway/reading.go
+++ b/src/gateway/reading.go
@@ -11,16 +11,16 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// reader paces one document's reads and tells of the store being lost and found again.
+// reader paces the reads of one document and logs when the store is lost and found again.
 type reader struct {
 	gateway  *Gateway
 	document string
 	feed     *catalog.Feed
 	failures int
-	relieves bool // it reads because others asked it to
+	relieves bool // reads because other boxes asked for it
 }
 
-// wait holds a reader until this box should read; it gives false when the context ended.
+// wait blocks until this box should read; it returns false if the context ended.
 func (r *reader) wait(ctx context.Context) bool {
 	g := r.gateway
 	if r.failures > 0 {
@@ -36,7 +36,7 @@
 		g.published.mu.Unlock()
 		if relieves != r.relieves {
 			r.relieves = relieves
-			g.Log.Info("reading for others", "document", r.document, "reads", relieves, "round", round)
+			g.Log.Info("reading the store on request of other boxes", "document", r.document, "reads", relieves, "round", round)
 		}
 		if reads {
 			return true
@@ -46,15 +46,15 @@
 	return false
 }
 
-// backoff is the pause after a failed read. Boxes that many others read before ask more rarely: whichever
-// of them finds the store again, the rest hear of it, and every call counts while it is down.
+// backoff returns the pause after a failed read. Boxes ranked behind many other readers retry more rarely:
+// whichever box finds the store again, the rest learn of it, and every call adds load while it is down.
 func (r *reader) backoff() time.Duration {
-	living := r.gateway.fleet.usable() // the feed ranks those chosen as it did when this box began to read
+	living := r.gateway.fleet.usable() // the feed still ranks the readers chosen when this box began to read
 	most := maxBackoff * time.Duration(1+r.feed.Ahead(living)/backoffBoxes)
 	return min(most, readBackoff<<min(r.failures-1, mostBackoffs))
 }
 
-// ended notes how a read went.
+// ended records the outcome of a read.
 func (r *reader) ended(err error) {
 	g := r.gateway
 	if g.Watch.StoreRead != nil {
@@ -62,7 +62,7 @@
 	}
 	if err == nil {
 		if r.failures > 0 {
-			g.Log.Info("store regained", "document", r.document, "after_failures", r.failures)
+			g.Log.Info("store available again", "document", r.document, "after_failures", r.failures)
 		}
 		r.failures = 0
 		return
@@ -74,8 +74,8 @@
 	g.tellUnanswered(r.document)
 }
 
-// tellUnanswered tells the boxes that read beside this one that its reads bring nothing, and has the next ones read once that
-// holds for all of them.
+// tellUnanswered notifies the other readers that this box's reads get no answer. Once that holds for all of
+// them, the next boxes in rank are asked to read.
 func (g *Gateway) tellUnanswered(document string) {
 	now := g.now()
 	living := g.fleet.usable()
@@ -86,7 +86,8 @@
 	g.plead(now, document, plea)
 }
 
-// hearUnanswered asks the next boxes to read once the last of the readers beside this one has said that it has no answers.
+// hearUnanswered handles another reader's notice that it gets no answers; if it is the last of the readers,
+// the next boxes in rank are asked to read.
 func (g *Gateway) hearUnanswered(u *core.Unanswered) {
 	if u == nil {
 		return
@@ -100,7 +101,7 @@
 	g.plead(now, u.Document, plea)
 }
 
-// plead tells other boxes that reads of a document bring nothing.
+// plead notifies other boxes that reads of a document get no answer.
 func (g *Gateway) plead(now time.Time, document string, plea catalog.Plea) {
 	if len(plea.Beside)+len(plea.Next) == 0 {
 		return
@@ -115,7 +116,7 @@
 	g.tellBoxes(plea.Next, b)
 }
 
-// tellBoxes sends boxes a heartbeat that wants no answer.
+// tellBoxes sends a heartbeat that needs no answer to boxes.
 func (g *Gateway) tellBoxes(boxes []string, b core.Beat) {
 	for _, box := range boxes {
 		if address := g.fleet.addressOf(box); address != "" {
@@ -124,12 +125,12 @@
 	}
 }
 
-// overdue tells other readers when a watch brings nothing in time, until it is stopped. Its call goes on.
+// overdue starts a timer that notifies the other readers when a watch is overdue. The watch itself continues.
 func (g *Gateway) overdue(document string) *time.Timer {
 	return time.AfterFunc(watchWait+overdueAfter, func() { g.tellUnanswered(document) })
 }
 
-// readCatalog reads the configuration whole and then waits for its changes, over and over.
+// readCatalog reads the whole configuration and then waits for its changes, in a loop.
 func (g *Gateway) readCatalog(ctx context.Context) {
 	defer g.background.Done()
 	r := &reader{gateway: g, document: port.DocumentConfig, feed: g.published.catalogs}
@@ -148,16 +149,16 @@
 	}
 }
 
-// catalogFollower is the configuration as one reader of the store follows it.
+// catalogFollower is one reader's state of the configuration.
 type catalogFollower struct {
-	at         catalog.Revision // 0 to read it whole next
+	at         catalog.Revision // 0 to read everything next
 	held       *catalog.Catalog // as of at
-	restored   []string         // failure domains of which an evacuation was taken back by the last change
-	unreadable catalog.Revision // of the last configuration that could not be read
+	restored   []string         // failure domains whose evacuation the last change ended
+	unreadable catalog.Revision // of the last unreadable configuration
 }
 
-// next reads the configuration whole or waits for its changes. It gives what holds after that, nil for nothing, and since
-// when that is known.
+// next reads the whole configuration or waits for a change. It returns the resulting catalog, nil for none,
+// and from when it is known to be current.
 func (f *catalogFollower) next(ctx context.Context, g *Gateway) (after *catalog.Catalog, began time.Time, err error) {
 	limit := readLimit
 	if f.at > 0 {
@@ -171,7 +172,7 @@
 		change, f.at, err = g.Store.Catalog(ctx)
 		g.logWholeRead(port.DocumentConfig, f.at, err)
 		if f.held == nil {
-			f.held = g.published.heldCatalog() // what stays in force should this one be unreadable
+			f.held = g.published.heldCatalog() // stays in force if this one is unreadable
 		}
 		after = change.whole(f.held)
 	} else {
@@ -195,15 +196,15 @@
 	return after, began, err
 }
 
-// logUnreadable tells of a configuration that can't be read, once for each revision.
+// logUnreadable logs an unreadable configuration, once for each revision.
 func (g *Gateway) logUnreadable(u *Unreadable, held *catalog.Catalog) {
-	g.Log.Error("configuration can't be read, nothing changes", "revision", u.Revision, "held_version", versionOf(held), "cause", u.Cause.Error())
+	g.Log.Error("unreadable configuration, the previous one stays in force", "revision", u.Revision, "held_version", versionOf(held), "cause", u.Cause.Error())
 	if g.Watch.Refused != nil {
 		g.Watch.Refused(port.DocumentConfig, "unreadable")
 	}
 }
 
-// readServers reads the list of servers whole and then waits for its changes, over and over.
+// readServers reads the whole list of servers and then waits for its changes, in a loop.
 func (g *Gateway) readServers(ctx context.Context) {
 	defer g.background.Done()
 	r := &reader{gateway: g, document: port.DocumentServers, feed: g.published.lists}
@@ -231,12 +232,12 @@
 		g.checkNumbers(port.DocumentServers, asked, at)
 		if listing.Changed() || !g.confirmServers(began, catalog.ListAt(at), listing.Digest()) {
 			g.takeListing(listing, catalog.ListAt(at), began)
-			sleep(ctx, min(mostListPace, time.Duration(len(listing.Servers()))*listPace)) // changes of a large list go round together
+			sleep(ctx, min(mostListPace, time.Duration(len(listing.Servers()))*listPace)) // batches changes of a large list
 		}
 	}
 }
 
-// readListing reads the list whole.
+// readListing reads the whole list.
 func (g *Gateway) readListing(ctx context.Context, l *catalog.Listing) (catalog.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, readLimit)
 	defer cancel()
@@ -249,7 +250,7 @@
 	return at, nil
 }
 
-// watchListing waits for changes of the list.
+// watchListing waits for changes of the list and applies them.
 func (g *Gateway) watchListing(ctx context.Context, l *catalog.Listing, after catalog.Revision) (catalog.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, watchWait+readLimit)
 	defer cancel()
@@ -268,22 +269,23 @@
 	return at, nil
 }
 
-// logWholeRead tells which state of the store a whole read showed, beside the one that is held.
+// logWholeRead logs the revision that a full read returned, beside the held one.
 func (g *Gateway) logWholeRead(document string, at catalog.Revision, err error) {
 	if err != nil {
 		return
 	}
 	_, _, held := g.published.behind(document)
-	g.Log.Info("store read whole", "document", document, "revision", at, "held_revision", held)
+	g.Log.Info("full read of the store", "document", document, "revision", at, "held_revision", held)
 }
 
-// logPassedOver tells of a state of the store that is not taken since a later one is held.
+// logPassedOver logs that a state of the store was ignored because a later one is held.
 func (g *Gateway) logPassedOver(document string, revision, held catalog.Revision, digest, heldDigest string) {
-	g.Log.Warn("older state of the store passed over", "document", document, "revision", revision, "held_revision", held, "digest", digest, "held_digest", heldDigest)
+	g.Log.Warn("older state of the store ignored", "document", document, "revision", revision, "held_revision", held, "digest", digest, "held_digest", heldDigest)
 }
 
-// confirmServers notes that a watch brought no change: what was read last is the newest still. It says whether that is what this box
-// holds; it may hold a later list of another box, and what it did not take before may be newer now.
+// confirmServers records that a watch brought no change, so the last state read is still the newest. It
+// returns whether this box holds that state or a later one: it may have received a later list from a peer,
+// and a list that it ignored before may now be newer.
 func (g *Gateway) confirmServers(at time.Time, asOf catalog.State, digest string) bool {
 	p := &g.published
 	p.mu.Lock()
--- a/src/gateway/serverlist.go
+++ b/src/gateway/serverlist.go
@@ -8,16 +8,16 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// listChange works out how the list that this box holds changes; false where that can't be told.
+// listChange computes the change of the held list; false if it can't.
 type listChange func(l *catalog.List) (catalog.Difference, bool)
 
-// takeServers takes a whole list of servers by id in a state. readAt is zero when it came from a peer.
+// takeServers applies a whole list of servers by id. readAt is zero if it came from a peer.
 func (g *Gateway) takeServers(after map[string]catalog.Server, asOf catalog.State, readAt time.Time, from string) {
 	g.takeList(asOf, readAt, from, func(l *catalog.List) (catalog.Difference, bool) { return l.Becomes(after), true })
 }
 
-// takeListing takes what a reader of the store follows: what has changed since this box took it last, unless another list
-// came in between that this one can't tell the difference to.
+// takeListing applies the changes that a reader of the store collected since this box last applied them. If
+// another list came in between whose difference is unknown, it applies the whole list.
 func (g *Gateway) takeListing(listing *catalog.Listing, asOf catalog.State, readAt time.Time) {
 	base, since := listing.Changes()
 	g.takeList(asOf, readAt, "store", func(l *catalog.List) (catalog.Difference, bool) {
@@ -28,8 +28,8 @@
 	})
 }
 
-// takeList takes a change of the list of servers; false where it can't be told or does not fit. Work and memory grow with what
-// changed and not with the list.
+// takeList applies a change of the list of servers; it returns false if the change can't be computed or does
+// not match. Work and memory grow with the change, not with the list.
 func (g *Gateway) takeList(asOf catalog.State, readAt time.Time, from string, change listChange) bool {
 	p := &g.published
 	p.mu.Lock()
@@ -73,12 +73,12 @@
 	g.takeRestarts(effects.Restarted, revision, from)
 	g.announce()
 	if len(effects.Doubted)+len(effects.Leaving) > 0 {
-		g.tellBoxes([]string{from}, g.newsBeat(now)) // it may have started since, and know of neither
+		g.tellBoxes([]string{from}, g.newsBeat(now)) // the sender may have started since and know of neither
 	}
 	return true
 }
 
-// serversByID is a list of servers by id.
+// serversByID returns a list of servers as a map by id.
 func serversByID(list []catalog.Server) map[string]catalog.Server {
 	out := make(map[string]catalog.Server, len(list))
 	for _, s := range list {
@@ -87,7 +87,8 @@
 	return out
 }
 
-// dropLapsed gives up the servers whose entries went while the store was away and are not back in time.
+// dropLapsed drops the servers whose entries vanished while the store was unavailable and did not return in
+// time.
 func (g *Gateway) dropLapsed(now time.Time) {
 	p := &g.published
 	p.mu.Lock()
@@ -100,11 +101,12 @@
 	for i, c := range dropped {
 		names[i] = c.ID
 	}
-	g.Log.Warn("servers given up that came back with no entry", "servers", len(dropped), "names", firstOf(names))
+	g.Log.Warn("servers dropped, their entries did not return", "servers", len(dropped), "names", firstOf(names))
 	g.applyChanged(dropped)
 }
 
-// warm notes until when a cold server is cold. An entry that says what it said before, nil for none, is no news.
+// warm sets until when a cold server is cold. An entry that repeats the previous one, nil for none, does not
+// extend it.
 func warm(now time.Time, old, s *catalog.Server) {
 	switch {
 	case s.Cold <= 0:
@@ -115,8 +117,8 @@
 	}
 }
 
-// logServers tells of each server that is new, leaving or gone; of many at once, as of a box's first list, in
-// one line.
+// logServers logs each server that is new, leaving or gone; many at once, as in a box's first list, get one
+// line.
 func (g *Gateway) logServers(change catalog.Change, listed int, revision catalog.Revision, from string) {
 	g.logFaults(change, revision, from)
 	if n := len(change.Put) + len(change.Gone); n > serverLines {
@@ -137,7 +139,7 @@
 	}
 }
 
-// logFaults tells of entries that name no server to use, once for each as long as it says the same.
+// logFaults logs entries without a usable server, once for each as long as its fault is the same.
 func (g *Gateway) logFaults(change catalog.Change, revision catalog.Revision, from string) {
 	lines := 0
 	for i := range change.Put {
@@ -149,18 +151,18 @@
 			g.Watch.Refused(port.DocumentServers, s.Fault)
 		}
 		if lines++; lines <= serverLines {
-			g.Log.Warn("entry names no server to use", "server", s.ID, "fault", s.Fault, "draining", s.Draining, "entry_revision", s.Revision, "revision", revision, "from", from)
+			g.Log.Warn("server entry is not usable", "server", s.ID, "fault", s.Fault, "draining", s.Draining, "entry_revision", s.Revision, "revision", revision, "from", from)
 		}
 	}
 }
 
-// poolChange is what changes in the servers of one pool that take new work.
+// poolChange is a change of the servers of a pool that take new work.
 type poolChange struct {
 	put  []*catalog.Server
 	gone []string
 }
 
-// applyChanged gives pools and schedulers the servers of which something has changed.
+// applyChanged passes changed servers on to pools and schedulers.
 func (g *Gateway) applyChanged(changed []catalog.Changed) {
 	p := &g.published
 	p.applying.Lock()
@@ -186,7 +188,7 @@
 	}
 }
 
-// applyAll gives all pools and schedulers their servers anew.
+// applyAll sets the servers of all pools and schedulers.
 func (g *Gateway) applyAll() {
 	p := &g.published
 	p.applying.Lock()
@@ -210,7 +212,7 @@
 	return slices.DeleteFunc(p.registry.Working(pool), func(s *catalog.Server) bool { return !p.inUse(s) })
 }
 
-// mayUse says whether a server still takes new work, as far as this box knows.
+// mayUse reports whether a server still takes new work, as far as this box knows.
 func (g *Gateway) mayUse(id string) bool {
 	p := &g.published
 	p.mu.Lock()
@@ -219,15 +221,15 @@
 	return ok && p.inUse(s)
 }
 
-// inUse says whether a listed server's failure domain is not evacuated and it has not said that it leaves. Its own word counts
-// whatever the list says: while the store takes no writes a list names leaving servers as ready for as long as that lasts.
-// p.mu is held.
+// inUse reports whether a listed server is neither in an evacuated failure domain nor leaving. A server's own
+// signal overrides the list: while the store accepts no writes, the list keeps naming leaving servers as
+// ready. p.mu is held.
 func (p *published) inUse(s *catalog.Server) bool {
 	return !p.closures.Closed(s.Domain) && !p.gateway.leaves(*s)
 }
 
-// takeDifference takes a list of servers that was told as a difference to another. When that other is
-// not known any more, the list is asked for again.
+// takeDifference applies a list of servers sent as a difference to another. If that other list is no longer
+// known, the list is pulled again.
 func (g *Gateway) takeDifference(d *port.Published, from string) {
 	asOf := catalog.State(d.AsOf)
 	fits := g.takeList(asOf, time.Time{}, from, func(l *catalog.List) (catalog.Difference, bool) {
@@ -235,7 +237,7 @@
 		return change, known && l.DigestAfter(change) == d.Digest
 	})
 	if !fits {
-		g.Log.Warn("difference of servers does not fit", "from", from, "revision", catalog.ListRevision(asOf))
+		g.Log.Warn("difference of the list of servers does not apply", "from", from, "revision", catalog.ListRevision(asOf))
 		p := &g.published
 		p.mu.Lock()
 		p.lists.PullFailed(g.now(), from)
