--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -15,21 +15,22 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// fleet is the membership and what the boxes tell one another of their loads.
+// fleet holds the membership and the load notes that boxes exchange.
 type fleet struct {
 	gateway *Gateway
 
 	mu        sync.Mutex
 	core      *core.Members
 	addresses map[string]string    // of boxes that sent messages, by name
-	seen      map[string]time.Time // boxes heard of, and when last
+	seen      map[string]time.Time // time of the last message, by box
 	waits     map[uint64]waitNote  // by the hash of a pool
 	usableNow []string
 	logged    []string  // the usable boxes when they were last logged
-	loggedAt  time.Time // when that was
+	loggedAt  time.Time // time of that log line
 	roster    roster
 }
 
+// waitNote is a scheduler's report on the waiting times in its pool.
 type waitNote struct {
 	waits backlog.Waits
 	at    time.Time
@@ -47,7 +48,7 @@
 	f.roster.init()
 }
 
-// beat sends the heartbeats that are due. Seeds whose names are not known yet are asked too.
+// beat sends the heartbeats that are due, also to seeds whose names are not known yet.
 func (g *Gateway) beat(context.Context) {
 	f := &g.fleet
 	now := g.now()
@@ -63,8 +64,8 @@
 	}
 }
 
-// introduce asks, more often than heartbeats go, the seeds that this box has not met just after its
-// start, and members drawn by chance while the fleet forms.
+// introduce contacts, more often than heartbeats are sent, the seeds that a newly started box has not met,
+// and random members while the fleet forms.
 func (g *Gateway) introduce(context.Context) {
 	f := &g.fleet
 	now := g.now()
@@ -82,7 +83,7 @@
 	g.send(out)
 }
 
-// seedBeats asks the seeds that no living member is known to have.
+// seedBeats returns heartbeats to the seeds that belong to no known living member.
 func (f *fleet) seedBeats(now time.Time) []core.BeatTo {
 	known := map[string]bool{f.gateway.Settings.Address: true}
 	for _, m := range f.core.Each() {
@@ -105,7 +106,7 @@
 	}
 }
 
-// tellNews gives every box of a small fleet this box's loads, more often than heartbeats go round.
+// tellNews sends this box's loads to every box of a small fleet, more often than heartbeats are sent.
 func (g *Gateway) tellNews(context.Context) {
 	f := &g.fleet
 	f.mu.Lock()
@@ -114,8 +115,8 @@
 	g.tellTo(to)
 }
 
-// announce tells what this box holds and has without waiting for a beat: every box of a small fleet,
-// a few of a large one, which tell others in their turn when it is news to them.
+// announce sends this box's state without waiting for a heartbeat: to every box of a small fleet, or to a few
+// of a large one, which pass on what is new to them.
 func (g *Gateway) announce() {
 	f := &g.fleet
 	f.mu.Lock()
@@ -137,7 +138,7 @@
 	}
 }
 
-// newsBeat is a heartbeat that tells of what this box holds and has and wants no answer.
+// newsBeat returns a heartbeat that carries this box's state and needs no answer.
 func (g *Gateway) newsBeat(now time.Time) core.Beat {
 	f := &g.fleet
 	f.mu.Lock()
@@ -147,7 +148,7 @@
 	return b
 }
 
-// news fills heartbeats with what other parts of the box tell.
+// news returns a function that fills heartbeats with the notes of the other parts of the box.
 func (g *Gateway) news(now time.Time) func(*core.Beat) {
 	waits, reads, asked, leavings, limits := g.desk.waits(now), g.readNotes(now), g.askNotes(now), g.departures(), g.limitNotes()
 	loads := g.loadNotes(now, leavings)
@@ -159,7 +160,7 @@
 	}
 }
 
-// askNotes tells which first prompt parts this box was asked for lately.
+// askNotes returns the first prompt parts that this box was recently asked for.
 func (g *Gateway) askNotes(now time.Time) []core.AskNote {
 	var out []core.AskNote
 	for _, p := range g.pools.list() {
@@ -178,7 +179,7 @@
 	return out
 }
 
-// hearAsked takes what another box was asked for.
+// hearAsked merges the prompt parts that another box was asked for.
 func (p *pool) hearAsked(now time.Time, box string, notes []core.AskNote) {
 	for _, n := range notes {
 		if n.Pool != catalog.Hash(p.name) || len(n.Parts) != len(n.Tokens) {
@@ -192,9 +193,9 @@
 	}
 }
 
-// loadNotes tells of this box's loads. Servers that leave are told as full: boxes of a release that reads no other word of it go
-// where there is room. Where a third of 6 boxes and a fifth of 61 read none, 0 requests of 2,000 come late, 147 and 57 without
-// (TestABoxThatHearsNoWordsGoesElsewhere).
+// loadNotes returns this box's load notes. Leaving servers are reported as full, so that boxes of a release
+// without leaving notes choose servers with capacity. With a third of 6 boxes and a fifth of 61 on such a
+// release, 0 of 2,000 requests are late; without this, 147 and 57.
 func (g *Gateway) loadNotes(now time.Time, leaving []core.LeavingNote) []core.BackendNote {
 	var out []core.BackendNote
 	for _, n := range leaving {
@@ -219,7 +220,7 @@
 	return out
 }
 
-// readNotes lists the latest reads of shared prompt parts, as many as a beat may carry.
+// readNotes returns the latest reads of shared prompt parts, as many as a heartbeat may carry.
 func (g *Gateway) readNotes(now time.Time) []core.ReadNote {
 	var out []core.ReadNote
 	for _, p := range g.pools.list() {
@@ -232,7 +233,7 @@
 	return out[max(0, len(out)-readsPerBeat):]
 }
 
-// TakeBeat takes a heartbeat of another box.
+// TakeBeat handles a heartbeat of another box.
 func (g *Gateway) TakeBeat(m core.Beat) {
 	f := &g.fleet
 	now := g.now()
@@ -253,7 +254,7 @@
 		g.membersChanged()
 	}
 	if m.Table != nil && m.News {
-		return // it tells of members only
+		return // it carries membership only
 	}
 	if behind := g.published.hear(m, h.AskedAt); behind || g.published.empty() {
 		g.pullPublished(f.gateway.stages) // without waiting for the next tick
@@ -286,7 +287,7 @@
 	}
 }
 
-// membersChanged notes who is usable now and forgets who is not.
+// membersChanged updates the usable boxes and drops state of those that are no longer usable.
 func (g *Gateway) membersChanged() {
 	f := &g.fleet
 	f.mu.Lock()
@@ -303,8 +304,8 @@
 	g.desk.handOverAll()
 }
 
-// logMembers tells of the members that joined or were lost since it last did, at most once in
-// membersLogEvery: while a large fleet forms each message brings some.
+// logMembers logs the members that joined or were lost since the last time, at most once in membersLogEvery:
+// while a large fleet forms, each message brings some.
 func (g *Gateway) logMembers() {
 	f := &g.fleet
 	now := g.now()
@@ -327,7 +328,7 @@
 	}
 }
 
-// differences lists what only one of two sorted lists holds.
+// differences returns the elements that only one of two sorted lists holds.
 func differences(before, after []string) (added, removed []string) {
 	for len(before) > 0 || len(after) > 0 {
 		switch {
@@ -342,25 +343,25 @@
 	return added, removed
 }
 
-// firstOf shortens a list of names for a line of the log.
+// firstOf shortens a list of names for a log line.
 func firstOf(names []string) []string { return names[:min(len(names), namesPerLine)] }
 
 func (f *fleet) leave() {
 	f.mu.Lock()
 	f.core.Leave("")
 	f.mu.Unlock()
-	f.gateway.announce() // first, so that no job comes back here
+	f.gateway.announce() // before the handover, so that no job comes back here
 	f.gateway.membersChanged()
 }
 
-// usable lists the boxes that take work, this one among them unless it is leaving.
+// usable lists the boxes that take work, including this one unless it is leaving.
 func (f *fleet) usable() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.usableNow
 }
 
-// boxes counts the boxes that may be alive, those heard of in the last minute among them.
+// boxes counts the boxes that may be alive, including those heard of within seenLately.
 func (f *fleet) boxes(now time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -378,7 +379,7 @@
 	return max(n, len(f.gateway.Settings.Seeds))
 }
 
-// heardFrom notes a box that sent a message, and where it listens.
+// heardFrom records a box that sent a message, and its address.
 func (f *fleet) heardFrom(box, address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -395,7 +396,7 @@
 	return f.addresses[box]
 }
 
-// boxAt names the box at an address, "" for none.
+// boxAt returns the name of the box at an address, "" for none.
 func (f *fleet) boxAt(address string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -407,7 +408,7 @@
 	return ""
 }
 
-// refused passes a box over whose process has ended; false when it was passed over already.
+// refused stops choosing a box whose process has ended; it returns false if the box was already avoided.
 func (f *fleet) refused(now time.Time, box string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -418,7 +419,7 @@
 	return true
 }
 
-// stateOf is what this box thinks of another.
+// stateOf returns the membership state of another box.
 func (f *fleet) stateOf(box string) core.MemberState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -428,7 +429,7 @@
 	return core.MemberDead
 }
 
-// waitsIn is how long a piece waits in a pool, as its scheduler told lately.
+// waitsIn returns how long a piece waits in a pool according to its scheduler's latest note.
 func (f *fleet) waitsIn(now time.Time, pool string) backlog.Waits {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -438,14 +439,14 @@
 	return backlog.Waits{}
 }
 
-// noteWaits takes what a scheduler told of its waits with an answer.
+// noteWaits records the waiting times that a scheduler sent with an answer.
 func (f *fleet) noteWaits(now time.Time, pool string, waits backlog.Waits) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.waits[catalog.Hash(pool)] = waitNote{waits: waits, at: now}
 }
 
-// TakeQuestion answers another box.
+// TakeQuestion answers a question of another box.
 func (g *Gateway) TakeQuestion(ctx context.Context, q port.Question) port.Answer {
 	switch {
 	case q.Suspects != nil:
--- a/src/gateway/owner.go
+++ b/src/gateway/owner.go
@@ -10,7 +10,7 @@
 	"github.com/stilemast/stilemast/src/core"
 )
 
-// waiting holds the jobs of this box that schedulers work on.
+// waiting holds this box's jobs that schedulers work on.
 type waiting struct {
 	gateway *Gateway
 	mu      sync.Mutex
@@ -23,7 +23,7 @@
 	w.jobs = map[uint64]chan batch.Message{}
 }
 
-// open makes an id and the channel on which answers come.
+// open creates a job id and the channel for its answers.
 func (w *waiting) open() (batch.JobID, chan batch.Message) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -40,7 +40,7 @@
 	delete(w.jobs, id.N)
 }
 
-// take gives an answer to whoever waits for it.
+// take delivers an answer to the job that waits for it.
 func (w *waiting) take(m batch.Message) {
 	id := batch.JobID{}
 	switch {
@@ -68,7 +68,7 @@
 	}
 }
 
-// lost tells the jobs that wait for a scheduler that it is not there any more.
+// lost notifies the jobs that wait for a scheduler that it is gone.
 func (w *waiting) lost(box string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -81,8 +81,8 @@
 	}
 }
 
-// TakeRefusal takes the word that an address of a box refuses connections: its process has ended. What
-// waits there goes elsewhere at once; the box counts again when it is heard of.
+// TakeRefusal handles that a box's address refuses connections, which means that its process has ended. Jobs
+// that wait there are moved at once; the box is used again when it is next heard of.
 func (g *Gateway) TakeRefusal(address string) {
 	box := g.fleet.boxAt(address)
 	if box == "" || !g.fleet.refused(g.now(), box) {
@@ -92,7 +92,7 @@
 	g.waiting.lost(box)
 }
 
-// tell sends a message on jobs to a box, this one included.
+// tell sends a message on jobs to a box, which may be this one.
 func (g *Gateway) tell(box string, m batch.Message) {
 	m.From, m.Address = g.ID.Name, g.Settings.Address
 	if box == g.ID.Name {
@@ -104,7 +104,7 @@
 	}
 }
 
-// runJob has a job done by its pool's scheduler and gives its end. When a scheduler stays silent the
+// runJob has a job done by its pool's scheduler and returns its result. When a scheduler stays silent, the
 // next box is asked; a piece may then be made twice. reading is called when every piece is in a call.
 func (g *Gateway) runJob(ctx context.Context, j *batch.Job, reading func()) (*batch.Done, batch.Reason) {
 	id, answers := g.waiting.open()
@@ -131,8 +131,8 @@
 				box, accepted, silent = g.another(j, box, avoid, poolUnknown), false, 0
 				timer.Reset(ackPatience)
 			case m.Failed != nil && m.Failed.Reason == batch.Moved:
-				// A box that did not answer is not asked again: the one that names it takes a job that
-				// comes back.
+				// A box that did not answer is not asked again: the box that redirected to it accepts the
+				// job when it is sent again.
 				if to := m.Failed.To; !avoid[to] && g.fleet.mayAsk(g.now(), to) {
 					box = to
 					g.fleet.moved(g.now(), j.Pool, to)
@@ -170,13 +170,13 @@
 	}
 }
 
-// Causes for which a job goes to another scheduler.
+// Causes for moving a job to another scheduler.
 const (
 	silentScheduler = "silent"
 	poolUnknown     = "no_pool"
 )
 
-// another moves a job from a scheduler that does not answer to the next.
+// another moves a job from a scheduler that does not answer to the next one.
 func (g *Gateway) another(j *batch.Job, from string, avoid map[string]bool, why string) string {
 	g.tell(from, batch.Message{Withdraw: &batch.Withdraw{ID: j.ID, Pool: j.Pool}})
 	if why == silentScheduler {
--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -9,35 +9,35 @@
 	"github.com/stilemast/stilemast/src/core"
 )
 
-// roster ranks the boxes that may schedule a pool. A pool stays with the box that claims it
-// (core.Claim); one that nobody claims goes to the first by rendezvous hash among the eligible boxes, to
-// which all boxes come without a message. A box that has just started is not settled: it knows neither
-// the members nor the results that lie at the servers, and each change of scheduler costs work. It is
-// guarded by the fleet's lock.
+// roster ranks the boxes that may schedule a pool. A pool stays with the box that claims it (core.Claim). An
+// unclaimed pool goes to the first of the eligible boxes by rendezvous hash, which all boxes compute without
+// a message. A newly started box is not eligible: it knows neither the members nor the results held at the
+// servers, and each change of scheduler costs work. The fleet's lock guards it.
 type roster struct {
-	running      []core.RunningMember // that take work
-	boxes        []string             // of them, those that are eligible
+	running      []core.RunningMember // boxes that take work
+	boxes        []string             // of them, the eligible schedulers
 	readers      []string             // of them, those that read the platform first
-	able         []string             // of them, those whose machines can do about as much as the best
-	coordinators map[string]string    // by server: the box that grants its permits
+	able         []string             // of them, those with about the capacity of the largest machine
+	coordinators map[string]string    // box that grants a server's permits, by server
 	links        map[string]uint32    // Mbit/s, by box
 	chosen       map[string]string    // scheduler by pool
-	version      uint64               // of the members that all these were worked out of
-	madeAt       time.Time            // when that was
-	until        time.Time            // when they are worked out anew, whether or not members change
-	silent       map[string]time.Time // boxes that did not answer this box, and when they are asked again
-	hints        map[string]hint      // what schedulers said of who follows them, by pool
-	complaints   map[string]complaint // the last complaint about a box that did not answer another
+	version      uint64               // of the membership from which all this was computed
+	madeAt       time.Time            // time of that computation
+	until        time.Time            // time of the next computation even if no member changes
+	// Boxes that did not answer this box, and until when they are not chosen.
+	silent     map[string]time.Time
+	hints      map[string]hint      // redirects of schedulers to their successors, by pool
+	complaints map[string]complaint // the last report on a box that did not answer another, by that box
 }
 
-// complaint is one box's word that another did not answer it.
+// complaint is a box's report that another one did not answer it.
 type complaint struct {
 	from string
 	at   time.Time
 }
 
-// hint is the word of a scheduler that another box has its pool now. It goes before this box's own view,
-// which learns of a change later in a large fleet.
+// hint is a scheduler's redirect of its pool to another box. It overrides this box's own view, which learns
+// of a change later in a large fleet.
 type hint struct {
 	box   string
 	until time.Time
@@ -48,14 +48,14 @@
 	r.chosen, r.silent, r.hints, r.complaints = map[string]string{}, map[string]time.Time{}, map[string]hint{}, map[string]complaint{}
 }
 
-// forget has everything worked out anew.
+// forget invalidates everything computed.
 func (r *roster) forget() {
 	clear(r.chosen)
 	clear(r.coordinators)
 	r.until = time.Time{}
 }
 
-// heard notes a message of a box.
+// heard records a message of a box, which is then no longer silent.
 func (r *roster) heard(box string) {
 	if _, ok := r.silent[box]; ok {
 		delete(r.silent, box)
@@ -63,24 +63,24 @@
 	}
 }
 
-// shun passes a box over that did not answer, until it is heard of or for a while.
+// shun stops choosing a box that did not answer, until it is heard of again or shunFor has passed.
 func (r *roster) shun(now time.Time, box string) {
 	r.silent[box] = now.Add(shunFor)
 	r.forget()
 }
 
-// contender is a box that takes work, as the choice of schedulers sees it.
+// contender is a box that takes work, with what the choice of schedulers depends on.
 type contender struct {
 	name     string
-	up       time.Duration // how long it has been running
-	seed     bool          // it is one of the boxes that every box begins with
+	up       time.Duration // uptime
+	seed     bool          // configured as a seed at every box
 	domain   string
 	capacity core.Capacity
 }
 
-// eligible lists the boxes that may schedule: those that have been running for a while or that started
-// with the oldest, and whose machines can do about as much as the best. Just after a start or a loss of
-// all boxes few know one another; then the seeds schedule, which every box meets first.
+// eligible lists the boxes that may schedule: those that have been running for a while or that started with
+// the oldest, on machines with enough capacity. Just after a start or a loss of all boxes few know one
+// another; then the seeds schedule, which every box contacts first.
 func eligible(all []contender) []string {
 	var settled []contender
 	var seeds []string
@@ -102,8 +102,8 @@
 	return capable(settled)
 }
 
-// capable names the boxes whose machines have at least capablePart of the most that one of them has, of
-// the processor and of the link; all of them when no machine has that of both.
+// capable returns the boxes that have at least capablePart of the largest processor and of the fastest link;
+// all of them if no machine has both.
 func capable(all []contender) []string {
 	var most core.Capacity
 	for _, c := range all {
@@ -123,7 +123,7 @@
 	return out
 }
 
-// readersOf chooses the boxes that read the platform: of those whose machines can carry the documents.
+// readersOf chooses the boxes that read the platform from those with enough capacity.
 func readersOf(all []contender) []string {
 	able := capable(all)
 	var candidates []catalog.Candidate
@@ -135,7 +135,7 @@
 	return catalog.Readers(candidates)
 }
 
-// readers are the boxes that read the platform first.
+// readers returns the boxes that read the platform first.
 func (f *fleet) readers(now time.Time) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -143,7 +143,7 @@
 	return f.roster.readers
 }
 
-// links are the boxes' links in Mbit/s; the map must not be changed.
+// links returns the boxes' link speeds in Mbit/s; the map must not be changed.
 func (f *fleet) links(now time.Time) map[string]uint32 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -151,7 +151,7 @@
 	return f.roster.links
 }
 
-// firstByHash ranks boxes for a pool by rendezvous hash; otherwise is given when there is none.
+// firstByHash returns the first box for a pool by rendezvous hash, or otherwise if there is none.
 func firstByHash(pool string, boxes []string, avoid map[string]bool, otherwise string) string {
 	best, rank := otherwise, uint64(0)
 	for _, b := range boxes {
@@ -165,16 +165,16 @@
 	return best
 }
 
-// shun has this box pass another over as a scheduler.
+// shun stops choosing a box as a scheduler.
 func (f *fleet) shun(now time.Time, box string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.roster.shun(now, box)
 }
 
-// toldSilent takes another box's word that a scheduler did not answer it, unless this box heard of that
-// scheduler lately. In a large fleet boxes hear of one another rarely, and one word may come of a lost
-// message: it takes those of two boxes.
+// toldSilent handles another box's report that a scheduler did not answer it, unless this box heard of that
+// scheduler recently. In a large fleet boxes rarely hear of one another and a single report may come from a
+// lost message, so two boxes must report it.
 func (f *fleet) toldSilent(now time.Time, box, from string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -186,14 +186,14 @@
 	r.complaints[box] = complaint{from: from, at: now}
 	alone := !told || last.from == from || now.Sub(last.at) > complaintLife
 	if alone && len(f.usableNow) > complaintsFrom {
-		f.gateway.Log.Info("complaint not believed yet", "about", box, "from", from, "members", len(f.usableNow))
+		f.gateway.Log.Info("report of a silent scheduler awaits a second one", "about", box, "from", from, "members", len(f.usableNow))
 		return
 	}
 	delete(r.complaints, box)
 	r.shun(now, box)
 }
 
-// claim makes this box the scheduler of a pool, and tells others at once.
+// claim makes this box the scheduler of a pool and announces it.
 func (f *fleet) claim(pool string) {
 	f.mu.Lock()
 	if f.core.Self.State != core.MemberAlive || f.claims(pool) {
@@ -208,13 +208,13 @@
 	f.gateway.announce()
 }
 
-// claims says whether this box claims a pool. The fleet's lock is held.
+// claims reports whether this box claims a pool. The fleet's lock is held.
 func (f *fleet) claims(pool string) bool {
 	hash := catalog.Hash(pool)
 	return slices.ContainsFunc(f.core.Self.Claims, func(c core.Claim) bool { return c.Pool == hash })
 }
 
-// disclaim gives a claim up.
+// disclaim withdraws a claim.
 func (f *fleet) disclaim(pool string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -222,14 +222,14 @@
 	f.core.Disclaim(catalog.Hash(pool))
 	f.roster.forget()
 	if claimed {
-		f.gateway.Log.Info("pool given up", "pool", pool)
+		f.gateway.Log.Info("pool released", "pool", pool)
 	}
 }
 
-// claimant is the running box whose claim to a pool counts, "" for none: that of the latest term, and of
-// two the first by hash, so that all boxes agree. The fleet's lock is held.
+// claimant returns the running box whose claim to a pool is in force, "" for none: the one with the latest
+// term, and between equal terms the first by hash, so that all boxes agree. The fleet's lock is held.
 func (f *fleet) claimant(now time.Time, pool string, avoid map[string]bool) string {
-	f.eligible(now) // brings the running boxes up to date
+	f.eligible(now) // updates the running boxes
 	hash, latest := catalog.Hash(pool), uint64(0)
 	var best []string
 	for _, m := range f.roster.running {
@@ -245,7 +245,7 @@
 	return firstByHash(pool, best, nil, "")
 }
 
-// eligible lists the boxes that may do now what one box does for all. The fleet's lock is held.
+// eligible lists the boxes that may schedule now. The fleet's lock is held.
 func (f *fleet) eligible(now time.Time) []string {
 	r := &f.roster
 	if now.Before(r.until) && (r.version == f.core.Version() || now.Sub(r.madeAt) < rosterLife) {
@@ -254,7 +254,7 @@
 	r.version, r.madeAt = f.core.Version(), now
 	r.running = f.core.Running(now)
 	all := make([]contender, 0, len(r.running))
-	r.links = make(map[string]uint32, len(r.running)) // a new one: others read the last
+	r.links = make(map[string]uint32, len(r.running)) // a new map, as readers may hold the previous one
 	for _, m := range r.running {
 		all = append(all, contender{name: m.Name, up: m.Up, seed: slices.Contains(f.gateway.Settings.Seeds, m.Address), domain: m.Domain, capacity: m.Capacity})
 		r.links[m.Name] = m.Capacity.Link
@@ -266,8 +266,9 @@
 	return r.boxes
 }
 
-// rosterHolds is how long a choice among members holds while none of them changes: until one has been running long enough to take
-// a pool over, or the fleet to have formed. Made anew with each tick it would be half of the work of a box among 300.
+// rosterHolds returns how long a choice among members is valid while none of them changes: until one has been
+// running long enough to take a pool over, or until the fleet has formed. Computing it anew at each tick
+// would be half of the work of a box among 300.
 func rosterHolds(all []contender) time.Duration {
 	holds, oldest := mostRosterLife, time.Duration(0)
 	for _, c := range all {
@@ -282,7 +283,7 @@
 	return max(rosterLife, holds)
 }
 
-// mayAsk says whether a box can be asked: its address is known and it did not stay silent lately.
+// mayAsk reports whether a box can be asked: its address is known and it has not been silent recently.
 func (f *fleet) mayAsk(now time.Time, box string) bool {
 	if box == f.gateway.ID.Name {
 		return true
@@ -293,7 +294,7 @@
 	return known && !now.Before(f.roster.silent[box])
 }
 
-// moved notes a scheduler's word that another box has its pool now.
+// moved records a scheduler's redirect of its pool to another box.
 func (f *fleet) moved(now time.Time, pool, to string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -309,7 +310,7 @@
 	return slices.DeleteFunc(slices.Clone(all), func(box string) bool { return now.Before(f.roster.silent[box]) })
 }
 
-// schedulerOf gives the scheduler of a pool and remembers it for a moment.
+// schedulerOf returns the scheduler of a pool and caches it.
 func (f *fleet) schedulerOf(now time.Time, pool string, avoid map[string]bool) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -334,8 +335,7 @@
 	return box
 }
 
-// choose gives the claimant of a pool, or the first by hash of those that may schedule. The fleet's lock
-// is held.
+// choose returns the claimant of a pool, or else the first eligible box by hash. The fleet's lock is held.
 func (f *fleet) choose(now time.Time, pool string, avoid map[string]bool) string {
 	if box := f.claimant(now, pool, avoid); box != "" {
 		return box
@@ -343,8 +343,8 @@
 	return firstByHash(pool, f.schedulers(now), avoid, f.gateway.ID.Name)
 }
 
-// forming says whether this box has just started and has not met the boxes that may schedule: what it
-// would choose now, no other box would.
+// forming reports whether this box has just started and not yet met a box that may schedule; no other box
+// would make its choice.
 func (f *fleet) forming(now time.Time) bool {
 	if now.Sub(f.gateway.startedAt) > formingFor {
 		return false
@@ -359,14 +359,14 @@
 	return true
 }
 
-// awaitFormed holds a job back while this box does not know who schedules, for a bounded time.
+// awaitFormed holds a job while this box does not know who schedules, for at most formingFor.
 func (g *Gateway) awaitFormed(ctx context.Context) {
 	for g.Settings.SharedBatches && g.fleet.forming(g.now()) && ctx.Err() == nil {
 		sleep(ctx, formingPace)
 	}
 }
 
-// schedulerOf is the box that forms the calls of a pool.
+// schedulerOf returns the box that schedules the calls of a pool.
 func (g *Gateway) schedulerOf(pool string, avoid map[string]bool) string {
 	if !g.Settings.SharedBatches {
 		return g.ID.Name
@@ -374,9 +374,9 @@
 	return g.fleet.schedulerOf(g.now(), pool, avoid)
 }
 
-// coordinatorOf is the box that grants the permits of a server, of those whose machines can do as much as others'. How long a box has been
-// running, and whether it answered this one, is left out of it: boxes differ in what they know of that, and two of them grant twice
-// as much.
+// coordinatorOf returns the box that grants the permits of a server, chosen among those with enough capacity.
+// Uptime and whether a box answered this one don't count: boxes differ in what they know of these, and two
+// coordinators would grant twice as much.
 func (f *fleet) coordinatorOf(now time.Time, server string, passed map[string]bool) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -13,7 +13,7 @@
 	"github.com/stilemast/stilemast/src/suspects"
 )
 
-// desk holds the schedulers of the pools that this box forms calls for.
+// desk holds the schedulers of the pools that this box schedules.
 type desk struct {
 	gateway *Gateway
 
@@ -21,17 +21,18 @@
 	all map[string]*scheduler
 }
 
+// scheduler is the scheduler of one pool.
 type scheduler struct {
 	mu      sync.Mutex
 	core    *batch.Scheduler
 	pool    string
 	usedAt  time.Time
-	heldAt  time.Time // when calls were last put off for a handover
+	heldAt  time.Time // when calls were last delayed for a handover
 	givenAt time.Time // when another box last handed the pool over to this one
-	foreign bool      // another box had the pool when this one last looked
+	foreign bool      // another box was the pool's scheduler at the last check
 }
 
-// keeps says whether another box has just handed the pool over.
+// keeps reports whether another box has just handed the pool over to this one.
 func (s *scheduler) keeps(now time.Time) bool { return now.Sub(s.givenAt) < handoverKeeps }
 
 func (d *desk) init(g *Gateway) {
@@ -39,7 +40,7 @@
 	d.all = map[string]*scheduler{}
 }
 
-// get gives the scheduler of a pool, made on the first job; nil when the pool makes no pieces.
+// get returns the scheduler of a pool, created on first use; nil if the pool has no batches.
 func (d *desk) get(pool string) *scheduler {
 	x := d.gateway.index.Load()
 	if x == nil {
@@ -63,7 +64,7 @@
 	return s
 }
 
-// open gives a new scheduler its servers; changes that come meanwhile wait, so that none is missed.
+// open configures a new scheduler with its servers; concurrent changes wait, so that none is missed.
 func (d *desk) open(s *scheduler, limits catalog.Pool) {
 	g := d.gateway
 	g.published.applying.Lock()
@@ -86,7 +87,7 @@
 	return out
 }
 
-// configure gives all schedulers their servers and limits. A pool that is not named has none.
+// configure sets the servers and limits of all schedulers. A pool missing from the map gets no servers.
 func (d *desk) configure(servers map[string][]*catalog.Server) {
 	for _, s := range d.list() {
 		if limits, ok := d.limitsOf(s.pool); ok {
@@ -98,7 +99,7 @@
 	}
 }
 
-// takeLimits gives all schedulers the limits of the configuration in force.
+// takeLimits sets the limits of all schedulers from the configuration in force.
 func (d *desk) takeLimits() {
 	for _, s := range d.list() {
 		if limits, ok := d.limitsOf(s.pool); ok {
@@ -110,7 +111,7 @@
 	}
 }
 
-// change takes a change of a pool's servers that take new work.
+// change applies a change of a pool's servers that take new work.
 func (d *desk) change(pool string, c *poolChange) {
 	d.mu.Lock()
 	s := d.all[pool]
@@ -124,7 +125,7 @@
 	d.carry(s, a)
 }
 
-// limitsOf gives the limits of a pool; false when it makes no pieces.
+// limitsOf returns the limits of a pool; false if it has no batches.
 func (d *desk) limitsOf(pool string) (catalog.Pool, bool) {
 	x := d.gateway.index.Load()
 	if x == nil || x.Pool(pool) == nil || x.Pool(pool).Batch == nil {
@@ -133,13 +134,14 @@
 	return *x.Pool(pool), true
 }
 
-// handOverAll passes on the pools that other boxes schedule now.
+// handOverAll hands over the pools that other boxes schedule now.
 func (d *desk) handOverAll() {
 	for _, s := range d.list() {
 		d.handOver(s)
 	}
 }
 
+// tick hands pools over and starts the calls that are due.
 func (d *desk) tick(context.Context) {
 	d.handOverAll()
 	for _, s := range d.list() {
@@ -150,7 +152,7 @@
 	}
 }
 
-// handOver passes a pool on that another box schedules now.
+// handOver hands a pool over to the box that schedules it now.
 func (d *desk) handOver(s *scheduler) {
 	g := d.gateway
 	next := g.schedulerOf(s.pool, nil)
@@ -159,7 +161,7 @@
 	}
 	now := g.now()
 	s.mu.Lock()
-	if s.keeps(now) && !g.Draining() { // the giver knew better: giving it back would start a circle
+	if s.keeps(now) && !g.Draining() { // handing it back would start a loop, and the box that gave it may know more
 		s.mu.Unlock()
 		return
 	}
@@ -174,6 +176,7 @@
 	}
 }
 
+// takeOver takes a pool over from another box.
 func (d *desk) takeOver(h batch.Handover) {
 	s := d.get(h.Pool)
 	if s == nil {
@@ -187,7 +190,7 @@
 	d.gateway.fleet.claim(h.Pool)
 }
 
-// take serves a message of an owner.
+// take handles a message of a job's owner or of another scheduler.
 func (d *desk) take(m batch.Message) {
 	switch {
 	case m.Submit != nil:
@@ -253,8 +256,8 @@
 	})
 }
 
-// with has the scheduler of a pool do something under its lock, and carries out what follows; nothing when
-// the pool makes no pieces.
+// with runs a function on the scheduler of a pool under its lock and carries out the resulting actions; it
+// does nothing if the pool has no batches.
 func (d *desk) with(pool string, do func(now time.Time, s *batch.Scheduler) batch.Actions) {
 	s := d.get(pool)
 	if s == nil {
@@ -266,7 +269,7 @@
 	d.carry(s, a)
 }
 
-// carry carries a scheduler's actions out.
+// carry executes a scheduler's actions.
 func (d *desk) carry(s *scheduler, a batch.Actions) {
 	for _, r := range a.Replies {
 		d.reply(r)
@@ -285,8 +288,9 @@
 	d.giveUp(ctx, f.Server, f.Handles)
 }
 
-// giveUp gives results up at a server, unless it wants nothing now: they are lost by age then. The scheduler keeps them while it
-// knows of the rest, so that only a word which came in between has this effect.
+// giveUp releases results at a server, unless it wants no requests now; the results then expire there. The
+// scheduler keeps results while it knows that the server wants rest, so this only happens for a signal
+// received since.
 func (d *desk) giveUp(ctx context.Context, s catalog.Server, handles []string) {
 	g := d.gateway
 	owner, v := "results of "+handles[0], pushback.Verdict{State: pushback.Full}
@@ -294,13 +298,13 @@
 		v = g.words.begin(g.now(), s, owner)
 	}
 	if !v.Open() {
-		g.Log.Info("results not given up at a server that wants nothing", "server", s.ID, "state", v.State.String(), "results", len(handles))
+		g.Log.Info("results not released, server wants no requests", "server", s.ID, "state", v.State.String(), "results", len(handles))
 		return
 	}
 	g.hear(s, g.Backends.FreePieces(ctx, s, handles), "results given up", time.Time{})
 }
 
-// call runs one call and tells its scheduler how it ended.
+// call runs one call and reports its end to the scheduler.
 func (d *desk) call(s *scheduler, c batch.Call) {
 	g := d.gateway
 	began := g.now()
@@ -335,7 +339,7 @@
 	d.carry(s, a)
 }
 
-// noteContents tells what the end of a call says of the contents in it.
+// noteContents records what the end of a call shows about the contents in it.
 func (d *desk) noteContents(c batch.Call, outcome batch.CallOutcome, results []batch.ItemResult) {
 	g := d.gateway
 	switch outcome {
@@ -368,7 +372,7 @@
 	}
 }
 
-// waits tells how long pieces wait in the pools that this box schedules.
+// waits returns the waiting times in the pools that this box schedules.
 func (d *desk) waits(now time.Time) []core.WaitNote {
 	var out []core.WaitNote
 	for _, s := range d.list() {
