--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -231,7 +231,7 @@
 	}
 	g.drainedAt.Store(g.now().UnixNano())
 	g.fleet.leave()
-	g.Log.Info("planned stop started", "running", g.running.Load())
+	g.Log.Info("planned stop begins", "running", g.running.Load())
 }
 
 // EndStages refuses the requests whose stages have not completed: late in a planned stop there is no time
