--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -29,7 +29,7 @@
 )
 
 // repeatable reports whether the request may be sent again although it may have run.
-func (v *visit) repeatable() bool {
+func (v *requestRun) repeatable() bool {
 	p := v.pipeline
 	return p.Kind == catalog.Repeatable || p.Kind == catalog.Stream && p.Resumable
 }
@@ -37,7 +37,7 @@
 // attempt sends the request to one server after another until the caller has its answer. A server that
 // refused the connection was sent nothing, so the next one is tried. Ending requests after three such servers
 // lost 206 of 14,165 on a day on which a fifth of the engines crashed.
-func (v *visit) attempt(ctx context.Context) {
+func (v *requestRun) attempt(ctx context.Context) {
 	unsent, began := 0, v.gateway.now()
 	for {
 		what, err, sent := v.once(ctx)
@@ -69,7 +69,7 @@
 }
 
 // needsStages reports whether results that were released are needed again.
-func (v *visit) needsStages() bool {
+func (v *requestRun) needsStages() bool {
 	if v.made == nil {
 		return false
 	}
@@ -84,7 +84,7 @@
 }
 
 // takeRetry spends one retry of the budget that all boxes share.
-func (v *visit) takeRetry() bool {
+func (v *requestRun) takeRetry() bool {
 	g := v.gateway
 	now := g.now()
 	boxes := g.fleet.boxes(now)
@@ -100,7 +100,7 @@
 }
 
 // fail ends a request that no server answered.
-func (v *visit) fail(ctx context.Context, err *code.Error) {
+func (v *requestRun) fail(ctx context.Context, err *code.Error) {
 	if v.begun && v.callerLeft(ctx) {
 		v.ended("cancelled", "cause", "the caller left during the stream", "last_event", v.lastEvent)
 		v.caller.Cut()
@@ -124,7 +124,7 @@
 }
 
 // once makes one attempt. The last result reports whether any byte of the request left this box.
-func (v *visit) once(ctx context.Context) (verdict, *code.Error, bool) {
+func (v *requestRun) once(ctx context.Context) (verdict, *code.Error, bool) {
 	g := v.gateway
 	e := g.pools.get(v.pool)
 	g.awaitAwake(ctx) // before the remaining time is computed
@@ -223,7 +223,7 @@
 }
 
 // ran reports whether any part of the request may have run.
-func (v *visit) ran() code.Ran {
+func (v *requestRun) ran() code.Ran {
 	if v.maybeRan {
 		return code.RanUnknown
 	}
@@ -233,7 +233,7 @@
 // mayTry checks whether the request may be sent once more, given what is known of its content. A content
 // under which servers ended is sent to the server with the least work, so that as little other work as
 // possible is lost with it, and is not retried from the second end on.
-func (v *visit) mayTry() *code.Error {
+func (v *requestRun) mayTry() *code.Error {
 	g := v.gateway
 	if err := g.barredAt(v.content, v.pool); err != nil {
 		return err
@@ -247,7 +247,7 @@
 }
 
 // broke records that the exchange with a server broke, unless the caller ended it.
-func (v *visit) broke(ctx context.Context, s catalog.Server) {
+func (v *requestRun) broke(ctx context.Context, s catalog.Server) {
 	if !v.callerLeft(ctx) || errors.Is(context.Cause(ctx), errSilent) {
 		v.gateway.brokeAt(s, v.content.At(v.pool))
 	}
@@ -255,7 +255,7 @@
 
 // went records a complete answer. Only a success signed by the server shows that it ran the content and
 // survived.
-func (v *visit) went(reply *Reply) {
+func (v *requestRun) went(reply *Reply) {
 	if reply.Signed && isSuccess(reply.Status) {
 		v.gateway.suspects.Good(v.content.At(v.pool))
 	}
@@ -263,7 +263,7 @@
 
 // blame returns how a broken exchange counts against the server: not at all when the caller left, and only as
 // a failure when the deadline passed, which may be too short for any server.
-func (v *visit) blame(ctx context.Context) balance.Outcome {
+func (v *requestRun) blame(ctx context.Context) balance.Outcome {
 	switch {
 	case errors.Is(context.Cause(ctx), errSilent):
 		return balance.Broken
@@ -276,7 +276,7 @@
 }
 
 // afterBreak returns whether a request that may have run can be sent again.
-func (v *visit) afterBreak() verdict {
+func (v *requestRun) afterBreak() verdict {
 	if v.repeatable() {
 		return again
 	}
@@ -284,7 +284,7 @@
 }
 
 // patience starts a timer that ends an attempt whose server stays silent, if another server may be tried.
-func (v *visit) patience(cancel context.CancelCauseFunc) *time.Timer {
+func (v *requestRun) patience(cancel context.CancelCauseFunc) *time.Timer {
 	limit := v.deadline.Sub(v.gateway.now()) + time.Hour
 	p := v.pipeline
 	if v.attempts+1 < p.Attempts {
@@ -304,7 +304,7 @@
 
 // retryLeft reports whether the retry budget allows another attempt; otherwise a silent server is better than
 // none.
-func (v *visit) retryLeft() bool {
+func (v *requestRun) retryLeft() bool {
 	g := v.gateway
 	now := g.now()
 	boxes := g.fleet.boxes(now)
@@ -315,7 +315,7 @@
 }
 
 // take handles the head of an answer and passes the answer on.
-func (v *visit) take(ctx context.Context, e *pool, s catalog.Server, reply *Reply, began time.Time, watch *time.Timer, why string) (verdict, *code.Error, bool) {
+func (v *requestRun) take(ctx context.Context, e *pool, s catalog.Server, reply *Reply, began time.Time, watch *time.Timer, why string) (verdict, *code.Error, bool) {
 	g := v.gateway
 	switch {
 	case reply.Missing:
@@ -404,7 +404,7 @@
 }
 
 // settle records in the pool how an exchange ended.
-func (v *visit) settle(e *pool, s catalog.Server, o balance.Outcome, began time.Time, detail, why string) {
+func (v *requestRun) settle(e *pool, s catalog.Server, o balance.Outcome, began time.Time, detail, why string) {
 	g := v.gateway
 	now := g.now()
 	e.mu.Lock()
--- a/src/gateway/boundary.go
+++ b/src/gateway/boundary.go
@@ -13,7 +13,7 @@
 
 // confinesNow returns where the request may run under the configuration in force. A pipeline or workspace
 // that is no longer configured keeps its previous boundary.
-func (v *visit) confinesNow() *catalog.Confines {
+func (v *requestRun) confinesNow() *catalog.Confines {
 	g, r := v.gateway, v.request
 	x := g.index.Load()
 	p := x.Route(r.Host, r.Path)
@@ -33,7 +33,7 @@
 
 // startInside checks the boundary again just before the first byte is sent, as the configuration may have
 // changed since the server was chosen.
-func (v *visit) startInside(s catalog.Server, start func() error) func() error {
+func (v *requestRun) startInside(s catalog.Server, start func() error) func() error {
 	return func() error {
 		if err := start(); err != nil {
 			return err
@@ -47,7 +47,7 @@
 }
 
 // nowhere refuses a request if a pool that it needs has servers, but none inside its boundary.
-func (v *visit) nowhere() *code.Error {
+func (v *requestRun) nowhere() *code.Error {
 	if v.confines == nil {
 		return nil
 	}
@@ -66,7 +66,7 @@
 }
 
 // standsInside reports whether a pool has a server inside the request's boundary, or no servers at all.
-func (v *visit) standsInside(pool string) bool {
+func (v *requestRun) standsInside(pool string) bool {
 	e := v.gateway.pools.get(pool)
 	e.mu.Lock()
 	domains := e.picker.Domains()
@@ -80,6 +80,6 @@
 }
 
 // outside returns the refusal of a request for which no server is inside its boundary.
-func (v *visit) outside(what string) *code.Error {
+func (v *requestRun) outside(what string) *code.Error {
 	return refusal(code.NowhereToRun, "boundary", failureReturn, "no server of %s is inside the boundary", what)
 }
--- a/src/gateway/inputs.go
+++ b/src/gateway/inputs.go
@@ -8,7 +8,7 @@
 
 // giveUpInputs releases the inputs of a request that is being sent once its engine should have fetched them.
 // The returned function cancels the release.
-func (v *visit) giveUpInputs(e *pool, any bool) func() {
+func (v *requestRun) giveUpInputs(e *pool, any bool) func() {
 	if !any {
 		return func() {}
 	}
--- a/src/gateway/limits.go
+++ b/src/gateway/limits.go
@@ -128,7 +128,7 @@
 // permitPatience returns how long a request waits for a permit: as long as it can still meet its objective
 // or, if it no longer can, a share of its remaining time. Less urgent requests wait for less, which leaves
 // permits for the urgent ones.
-func (v *visit) permitPatience(now time.Time) time.Duration {
+func (v *requestRun) permitPatience(now time.Time) time.Duration {
 	inTime := v.objective.Add(-v.gateway.estimates.get(v.pipeline.Name)).Sub(now)
 	lateAnswer := time.Duration(lateWaitPart * float64(v.deadline.Sub(now)))
 	return time.Duration(float64(max(inTime, lateAnswer)) / (1 + urgencyStep*float64(max(0, v.priority))))
@@ -136,7 +136,7 @@
 
 // reserve requests a permit in advance at the server with the earliest free one, and waits for it. If no
 // permit begins within the request's patience, the request is refused at once.
-func (v *visit) reserve(ctx context.Context, s catalog.Server, now, next time.Time) *code.Error {
+func (v *requestRun) reserve(ctx context.Context, s catalog.Server, now, next time.Time) *code.Error {
 	patience := v.permitPatience(now)
 	if next.Sub(now) > patience || v.asked >= permitsAsked {
 		return v.resting(now, next)
@@ -153,7 +153,7 @@
 // permitted reports whether a request got a permit at the chosen server, and waits for its begin. After
 // limitsTried servers without a free permit, servers without a limit are preferred, and a permit in advance
 // is requested at the next server with a limit.
-func (v *visit) permitted(ctx context.Context, s catalog.Server) bool {
+func (v *requestRun) permitted(ctx context.Context, s catalog.Server) bool {
 	now, patience := v.gateway.now(), time.Duration(0)
 	if v.wish.Unlimited {
 		patience = v.permitPatience(now)
--- a/src/gateway/relay.go
+++ b/src/gateway/relay.go
@@ -67,7 +67,7 @@
 }
 
 // relay passes a stream on to the caller, event by event.
-func (v *visit) relay(ctx context.Context, e *pool, s catalog.Server, reply *Reply, began time.Time, watch *time.Timer, why string) (verdict, *code.Error, bool) {
+func (v *requestRun) relay(ctx context.Context, e *pool, s catalog.Server, reply *Reply, began time.Time, watch *time.Timer, why string) (verdict, *code.Error, bool) {
 	g := v.gateway
 	var split eventSplitter
 	buf := make([]byte, relayBuffer)
@@ -118,7 +118,7 @@
 }
 
 // pass sends whole events to the caller; the first of them also releases the stage results.
-func (v *visit) pass(whole []byte, reply *Reply, e *pool, s catalog.Server, began time.Time) error {
+func (v *requestRun) pass(whole []byte, reply *Reply, e *pool, s catalog.Server, began time.Time) error {
 	if len(whole) == 0 {
 		return nil
 	}
--- a/src/gateway/rest.go
+++ b/src/gateway/rest.go
@@ -13,7 +13,7 @@
 // awaitRest holds a request while every eligible server wants rest, for as long as the request can wait;
 // otherwise it refuses it at once with the time at which the first server is available again. More urgent
 // requests go first.
-func (v *visit) awaitRest(ctx context.Context, e *pool) *code.Error {
+func (v *requestRun) awaitRest(ctx context.Context, e *pool) *code.Error {
 	g := v.gateway
 	if !g.words.any.Load() {
 		return nil
@@ -48,7 +48,7 @@
 
 // restEnds returns when the first eligible server is available, and whether all of them want rest until then.
 // Servers that turned this request away are eligible again after their rest.
-func (v *visit) restEnds(e *pool, now time.Time) (time.Time, bool) {
+func (v *requestRun) restEnds(e *pool, now time.Time) (time.Time, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	v.turnedAway = slices.DeleteFunc(v.turnedAway, func(id string) bool {
@@ -66,7 +66,7 @@
 
 // nextPermit returns the server that is available first, when all want rest or have no free permit, if it has
 // a limit.
-func (v *visit) nextPermit(e *pool, now time.Time) (catalog.Server, bool) {
+func (v *requestRun) nextPermit(e *pool, now time.Time) (catalog.Server, bool) {
 	e.mu.Lock()
 	s, _, ok := e.picker.FirstToWake(now, &v.wish)
 	e.mu.Unlock()
@@ -78,7 +78,7 @@
 
 // mayWait reports whether a server is or will be available although the choice found none: since then another
 // request may have taken a permit, or an answer may have come.
-func (v *visit) mayWait(e *pool, now time.Time) bool {
+func (v *requestRun) mayWait(e *pool, now time.Time) bool {
 	if _, resting := v.restEnds(e, now); resting {
 		return true
 	}
@@ -89,18 +89,18 @@
 
 // tooLong reports whether a request can't wait for a server until a time, because what is left would not
 // suffice for its run or, unless the server is available within restPace, for its caller to retry.
-func (v *visit) tooLong(now, end time.Time) bool {
+func (v *requestRun) tooLong(now, end time.Time) bool {
 	run := v.gateway.estimates.get(v.pipeline.Name)
 	return end.After(v.deadline.Add(-run)) || end.Sub(now) > restPace && end.After(v.startBy())
 }
 
 // startBy returns until when a request may wait for a rest to end.
-func (v *visit) startBy() time.Time {
+func (v *requestRun) startBy() time.Time {
 	return v.began.Add(time.Duration(restPart * float64(v.deadline.Sub(v.began))))
 }
 
 // checkRest refuses a request before any stage runs if all its servers want rest for longer than it can wait.
-func (v *visit) checkRest(e *pool) *code.Error {
+func (v *requestRun) checkRest(e *pool) *code.Error {
 	if !v.gateway.words.any.Load() {
 		return nil
 	}
@@ -117,13 +117,13 @@
 
 // resting returns the refusal of a request whose servers want rest until a time. The retry-after times are
 // spread, as otherwise all callers would meet the first server that is available again.
-func (v *visit) resting(now, end time.Time) *code.Error {
+func (v *requestRun) resting(now, end time.Time) *code.Error {
 	spread := time.Duration(catalog.Hash(v.request.ID) % uint64(restSpread))
 	return refusal(code.BackendsResting, "pool", end.Sub(now)+spread, "all servers of %s want rest or take no more requests, the first is available in %s", v.pool, end.Sub(now).Round(time.Millisecond))
 }
 
 // noServer returns the refusal of a request that has no server left to try.
-func (v *visit) noServer(e *pool, now time.Time) *code.Error {
+func (v *requestRun) noServer(e *pool, now time.Time) *code.Error {
 	e.mu.Lock()
 	end, resting := e.picker.RestEnds(now, &v.wish)
 	e.mu.Unlock()
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -14,8 +14,8 @@
 	"github.com/stilemast/stilemast/src/pushback"
 )
 
-// visit is the state of one request that the gateway serves.
-type visit struct {
+// requestRun is the state of one request that the gateway serves.
+type requestRun struct {
 	gateway    *Gateway
 	request    *Request
 	caller     *Caller
@@ -52,7 +52,7 @@
 func (g *Gateway) Serve(ctx context.Context, r *Request, c *Caller) {
 	g.running.Add(1)
 	defer g.running.Add(-1)
-	v := &visit{gateway: g, request: r, caller: c, began: g.now()}
+	v := &requestRun{gateway: g, request: r, caller: c, began: g.now()}
 	g.awaitAwake(ctx)
 	g.awaitKnown(ctx, r)
 	if err := v.route(); err != nil {
@@ -71,7 +71,7 @@
 func (g *Gateway) endLapsed(now time.Time) {
 	ended := 0
 	g.deadlines.Range(func(key, cancel any) bool {
-		if !now.Before(key.(*visit).deadline) {
+		if !now.Before(key.(*requestRun).deadline) {
 			cancel.(context.CancelFunc)()
 			ended++
 		}
@@ -84,7 +84,7 @@
 
 // route finds the pipeline and the workspace of a request. It reports that there is none only if the
 // configuration was confirmed recently; otherwise the caller is asked to retry.
-func (v *visit) route() *code.Error {
+func (v *requestRun) route() *code.Error {
 	g, r := v.gateway, v.request
 	if err := v.checkSize(); err != nil {
 		return err
@@ -131,7 +131,7 @@
 }
 
 // checkSize refuses a request without an id and one that exceeds the size limits.
-func (v *visit) checkSize() *code.Error {
+func (v *requestRun) checkSize() *code.Error {
 	r, limits := v.request, v.gateway.Limits()
 	switch {
 	case r.ID == "":
@@ -145,7 +145,7 @@
 }
 
 // checkPieces checks the numbers of pieces and completes them with 0 for the remaining stages.
-func (v *visit) checkPieces() *code.Error {
+func (v *requestRun) checkPieces() *code.Error {
 	r, n := v.request, len(v.pipeline.Stages)
 	for _, c := range r.Pieces {
 		if c < 0 || c > maxPieces {
@@ -159,7 +159,7 @@
 }
 
 // run serves a routed request.
-func (v *visit) run(ctx context.Context) {
+func (v *requestRun) run(ctx context.Context) {
 	g, p := v.gateway, v.pipeline
 	if err := v.barred(); err != nil {
 		v.refuse(err)
@@ -198,7 +198,7 @@
 }
 
 // makeStages runs the stages and records where their results are held.
-func (v *visit) makeStages(ctx context.Context) *code.Error {
+func (v *requestRun) makeStages(ctx context.Context) *code.Error {
 	if len(v.pipeline.Stages) == 0 {
 		return nil
 	}
@@ -221,7 +221,7 @@
 }
 
 // stageError returns the refusal for stages that were not made. The request itself has not run.
-func (v *visit) stageError(ctx context.Context, r batch.Reason) *code.Error {
+func (v *requestRun) stageError(ctx context.Context, r batch.Reason) *code.Error {
 	switch {
 	case v.gateway.stages.Err() != nil:
 		return refusal(code.Draining, "box", elsewhereAfter, "this box is stopping and the stages are not complete")
@@ -243,24 +243,24 @@
 
 // stagesReturn returns the retry-after of a request whose stages could not be made: the longest waiting time
 // in their pools.
-func (v *visit) stagesReturn() time.Duration {
+func (v *requestRun) stagesReturn() time.Duration {
 	longest := slices.Max(v.stages.forecast(v.gateway.now()).waits)
 	return min(mostReturn, max(leastReturn, longest))
 }
 
 // callerLeft reports whether the context ended because the caller left and not because the deadline passed.
-func (v *visit) callerLeft(ctx context.Context) bool {
+func (v *requestRun) callerLeft(ctx context.Context) bool {
 	return ctx.Err() == context.Canceled && v.gateway.now().Before(v.deadline)
 }
 
 // refuse ends a request with an error.
-func (v *visit) refuse(err *code.Error) {
+func (v *requestRun) refuse(err *code.Error) {
 	v.ended(err.Code.String(), "ran", err.DidRun().String(), "field", err.Field, "cause", err.Message, "retry_after_ms", err.RetryAfter.Milliseconds())
 	v.caller.Refuse(err)
 }
 
 // ended logs and counts the end of a request.
-func (v *visit) ended(result string, more ...any) {
+func (v *requestRun) ended(result string, more ...any) {
 	g := v.gateway
 	now := g.now()
 	name, first, objective := "", time.Duration(0), time.Duration(0)
--- a/src/gateway/suspects.go
+++ b/src/gateway/suspects.go
@@ -76,7 +76,7 @@
 
 // barred refuses a request whose content crashes servers of its pool or of a stage, before any part of it is
 // sent or queued.
-func (v *visit) barred() *code.Error {
+func (v *requestRun) barred() *code.Error {
 	g := v.gateway
 	if err := g.barredAt(v.content, v.pool); err != nil {
 		return err
