--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -55,7 +55,7 @@
 	published published
 	fleet     fleet
 	pools     pools
-	desk      desk // jobs that this box schedules
+	desk      schedulers // jobs that this box schedules
 	waiting   waiting
 	estimates estimates
 	holdings  holdings
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -13,8 +13,8 @@
 	"github.com/stilemast/stilemast/src/suspects"
 )
 
-// desk holds the schedulers of the pools that this box schedules.
-type desk struct {
+// schedulers holds the schedulers of the pools that this box schedules.
+type schedulers struct {
 	gateway *Gateway
 
 	mu  sync.Mutex
@@ -35,13 +35,13 @@
 // keeps reports whether another box has just handed the pool over to this one.
 func (s *scheduler) keeps(now time.Time) bool { return now.Sub(s.givenAt) < handoverKeeps }
 
-func (d *desk) init(g *Gateway) {
+func (d *schedulers) init(g *Gateway) {
 	d.gateway = g
 	d.all = map[string]*scheduler{}
 }
 
 // get returns the scheduler of a pool, created on first use; nil if the pool has no batches.
-func (d *desk) get(pool string) *scheduler {
+func (d *schedulers) get(pool string) *scheduler {
 	x := d.gateway.index.Load()
 	if x == nil {
 		return nil
@@ -65,7 +65,7 @@
 }
 
 // open configures a new scheduler with its servers; concurrent changes wait, so that none is missed.
-func (d *desk) open(s *scheduler, limits catalog.Pool) {
+func (d *schedulers) open(s *scheduler, limits catalog.Pool) {
 	g := d.gateway
 	g.published.applying.Lock()
 	defer g.published.applying.Unlock()
@@ -77,7 +77,7 @@
 	d.carry(s, a)
 }
 
-func (d *desk) list() []*scheduler {
+func (d *schedulers) list() []*scheduler {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := make([]*scheduler, 0, len(d.all))
@@ -88,7 +88,7 @@
 }
 
 // configure sets the servers and limits of all schedulers. A pool missing from the map gets no servers.
-func (d *desk) configure(servers map[string][]*catalog.Server) {
+func (d *schedulers) configure(servers map[string][]*catalog.Server) {
 	for _, s := range d.list() {
 		if limits, ok := d.limitsOf(s.pool); ok {
 			s.mu.Lock()
@@ -100,7 +100,7 @@
 }
 
 // takeLimits sets the limits of all schedulers from the configuration in force.
-func (d *desk) takeLimits() {
+func (d *schedulers) takeLimits() {
 	for _, s := range d.list() {
 		if limits, ok := d.limitsOf(s.pool); ok {
 			s.mu.Lock()
@@ -112,7 +112,7 @@
 }
 
 // change applies a change of a pool's servers that take new work.
-func (d *desk) change(pool string, c *poolChange) {
+func (d *schedulers) change(pool string, c *poolChange) {
 	d.mu.Lock()
 	s := d.all[pool]
 	d.mu.Unlock()
@@ -126,7 +126,7 @@
 }
 
 // limitsOf returns the limits of a pool; false if it has no batches.
-func (d *desk) limitsOf(pool string) (catalog.Pool, bool) {
+func (d *schedulers) limitsOf(pool string) (catalog.Pool, bool) {
 	x := d.gateway.index.Load()
 	if x == nil || x.Pool(pool) == nil || x.Pool(pool).Batch == nil {
 		return catalog.Pool{}, false
@@ -135,14 +135,14 @@
 }
 
 // handOverAll hands over the pools that other boxes schedule now.
-func (d *desk) handOverAll() {
+func (d *schedulers) handOverAll() {
 	for _, s := range d.list() {
 		d.handOver(s)
 	}
 }
 
 // tick hands pools over and starts the calls that are due.
-func (d *desk) tick(context.Context) {
+func (d *schedulers) tick(context.Context) {
 	d.handOverAll()
 	for _, s := range d.list() {
 		s.mu.Lock()
@@ -153,7 +153,7 @@
 }
 
 // handOver hands a pool over to the box that schedules it now.
-func (d *desk) handOver(s *scheduler) {
+func (d *schedulers) handOver(s *scheduler) {
 	g := d.gateway
 	next := g.schedulerOf(s.pool, nil)
 	if next == g.ID.Name {
@@ -177,7 +177,7 @@
 }
 
 // takeOver takes a pool over from another box.
-func (d *desk) takeOver(h batch.Handover) {
+func (d *schedulers) takeOver(h batch.Handover) {
 	s := d.get(h.Pool)
 	if s == nil {
 		return
@@ -191,7 +191,7 @@
 }
 
 // take handles a message of a job's owner or of another scheduler.
-func (d *desk) take(m batch.Message) {
+func (d *schedulers) take(m batch.Message) {
 	switch {
 	case m.Submit != nil:
 		d.submit(m.Submit)
@@ -208,7 +208,7 @@
 	}
 }
 
-func (d *desk) submit(j *batch.Submit) {
+func (d *schedulers) submit(j *batch.Submit) {
 	s := d.get(j.Pool)
 	if s == nil {
 		d.reply(batch.Reply{Box: j.ID.Box, Message: batch.Message{Failed: &batch.Failed{ID: j.ID, Reason: batch.NoPool}}})
@@ -238,18 +238,18 @@
 	d.carry(s, a)
 }
 
-func (d *desk) withdraw(w batch.Withdraw) {
+func (d *schedulers) withdraw(w batch.Withdraw) {
 	d.with(w.Pool, func(now time.Time, s *batch.Scheduler) batch.Actions { return s.Withdraw(now, w.ID) })
 }
 
-func (d *desk) free(f batch.Free) {
+func (d *schedulers) free(f batch.Free) {
 	d.with(f.Pool, func(now time.Time, s *batch.Scheduler) batch.Actions {
 		s.Free(now, f.Results)
 		return batch.Actions{}
 	})
 }
 
-func (d *desk) hold(h batch.Held) {
+func (d *schedulers) hold(h batch.Held) {
 	d.with(h.Pool, func(now time.Time, s *batch.Scheduler) batch.Actions {
 		s.Hold(now, h.Results)
 		return batch.Actions{}
@@ -258,7 +258,7 @@
 
 // with runs a function on the scheduler of a pool under its lock and carries out the resulting actions; it
 // does nothing if the pool has no batches.
-func (d *desk) with(pool string, do func(now time.Time, s *batch.Scheduler) batch.Actions) {
+func (d *schedulers) with(pool string, do func(now time.Time, s *batch.Scheduler) batch.Actions) {
 	s := d.get(pool)
 	if s == nil {
 		return
@@ -270,7 +270,7 @@
 }
 
 // carry executes a scheduler's actions.
-func (d *desk) carry(s *scheduler, a batch.Actions) {
+func (d *schedulers) carry(s *scheduler, a batch.Actions) {
 	for _, r := range a.Replies {
 		d.reply(r)
 	}
@@ -282,7 +282,7 @@
 	}
 }
 
-func (d *desk) freeAt(f batch.FreeCall) {
+func (d *schedulers) freeAt(f batch.FreeCall) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	d.giveUp(ctx, f.Server, f.Handles)
@@ -291,7 +291,7 @@
 // giveUp releases results at a server, unless it wants no requests now; the results then expire there. The
 // scheduler keeps results while it knows that the server wants rest, so this only happens for a signal
 // received since.
-func (d *desk) giveUp(ctx context.Context, s catalog.Server, handles []string) {
+func (d *schedulers) giveUp(ctx context.Context, s catalog.Server, handles []string) {
 	g := d.gateway
 	owner, v := "results of "+handles[0], pushback.Verdict{State: pushback.Full}
 	if _, ok := g.takePermit(ctx, s, owner, 0); ok {
@@ -305,7 +305,7 @@
 }
 
 // call runs one call and reports its end to the scheduler.
-func (d *desk) call(s *scheduler, c batch.Call) {
+func (d *schedulers) call(s *scheduler, c batch.Call) {
 	g := d.gateway
 	began := g.now()
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
@@ -340,7 +340,7 @@
 }
 
 // noteContents records what the end of a call shows about the contents in it.
-func (d *desk) noteContents(c batch.Call, outcome batch.CallOutcome, results []batch.ItemResult) {
+func (d *schedulers) noteContents(c batch.Call, outcome batch.CallOutcome, results []batch.ItemResult) {
 	g := d.gateway
 	switch outcome {
 	case batch.CallBroken:
@@ -359,7 +359,7 @@
 }
 
 // reply sends an answer to the owner of a job.
-func (d *desk) reply(r batch.Reply) {
+func (d *schedulers) reply(r batch.Reply) {
 	g := d.gateway
 	m := r.Message
 	m.From, m.Address = g.ID.Name, g.Settings.Address
@@ -373,7 +373,7 @@
 }
 
 // waits returns the waiting times in the pools that this box schedules.
-func (d *desk) waits(now time.Time) []core.WaitNote {
+func (d *schedulers) waits(now time.Time) []core.WaitNote {
 	var out []core.WaitNote
 	for _, s := range d.list() {
 		s.mu.Lock()
@@ -387,7 +387,7 @@
 }
 
 // foreign counts the calls and waiting pieces of this box's schedulers, for a planned stop.
-func (d *desk) foreign() int {
+func (d *schedulers) foreign() int {
 	n := 0
 	for _, s := range d.list() {
 		s.mu.Lock()
