--- a/src/gateway/admission.go
+++ b/src/gateway/admission.go
@@ -38,7 +38,7 @@
 	if g.schedulerOf(pool, nil) != g.ID.Name {
 		return g.fleet.waitsIn(now, pool)
 	}
-	s := g.desk.get(pool)
+	s := g.schedulers.get(pool)
 	if s == nil {
 		return backlog.Waits{}
 	}
--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -55,7 +55,7 @@
 	published published
 	fleet     fleet
 	pools     pools
-	desk      schedulers // jobs that this box schedules
+	schedulers      schedulers // jobs that this box schedules
 	waiting   waiting
 	estimates estimates
 	holdings  holdings
@@ -101,7 +101,7 @@
 	g.every(ctx, core.HeartbeatEvery, g.beat)
 	g.every(ctx, core.NewsEvery, g.tellNews)
 	g.every(ctx, introduceEvery, g.introduce)
-	g.every(ctx, scheduleTick, g.desk.tick)
+	g.every(ctx, scheduleTick, g.schedulers.tick)
 	g.every(ctx, tickEvery, g.pullPublished)
 	g.background.Add(2)
 	go g.readCatalog(ctx)
@@ -127,7 +127,7 @@
 	g.published.init(g)
 	g.fleet.init(g)
 	g.pools.init(g)
-	g.desk.init(g)
+	g.schedulers.init(g)
 	g.waiting.init(g)
 	g.estimates.init()
 	g.permits.init()
@@ -248,7 +248,7 @@
 func (g *Gateway) Draining() bool { return g.draining.Load() }
 
 // Running returns the number of requests that this box serves and of jobs that it schedules for others.
-func (g *Gateway) Running() int { return int(g.running.Load()) + g.desk.foreign() }
+func (g *Gateway) Running() int { return int(g.running.Load()) + g.schedulers.foreign() }
 
 // Version returns the version of the catalog in force, 0 for none.
 func (g *Gateway) Version() uint64 {
@@ -291,7 +291,7 @@
 func (g *Gateway) TakeBatch(m batch.Message) {
 	g.fleet.heardFrom(m.From, m.Address)
 	if m.Submit != nil || m.Withdraw != nil || m.Free != nil || m.Held != nil || m.Handover != nil {
-		g.desk.take(m)
+		g.schedulers.take(m)
 		return
 	}
 	g.waiting.take(m)
--- a/src/gateway/jobs.go
+++ b/src/gateway/jobs.go
@@ -96,7 +96,7 @@
 func (g *Gateway) tell(box string, m batch.Message) {
 	m.From, m.Address = g.ID.Name, g.Settings.Address
 	if box == g.ID.Name {
-		g.desk.take(m)
+		g.schedulers.take(m)
 		return
 	}
 	if a := g.fleet.addressOf(box); a != "" {
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -201,7 +201,7 @@
 	if before == nil || evacuations {
 		g.applyAll()
 	} else {
-		g.desk.takeLimits()
+		g.schedulers.takeLimits()
 	}
 	g.announce()
 }
--- a/src/gateway/scheduling_test.go
+++ b/src/gateway/scheduling_test.go
@@ -212,7 +212,7 @@
 				ID: batch.JobID{Box: "box0", N: n}, Pool: "encode", Pieces: 12, DeadlineIn: time.Minute, DueIn: time.Second}})
 		}
 		waiting := func() int {
-			s := next.desk.get("encode")
+			s := next.schedulers.get("encode")
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			pieces, _ := s.core.Pending()
--- a/src/gateway/serverlist.go
+++ b/src/gateway/serverlist.go
@@ -184,7 +184,7 @@
 	p.mu.Unlock()
 	for pool, n := range by {
 		g.pools.change(pool, n)
-		g.desk.change(pool, n)
+		g.schedulers.change(pool, n)
 	}
 }
 
@@ -202,7 +202,7 @@
 	}
 	p.mu.Unlock()
 	g.pools.configure(by)
-	g.desk.configure(by)
+	g.schedulers.configure(by)
 }
 
 // serversOf lists the servers of a pool that take new work.
