--- a/src/gateway/signals.go
+++ b/src/gateway/signals.go
@@ -16,8 +16,8 @@
 // ErrServerRests means that nothing was sent because the server asked for rest or takes no more requests now.
 var ErrServerRests = errors.New("the server asked for rest")
 
-// words holds what servers signalled about themselves. Its lock is taken only while there is anything.
-type words struct {
+// serverSignals holds what servers signalled about themselves. Its lock is taken only while there is anything.
+type serverSignals struct {
 	any atomic.Bool
 
 	mu       sync.Mutex
@@ -25,7 +25,7 @@
 }
 
 // with runs a function on the register and then updates whether the register is empty.
-func (w *words) with(do func(r *pushback.Register)) {
+func (w *serverSignals) with(do func(r *pushback.Register)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	do(&w.register)
@@ -33,14 +33,14 @@
 }
 
 // judge returns what a server's signals allow now.
-func (w *words) judge(now time.Time, s catalog.Server) pushback.Verdict {
+func (w *serverSignals) judge(now time.Time, s catalog.Server) pushback.Verdict {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.register.Judge(now, wordLife(s))
 }
 
 // begin checks a server's signals just before the first byte of a request is sent to it.
-func (w *words) begin(now time.Time, s catalog.Server, owner string) pushback.Verdict {
+func (w *serverSignals) begin(now time.Time, s catalog.Server, owner string) pushback.Verdict {
 	if !w.any.Load() {
 		return pushback.Verdict{}
 	}
@@ -50,7 +50,7 @@
 }
 
 // giveBack returns the permit of a request that was not sent.
-func (w *words) giveBack(id, owner string) {
+func (w *serverSignals) giveBack(id, owner string) {
 	if w.any.Load() {
 		w.with(func(r *pushback.Register) { r.GiveBack(id, owner) })
 	}
