--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -190,7 +190,7 @@
 	reply, err := g.Backends.Send(ctx, c)
 	var notSent *exchange.NotSent
 	if errors.As(err, &notSent) {
-		g.words.giveBack(s.ID, v.request.ID)
+		g.signals.giveBack(s.ID, v.request.ID)
 		outcome := balance.Broken
 		switch {
 		case exchange.Refused(err):
--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -175,7 +175,7 @@
 func (g *Gateway) hearRestored(servers []catalog.Server) {
 	now := g.now()
 	var news []catalog.Server
-	g.words.with(func(r *pushback.Register) {
+	g.signals.with(func(r *pushback.Register) {
 		for _, s := range servers {
 			if r.HearLeaving(now, wordLife(s)) {
 				news = append(news, s)
--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -60,7 +60,7 @@
 	estimates estimates
 	holdings  holdings
 	suspects  suspects.Tracker
-	words     serverSignals
+	signals     serverSignals
 	permits   permits
 	limitsDue atomic.Bool // a message on servers' limits is scheduled
 
--- a/src/gateway/limits.go
+++ b/src/gateway/limits.go
@@ -28,7 +28,7 @@
 	now := g.now()
 	news := false
 	var l pushback.Limited
-	g.words.with(func(r *pushback.Register) {
+	g.signals.with(func(r *pushback.Register) {
 		if news = r.HearLimit(now, sent, wordLife(s), perSecond); news {
 			l, _ = r.LimitOf(now, wordLife(s))
 		}
@@ -46,11 +46,11 @@
 
 // limitNotes returns the servers' limits for the next heartbeat, a few in each.
 func (g *Gateway) limitNotes() []core.LimitNote {
-	if !g.words.any.Load() {
+	if !g.signals.any.Load() {
 		return nil
 	}
 	var out []core.LimitNote
-	g.words.with(func(r *pushback.Register) {
+	g.signals.with(func(r *pushback.Register) {
 		for _, n := range r.Limits() {
 			out = append(out, noteOf(n))
 		}
@@ -65,7 +65,7 @@
 	}
 	now := g.now()
 	var news []core.LimitNote
-	g.words.with(func(r *pushback.Register) {
+	g.signals.with(func(r *pushback.Register) {
 		for _, n := range notes[:min(len(notes), pushback.NotesMost)] {
 			if r.HearNote(now, noteFrom(n)) {
 				news = append(news, n)
@@ -95,12 +95,12 @@
 
 // fullNotes replaces the load notes of servers with a limit: boxes without limit support see them as full.
 func (g *Gateway) fullNotes(plain []core.BackendNote) []core.BackendNote {
-	if !g.words.any.Load() {
+	if !g.signals.any.Load() {
 		return plain
 	}
 	var limited []pushback.Limited
 	now := g.now()
-	g.words.with(func(r *pushback.Register) { limited = r.InForce(now) })
+	g.signals.with(func(r *pushback.Register) { limited = r.InForce(now) })
 	for i, l := range limited {
 		if i == notesPerBeat/2 {
 			break
--- a/src/gateway/permits.go
+++ b/src/gateway/permits.go
@@ -47,10 +47,10 @@
 
 // limitAt returns the limit in force at a server; false for none.
 func (g *Gateway) limitAt(s catalog.Server) (pushback.Limited, bool) {
-	if !g.words.any.Load() {
+	if !g.signals.any.Load() {
 		return pushback.Limited{}, false
 	}
-	w := &g.words
+	w := &g.signals
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.register.LimitOf(g.now(), wordLife(s))
@@ -71,7 +71,7 @@
 		return now, true
 	}
 	has := false
-	g.words.with(func(r *pushback.Register) { has = r.HasPermit(now, wordLife(s), owner) })
+	g.signals.with(func(r *pushback.Register) { has = r.HasPermit(now, wordLife(s), owner) })
 	if has {
 		return now, true
 	}
@@ -83,7 +83,7 @@
 		a = port.Permits{Next: coordinatorPause}
 	}
 	news := false
-	g.words.with(func(r *pushback.Register) {
+	g.signals.with(func(r *pushback.Register) {
 		news = r.HearNote(now, noteFrom(a.Limit))
 		r.Granted(now, s.ID, owner, a.N, a.Begin, a.Next)
 	})
@@ -165,7 +165,7 @@
 	}
 	news, limited := false, false
 	var l pushback.Limited
-	g.words.with(func(r *pushback.Register) {
+	g.signals.with(func(r *pushback.Register) {
 		news = r.HearNote(now, note)
 		l, limited = r.LimitOf(now, note.Server)
 	})
--- a/src/gateway/rest.go
+++ b/src/gateway/rest.go
@@ -15,7 +15,7 @@
 // requests go first.
 func (v *requestRun) awaitRest(ctx context.Context, e *pool) *code.Error {
 	g := v.gateway
-	if !g.words.any.Load() {
+	if !g.signals.any.Load() {
 		return nil
 	}
 	began := g.now()
@@ -73,7 +73,7 @@
 	if !ok {
 		return s, false
 	}
-	return s, v.gateway.words.judge(now, s).State == pushback.Full
+	return s, v.gateway.signals.judge(now, s).State == pushback.Full
 }
 
 // mayWait reports whether a server is or will be available although the choice found none: since then another
@@ -101,7 +101,7 @@
 
 // checkRest refuses a request before any stage runs if all its servers want rest for longer than it can wait.
 func (v *requestRun) checkRest(e *pool) *code.Error {
-	if !v.gateway.words.any.Load() {
+	if !v.gateway.signals.any.Load() {
 		return nil
 	}
 	now := v.gateway.now()
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -295,7 +295,7 @@
 	g := d.gateway
 	owner, v := "results of "+handles[0], pushback.Verdict{State: pushback.Full}
 	if _, ok := g.takePermit(ctx, s, owner, 0); ok {
-		v = g.words.begin(g.now(), s, owner)
+		v = g.signals.begin(g.now(), s, owner)
 	}
 	if !v.Open() {
 		g.Log.Info("results not released, server wants no requests", "server", s.ID, "state", v.State.String(), "results", len(handles))
--- a/src/gateway/signals.go
+++ b/src/gateway/signals.go
@@ -65,21 +65,21 @@
 // each candidate of a choice, so it takes neither clock nor lock while there are no signals: a choice among
 // 600 servers then takes 151 us instead of 224.
 func (g *Gateway) restsUntil(s *catalog.Server) time.Time {
-	if !g.words.any.Load() {
+	if !g.signals.any.Load() {
 		return time.Time{}
 	}
-	return g.words.judge(g.now(), *s).Until
+	return g.signals.judge(g.now(), *s).Until
 }
 
 // leaves reports whether a listed server signalled that it leaves.
 func (g *Gateway) leaves(s catalog.Server) bool {
-	return g.words.any.Load() && g.words.judge(g.now(), s).State == pushback.Leaving
+	return g.signals.any.Load() && g.signals.judge(g.now(), s).State == pushback.Leaving
 }
 
 // hear records the signals in a server's answer. what names the exchange in logs; sent is when it began, zero
 // if the answer is not from that server.
 func (g *Gateway) hear(s catalog.Server, w pushback.Word, what string, sent time.Time) {
-	if w == (pushback.Word{}) && !g.words.any.Load() {
+	if w == (pushback.Word{}) && !g.signals.any.Load() {
 		return
 	}
 	if w.Limit != 0 || !sent.IsZero() {
@@ -88,7 +88,7 @@
 	now := g.now()
 	var until time.Time
 	leaves, rests := false, false
-	g.words.with(func(r *pushback.Register) {
+	g.signals.with(func(r *pushback.Register) {
 		if w.Leaving {
 			leaves = r.HearLeaving(now, wordLife(s))
 		}
@@ -137,14 +137,14 @@
 // departures returns notes on the servers that signalled that they leave, as long as this box's list names
 // them as working.
 func (g *Gateway) departures() []core.LeavingNote {
-	if !g.words.any.Load() {
+	if !g.signals.any.Load() {
 		return nil
 	}
 	p := &g.published
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []core.LeavingNote
-	g.words.with(func(r *pushback.Register) {
+	g.signals.with(func(r *pushback.Register) {
 		for _, s := range r.Departed(p.named) {
 			out = append(out, core.LeavingNote{Server: s.ID, Incarnation: uint64(s.Incarnation)})
 		}
@@ -168,7 +168,7 @@
 	}
 	now := g.now()
 	news := map[string]catalog.Server{}
-	g.words.with(func(r *pushback.Register) {
+	g.signals.with(func(r *pushback.Register) {
 		for _, n := range notes[:min(len(notes), pushback.NotesMost)] {
 			s := pushback.Server{ID: n.Server, Incarnation: int64(n.Incarnation)}
 			if r.HearLeaving(now, s) {
@@ -192,13 +192,13 @@
 
 // sweepWords drops outdated signals.
 func (g *Gateway) sweepWords(now time.Time) {
-	if !g.words.any.Load() {
+	if !g.signals.any.Load() {
 		return
 	}
 	p := &g.published
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	g.words.with(func(r *pushback.Register) {
+	g.signals.with(func(r *pushback.Register) {
 		r.Sweep(now, func(id string) bool { return p.list.Get(id) != nil })
 	})
 }
--- a/src/gateway/start_check.go
+++ b/src/gateway/start_check.go
@@ -34,7 +34,7 @@
 // no more after the first.
 func (g *Gateway) beginAt(s catalog.Server, what, owner string, chosen time.Time) error {
 	now := g.now()
-	v := g.words.begin(now, s, owner)
+	v := g.signals.begin(now, s, owner)
 	if v.Open() {
 		return nil
 	}
