--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -56,7 +56,7 @@
 	fleet     fleet
 	pools     pools
 	schedulers      schedulers // jobs that this box schedules
-	waiting   waiting
+	waiting   ownedJobs
 	estimates estimates
 	holdings  holdings
 	suspects  suspects.Tracker
--- a/src/gateway/jobs.go
+++ b/src/gateway/jobs.go
@@ -10,21 +10,21 @@
 	"github.com/stilemast/stilemast/src/core"
 )
 
-// waiting holds this box's jobs that schedulers work on.
-type waiting struct {
+// ownedJobs holds this box's jobs that schedulers work on.
+type ownedJobs struct {
 	gateway *Gateway
 	mu      sync.Mutex
 	next    uint64
 	jobs    map[uint64]chan batch.Message
 }
 
-func (w *waiting) init(g *Gateway) {
+func (w *ownedJobs) init(g *Gateway) {
 	w.gateway = g
 	w.jobs = map[uint64]chan batch.Message{}
 }
 
 // open creates a job id and the channel for its answers.
-func (w *waiting) open() (batch.JobID, chan batch.Message) {
+func (w *ownedJobs) open() (batch.JobID, chan batch.Message) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.next++
@@ -34,14 +34,14 @@
 	return batch.JobID{Box: id.Name, Life: id.Incarnation, N: w.next}, c
 }
 
-func (w *waiting) close(id batch.JobID) {
+func (w *ownedJobs) close(id batch.JobID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.jobs, id.N)
 }
 
 // take delivers an answer to the job that waits for it.
-func (w *waiting) take(m batch.Message) {
+func (w *ownedJobs) take(m batch.Message) {
 	id := batch.JobID{}
 	switch {
 	case m.Accept != nil:
@@ -69,7 +69,7 @@
 }
 
 // lost notifies the jobs that wait for a scheduler that it is gone.
-func (w *waiting) lost(box string) {
+func (w *ownedJobs) lost(box string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for n, c := range w.jobs {
