--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -56,7 +56,7 @@
 	fleet     fleet
 	pools     pools
 	schedulers      schedulers // jobs that this box schedules
-	waiting   ownedJobs
+	ownedJobs   ownedJobs
 	estimates estimates
 	holdings  holdings
 	suspects  suspects.Tracker
@@ -128,7 +128,7 @@
 	g.fleet.init(g)
 	g.pools.init(g)
 	g.schedulers.init(g)
-	g.waiting.init(g)
+	g.ownedJobs.init(g)
 	g.estimates.init()
 	g.permits.init()
 	g.holdings.init(g)
@@ -294,7 +294,7 @@
 		g.schedulers.take(m)
 		return
 	}
-	g.waiting.take(m)
+	g.ownedJobs.take(m)
 }
 
 // ConfirmedAge returns the time since both published documents were last confirmed to be the newest.
--- a/src/gateway/jobs.go
+++ b/src/gateway/jobs.go
@@ -89,7 +89,7 @@
 		return
 	}
 	g.Log.Warn("box refuses connections", "box_address", address, "peer", box)
-	g.waiting.lost(box)
+	g.ownedJobs.lost(box)
 }
 
 // tell sends a message on jobs to a box, which may be this one.
@@ -107,8 +107,8 @@
 // runJob has a job done by its pool's scheduler and returns its result. When a scheduler stays silent, the
 // next box is asked; a piece may then be made twice. reading is called when every piece is in a call.
 func (g *Gateway) runJob(ctx context.Context, j *batch.Job, reading func()) (*batch.Done, batch.Reason) {
-	id, answers := g.waiting.open()
-	defer g.waiting.close(id)
+	id, answers := g.ownedJobs.open()
+	defer g.ownedJobs.close(id)
 	j.ID = id
 	avoid := map[string]bool{}
 	g.awaitFormed(ctx)
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -364,7 +364,7 @@
 	m := r.Message
 	m.From, m.Address = g.ID.Name, g.Settings.Address
 	if r.Box == g.ID.Name {
-		g.waiting.take(m)
+		g.ownedJobs.take(m)
 		return
 	}
 	if a := g.fleet.addressOf(r.Box); a != "" {
