--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -19,11 +19,11 @@
 // errSilent ends an attempt whose server stayed silent too long.
 var errSilent = errors.New("the server stayed silent")
 
-// verdict is the next step after an attempt.
-type verdict uint8
+// nextStep is the next step after an attempt.
+type nextStep uint8
 
 const (
-	answered verdict = iota + 1 // the caller has its answer
+	answered nextStep = iota + 1 // the caller has its answer
 	again                       // try another server
 	over                        // end the request with the error
 )
@@ -124,7 +124,7 @@
 }
 
 // once makes one attempt. The last result reports whether any byte of the request left this box.
-func (v *requestRun) once(ctx context.Context) (verdict, *code.Error, bool) {
+func (v *requestRun) once(ctx context.Context) (nextStep, *code.Error, bool) {
 	g := v.gateway
 	e := g.pools.get(v.pool)
 	g.awaitAwake(ctx) // before the remaining time is computed
@@ -276,7 +276,7 @@
 }
 
 // afterBreak returns whether a request that may have run can be sent again.
-func (v *requestRun) afterBreak() verdict {
+func (v *requestRun) afterBreak() nextStep {
 	if v.repeatable() {
 		return again
 	}
@@ -315,7 +315,7 @@
 }
 
 // take handles the head of an answer and passes the answer on.
-func (v *requestRun) take(ctx context.Context, e *pool, s catalog.Server, reply *Reply, began time.Time, watch *time.Timer, why string) (verdict, *code.Error, bool) {
+func (v *requestRun) take(ctx context.Context, e *pool, s catalog.Server, reply *Reply, began time.Time, watch *time.Timer, why string) (nextStep, *code.Error, bool) {
 	g := v.gateway
 	switch {
 	case reply.Missing:
--- a/src/gateway/relay.go
+++ b/src/gateway/relay.go
@@ -67,7 +67,7 @@
 }
 
 // relay passes a stream on to the caller, event by event.
-func (v *requestRun) relay(ctx context.Context, e *pool, s catalog.Server, reply *Reply, began time.Time, watch *time.Timer, why string) (verdict, *code.Error, bool) {
+func (v *requestRun) relay(ctx context.Context, e *pool, s catalog.Server, reply *Reply, began time.Time, watch *time.Timer, why string) (nextStep, *code.Error, bool) {
 	g := v.gateway
 	var split eventSplitter
 	buf := make([]byte, relayBuffer)
