--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -23,7 +23,7 @@
 type nextStep uint8
 
 const (
-	answered nextStep = iota + 1 // the caller has its answer
+	stepDone nextStep = iota + 1 // the caller has its answer
 	again                       // try another server
 	over                        // end the request with the error
 )
@@ -41,7 +41,7 @@
 	unsent, began := 0, v.gateway.now()
 	for {
 		what, err, sent := v.once(ctx)
-		if what == answered {
+		if what == stepDone {
 			return
 		}
 		if !sent && v.withheld && what != over && ctx.Err() == nil {
@@ -381,7 +381,7 @@
 	v.firstOut = v.gateway.now()
 	v.ended("answered", "status", reply.Status, "server", s.ID, "bytes", len(body))
 	v.caller.Whole(reply.Status, reply.Header, body)
-	return answered, nil, true
+	return stepDone, nil, true
 }
 
 // readWhole reads the body of a non-streaming answer.
--- a/src/gateway/relay.go
+++ b/src/gateway/relay.go
@@ -84,7 +84,7 @@
 				v.settle(g.pools.get(v.pool), s, balance.Dropped, began, "caller gone", why)
 				v.ended("cancelled", "cause", "the caller left during the stream", "server", s.ID)
 				v.caller.Cut()
-				return answered, nil, true
+				return stepDone, nil, true
 			}
 			if moves {
 				watch.Reset(gapLimit)
@@ -96,7 +96,7 @@
 			v.went(reply)
 			v.ended("answered", "status", reply.Status, "server", s.ID, "last_event", v.lastEvent)
 			v.caller.End()
-			return answered, nil, true
+			return stepDone, nil, true
 		}
 		if err == nil && len(split.held) > maxEvent {
 			err = code.New(code.MessageTooLarge, "event", "over %d bytes", maxEvent)
