--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -24,7 +24,7 @@
 
 const (
 	stepDone nextStep = iota + 1 // the caller has its answer
-	again                       // try another server
+	stepRetry                       // try another server
 	over                        // end the request with the error
 )
 
@@ -147,12 +147,12 @@
 	v.wish.Only = ""
 	if !ok && reserved { // the server left while the request waited for its permit
 		v.withheld = true
-		return again, v.noServer(e, now), false
+		return stepRetry, v.noServer(e, now), false
 	}
 	if !ok {
 		v.withheld = v.mayWait(e, now)
 		if v.withheld {
-			return again, v.noServer(e, now), false
+			return stepRetry, v.noServer(e, now), false
 		}
 		return over, v.noServer(e, now), false
 	}
@@ -164,7 +164,7 @@
 			return over, v.noServer(e, g.now()), false
 		}
 		v.withheld = true
-		return again, v.noServer(e, g.now()), false
+		return stepRetry, v.noServer(e, g.now()), false
 	}
 	now = g.now()
 	v.wish.Exclude[s.ID] = true
@@ -202,7 +202,7 @@
 			outcome = balance.Dropped
 		}
 		v.settle(e, s, outcome, began, "not sent: "+notSent.Cause.Error(), why)
-		return again, refusal(code.BackendsDown, "pool", failureReturn, "%s could not be reached", s.ID), false
+		return stepRetry, refusal(code.BackendsDown, "pool", failureReturn, "%s could not be reached", s.ID), false
 	}
 	v.attempts++
 	if reply != nil {
@@ -278,7 +278,7 @@
 // afterBreak returns whether a request that may have run can be sent again.
 func (v *requestRun) afterBreak() nextStep {
 	if v.repeatable() {
-		return again
+		return stepRetry
 	}
 	return over
 }
@@ -329,11 +329,11 @@
 		}
 		v.remade = true
 		v.attempts--
-		return again, refusal(code.BackendFailed, "stages", failureReturn, "stage results were gone"), true
+		return stepRetry, refusal(code.BackendFailed, "stages", failureReturn, "stage results were gone"), true
 	case reply.Moved: // a server got the request, so it counts towards the operator's limit of attempts
 		reply.Close(false)
 		v.settle(e, s, balance.Replaced, began, "another server has the address", why)
-		return again, refusal(code.BackendsDown, "pool", failureReturn, "%s is gone", s.ID), true
+		return stepRetry, refusal(code.BackendsDown, "pool", failureReturn, "%s is gone", s.ID), true
 	case reply.NotRun:
 		reply.Close(false)
 		outcome, after := balance.Full, failureReturn
@@ -342,9 +342,9 @@
 		}
 		v.settle(e, s, outcome, began, http.StatusText(reply.Status)+", not run", why)
 		if _, resting := v.restEnds(e, g.now()); resting {
-			return again, v.noServer(e, g.now()), true
+			return stepRetry, v.noServer(e, g.now()), true
 		}
-		return again, refusal(code.QueueFull, "pool", after, "%s did not take the request: status %d", s.ID, reply.Status), true
+		return stepRetry, refusal(code.QueueFull, "pool", after, "%s did not take the request: status %d", s.ID, reply.Status), true
 	}
 	v.maybeRan = true
 	if reply.Events && isSuccess(reply.Status) {
