--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -25,7 +25,7 @@
 const (
 	stepDone nextStep = iota + 1 // the caller has its answer
 	stepRetry                       // try another server
-	over                        // end the request with the error
+	stepFail                        // end the request with the error
 )
 
 // repeatable reports whether the request may be sent again although it may have run.
@@ -44,18 +44,18 @@
 		if what == stepDone {
 			return
 		}
-		if !sent && v.withheld && what != over && ctx.Err() == nil {
+		if !sent && v.withheld && what != stepFail && ctx.Err() == nil {
 			v.withheld = false
 			continue
 		}
 		if !sent {
-			if unsent++; what == over || ctx.Err() != nil || unsent >= maxUnsent && v.gateway.now().Sub(began) > unsentFor {
+			if unsent++; what == stepFail || ctx.Err() != nil || unsent >= maxUnsent && v.gateway.now().Sub(began) > unsentFor {
 				v.fail(ctx, err)
 				return
 			}
 			continue
 		}
-		if what == over || ctx.Err() != nil || v.attempts >= max(1, v.pipeline.Attempts) || !v.takeRetry() {
+		if what == stepFail || ctx.Err() != nil || v.attempts >= max(1, v.pipeline.Attempts) || !v.takeRetry() {
 			v.fail(ctx, err)
 			return
 		}
@@ -129,14 +129,14 @@
 	e := g.pools.get(v.pool)
 	g.awaitAwake(ctx) // before the remaining time is computed
 	if err := v.awaitRest(ctx, e); err != nil {
-		return over, err, false
+		return stepFail, err, false
 	}
 	now := g.now()
 	if !now.Before(v.deadline) { // the process was paused, which delays the deadline timer as well
-		return over, code.New(code.DeadlinePassed, "deadline", "no time left for an attempt").WithRan(v.ran()), false
+		return stepFail, code.New(code.DeadlinePassed, "deadline", "no time left for an attempt").WithRan(v.ran()), false
 	}
 	if err := v.mayTry(); err != nil {
-		return over, err, false
+		return stepFail, err, false
 	}
 	v.wish.Within = v.confinesNow()
 	e.mu.Lock()
@@ -154,14 +154,14 @@
 		if v.withheld {
 			return stepRetry, v.noServer(e, now), false
 		}
-		return over, v.noServer(e, now), false
+		return stepFail, v.noServer(e, now), false
 	}
 	if !v.permitted(ctx, s) {
 		e.mu.Lock()
 		e.picker.Ended(g.now(), s.ID, &v.wish, balance.Dropped)
 		e.mu.Unlock()
 		if v.asked >= permitsAsked {
-			return over, v.noServer(e, g.now()), false
+			return stepFail, v.noServer(e, g.now()), false
 		}
 		v.withheld = true
 		return stepRetry, v.noServer(e, g.now()), false
@@ -280,7 +280,7 @@
 	if v.repeatable() {
 		return stepRetry
 	}
-	return over
+	return stepFail
 }
 
 // patience starts a timer that ends an attempt whose server stays silent, if another server may be tried.
@@ -325,7 +325,7 @@
 		v.made.freeAll()
 		delete(v.wish.Exclude, s.ID)
 		if v.remade {
-			return over, refusal(code.BackendFailed, "stages", failureReturn, "stage results were gone twice"), true
+			return stepFail, refusal(code.BackendFailed, "stages", failureReturn, "stage results were gone twice"), true
 		}
 		v.remade = true
 		v.attempts--
@@ -362,7 +362,7 @@
 		v.settle(e, s, balance.Failed, began, "status "+http.StatusText(reply.Status), why)
 		if v.needsStages() {
 			if e := v.makeStages(ctx); e != nil {
-				return over, e, true
+				return stepFail, e, true
 			}
 		}
 		what, err, sent := v.once(ctx)
@@ -370,7 +370,7 @@
 	}
 	if v.begun {
 		v.settle(e, s, balance.Failed, began, "status "+http.StatusText(reply.Status), why)
-		return over, code.New(code.AnswerInterrupted, "", "the stream could not be resumed: status %d", reply.Status), true
+		return stepFail, code.New(code.AnswerInterrupted, "", "the stream could not be resumed: status %d", reply.Status), true
 	}
 	outcome := balance.Good
 	if reply.Status >= http.StatusInternalServerError {
