--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -34,10 +34,10 @@
 	return p.Kind == catalog.Repeatable || p.Kind == catalog.Stream && p.Resumable
 }
 
-// attempt sends the request to one server after another until the caller has its answer. A server that
+// runAttempts sends the request to one server after another until the caller has its answer. A server that
 // refused the connection was sent nothing, so the next one is tried. Ending requests after three such servers
 // lost 206 of 14,165 on a day on which a fifth of the engines crashed.
-func (v *requestRun) attempt(ctx context.Context) {
+func (v *requestRun) runAttempts(ctx context.Context) {
 	unsent, began := 0, v.gateway.now()
 	for {
 		what, err, sent := v.once(ctx)
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -194,7 +194,7 @@
 		return
 	}
 	defer func() { v.made.freeAll() }()
-	v.attempt(ctx)
+	v.runAttempts(ctx)
 }
 
 // makeStages runs the stages and records where their results are held.
