--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -40,7 +40,7 @@
 func (v *requestRun) runAttempts(ctx context.Context) {
 	unsent, began := 0, v.gateway.now()
 	for {
-		what, err, sent := v.once(ctx)
+		what, err, sent := v.attemptOnce(ctx)
 		if what == stepDone {
 			return
 		}
@@ -123,8 +123,8 @@
 	v.refuse(err)
 }
 
-// once makes one attempt. The last result reports whether any byte of the request left this box.
-func (v *requestRun) once(ctx context.Context) (nextStep, *code.Error, bool) {
+// attemptOnce makes one attempt. The last result reports whether any byte of the request left this box.
+func (v *requestRun) attemptOnce(ctx context.Context) (nextStep, *code.Error, bool) {
 	g := v.gateway
 	e := g.pools.get(v.pool)
 	g.awaitAwake(ctx) // before the remaining time is computed
@@ -365,7 +365,7 @@
 				return stepFail, e, true
 			}
 		}
-		what, err, sent := v.once(ctx)
+		what, err, sent := v.attemptOnce(ctx)
 		return what, err, sent
 	}
 	if v.begun {
