--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -219,7 +219,7 @@
 		v.settle(e, s, v.blame(ctx), began, err.Error(), why)
 		return v.afterBreak(), code.New(code.OutcomeUnknown, "", "%s gave no answer: %v", s.ID, err), true
 	}
-	return v.take(ctx, e, s, reply, began, watch, why)
+	return v.handleReply(ctx, e, s, reply, began, watch, why)
 }
 
 // ran reports whether any part of the request may have run.
@@ -314,8 +314,8 @@
 	return e.budget.Left(now, boxes) > 0
 }
 
-// take handles the head of an answer and passes the answer on.
-func (v *requestRun) take(ctx context.Context, e *pool, s catalog.Server, reply *Reply, began time.Time, watch *time.Timer, why string) (nextStep, *code.Error, bool) {
+// handleReply handles the head of an answer and passes the answer on.
+func (v *requestRun) handleReply(ctx context.Context, e *pool, s catalog.Server, reply *Reply, began time.Time, watch *time.Timer, why string) (nextStep, *code.Error, bool) {
 	g := v.gateway
 	switch {
 	case reply.Missing:
