--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -201,7 +201,7 @@
 		case errors.Is(err, ErrServerLeft), errors.Is(err, errOutside):
 			outcome = balance.Dropped
 		}
-		v.settle(e, s, outcome, began, "not sent: "+notSent.Cause.Error(), why)
+		v.recordOutcome(e, s, outcome, began, "not sent: "+notSent.Cause.Error(), why)
 		return stepRetry, refusal(code.BackendsDown, "pool", failureReturn, "%s could not be reached", s.ID), false
 	}
 	v.attempts++
@@ -216,7 +216,7 @@
 	if err != nil {
 		v.maybeRan = true
 		v.broke(ctx, s)
-		v.settle(e, s, v.blame(ctx), began, err.Error(), why)
+		v.recordOutcome(e, s, v.blame(ctx), began, err.Error(), why)
 		return v.afterBreak(), code.New(code.OutcomeUnknown, "", "%s gave no answer: %v", s.ID, err), true
 	}
 	return v.handleReply(ctx, e, s, reply, began, watch, why)
@@ -320,7 +320,7 @@
 	switch {
 	case reply.Missing:
 		reply.Close(false)
-		v.settle(e, s, balance.Dropped, began, "an input is gone", why)
+		v.recordOutcome(e, s, balance.Dropped, began, "an input is gone", why)
 		e.inputGone()
 		v.made.freeAll()
 		delete(v.wish.Exclude, s.ID)
@@ -332,7 +332,7 @@
 		return stepRetry, refusal(code.BackendFailed, "stages", failureReturn, "stage results were gone"), true
 	case reply.Moved: // a server got the request, so it counts towards the operator's limit of attempts
 		reply.Close(false)
-		v.settle(e, s, balance.Replaced, began, "another server has the address", why)
+		v.recordOutcome(e, s, balance.Replaced, began, "another server has the address", why)
 		return stepRetry, refusal(code.BackendsDown, "pool", failureReturn, "%s is gone", s.ID), true
 	case reply.NotRun:
 		reply.Close(false)
@@ -340,7 +340,7 @@
 		if reply.Said.Rest > 0 {
 			outcome, after, v.turnedAway = balance.AsksRest, elsewhereAfter, append(v.turnedAway, s.ID)
 		}
-		v.settle(e, s, outcome, began, http.StatusText(reply.Status)+", not run", why)
+		v.recordOutcome(e, s, outcome, began, http.StatusText(reply.Status)+", not run", why)
 		if _, resting := v.restEnds(e, g.now()); resting {
 			return stepRetry, v.noServer(e, g.now()), true
 		}
@@ -354,12 +354,12 @@
 	if err != nil {
 		reply.Close(false)
 		v.broke(ctx, s)
-		v.settle(e, s, v.blame(ctx), began, "answer interrupted: "+err.Error(), why)
+		v.recordOutcome(e, s, v.blame(ctx), began, "answer interrupted: "+err.Error(), why)
 		return v.afterBreak(), code.New(code.OutcomeUnknown, "", "the answer of %s was interrupted: %v", s.ID, err), true
 	}
 	reply.Close(true)
 	if reply.Status >= http.StatusInternalServerError && v.repeatable() && v.attempts < v.pipeline.Attempts && !v.begun && v.takeRetry() {
-		v.settle(e, s, balance.Failed, began, "status "+http.StatusText(reply.Status), why)
+		v.recordOutcome(e, s, balance.Failed, began, "status "+http.StatusText(reply.Status), why)
 		if v.needsStages() {
 			if e := v.makeStages(ctx); e != nil {
 				return stepFail, e, true
@@ -369,14 +369,14 @@
 		return what, err, sent
 	}
 	if v.begun {
-		v.settle(e, s, balance.Failed, began, "status "+http.StatusText(reply.Status), why)
+		v.recordOutcome(e, s, balance.Failed, began, "status "+http.StatusText(reply.Status), why)
 		return stepFail, code.New(code.AnswerInterrupted, "", "the stream could not be resumed: status %d", reply.Status), true
 	}
 	outcome := balance.Good
 	if reply.Status >= http.StatusInternalServerError {
 		outcome = balance.Failed
 	}
-	v.settle(e, s, outcome, began, "status "+http.StatusText(reply.Status), why)
+	v.recordOutcome(e, s, outcome, began, "status "+http.StatusText(reply.Status), why)
 	v.went(reply)
 	v.firstOut = v.gateway.now()
 	v.ended("answered", "status", reply.Status, "server", s.ID, "bytes", len(body))
@@ -403,8 +403,8 @@
 	}
 }
 
-// settle records in the pool how an exchange ended.
-func (v *requestRun) settle(e *pool, s catalog.Server, o balance.Outcome, began time.Time, detail, why string) {
+// recordOutcome records in the pool how an exchange ended.
+func (v *requestRun) recordOutcome(e *pool, s catalog.Server, o balance.Outcome, began time.Time, detail, why string) {
 	g := v.gateway
 	now := g.now()
 	e.mu.Lock()
--- a/src/gateway/relay.go
+++ b/src/gateway/relay.go
@@ -81,7 +81,7 @@
 			}
 			if e := v.pass(whole, reply, e, s, began); e != nil {
 				reply.Close(false)
-				v.settle(g.pools.get(v.pool), s, balance.Dropped, began, "caller gone", why)
+				v.recordOutcome(g.pools.get(v.pool), s, balance.Dropped, began, "caller gone", why)
 				v.ended("cancelled", "cause", "the caller left during the stream", "server", s.ID)
 				v.caller.Cut()
 				return stepDone, nil, true
@@ -92,7 +92,7 @@
 		}
 		if err == io.EOF && len(split.held) == 0 && v.begun {
 			reply.Close(true)
-			v.settle(e, s, balance.Good, began, "stream ended", why)
+			v.recordOutcome(e, s, balance.Good, began, "stream ended", why)
 			v.went(reply)
 			v.ended("answered", "status", reply.Status, "server", s.ID, "last_event", v.lastEvent)
 			v.caller.End()
@@ -112,7 +112,7 @@
 			err = cause
 		}
 		v.broke(ctx, s)
-		v.settle(e, s, v.blame(ctx), began, "stream interrupted: "+err.Error(), why)
+		v.recordOutcome(e, s, v.blame(ctx), began, "stream interrupted: "+err.Error(), why)
 		return v.afterBreak(), code.New(code.AnswerInterrupted, "", "the stream of %s was interrupted after event %q: %v", s.ID, v.lastEvent, err), true
 	}
 }
