--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -216,7 +216,7 @@
 	if err != nil {
 		v.maybeRan = true
 		v.broke(ctx, s)
-		v.recordOutcome(e, s, v.blame(ctx), began, err.Error(), why)
+		v.recordOutcome(e, s, v.breakOutcome(ctx), began, err.Error(), why)
 		return v.afterBreak(), code.New(code.OutcomeUnknown, "", "%s gave no answer: %v", s.ID, err), true
 	}
 	return v.handleReply(ctx, e, s, reply, began, watch, why)
@@ -261,9 +261,9 @@
 	}
 }
 
-// blame returns how a broken exchange counts against the server: not at all when the caller left, and only as
+// breakOutcome returns how a broken exchange counts against the server: not at all when the caller left, and only as
 // a failure when the deadline passed, which may be too short for any server.
-func (v *requestRun) blame(ctx context.Context) balance.Outcome {
+func (v *requestRun) breakOutcome(ctx context.Context) balance.Outcome {
 	switch {
 	case errors.Is(context.Cause(ctx), errSilent):
 		return balance.Broken
@@ -354,7 +354,7 @@
 	if err != nil {
 		reply.Close(false)
 		v.broke(ctx, s)
-		v.recordOutcome(e, s, v.blame(ctx), began, "answer interrupted: "+err.Error(), why)
+		v.recordOutcome(e, s, v.breakOutcome(ctx), began, "answer interrupted: "+err.Error(), why)
 		return v.afterBreak(), code.New(code.OutcomeUnknown, "", "the answer of %s was interrupted: %v", s.ID, err), true
 	}
 	reply.Close(true)
