--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -253,9 +253,9 @@
 	}
 }
 
-// went records a complete answer. Only a success signed by the server shows that it ran the content and
+// recordSuccess records a complete answer. Only a success signed by the server shows that it ran the content and
 // survived.
-func (v *requestRun) went(reply *Reply) {
+func (v *requestRun) recordSuccess(reply *Reply) {
 	if reply.Signed && isSuccess(reply.Status) {
 		v.gateway.suspects.Good(v.content.At(v.pool))
 	}
@@ -377,7 +377,7 @@
 		outcome = balance.Failed
 	}
 	v.recordOutcome(e, s, outcome, began, "status "+http.StatusText(reply.Status), why)
-	v.went(reply)
+	v.recordSuccess(reply)
 	v.firstOut = v.gateway.now()
 	v.ended("answered", "status", reply.Status, "server", s.ID, "bytes", len(body))
 	v.caller.Whole(reply.Status, reply.Header, body)
--- a/src/gateway/relay.go
+++ b/src/gateway/relay.go
@@ -93,7 +93,7 @@
 		if err == io.EOF && len(split.held) == 0 && v.begun {
 			reply.Close(true)
 			v.recordOutcome(e, s, balance.Good, began, "stream ended", why)
-			v.went(reply)
+			v.recordSuccess(reply)
 			v.ended("answered", "status", reply.Status, "server", s.ID, "last_event", v.lastEvent)
 			v.caller.End()
 			return stepDone, nil, true
