--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -215,7 +215,7 @@
 	}
 	if err != nil {
 		v.maybeRan = true
-		v.broke(ctx, s)
+		v.recordBreak(ctx, s)
 		v.recordOutcome(e, s, v.breakOutcome(ctx), began, err.Error(), why)
 		return v.afterBreak(), code.New(code.OutcomeUnknown, "", "%s gave no answer: %v", s.ID, err), true
 	}
@@ -246,8 +246,8 @@
 	return nil
 }
 
-// broke records that the exchange with a server broke, unless the caller ended it.
-func (v *requestRun) broke(ctx context.Context, s catalog.Server) {
+// recordBreak records that the exchange with a server recordBreak, unless the caller ended it.
+func (v *requestRun) recordBreak(ctx context.Context, s catalog.Server) {
 	if !v.callerLeft(ctx) || errors.Is(context.Cause(ctx), errSilent) {
 		v.gateway.brokeAt(s, v.content.At(v.pool))
 	}
@@ -353,7 +353,7 @@
 	body, err := readWhole(reply)
 	if err != nil {
 		reply.Close(false)
-		v.broke(ctx, s)
+		v.recordBreak(ctx, s)
 		v.recordOutcome(e, s, v.breakOutcome(ctx), began, "answer interrupted: "+err.Error(), why)
 		return v.afterBreak(), code.New(code.OutcomeUnknown, "", "the answer of %s was interrupted: %v", s.ID, err), true
 	}
--- a/src/gateway/relay.go
+++ b/src/gateway/relay.go
@@ -111,7 +111,7 @@
 		if cause := context.Cause(ctx); errors.Is(cause, errSilent) {
 			err = cause
 		}
-		v.broke(ctx, s)
+		v.recordBreak(ctx, s)
 		v.recordOutcome(e, s, v.breakOutcome(ctx), began, "stream interrupted: "+err.Error(), why)
 		return v.afterBreak(), code.New(code.AnswerInterrupted, "", "the stream of %s was interrupted after event %q: %v", s.ID, v.lastEvent, err), true
 	}
