--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -135,7 +135,7 @@
 	if !now.Before(v.deadline) { // the process was paused, which delays the deadline timer as well
 		return stepFail, code.New(code.DeadlinePassed, "deadline", "no time left for an attempt").WithRan(v.ran()), false
 	}
-	if err := v.mayTry(); err != nil {
+	if err := v.checkContent(); err != nil {
 		return stepFail, err, false
 	}
 	v.wish.Within = v.confinesNow()
@@ -230,10 +230,10 @@
 	return code.RanNo
 }
 
-// mayTry checks whether the request may be sent once more, given what is known of its content. A content
+// checkContent checks whether the request may be sent once more, given what is known of its content. A content
 // under which servers ended is sent to the server with the least work, so that as little other work as
 // possible is lost with it, and is not retried from the second end on.
-func (v *requestRun) mayTry() *code.Error {
+func (v *requestRun) checkContent() *code.Error {
 	g := v.gateway
 	if err := g.barredAt(v.content, v.pool); err != nil {
 		return err
