--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -181,7 +181,7 @@
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watch := v.patience(cancel)
+	watch := v.silenceTimer(cancel)
 	defer watch.Stop()
 	c.Start = v.startInside(s, g.startOf(ctx, s, "request "+v.request.ID, v.request.ID, now))
 	began := g.now()
@@ -283,8 +283,8 @@
 	return stepFail
 }
 
-// patience starts a timer that ends an attempt whose server stays silent, if another server may be tried.
-func (v *requestRun) patience(cancel context.CancelCauseFunc) *time.Timer {
+// silenceTimer starts a timer that ends an attempt whose server stays silent, if another server may be tried.
+func (v *requestRun) silenceTimer(cancel context.CancelCauseFunc) *time.Timer {
 	limit := v.deadline.Sub(v.gateway.now()) + time.Hour
 	p := v.pipeline
 	if v.attempts+1 < p.Attempts {
