--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -206,7 +206,7 @@
 	}
 	v.attempts++
 	if reply != nil {
-		v.said = reply.Said
+		v.signals = reply.Said
 		sent := began
 		if reply.Moved {
 			sent = time.Time{}
@@ -411,8 +411,8 @@
 	rests := e.picker.Current(s) && e.picker.Ended(now, s.ID, &v.wish, o)
 	e.mu.Unlock()
 	took := now.Sub(began)
-	g.Log.Info("exchange", "request", v.request.ID, "pool", e.name, "content", v.content.String(), "server", s.ID, "incarnation", s.Incarnation, "domain", s.Domain, "outcome", o.String(), "took_ms", took.Milliseconds(), "detail", detail, "chosen", why, "rests", rests, "says_leaving", v.said.Leaving, "asks_rest_ms", v.said.Rest.Milliseconds(), "names_limit", v.said.Limit)
-	v.said = pushback.Word{}
+	g.Log.Info("exchange", "request", v.request.ID, "pool", e.name, "content", v.content.String(), "server", s.ID, "incarnation", s.Incarnation, "domain", s.Domain, "outcome", o.String(), "took_ms", took.Milliseconds(), "detail", detail, "chosen", why, "rests", rests, "says_leaving", v.signals.Leaving, "asks_rest_ms", v.signals.Rest.Milliseconds(), "names_limit", v.signals.Limit)
+	v.signals = pushback.Word{}
 	if g.Watch.Exchanged != nil {
 		g.Watch.Exchanged(e.name, o.String(), took)
 	}
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -36,7 +36,7 @@
 	attempts   int
 	remade     bool
 	maybeRan   bool
-	said       pushback.Word // signals in the answer of the current attempt
+	signals       pushback.Word // signals in the answer of the current attempt
 	turnedAway []string      // servers that asked for rest instead of taking this request
 	// The last attempt sent nothing because the server asked for rest or had no permit; it does not count.
 	withheld bool
