--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -197,7 +197,7 @@
 			outcome = balance.Absent
 			g.suspects.Ended(lifeOf(s), suspects.Refused)
 		case errors.Is(err, ErrServerRests):
-			outcome, v.withheld, v.turnedAway = balance.Dropped, true, append(v.turnedAway, s.ID)
+			outcome, v.withheld, v.restingServers = balance.Dropped, true, append(v.restingServers, s.ID)
 		case errors.Is(err, ErrServerLeft), errors.Is(err, errOutside):
 			outcome = balance.Dropped
 		}
@@ -338,7 +338,7 @@
 		reply.Close(false)
 		outcome, after := balance.Full, failureReturn
 		if reply.Said.Rest > 0 {
-			outcome, after, v.turnedAway = balance.AsksRest, elsewhereAfter, append(v.turnedAway, s.ID)
+			outcome, after, v.restingServers = balance.AsksRest, elsewhereAfter, append(v.restingServers, s.ID)
 		}
 		v.recordOutcome(e, s, outcome, began, http.StatusText(reply.Status)+", not run", why)
 		if _, resting := v.restEnds(e, g.now()); resting {
--- a/src/gateway/rest.go
+++ b/src/gateway/rest.go
@@ -51,7 +51,7 @@
 func (v *requestRun) restEnds(e *pool, now time.Time) (time.Time, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	v.turnedAway = slices.DeleteFunc(v.turnedAway, func(id string) bool {
+	v.restingServers = slices.DeleteFunc(v.restingServers, func(id string) bool {
 		over := !e.picker.Rests(now, id)
 		if over {
 			delete(v.wish.Exclude, id)
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -37,7 +37,7 @@
 	remade     bool
 	maybeRan   bool
 	signals       pushback.Word // signals in the answer of the current attempt
-	turnedAway []string      // servers that asked for rest instead of taking this request
+	restingServers []string      // servers that asked for rest instead of taking this request
 	// The last attempt sent nothing because the server asked for rest or had no permit; it does not count.
 	withheld bool
 	asked    int // permits requested at servers with limits that were not free at once
