--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -160,7 +160,7 @@
 		e.mu.Lock()
 		e.picker.Ended(g.now(), s.ID, &v.wish, balance.Dropped)
 		e.mu.Unlock()
-		if v.asked >= permitsAsked {
+		if v.permitRequests >= permitsAsked {
 			return stepFail, v.noServer(e, g.now()), false
 		}
 		v.withheld = true
--- a/src/gateway/limits.go
+++ b/src/gateway/limits.go
@@ -138,10 +138,10 @@
 // permit begins within the request's patience, the request is refused at once.
 func (v *requestRun) reserve(ctx context.Context, s catalog.Server, now, next time.Time) *code.Error {
 	patience := v.permitPatience(now)
-	if next.Sub(now) > patience || v.asked >= permitsAsked {
+	if next.Sub(now) > patience || v.permitRequests >= permitsAsked {
 		return v.resting(now, next)
 	}
-	v.asked++
+	v.permitRequests++
 	begin, ok := v.gateway.takePermit(ctx, s, v.request.ID, patience)
 	if ok {
 		sleep(ctx, begin.Sub(v.gateway.now()))
@@ -163,7 +163,7 @@
 		sleep(ctx, begin.Sub(v.gateway.now()))
 		return true
 	}
-	v.asked++
-	v.wish.Unlimited = v.asked >= limitsTried
+	v.permitRequests++
+	v.wish.Unlimited = v.permitRequests >= limitsTried
 	return false
 }
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -40,7 +40,7 @@
 	restingServers []string      // servers that asked for rest instead of taking this request
 	// The last attempt sent nothing because the server asked for rest or had no permit; it does not count.
 	withheld bool
-	asked    int // permits requested at servers with limits that were not free at once
+	permitRequests    int // permits requested at servers with limits that were not free at once
 
 	// State of a stream that has begun.
 	begun     bool
