--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -138,7 +138,7 @@
 	if err := v.checkContent(); err != nil {
 		return stepFail, err, false
 	}
-	v.wish.Within = v.confinesNow()
+	v.wish.Within = v.currentConfines()
 	e.mu.Lock()
 	s, why, ok := e.picker.Pick(now, &v.wish)
 	source, copied := e.picker.Source(now, s.ID, &v.wish)
--- a/src/gateway/boundary.go
+++ b/src/gateway/boundary.go
@@ -11,9 +11,9 @@
 // run.
 var errOutside = errors.New("the server is outside the request's boundary")
 
-// confinesNow returns where the request may run under the configuration in force. A pipeline or workspace
+// currentConfines returns where the request may run under the configuration in force. A pipeline or workspace
 // that is no longer configured keeps its previous boundary.
-func (v *requestRun) confinesNow() *catalog.Confines {
+func (v *requestRun) currentConfines() *catalog.Confines {
 	g, r := v.gateway, v.request
 	x := g.index.Load()
 	p := x.Route(r.Host, r.Path)
@@ -38,7 +38,7 @@
 		if err := start(); err != nil {
 			return err
 		}
-		if !v.confinesNow().Allow(s.Domain) {
+		if !v.currentConfines().Allow(s.Domain) {
 			v.gateway.Log.Warn("request not sent, server is outside the boundary", "request", v.request.ID, "server", s.ID, "domain", s.Domain, "version", v.gateway.Version())
 			return errOutside
 		}
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -119,7 +119,7 @@
 			v.priority += 3 * w.Priority
 		}
 	}
-	v.confines = v.confinesNow()
+	v.confines = v.currentConfines()
 	v.content = crasher.ContentOf(v.workspace, r.Method, r.Host, r.Target, r.Body)
 	v.deadline, v.limitedBy = v.began.Add(p.Timeout), "pipeline"
 	if r.Left > 0 && r.Left < p.Timeout {
