--- a/src/gateway/boundary.go
+++ b/src/gateway/boundary.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// nowhere refuses a request if a pool that it needs has servers, but none inside its boundary.
-func (v *requestRun) nowhere() *code.Error {
+// checkBoundary refuses a request if a pool that it needs has servers, but none inside its boundary.
+func (v *requestRun) checkBoundary() *code.Error {
 	if v.confines == nil {
 		return nil
 	}
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -165,7 +165,7 @@
 		v.refuse(err)
 		return
 	}
-	if err := v.nowhere(); err != nil {
+	if err := v.checkBoundary(); err != nil {
 		v.refuse(err)
 		return
 	}
