--- a/src/gateway/boundary.go
+++ b/src/gateway/boundary.go
@@ -59,7 +59,7 @@
 	}
 	for _, name := range pools {
 		if !v.standsInside(name) {
-			return v.outside(name)
+			return v.boundaryRefusal(name)
 		}
 	}
 	return nil
@@ -79,7 +79,7 @@
 	return len(domains) == 0
 }
 
-// outside returns the refusal of a request for which no server is inside its boundary.
-func (v *requestRun) outside(what string) *code.Error {
+// boundaryRefusal returns the refusal of a request for which no server is inside its boundary.
+func (v *requestRun) boundaryRefusal(what string) *code.Error {
 	return refusal(code.NowhereToRun, "boundary", failureReturn, "no server of %s is inside the boundary", what)
 }
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -231,7 +231,7 @@
 		return refusal(code.CannotFinish, "deadline", v.stagesReturn(), "the stages could not be made in time")
 	}
 	if r == batch.Nowhere {
-		return v.outside("a stage")
+		return v.boundaryRefusal("a stage")
 	}
 	if r == batch.Barred {
 		if err := v.barred(); err != nil {
