--- a/src/gateway/limits.go
+++ b/src/gateway/limits.go
@@ -139,7 +139,7 @@
 func (v *requestRun) reserve(ctx context.Context, s catalog.Server, now, next time.Time) *code.Error {
 	patience := v.permitPatience(now)
 	if next.Sub(now) > patience || v.permitRequests >= permitsAsked {
-		return v.resting(now, next)
+		return v.restRefusal(now, next)
 	}
 	v.permitRequests++
 	begin, ok := v.gateway.takePermit(ctx, s, v.request.ID, patience)
--- a/src/gateway/rest.go
+++ b/src/gateway/rest.go
@@ -35,7 +35,7 @@
 			continue
 		}
 		if v.tooLong(now, end) {
-			return v.resting(now, end)
+			return v.restRefusal(now, end)
 		}
 		pace := max(restStep, min(restPace, end.Sub(now), v.startBy().Sub(now)/restLooks))
 		sleep(ctx, pace+time.Duration(v.priority)*restStep)
@@ -110,14 +110,14 @@
 		return nil
 	}
 	if _, limited := v.nextPermit(e, now); limited && end.Sub(now) > v.permitPatience(now) || !limited && v.tooLong(now, end) {
-		return v.resting(now, end)
+		return v.restRefusal(now, end)
 	}
 	return nil
 }
 
-// resting returns the refusal of a request whose servers want rest until a time. The retry-after times are
+// restRefusal returns the refusal of a request whose servers want rest until a time. The retry-after times are
 // spread, as otherwise all callers would meet the first server that is available again.
-func (v *requestRun) resting(now, end time.Time) *code.Error {
+func (v *requestRun) restRefusal(now, end time.Time) *code.Error {
 	spread := time.Duration(catalog.Hash(v.request.ID) % uint64(restSpread))
 	return refusal(code.BackendsResting, "pool", end.Sub(now)+spread, "all servers of %s want rest or take no more requests, the first is available in %s", v.pool, end.Sub(now).Round(time.Millisecond))
 }
@@ -128,7 +128,7 @@
 	end, resting := e.picker.RestEnds(now, &v.wish)
 	e.mu.Unlock()
 	if resting {
-		return v.resting(now, end)
+		return v.restRefusal(now, end)
 	}
 	return refusal(code.BackendsDown, "pool", failureReturn, "no server of %s is left to try", v.pool)
 }
