--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -161,7 +161,7 @@
 // run serves a routed request.
 func (v *requestRun) run(ctx context.Context) {
 	g, p := v.gateway, v.pipeline
-	if err := v.barred(); err != nil {
+	if err := v.checkBarred(); err != nil {
 		v.refuse(err)
 		return
 	}
@@ -234,7 +234,7 @@
 		return v.boundaryRefusal("a stage")
 	}
 	if r == batch.Barred {
-		if err := v.barred(); err != nil {
+		if err := v.checkBarred(); err != nil {
 			return err
 		}
 	}
--- a/src/gateway/suspects.go
+++ b/src/gateway/suspects.go
@@ -74,9 +74,9 @@
 	return ok && d.Incarnation == s.Incarnation
 }
 
-// barred refuses a request whose content crashes servers of its pool or of a stage, before any part of it is
+// checkBarred refuses a request whose content crashes servers of its pool or of a stage, before any part of it is
 // sent or queued.
-func (v *requestRun) barred() *code.Error {
+func (v *requestRun) checkBarred() *code.Error {
 	g := v.gateway
 	if err := g.barredAt(v.content, v.pool); err != nil {
 		return err
