--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -127,7 +127,7 @@
 func (v *requestRun) attemptOnce(ctx context.Context) (nextStep, *code.Error, bool) {
 	g := v.gateway
 	e := g.pools.get(v.pool)
-	g.awaitAwake(ctx) // before the remaining time is computed
+	g.awaitConfirmed(ctx) // before the remaining time is computed
 	if err := v.awaitRest(ctx, e); err != nil {
 		return stepFail, err, false
 	}
--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -191,8 +191,8 @@
 	return false
 }
 
-// awaitAwake holds a request after a pause until the documents are confirmed, for at most wakeWait.
-func (g *Gateway) awaitAwake(ctx context.Context) {
+// awaitConfirmed holds a request after a pause until the documents are confirmed, for at most wakeWait.
+func (g *Gateway) awaitConfirmed(ctx context.Context) {
 	for !g.awake() && ctx.Err() == nil {
 		sleep(ctx, 20*time.Millisecond)
 	}
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -53,7 +53,7 @@
 	g.running.Add(1)
 	defer g.running.Add(-1)
 	v := &requestRun{gateway: g, request: r, caller: c, began: g.now()}
-	g.awaitAwake(ctx)
+	g.awaitConfirmed(ctx)
 	g.awaitKnown(ctx, r)
 	if err := v.route(); err != nil {
 		v.refuse(err)
--- a/src/gateway/start_check.go
+++ b/src/gateway/start_check.go
@@ -18,7 +18,7 @@
 // covers up to 0.7 s of the 2 s in which a leaving server may still get requests.
 func (g *Gateway) startOf(ctx context.Context, s catalog.Server, what, owner string, chosen time.Time) func() error {
 	return func() error {
-		g.awaitAwake(ctx)
+		g.awaitConfirmed(ctx)
 		if g.mayUse(s.ID) {
 			return g.beginAt(s, what, owner, chosen)
 		}
