--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -198,10 +198,10 @@
 	}
 }
 
-// awaitKnown holds a request while a newly started box fetches its first documents. Waiting takes a part of
+// awaitDocuments holds a request while a newly started box fetches its first documents. Waiting takes a part of
 // the caller's time, but a refusal would use up its one retry: after a loss of 59 boxes at once the wait
 // saves the retry of about 260 callers.
-func (g *Gateway) awaitKnown(ctx context.Context, r *Request) {
+func (g *Gateway) awaitDocuments(ctx context.Context, r *Request) {
 	if g.knows() {
 		return
 	}
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -54,7 +54,7 @@
 	defer g.running.Add(-1)
 	v := &requestRun{gateway: g, request: r, caller: c, began: g.now()}
 	g.awaitConfirmed(ctx)
-	g.awaitKnown(ctx, r)
+	g.awaitDocuments(ctx, r)
 	if err := v.route(); err != nil {
 		v.refuse(err)
 		return
