--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -202,7 +202,7 @@
 // the caller's time, but a refusal would use up its one retry: after a loss of 59 boxes at once the wait
 // saves the retry of about 260 callers.
 func (g *Gateway) awaitDocuments(ctx context.Context, r *Request) {
-	if g.knows() {
+	if g.hasDocuments() {
 		return
 	}
 	began := g.now()
@@ -210,18 +210,18 @@
 	if r.Left > 0 {
 		wait = min(wait, time.Duration(knownPart*float64(r.Left)))
 	}
-	for !g.knows() && ctx.Err() == nil && g.now().Sub(began) < wait {
+	for !g.hasDocuments() && ctx.Err() == nil && g.now().Sub(began) < wait {
 		sleep(ctx, knownPace)
 	}
-	g.Log.Info("request waited for the first documents", "request", r.ID, "waited_ms", g.now().Sub(began).Milliseconds(), "known", g.knows(), "box_age_ms", g.now().Sub(g.startedAt).Milliseconds())
+	g.Log.Info("request waited for the first documents", "request", r.ID, "waited_ms", g.now().Sub(began).Milliseconds(), "known", g.hasDocuments(), "box_age_ms", g.now().Sub(g.startedAt).Milliseconds())
 }
 
-// knows reports whether this box has a configuration and a list of servers.
-func (g *Gateway) knows() bool { return g.index.Load() != nil && g.published.hasServers() }
+// hasDocuments reports whether this box has a configuration and a list of servers.
+func (g *Gateway) hasDocuments() bool { return g.index.Load() != nil && g.published.hasServers() }
 
 // Ready reports whether the load balancer should send requests here.
 func (g *Gateway) Ready() bool {
-	return !g.draining.Load() && g.knows()
+	return !g.draining.Load() && g.hasDocuments()
 }
 
 // Drain begins a planned stop: this box is no longer ready and announces to the others that it leaves.
