--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -162,7 +162,7 @@
 	last := time.Unix(0, g.lastTick.Swap(now.UnixNano()))
 	if now.Sub(last) > pauseLimit {
 		g.wokenAt.Store(now.UnixNano())
-		g.published.woke(now, last)
+		g.published.resumed(now, last)
 		g.endLapsed(now)
 		g.Log.Warn("process was paused", "gap_ms", now.Sub(last).Milliseconds())
 	}
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -113,8 +113,8 @@
 	return p.catalogs.AsOf() == 0 || p.lists.AsOf() == 0
 }
 
-// woke records that this process was paused since a time.
-func (p *published) woke(now, since time.Time) {
+// resumed records that this process was paused since a time.
+func (p *published) resumed(now, since time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.catalogs.Woke(now, since)
