--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -211,7 +211,7 @@
 		if reply.Moved {
 			sent = time.Time{}
 		}
-		g.hear(s, reply.Said, "request "+v.request.ID, sent)
+		g.recordSignals(s, reply.Said, "request "+v.request.ID, sent)
 	}
 	if err != nil {
 		v.maybeRan = true
--- a/src/gateway/bench_test.go
+++ b/src/gateway/bench_test.go
@@ -115,7 +115,7 @@
 		b.Run(fmt.Sprint(limited, " of 600"), func(b *testing.B) {
 			g := benchGateway(b, 600, 0)
 			for i := range limited {
-				g.hear(catalog.Server{ID: fmt.Sprintf("i-%08x", i), Pool: "model"}, pushback.Word{Limit: 4}, "bench", g.now())
+				g.recordSignals(catalog.Server{ID: fmt.Sprintf("i-%08x", i), Pool: "model"}, pushback.Word{Limit: 4}, "bench", g.now())
 			}
 			e := g.pools.get("model")
 			for b.Loop() {
--- a/src/gateway/limits_words_test.go
+++ b/src/gateway/limits_words_test.go
@@ -93,7 +93,7 @@
 				}{{"named", 4, 2 * limitHeard}, {"falls", 1, 2 * limitHeard}, {"ends", 0, 2 * limitHeard}} {
 					time.Sleep(2 * time.Second)
 					began := time.Now()
-					s.f.box("box0").hear(server, pushback.Word{Limit: step.says}, "a request", began)
+					s.f.box("box0").recordSignals(server, pushback.Word{Limit: step.says}, "a request", began)
 					last := time.Duration(0)
 					for time.Since(began) < 4*time.Second && last == 0 {
 						time.Sleep(5 * time.Millisecond)
--- a/src/gateway/pushback_test.go
+++ b/src/gateway/pushback_test.go
@@ -182,7 +182,7 @@
 					}
 					return textReply(http.StatusOK, "ok"), nil
 				}
-				time.AfterFunc(200*time.Millisecond, func() { g.hear(catalog.Server{ID: server, Pool: "model"}, word, "another request", time.Now()) })
+				time.AfterFunc(200*time.Millisecond, func() { g.recordSignals(catalog.Server{ID: server, Pool: "model"}, word, "another request", time.Now()) })
 				if a := f.ask("box2", "/stamp/x", "r", func(r *Request) { r.Pieces = nil }); a.status != http.StatusOK {
 					t.Errorf("the caller got %d %v, want the answer of another server", a.status, a.refused)
 				}
@@ -198,8 +198,8 @@
 		settle()
 		g := f.box("box2")
 		leaves, rests := catalog.Server{ID: "model0", Pool: "model"}, catalog.Server{ID: "model1", Pool: "model"}
-		g.hear(leaves, pushback.Word{Leaving: true}, "r", time.Now())
-		g.hear(rests, pushback.Word{Rest: 3 * time.Second}, "r", time.Now())
+		g.recordSignals(leaves, pushback.Word{Leaving: true}, "r", time.Now())
+		g.recordSignals(rests, pushback.Word{Rest: 3 * time.Second}, "r", time.Now())
 		if !g.restsUntil(&rests).After(g.now()) || g.mayUse("model0") {
 			t.Fatal("the words were not heard")
 		}
@@ -224,7 +224,7 @@
 			freed[s.ID]++
 			return pushback.Word{Rest: 3 * time.Second}
 		}
-		g.hear(catalog.Server{ID: "piece0", Pool: "encode"}, pushback.Word{Leaving: true}, "pieces", time.Now())
+		g.recordSignals(catalog.Server{ID: "piece0", Pool: "encode"}, pushback.Word{Leaving: true}, "pieces", time.Now())
 		for range 3 {
 			for _, id := range []string{"piece0", "piece1"} {
 				g.schedulers.giveUp(f.ctx, catalog.Server{ID: id, Pool: "encode"}, []string{"h"})
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -301,7 +301,7 @@
 		g.Log.Info("results not released, server wants no requests", "server", s.ID, "state", v.State.String(), "results", len(handles))
 		return
 	}
-	g.hear(s, g.Backends.FreePieces(ctx, s, handles), "results given up", time.Time{})
+	g.recordSignals(s, g.Backends.FreePieces(ctx, s, handles), "results given up", time.Time{})
 }
 
 // call runs one call and reports its end to the scheduler.
@@ -323,7 +323,7 @@
 	if outcome != batch.CallDone && outcome != batch.CallFull {
 		sent = time.Time{}
 	}
-	g.hear(c.Server, r.Said, "pieces", sent)
+	g.recordSignals(c.Server, r.Said, "pieces", sent)
 	d.noteContents(c, outcome, results)
 	now := g.now()
 	took := now.Sub(began)
--- a/src/gateway/signals.go
+++ b/src/gateway/signals.go
@@ -76,9 +76,9 @@
 	return g.signals.any.Load() && g.signals.judge(g.now(), s).State == pushback.Leaving
 }
 
-// hear records the signals in a server's answer. what names the exchange in logs; sent is when it began, zero
+// recordSignals records the signals in a server's answer. what names the exchange in logs; sent is when it began, zero
 // if the answer is not from that server.
-func (g *Gateway) hear(s catalog.Server, w pushback.Word, what string, sent time.Time) {
+func (g *Gateway) recordSignals(s catalog.Server, w pushback.Word, what string, sent time.Time) {
 	if w == (pushback.Word{}) && !g.signals.any.Load() {
 		return
 	}
