--- a/src/gateway/limits.go
+++ b/src/gateway/limits.go
@@ -23,8 +23,8 @@
 	return pushback.LimitNote{Server: pushback.Server{ID: n.Server, Incarnation: int64(n.Incarnation)}, Sequence: n.Sequence, PerSecond: n.PerSecond, Ended: n.Ended}
 }
 
-// hearLimit records the limit that a server's answer states.
-func (g *Gateway) hearLimit(s catalog.Server, perSecond float64, sent time.Time, what string) {
+// recordLimit records the limit that a server's answer states.
+func (g *Gateway) recordLimit(s catalog.Server, perSecond float64, sent time.Time, what string) {
 	now := g.now()
 	news := false
 	var l pushback.Limited
--- a/src/gateway/signals.go
+++ b/src/gateway/signals.go
@@ -83,7 +83,7 @@
 		return
 	}
 	if w.Limit != 0 || !sent.IsZero() {
-		g.hearLimit(s, w.Limit, sent, what)
+		g.recordLimit(s, w.Limit, sent, what)
 	}
 	now := g.now()
 	var until time.Time
