--- a/src/gateway/limits.go
+++ b/src/gateway/limits.go
@@ -58,8 +58,8 @@
 	return out
 }
 
-// hearLimits merges another box's notes on servers' limits and passes on what is new.
-func (g *Gateway) hearLimits(notes []core.LimitNote, from string) {
+// mergeLimits merges another box's notes on servers' limits and passes on what is new.
+func (g *Gateway) mergeLimits(notes []core.LimitNote, from string) {
 	if len(notes) == 0 {
 		return
 	}
