--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -183,7 +183,7 @@
 		}
 	})
 	if len(news) > 0 {
-		g.takeDepartures(news, "an earlier era of the store")
+		g.stopUsing(news, "an earlier era of the store")
 	}
 }
 
--- a/src/gateway/signals.go
+++ b/src/gateway/signals.go
@@ -103,7 +103,7 @@
 		g.watchWord(s.Pool, wordRest)
 	}
 	if leaves {
-		g.takeDepartures([]catalog.Server{s}, what)
+		g.stopUsing([]catalog.Server{s}, what)
 	}
 }
 
@@ -120,8 +120,8 @@
 	}
 }
 
-// takeDepartures stops using servers that are leaving and notifies all boxes.
-func (g *Gateway) takeDepartures(list []catalog.Server, from string) {
+// stopUsing stops using servers that are leaving and notifies all boxes.
+func (g *Gateway) stopUsing(list []catalog.Server, from string) {
 	var changed []catalog.Changed
 	for i, s := range list {
 		changed = append(changed, catalog.Changed{ID: s.ID, Pool: s.Pool})
@@ -187,7 +187,7 @@
 		}
 	}
 	p.mu.Unlock()
-	g.takeDepartures(slices.Collect(maps.Values(news)), from)
+	g.stopUsing(slices.Collect(maps.Values(news)), from)
 }
 
 // sweepWords drops outdated signals.
