--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -150,7 +150,7 @@
 
 // news returns a function that fills heartbeats with the notes of the other parts of the box.
 func (g *Gateway) news(now time.Time) func(*core.Beat) {
-	waits, reads, asked, leavings, limits := g.schedulers.waits(now), g.readNotes(now), g.askNotes(now), g.departures(), g.limitNotes()
+	waits, reads, asked, leavings, limits := g.schedulers.waits(now), g.readNotes(now), g.askNotes(now), g.leavingNotes(), g.limitNotes()
 	loads := g.loadNotes(now, leavings)
 	return func(b *core.Beat) {
 		g.published.say(now, b)
--- a/src/gateway/signals.go
+++ b/src/gateway/signals.go
@@ -134,9 +134,9 @@
 	g.announce()
 }
 
-// departures returns notes on the servers that signalled that they leave, as long as this box's list names
+// leavingNotes returns notes on the servers that signalled that they leave, as long as this box's list names
 // them as working.
-func (g *Gateway) departures() []core.LeavingNote {
+func (g *Gateway) leavingNotes() []core.LeavingNote {
 	if !g.signals.any.Load() {
 		return nil
 	}
