--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -262,7 +262,7 @@
 	g.hearNotes(m)
 	g.hearUnanswered(m.Unanswered)
 	g.suspects.Hear(m.Suspects, m.From.ID.Name)
-	g.hearDepartures(m.Leavings, m.From.ID.Name)
+	g.mergeLeavingNotes(m.Leavings, m.From.ID.Name)
 	g.mergeLimits(m.Limits, m.From.ID.Name)
 	g.takeLoads(now, m)
 }
--- a/src/gateway/signals.go
+++ b/src/gateway/signals.go
@@ -161,8 +161,8 @@
 	return works
 }
 
-// hearDepartures merges another box's notes on leaving servers.
-func (g *Gateway) hearDepartures(notes []core.LeavingNote, from string) {
+// mergeLeavingNotes merges another box's notes on leaving servers.
+func (g *Gateway) mergeLeavingNotes(notes []core.LeavingNote, from string) {
 	if len(notes) == 0 {
 		return
 	}
