--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -177,7 +177,7 @@
 	var news []catalog.Server
 	g.signals.with(func(r *pushback.Register) {
 		for _, s := range servers {
-			if r.HearLeaving(now, wordLife(s)) {
+			if r.HearLeaving(now, signalServer(s)) {
 				news = append(news, s)
 			}
 		}
--- a/src/gateway/limits.go
+++ b/src/gateway/limits.go
@@ -29,8 +29,8 @@
 	news := false
 	var l pushback.Limited
 	g.signals.with(func(r *pushback.Register) {
-		if news = r.HearLimit(now, sent, wordLife(s), perSecond); news {
-			l, _ = r.LimitOf(now, wordLife(s))
+		if news = r.HearLimit(now, sent, signalServer(s), perSecond); news {
+			l, _ = r.LimitOf(now, signalServer(s))
 		}
 	})
 	if perSecond == pushback.NoSense {
--- a/src/gateway/permits.go
+++ b/src/gateway/permits.go
@@ -53,7 +53,7 @@
 	w := &g.signals
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.register.LimitOf(g.now(), wordLife(s))
+	return w.register.LimitOf(g.now(), signalServer(s))
 }
 
 // limitRate returns the requests per second that all boxes together may send to a server, 0 for no limit.
@@ -71,7 +71,7 @@
 		return now, true
 	}
 	has := false
-	g.signals.with(func(r *pushback.Register) { has = r.HasPermit(now, wordLife(s), owner) })
+	g.signals.with(func(r *pushback.Register) { has = r.HasPermit(now, signalServer(s), owner) })
 	if has {
 		return now, true
 	}
--- a/src/gateway/signals.go
+++ b/src/gateway/signals.go
@@ -36,7 +36,7 @@
 func (w *serverSignals) judge(now time.Time, s catalog.Server) pushback.Verdict {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.register.Judge(now, wordLife(s))
+	return w.register.Judge(now, signalServer(s))
 }
 
 // begin checks a server's signals just before the first byte of a request is sent to it.
@@ -46,7 +46,7 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.register.Begin(now, wordLife(s), owner)
+	return w.register.Begin(now, signalServer(s), owner)
 }
 
 // giveBack returns the permit of a request that was not sent.
@@ -56,8 +56,8 @@
 	}
 }
 
-// wordLife returns the id and incarnation of a listed server.
-func wordLife(s catalog.Server) pushback.Server {
+// signalServer returns the id and incarnation of a listed server.
+func signalServer(s catalog.Server) pushback.Server {
 	return pushback.Server{ID: s.ID, Incarnation: int64(s.Incarnation)}
 }
 
@@ -90,7 +90,7 @@
 	leaves, rests := false, false
 	g.signals.with(func(r *pushback.Register) {
 		if w.Leaving {
-			leaves = r.HearLeaving(now, wordLife(s))
+			leaves = r.HearLeaving(now, signalServer(s))
 		}
 		if w.Rest > 0 {
 			until, rests = r.HearRest(now, s.ID, w.Rest)
