--- a/src/gateway/signals.go
+++ b/src/gateway/signals.go
@@ -100,7 +100,7 @@
 	})
 	if rests {
 		g.Log.Info("server asks for rest", "server", s.ID, "pool", s.Pool, "what", what, "asks_ms", w.Rest.Milliseconds(), "rests_ms", until.Sub(now).Milliseconds())
-		g.watchWord(s.Pool, wordRest)
+		g.countSignal(s.Pool, wordRest)
 	}
 	if leaves {
 		g.stopUsing([]catalog.Server{s}, what)
@@ -114,7 +114,7 @@
 	wordLimit   = "limit"
 )
 
-func (g *Gateway) watchWord(pool, word string) {
+func (g *Gateway) countSignal(pool, word string) {
 	if g.Watch.Said != nil {
 		g.Watch.Said(pool, word)
 	}
@@ -125,7 +125,7 @@
 	var changed []catalog.Changed
 	for i, s := range list {
 		changed = append(changed, catalog.Changed{ID: s.ID, Pool: s.Pool})
-		g.watchWord(s.Pool, wordLeaving)
+		g.countSignal(s.Pool, wordLeaving)
 		if i < serverLines {
 			g.Log.Info("server signalled that it leaves", "server", s.ID, "incarnation", s.Incarnation, "pool", s.Pool, "from", from, "list_age_ms", g.published.listAge(g.now()).Milliseconds())
 		}
