--- a/src/gateway/pull.go
+++ b/src/gateway/pull.go
@@ -13,9 +13,9 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// taking is a partially received packed catalog. Its parts are kept when the sending box fails: another box
+// partialDocument is a partially received packed catalog. Its parts are kept when the sending box fails: another box
 // with the same packed bytes sends the rest.
-type taking struct {
+type partialDocument struct {
 	sum    uint64
 	size   int
 	base   string
@@ -142,10 +142,10 @@
 	defer p.mu.Unlock()
 	t := &p.taking
 	if t.sum != d.Part.Sum || t.digest != d.Digest || t.base != d.Base {
-		*t = taking{sum: d.Part.Sum, size: d.Part.Size, digest: d.Digest, base: d.Base}
+		*t = partialDocument{sum: d.Part.Sum, size: d.Part.Size, digest: d.Digest, base: d.Base}
 	}
 	if d.Part.Offset != len(t.bytes) || len(d.Part.Bytes) == 0 || d.Part.Size > mostPacked || len(t.bytes)+len(d.Part.Bytes) > t.size {
-		*t = taking{}
+		*t = partialDocument{}
 		return nil, errStrange
 	}
 	t.bytes = append(t.bytes, d.Part.Bytes...)
@@ -153,7 +153,7 @@
 		return nil, nil
 	}
 	done := *t
-	*t = taking{}
+	*t = partialDocument{}
 	var base []byte
 	if done.base != "" {
 		base = p.given.raw(done.base)
