--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -28,7 +28,7 @@
 	eras     eras
 	known    bool // a list of servers has been received
 	given    catalogSource
-	taking   partialDocument
+	partial   partialDocument
 }
 
 func (p *published) init(g *Gateway) {
--- a/src/gateway/pull.go
+++ b/src/gateway/pull.go
@@ -140,7 +140,7 @@
 func (p *published) addPart(d *port.Published) (raw []byte, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	t := &p.taking
+	t := &p.partial
 	if t.sum != d.Part.Sum || t.digest != d.Digest || t.base != d.Base {
 		*t = partialDocument{sum: d.Part.Sum, size: d.Part.Size, digest: d.Digest, base: d.Base}
 	}
@@ -189,10 +189,10 @@
 		}
 		return q
 	}
-	if p.held != nil && !p.taking.whole {
+	if p.held != nil && !p.partial.whole {
 		q.Held = []string{p.held.Digest()}
 	}
-	q.Offset, q.Sum = len(p.taking.bytes), p.taking.sum
+	q.Offset, q.Sum = len(p.partial.bytes), p.partial.sum
 	return q
 }
 
--- a/src/gateway/pulling_test.go
+++ b/src/gateway/pulling_test.go
@@ -106,7 +106,7 @@
 		if more, err := g.takePublished(good(), "giver", time.Now()); err != nil || more || g.Version() != 1000 {
 			t.Errorf("what is not spoiled: more %t, %v, version %d", more, err, g.Version())
 		}
-		g.published.taking = partialDocument{whole: true}
+		g.published.partial = partialDocument{whole: true}
 		if q := g.published.question(port.DocumentConfig); len(q.Held) > 0 {
 			t.Error("after a difference that did not fit a difference is asked for again")
 		}
