--- a/src/gateway/catalog_source.go
+++ b/src/gateway/catalog_source.go
@@ -176,7 +176,7 @@
 }
 
 func (g *Gateway) giveCatalog(q *port.PullPublished) *port.Published {
-	v := &g.published.given
+	v := &g.published.source
 	st := g.published.sayCatalog(g.now())
 	if st.Version == 0 {
 		return &port.Published{}
@@ -211,7 +211,7 @@
 
 // refuseCatalog refuses a pull while the link is reserved and names other boxes that hold the catalog.
 func (g *Gateway) refuseCatalog(q *port.PullPublished, st core.Statement, wait time.Duration) *port.Published {
-	named := g.published.given.namedHolders()
+	named := g.published.source.namedHolders()
 	g.Log.Info("document pull refused, link is reserved", "document", q.Document, "to", q.From, "revision", catalog.ConfigRevision(catalog.State(st.Version)), "wait_ms", wait.Milliseconds(), "named", named)
 	return &port.Published{AsOf: st.Version, Digest: st.Digest, Busy: &port.Busy{For: wait, Holders: named}}
 }
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -27,7 +27,7 @@
 	closures catalog.Closures
 	eras     eras
 	known    bool // a list of servers has been received
-	given    catalogSource
+	source    catalogSource
 	partial   partialDocument
 }
 
@@ -40,7 +40,7 @@
 		f.First = len(g.Settings.Seeds) == 0 || slices.Contains(g.Settings.Seeds, g.Settings.Address)
 	}
 	p.list = catalog.NewList()
-	p.given.init(g)
+	p.source.init(g)
 }
 
 func (p *published) hasServers() bool {
@@ -192,7 +192,7 @@
 	p.held = c
 	evacuations := p.closures.Take(now, c.Evacuated, revision, heldRevision.Era())
 	kept := p.closures.Kept()
-	p.given.hold(digest, raw)
+	p.source.hold(digest, raw)
 	g.index.Store(catalog.NewIndex(c))
 	p.mu.Unlock()
 	g.noteRise(rise, heldRevision, revision, from)
--- a/src/gateway/pull.go
+++ b/src/gateway/pull.go
@@ -156,7 +156,7 @@
 	*t = partialDocument{}
 	var base []byte
 	if done.base != "" {
-		base = p.given.raw(done.base)
+		base = p.source.raw(done.base)
 	}
 	if done.base != "" && base == nil || catalog.Hash(string(done.bytes)) != done.sum {
 		t.whole = true
--- a/src/gateway/pulling_test.go
+++ b/src/gateway/pulling_test.go
@@ -142,7 +142,7 @@
 		}
 		// Those that it has begun with are given the rest all the same.
 		p := g.give(whole).Busy
-		rest := g.give(&port.PullPublished{Document: port.DocumentConfig, From: "a", Offset: partBytes, Sum: g.published.given.packs[0].sum})
+		rest := g.give(&port.PullPublished{Document: port.DocumentConfig, From: "a", Offset: partBytes, Sum: g.published.source.packs[0].sum})
 		if p == nil || rest.Part == nil || rest.Part.Offset != partBytes {
 			t.Errorf("a transfer that was begun is not gone on with: %+v", rest)
 		}
