--- a/src/gateway/catalog_source.go
+++ b/src/gateway/catalog_source.go
@@ -177,7 +177,7 @@
 
 func (g *Gateway) giveCatalog(q *port.PullPublished) *port.Published {
 	v := &g.published.source
-	st := g.published.sayCatalog(g.now())
+	st := g.published.catalogStatement(g.now())
 	if st.Version == 0 {
 		return &port.Published{}
 	}
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -129,8 +129,8 @@
 	p.lists.Forget(box)
 }
 
-// sayCatalog returns this box's statement on the catalog that it holds.
-func (p *published) sayCatalog(now time.Time) core.Statement {
+// catalogStatement returns this box's statement on the catalog that it holds.
+func (p *published) catalogStatement(now time.Time) core.Statement {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.catalogs.Say(now)
