--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -153,7 +153,7 @@
 	waits, reads, asked, leavings, limits := g.schedulers.waits(now), g.readNotes(now), g.askNotes(now), g.leavingNotes(), g.limitNotes()
 	loads := g.loadNotes(now, leavings)
 	return func(b *core.Beat) {
-		g.published.say(now, b)
+		g.published.fillStatements(now, b)
 		b.Backends, b.Waits, b.Reads, b.Asked = loads, waits, reads, asked
 		b.Suspects = g.suspects.Notes(b.News)
 		b.Leavings, b.Limits = leavings, limits
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -76,8 +76,8 @@
 	return now.Sub(p.catalogs.Confirmed())
 }
 
-// say fills the statements on documents in a heartbeat.
-func (p *published) say(now time.Time, b *core.Beat) {
+// fillStatements fills the statements on documents in a heartbeat.
+func (p *published) fillStatements(now time.Time, b *core.Beat) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b.Config, b.List = p.catalogs.Say(now), p.lists.Say(now)
