--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -256,7 +256,7 @@
 	if m.Table != nil && m.News {
 		return // it carries membership only
 	}
-	if behind := g.published.hear(m, h.AskedAt); behind || g.published.empty() {
+	if behind := g.published.mergeStatements(m, h.AskedAt); behind || g.published.empty() {
 		g.pullPublished(f.gateway.stages) // without waiting for the next tick
 	}
 	g.hearNotes(m)
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -84,8 +84,8 @@
 	p.tellEra(now, b)
 }
 
-// hear merges the statements of a heartbeat and reports whether a newer document than a held one is known.
-func (p *published) hear(b core.Beat, askedAt time.Time) (behind bool) {
+// mergeStatements merges the statements of a heartbeat and reports whether a newer document than a held one is known.
+func (p *published) mergeStatements(b core.Beat, askedAt time.Time) (behind bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now, held := p.gateway.now(), p.heldRevision(port.DocumentServers)
