--- a/src/gateway/catalog_source.go
+++ b/src/gateway/catalog_source.go
@@ -42,8 +42,8 @@
 
 func (v *catalogSource) init(g *Gateway) { v.gateway = g }
 
-// hold records the catalog in force.
-func (v *catalogSource) hold(digest string, raw []byte) {
+// setCurrent records the catalog in force.
+func (v *catalogSource) setCurrent(digest string, raw []byte) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.held.raw != nil {
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -192,7 +192,7 @@
 	p.held = c
 	evacuations := p.closures.Take(now, c.Evacuated, revision, heldRevision.Era())
 	kept := p.closures.Kept()
-	p.source.hold(digest, raw)
+	p.source.setCurrent(digest, raw)
 	g.index.Store(catalog.NewIndex(c))
 	p.mu.Unlock()
 	g.noteRise(rise, heldRevision, revision, from)
