--- a/src/gateway/catalog_source.go
+++ b/src/gateway/catalog_source.go
@@ -118,9 +118,9 @@
 	return nil
 }
 
-// promise reserves link time for a transfer. If too much is reserved already, it returns how long to wait
+// reserveLink reserves link time for a transfer. If too much is reserved already, it returns how long to wait
 // instead.
-func (v *catalogSource) promise(now time.Time, bytes int) (wait time.Duration) {
+func (v *catalogSource) reserveLink(now time.Time, bytes int) (wait time.Duration) {
 	link := v.gateway.Settings.Capacity.Link
 	if link == 0 {
 		link = assumedLink
@@ -189,7 +189,7 @@
 		if pk.sum != q.Sum {
 			q.Offset = 0 // the pull began with other bytes
 		}
-		if wait := v.promise(g.now(), len(pk.bytes)-q.Offset); wait > 0 {
+		if wait := v.reserveLink(g.now(), len(pk.bytes)-q.Offset); wait > 0 {
 			return g.refuseCatalog(q, st, wait)
 		}
 		g.Log.Info("document sent", "document", q.Document, "to", q.From, "revision", catalog.ConfigRevision(catalog.State(st.Version)), "base", pk.base, "bytes", len(pk.bytes), "offset", q.Offset)
