--- a/src/gateway/catalog_source.go
+++ b/src/gateway/catalog_source.go
@@ -20,7 +20,7 @@
 	held     encoded
 	past     []encoded // earlier ones, newest first
 	packs    []packed  // cached, newest last
-	promised time.Time // end of the link time reserved for transfers
+	reservedUntil time.Time // end of the link time reserved for transfers
 	holders  []string  // boxes that recently received the newest catalog, latest last
 
 	packing sync.Mutex // held while packing, so that concurrent pulls share the result
@@ -127,13 +127,13 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if ahead := now.Add(giveAhead); v.promised.After(ahead) {
-		return v.promised.Sub(ahead)
+	if ahead := now.Add(giveAhead); v.reservedUntil.After(ahead) {
+		return v.reservedUntil.Sub(ahead)
 	}
-	if v.promised.Before(now) {
-		v.promised = now
+	if v.reservedUntil.Before(now) {
+		v.reservedUntil = now
 	}
-	v.promised = v.promised.Add(time.Duration(float64(bytes) * 8 / (giveShare * float64(link) * 1e6) * float64(time.Second)))
+	v.reservedUntil = v.reservedUntil.Add(time.Duration(float64(bytes) * 8 / (giveShare * float64(link) * 1e6) * float64(time.Second)))
 	return 0
 }
 
