--- a/src/gateway/catalog_source.go
+++ b/src/gateway/catalog_source.go
@@ -152,8 +152,8 @@
 	return slices.Clone(v.holders)
 }
 
-// give answers another box's pull of a document.
-func (g *Gateway) give(q *port.PullPublished) *port.Published {
+// answerPull answers another box's pull of a document.
+func (g *Gateway) answerPull(q *port.PullPublished) *port.Published {
 	d := g.giveDocument(q)
 	g.published.tellPublished(q.Document, d)
 	return d
--- a/src/gateway/costs_test.go
+++ b/src/gateway/costs_test.go
@@ -76,7 +76,7 @@
 				q := g.published.question(port.DocumentServers)
 				d := catalog.Difference{Put: []catalog.Server{changed(i)}}
 				g.takeDifference(&port.Published{AsOf: uint64(100 + i), Base: g.published.list.Digest(), Digest: g.published.list.DigestAfter(d), Since: &d}, "peer")
-				if given := g.give(q); given.Since == nil || len(given.Since.Put) != 1 {
+				if given := g.answerPull(q); given.Since == nil || len(given.Since.Put) != 1 {
 					t.Errorf("told on as %+v", given)
 				}
 			}
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -452,7 +452,7 @@
 	case q.Suspects != nil:
 		return port.Answer{Suspects: &port.Suspects{From: g.ID.Name, Notes: g.suspects.AddUp(q.Suspects.Notes, q.Suspects.From)}}
 	case q.Publish != nil:
-		return port.Answer{Publish: g.give(q.Publish)}
+		return port.Answer{Publish: g.answerPull(q.Publish)}
 	case q.Permits != nil:
 		a := g.permitsOf(ctx, *q.Permits)
 		return port.Answer{Permits: &a}
--- a/src/gateway/pulling_test.go
+++ b/src/gateway/pulling_test.go
@@ -74,7 +74,7 @@
 			next := withRoutes(f.catalog, 10)
 			next.Version = 1000 // which the store never has
 			giver.takeCatalog(next, nil, 90, time.Now(), "store")
-			return giver.give(&port.PullPublished{Document: port.DocumentConfig, Held: []string{f.box("box0").published.held.Digest()}})
+			return giver.answerPull(&port.PullPublished{Document: port.DocumentConfig, Held: []string{f.box("box0").published.held.Digest()}})
 		}
 		for _, c := range []struct {
 			name  string
@@ -124,11 +124,11 @@
 		time.Sleep(2 * time.Second)
 		g := f.box("box0")
 		whole := &port.PullPublished{Document: port.DocumentConfig, From: "a"}
-		size := g.give(whole).Part.Size
+		size := g.answerPull(whole).Part.Size
 		var busy *port.Busy
 		begun := 1
 		for range 50 {
-			if d := g.give(&port.PullPublished{Document: port.DocumentConfig, From: "b"}); d.Busy != nil {
+			if d := g.answerPull(&port.PullPublished{Document: port.DocumentConfig, From: "b"}); d.Busy != nil {
 				busy = d.Busy
 				break
 			}
@@ -141,15 +141,15 @@
 			t.Errorf("to be asked again after %v", busy.For)
 		}
 		// Those that it has begun with are given the rest all the same.
-		p := g.give(whole).Busy
-		rest := g.give(&port.PullPublished{Document: port.DocumentConfig, From: "a", Offset: partBytes, Sum: g.published.source.packs[0].sum})
+		p := g.answerPull(whole).Busy
+		rest := g.answerPull(&port.PullPublished{Document: port.DocumentConfig, From: "a", Offset: partBytes, Sum: g.published.source.packs[0].sum})
 		if p == nil || rest.Part == nil || rest.Part.Offset != partBytes {
 			t.Errorf("a transfer that was begun is not gone on with: %+v", rest)
 		}
 		for offset := partBytes; offset < size; offset += partBytes {
-			g.give(&port.PullPublished{Document: port.DocumentConfig, From: "a", Offset: offset, Sum: rest.Part.Sum})
+			g.answerPull(&port.PullPublished{Document: port.DocumentConfig, From: "a", Offset: offset, Sum: rest.Part.Sum})
 		}
-		if d := g.give(whole); d.Busy == nil || !slices.Equal(d.Busy.Holders, []string{"a"}) {
+		if d := g.answerPull(whole); d.Busy == nil || !slices.Equal(d.Busy.Holders, []string{"a"}) {
 			t.Errorf("names %+v, want the box that has the whole", d.Busy)
 		}
 		other := newEmptyFleet(t).start("other")
--- a/src/gateway/spreading_test.go
+++ b/src/gateway/spreading_test.go
@@ -201,8 +201,8 @@
 		held := g.published.question(port.DocumentConfig)
 		f.publish(withRoutes(f.catalog, 10))
 		time.Sleep(3 * time.Second)
-		part := g.give(held).Part
-		whole := g.give(&port.PullPublished{Document: port.DocumentConfig, Held: []string{"unknown"}})
+		part := g.answerPull(held).Part
+		whole := g.answerPull(&port.PullPublished{Document: port.DocumentConfig, Held: []string{"unknown"}})
 		if part == nil || part.Size > 2000 || whole.Base != "" || whole.Part.Size < 20*part.Size {
 			t.Errorf("ten routes more are given as %d bytes, the whole as %d", part.Size, whole.Part.Size)
 		}
