--- a/src/gateway/catalog_source.go
+++ b/src/gateway/catalog_source.go
@@ -161,7 +161,7 @@
 
 func (g *Gateway) giveDocument(q *port.PullPublished) *port.Published {
 	if q.Document == port.DocumentConfig {
-		return g.giveCatalog(q)
+		return g.catalogPart(q)
 	}
 	p := &g.published
 	p.mu.Lock()
@@ -175,7 +175,7 @@
 	return &port.Published{AsOf: st.Version, Digest: p.list.Digest(), Servers: p.list.Servers()}
 }
 
-func (g *Gateway) giveCatalog(q *port.PullPublished) *port.Published {
+func (g *Gateway) catalogPart(q *port.PullPublished) *port.Published {
 	v := &g.published.source
 	st := g.published.catalogStatement(g.now())
 	if st.Version == 0 {
