--- a/src/gateway/catalog_source.go
+++ b/src/gateway/catalog_source.go
@@ -154,12 +154,12 @@
 
 // answerPull answers another box's pull of a document.
 func (g *Gateway) answerPull(q *port.PullPublished) *port.Published {
-	d := g.giveDocument(q)
+	d := g.documentFor(q)
 	g.published.tellPublished(q.Document, d)
 	return d
 }
 
-func (g *Gateway) giveDocument(q *port.PullPublished) *port.Published {
+func (g *Gateway) documentFor(q *port.PullPublished) *port.Published {
 	if q.Document == port.DocumentConfig {
 		return g.catalogPart(q)
 	}
