--- a/src/gateway/pull.go
+++ b/src/gateway/pull.go
@@ -49,7 +49,7 @@
 		d, err := g.askDocument(ctx, from, document)
 		more := false
 		if err == nil {
-			more, err = g.takePublished(d, from, began)
+			more, err = g.applyPulled(d, from, began)
 		}
 		busy := errors.Is(err, errBusy)
 		if !more && !busy {
@@ -77,8 +77,8 @@
 	}
 }
 
-// takePublished applies a box's answer to a pull. more reports whether parts are missing.
-func (g *Gateway) takePublished(d *port.Published, from string, began time.Time) (more bool, err error) {
+// applyPulled applies a box's answer to a pull. more reports whether parts are missing.
+func (g *Gateway) applyPulled(d *port.Published, from string, began time.Time) (more bool, err error) {
 	switch {
 	case d.Busy != nil:
 		g.published.hearHolders(d)
--- a/src/gateway/pulling_test.go
+++ b/src/gateway/pulling_test.go
@@ -94,7 +94,7 @@
 		} {
 			d := good()
 			c.spoil(d)
-			if more, err := g.takePublished(d, "giver", time.Now()); err == nil || more || g.Version() == 1000 {
+			if more, err := g.applyPulled(d, "giver", time.Now()); err == nil || more || g.Version() == 1000 {
 				t.Errorf("%s: more %t, %v, version %d", c.name, more, err, g.Version())
 			}
 			f.publish(withRoutes(f.catalog, 10))
@@ -103,7 +103,7 @@
 				t.Errorf("%s: version %d later, want %d", c.name, g.Version(), f.catalog.Version)
 			}
 		}
-		if more, err := g.takePublished(good(), "giver", time.Now()); err != nil || more || g.Version() != 1000 {
+		if more, err := g.applyPulled(good(), "giver", time.Now()); err != nil || more || g.Version() != 1000 {
 			t.Errorf("what is not spoiled: more %t, %v, version %d", more, err, g.Version())
 		}
 		g.published.partial = partialDocument{whole: true}
