--- a/src/gateway/bench_test.go
+++ b/src/gateway/bench_test.go
@@ -27,7 +27,7 @@
 		}},
 	}
 	g.Init()
-	g.takeCatalog(testCatalog(1), nil, 1, time.Now(), "bench")
+	g.applyCatalog(testCatalog(1), nil, 1, time.Now(), "bench")
 	b.Helper()
 	g.takeServers(benchServers(servers, 0), 2, time.Now(), "bench")
 	for i := range boxes {
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -150,10 +150,10 @@
 	return now.Sub(p.lists.Confirmed())
 }
 
-// takeCatalog puts a catalog in force unless it is older than the current one. readAt is zero if it came from
+// applyCatalog puts a catalog in force unless it is older than the current one. readAt is zero if it came from
 // a peer; raw is its encoded form, nil if unknown. If the store returns a version below the one in force,
 // which it lost, only the evacuations are applied.
-func (g *Gateway) takeCatalog(c *catalog.Catalog, raw []byte, asOf catalog.State, readAt time.Time, from string) {
+func (g *Gateway) applyCatalog(c *catalog.Catalog, raw []byte, asOf catalog.State, readAt time.Time, from string) {
 	p := &g.published
 	if raw == nil && (p.heldCatalog() == nil || c.Version > p.heldCatalog().Version) {
 		raw = g.encode(c)
--- a/src/gateway/pull.go
+++ b/src/gateway/pull.go
@@ -99,7 +99,7 @@
 			return false, eris.Errorf("the configuration's digest is %s, want %s", c.Digest(), d.Digest)
 		}
 		g.logPull(port.DocumentConfig, from, began, d, nil)
-		g.takeCatalog(c, raw, catalog.State(d.AsOf), time.Time{}, from)
+		g.applyCatalog(c, raw, catalog.State(d.AsOf), time.Time{}, from)
 	case d.Since != nil:
 		g.takeDifference(d, from)
 	default:
--- a/src/gateway/pulling_test.go
+++ b/src/gateway/pulling_test.go
@@ -70,10 +70,10 @@
 		good := func() *port.Published {
 			giver := &Gateway{ID: core.BoxID{Name: "giver", Incarnation: 1}, Peers: port.Peers{Beat: func(string, core.Beat) {}}}
 			giver.Init()
-			giver.takeCatalog(f.box("box0").published.held, nil, 1, time.Now(), "store")
+			giver.applyCatalog(f.box("box0").published.held, nil, 1, time.Now(), "store")
 			next := withRoutes(f.catalog, 10)
 			next.Version = 1000 // which the store never has
-			giver.takeCatalog(next, nil, 90, time.Now(), "store")
+			giver.applyCatalog(next, nil, 90, time.Now(), "store")
 			return giver.answerPull(&port.PullPublished{Document: port.DocumentConfig, Held: []string{f.box("box0").published.held.Digest()}})
 		}
 		for _, c := range []struct {
--- a/src/gateway/store_reader.go
+++ b/src/gateway/store_reader.go
@@ -145,7 +145,7 @@
 		f.held = after
 		g.checkNumbers(port.DocumentConfig, asked, f.at)
 		g.liftClosures(f.restored, f.at)
-		g.takeCatalog(after, nil, catalog.ConfigAt(f.at), began, "store")
+		g.applyCatalog(after, nil, catalog.ConfigAt(f.at), began, "store")
 	}
 }
 
