--- a/src/gateway/bench_test.go
+++ b/src/gateway/bench_test.go
@@ -29,7 +29,7 @@
 	g.Init()
 	g.applyCatalog(testCatalog(1), nil, 1, time.Now(), "bench")
 	b.Helper()
-	g.takeServers(benchServers(servers, 0), 2, time.Now(), "bench")
+	g.applyServers(benchServers(servers, 0), 2, time.Now(), "bench")
 	for i := range boxes {
 		g.TakeBeat(core.Beat{From: core.Rumour{ID: core.BoxID{Name: fmt.Sprint("box", i), Incarnation: 1}, Address: fmt.Sprint("h", i, ":1"), State: core.MemberAlive}, News: true})
 	}
--- a/src/gateway/published_test.go
+++ b/src/gateway/published_test.go
@@ -117,7 +117,7 @@
 			r, _ := catalog.RevisionAt(f.era, f.rev+n)
 			return catalog.ListAt(r)
 		}
-		g.takeServers(serversByID(f.servers[:2]), later(1), time.Time{}, "one reader")
+		g.applyServers(serversByID(f.servers[:2]), later(1), time.Time{}, "one reader")
 		change := catalog.Difference{Put: []catalog.Server{{ID: "new", Pool: "model", Domain: "d", Slots: 64}}, Gone: []string{"model0"}}
 		want["new"] = change.Put[0]
 		delete(want, "model0")
@@ -136,7 +136,7 @@
 		g.Init()
 		var all sync.WaitGroup
 		for n := range 24 {
-			all.Go(func() { g.takeServers(benchServers(300+n, 0), catalog.State(n+1), time.Time{}, "somebody") })
+			all.Go(func() { g.applyServers(benchServers(300+n, 0), catalog.State(n+1), time.Time{}, "somebody") })
 		}
 		all.Wait()
 		want := 0
--- a/src/gateway/pull.go
+++ b/src/gateway/pull.go
@@ -103,7 +103,7 @@
 	case d.Since != nil:
 		g.takeDifference(d, from)
 	default:
-		g.takeServers(serversByID(d.Servers), catalog.State(d.AsOf), time.Time{}, from)
+		g.applyServers(serversByID(d.Servers), catalog.State(d.AsOf), time.Time{}, from)
 	}
 	return false, nil
 }
--- a/src/gateway/restored_test.go
+++ b/src/gateway/restored_test.go
@@ -140,7 +140,7 @@
 		settle()
 		g := f.box("box0")
 		ahead := catalog.ListAt(catalog.RevisionTold(f.rev+2, f.era))
-		g.takeServers(serversByID(f.servers[1:]), ahead, time.Time{}, "a box whose number is of another history")
+		g.applyServers(serversByID(f.servers[1:]), ahead, time.Time{}, "a box whose number is of another history")
 		time.Sleep(3 * time.Second)
 		if !g.mayUse("piece0") {
 			t.Error("a list that was passed over while a later one was held is not taken once it is the newest")
--- a/src/gateway/serverlist.go
+++ b/src/gateway/serverlist.go
@@ -11,8 +11,8 @@
 // listChange computes the change of the held list; false if it can't.
 type listChange func(l *catalog.List) (catalog.Difference, bool)
 
-// takeServers applies a whole list of servers by id. readAt is zero if it came from a peer.
-func (g *Gateway) takeServers(after map[string]catalog.Server, asOf catalog.State, readAt time.Time, from string) {
+// applyServers applies a whole list of servers by id. readAt is zero if it came from a peer.
+func (g *Gateway) applyServers(after map[string]catalog.Server, asOf catalog.State, readAt time.Time, from string) {
 	g.takeList(asOf, readAt, from, func(l *catalog.List) (catalog.Difference, bool) { return l.Becomes(after), true })
 }
 
