--- a/src/gateway/costs_test.go
+++ b/src/gateway/costs_test.go
@@ -68,7 +68,7 @@
 			l.Changes()
 			return func(i int) {
 				l.Put(changed(i))
-				g.takeListing(l, catalog.State(100+i), time.Now())
+				g.applyListing(l, catalog.State(100+i), time.Now())
 			}
 		},
 		"told on": func(g *Gateway) func(int) {
--- a/src/gateway/serverlist.go
+++ b/src/gateway/serverlist.go
@@ -16,9 +16,9 @@
 	g.takeList(asOf, readAt, from, func(l *catalog.List) (catalog.Difference, bool) { return l.Becomes(after), true })
 }
 
-// takeListing applies the changes that a reader of the store collected since this box last applied them. If
+// applyListing applies the changes that a reader of the store collected since this box last applied them. If
 // another list came in between whose difference is unknown, it applies the whole list.
-func (g *Gateway) takeListing(listing *catalog.Listing, asOf catalog.State, readAt time.Time) {
+func (g *Gateway) applyListing(listing *catalog.Listing, asOf catalog.State, readAt time.Time) {
 	base, since := listing.Changes()
 	g.takeList(asOf, readAt, "store", func(l *catalog.List) (catalog.Difference, bool) {
 		if d, ok := l.Rebase(base, since); ok && l.DigestAfter(d) == listing.Digest() {
--- a/src/gateway/store_reader.go
+++ b/src/gateway/store_reader.go
@@ -231,7 +231,7 @@
 		}
 		g.checkNumbers(port.DocumentServers, asked, at)
 		if listing.Changed() || !g.confirmServers(began, catalog.ListAt(at), listing.Digest()) {
-			g.takeListing(listing, catalog.ListAt(at), began)
+			g.applyListing(listing, catalog.ListAt(at), began)
 			sleep(ctx, min(mostListPace, time.Duration(len(listing.Servers()))*listPace)) // batches changes of a large list
 		}
 	}
