--- a/src/gateway/serverlist.go
+++ b/src/gateway/serverlist.go
@@ -13,14 +13,14 @@
 
 // applyServers applies a whole list of servers by id. readAt is zero if it came from a peer.
 func (g *Gateway) applyServers(after map[string]catalog.Server, asOf catalog.State, readAt time.Time, from string) {
-	g.takeList(asOf, readAt, from, func(l *catalog.List) (catalog.Difference, bool) { return l.Becomes(after), true })
+	g.applyList(asOf, readAt, from, func(l *catalog.List) (catalog.Difference, bool) { return l.Becomes(after), true })
 }
 
 // applyListing applies the changes that a reader of the store collected since this box last applied them. If
 // another list came in between whose difference is unknown, it applies the whole list.
 func (g *Gateway) applyListing(listing *catalog.Listing, asOf catalog.State, readAt time.Time) {
 	base, since := listing.Changes()
-	g.takeList(asOf, readAt, "store", func(l *catalog.List) (catalog.Difference, bool) {
+	g.applyList(asOf, readAt, "store", func(l *catalog.List) (catalog.Difference, bool) {
 		if d, ok := l.Rebase(base, since); ok && l.DigestAfter(d) == listing.Digest() {
 			return d, true
 		}
@@ -28,9 +28,9 @@
 	})
 }
 
-// takeList applies a change of the list of servers; it returns false if the change can't be computed or does
+// applyList applies a change of the list of servers; it returns false if the change can't be computed or does
 // not match. Work and memory grow with the change, not with the list.
-func (g *Gateway) takeList(asOf catalog.State, readAt time.Time, from string, change listChange) bool {
+func (g *Gateway) applyList(asOf catalog.State, readAt time.Time, from string, change listChange) bool {
 	p := &g.published
 	p.mu.Lock()
 	now := g.now()
@@ -232,7 +232,7 @@
 // known, the list is pulled again.
 func (g *Gateway) takeDifference(d *port.Published, from string) {
 	asOf := catalog.State(d.AsOf)
-	fits := g.takeList(asOf, time.Time{}, from, func(l *catalog.List) (catalog.Difference, bool) {
+	fits := g.applyList(asOf, time.Time{}, from, func(l *catalog.List) (catalog.Difference, bool) {
 		change, known := l.Rebase(d.Base, *d.Since)
 		return change, known && l.DigestAfter(change) == d.Digest
 	})
