--- a/src/gateway/bench_test.go
+++ b/src/gateway/bench_test.go
@@ -56,7 +56,7 @@
 			for i := 0; b.Loop(); i++ {
 				l := g.published.list
 				d := catalog.Difference{Put: []catalog.Server{{ID: "i-00000007", Pool: "model", Address: "10.0.0.7:80", Domain: "d3", Slots: 65 + i%2}}}
-				g.takeDifference(&port.Published{AsOf: uint64(10 + i), Base: l.Digest(), Digest: l.DigestAfter(d), Since: &d}, "bench")
+				g.applyDifference(&port.Published{AsOf: uint64(10 + i), Base: l.Digest(), Digest: l.DigestAfter(d), Since: &d}, "bench")
 			}
 		})
 	}
--- a/src/gateway/costs_test.go
+++ b/src/gateway/costs_test.go
@@ -47,7 +47,7 @@
 			return func(i int) {
 				l := g.published.list
 				d := &catalog.Difference{Put: []catalog.Server{changed(i)}}
-				g.takeDifference(&port.Published{AsOf: uint64(100 + i), Base: l.Digest(), Digest: l.DigestAfter(*d), Since: d}, "peer")
+				g.applyDifference(&port.Published{AsOf: uint64(100 + i), Base: l.Digest(), Digest: l.DigestAfter(*d), Since: d}, "peer")
 			}
 		},
 		"told of an earlier list": func(g *Gateway) func(int) {
@@ -55,11 +55,11 @@
 				base := g.published.list.Digest()
 				for k, id := range []string{"i-00000008", "i-00000009"} {
 					d := catalog.Difference{Put: []catalog.Server{{ID: id, Pool: "model", Domain: "d0", Slots: 64 + i}}}
-					g.takeDifference(&port.Published{AsOf: uint64(100 + 4*i + k), Base: g.published.list.Digest(), Digest: g.published.list.DigestAfter(d), Since: &d}, "peer")
+					g.applyDifference(&port.Published{AsOf: uint64(100 + 4*i + k), Base: g.published.list.Digest(), Digest: g.published.list.DigestAfter(d), Since: &d}, "peer")
 				}
 				d := catalog.Difference{Put: []catalog.Server{changed(i)}}
 				after, _ := g.published.list.Rebase(base, d)
-				g.takeDifference(&port.Published{AsOf: uint64(100 + 4*i + 3), Base: base, Digest: g.published.list.DigestAfter(after), Since: &d}, "peer")
+				g.applyDifference(&port.Published{AsOf: uint64(100 + 4*i + 3), Base: base, Digest: g.published.list.DigestAfter(after), Since: &d}, "peer")
 			}
 		},
 		"read": func(g *Gateway) func(int) {
@@ -75,7 +75,7 @@
 			return func(i int) {
 				q := g.published.question(port.DocumentServers)
 				d := catalog.Difference{Put: []catalog.Server{changed(i)}}
-				g.takeDifference(&port.Published{AsOf: uint64(100 + i), Base: g.published.list.Digest(), Digest: g.published.list.DigestAfter(d), Since: &d}, "peer")
+				g.applyDifference(&port.Published{AsOf: uint64(100 + i), Base: g.published.list.Digest(), Digest: g.published.list.DigestAfter(d), Since: &d}, "peer")
 				if given := g.answerPull(q); given.Since == nil || len(given.Since.Put) != 1 {
 					t.Errorf("told on as %+v", given)
 				}
@@ -103,7 +103,7 @@
 	g := benchGateway(t, manyServers, 0)
 	for i := range 2 * historySeen {
 		d := catalog.Difference{Put: []catalog.Server{{ID: fmt.Sprintf("i-%08x", i), Pool: "model", Domain: "d0", Slots: 65}}}
-		g.takeDifference(&port.Published{AsOf: uint64(100 + i), Base: g.published.list.Digest(), Digest: g.published.list.DigestAfter(d), Since: &d}, "peer")
+		g.applyDifference(&port.Published{AsOf: uint64(100 + i), Base: g.published.list.Digest(), Digest: g.published.list.DigestAfter(d), Since: &d}, "peer")
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
--- a/src/gateway/published_test.go
+++ b/src/gateway/published_test.go
@@ -75,7 +75,7 @@
 		g := f.box("box0")
 		before := g.published.list.Digest()
 		for _, base := range []string{before, "unknown"} {
-			g.takeDifference(&port.Published{AsOf: 99, Digest: "other", Base: base, Since: &catalog.Difference{Gone: []string{"model0"}}}, "box9")
+			g.applyDifference(&port.Published{AsOf: 99, Digest: "other", Base: base, Since: &catalog.Difference{Gone: []string{"model0"}}}, "box9")
 		}
 		if g.published.list.Digest() != before || !g.mayUse("model0") {
 			t.Error("a difference to another list was taken")
@@ -121,7 +121,7 @@
 		change := catalog.Difference{Put: []catalog.Server{{ID: "new", Pool: "model", Domain: "d", Slots: 64}}, Gone: []string{"model0"}}
 		want["new"] = change.Put[0]
 		delete(want, "model0")
-		g.takeDifference(&port.Published{AsOf: uint64(later(2)), Digest: catalog.Digest(want), Base: base, Since: &change}, "another")
+		g.applyDifference(&port.Published{AsOf: uint64(later(2)), Digest: catalog.Digest(want), Base: base, Since: &change}, "another")
 		if got := serversByID(g.published.list.Servers()); !maps.Equal(got, want) {
 			t.Errorf("holds %v, want %v", got, want)
 		}
--- a/src/gateway/pull.go
+++ b/src/gateway/pull.go
@@ -101,7 +101,7 @@
 		g.logPull(port.DocumentConfig, from, began, d, nil)
 		g.applyCatalog(c, raw, catalog.State(d.AsOf), time.Time{}, from)
 	case d.Since != nil:
-		g.takeDifference(d, from)
+		g.applyDifference(d, from)
 	default:
 		g.applyServers(serversByID(d.Servers), catalog.State(d.AsOf), time.Time{}, from)
 	}
--- a/src/gateway/serverlist.go
+++ b/src/gateway/serverlist.go
@@ -228,9 +228,9 @@
 	return !p.closures.Closed(s.Domain) && !p.gateway.leaves(*s)
 }
 
-// takeDifference applies a list of servers sent as a difference to another. If that other list is no longer
+// applyDifference applies a list of servers sent as a difference to another. If that other list is no longer
 // known, the list is pulled again.
-func (g *Gateway) takeDifference(d *port.Published, from string) {
+func (g *Gateway) applyDifference(d *port.Published, from string) {
 	asOf := catalog.State(d.AsOf)
 	fits := g.applyList(asOf, time.Time{}, from, func(l *catalog.List) (catalog.Difference, bool) {
 		change, known := l.Rebase(d.Base, *d.Since)
