--- a/src/gateway/evacuation_test.go
+++ b/src/gateway/evacuation_test.go
@@ -120,14 +120,14 @@
 func TestAColdServerIsColdOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	first := &catalog.Server{ID: "s", Cold: 3 * time.Second}
-	warm(now, nil, first)
+	setColdUntil(now, nil, first)
 	again := &catalog.Server{ID: "s", Cold: 3 * time.Second}
-	warm(now.Add(2*time.Second), first, again)
+	setColdUntil(now.Add(2*time.Second), first, again)
 	if want := now.Add(3 * time.Second); !again.ColdUntil.Equal(want) {
 		t.Errorf("cold until %s, want %s", again.ColdUntil, want)
 	}
 	other := &catalog.Server{ID: "s", Cold: 4 * time.Second}
-	warm(now.Add(10*time.Second), again, other)
+	setColdUntil(now.Add(10*time.Second), again, other)
 	if want := now.Add(14 * time.Second); !other.ColdUntil.Equal(want) {
 		t.Errorf("cold again until %s, want %s", other.ColdUntil, want)
 	}
--- a/src/gateway/serverlist.go
+++ b/src/gateway/serverlist.go
@@ -58,7 +58,7 @@
 		return true
 	}
 	for i := range d.Put {
-		warm(now, p.list.Get(d.Put[i].ID), &d.Put[i])
+		setColdUntil(now, p.list.Get(d.Put[i].ID), &d.Put[i])
 	}
 	c := p.list.Apply(d)
 	effects := p.registry.Take(now, d, revision, p.lists.Returned())
@@ -105,9 +105,9 @@
 	g.applyChanged(dropped)
 }
 
-// warm sets until when a cold server is cold. An entry that repeats the previous one, nil for none, does not
+// setColdUntil sets until when a cold server is cold. An entry that repeats the previous one, nil for none, does not
 // extend it.
-func warm(now time.Time, old, s *catalog.Server) {
+func setColdUntil(now time.Time, old, s *catalog.Server) {
 	switch {
 	case s.Cold <= 0:
 	case old != nil && old.Cold == s.Cold && old.Incarnation == s.Incarnation:
