--- a/src/gateway/pull.go
+++ b/src/gateway/pull.go
@@ -81,7 +81,7 @@
 func (g *Gateway) applyPulled(d *port.Published, from string, began time.Time) (more bool, err error) {
 	switch {
 	case d.Busy != nil:
-		g.published.hearHolders(d)
+		g.published.recordHolders(d)
 		return false, errBusy
 	case d.Part != nil:
 		raw, err := g.published.addPart(d)
@@ -168,8 +168,8 @@
 	return raw, err
 }
 
-// hearHolders records the other holders that a busy box names.
-func (p *published) hearHolders(d *port.Published) {
+// recordHolders records the other holders that a busy box names.
+func (p *published) recordHolders(d *port.Published) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, box := range d.Busy.Holders {
--- a/src/gateway/pulling_test.go
+++ b/src/gateway/pulling_test.go
@@ -153,7 +153,7 @@
 			t.Errorf("names %+v, want the box that has the whole", d.Busy)
 		}
 		other := newEmptyFleet(t).start("other")
-		other.published.hearHolders(&port.Published{AsOf: 9, Digest: "2", Busy: &port.Busy{Holders: []string{"a"}}})
+		other.published.recordHolders(&port.Published{AsOf: 9, Digest: "2", Busy: &port.Busy{Holders: []string{"a"}}})
 		other.published.mu.Lock()
 		defer other.published.mu.Unlock()
 		if from := other.published.catalogs.Pull(time.Now()); from != "a" {
