--- a/src/gateway/costs_test.go
+++ b/src/gateway/costs_test.go
@@ -73,7 +73,7 @@
 		},
 		"told on": func(g *Gateway) func(int) {
 			return func(i int) {
-				q := g.published.question(port.DocumentServers)
+				q := g.published.pullRequest(port.DocumentServers)
 				d := catalog.Difference{Put: []catalog.Server{changed(i)}}
 				g.applyDifference(&port.Published{AsOf: uint64(100 + i), Base: g.published.list.Digest(), Digest: g.published.list.DigestAfter(d), Since: &d}, "peer")
 				if given := g.answerPull(q); given.Since == nil || len(given.Since.Put) != 1 {
--- a/src/gateway/published_test.go
+++ b/src/gateway/published_test.go
@@ -49,7 +49,7 @@
 		f := newTestFleet(t, 1)
 		time.Sleep(2 * time.Second)
 		g := f.box("box0")
-		held := g.published.question(port.DocumentServers)
+		held := g.published.pullRequest(port.DocumentServers)
 		f.changeServers(3)
 		time.Sleep(time.Second)
 		d := g.TakeQuestion(t.Context(), port.Question{Publish: held}).Publish
--- a/src/gateway/pull.go
+++ b/src/gateway/pull.go
@@ -125,7 +125,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, partTime)
 	defer cancel()
-	a, err := g.Peers.Ask(ctx, address, port.Question{Publish: g.published.question(document)})
+	a, err := g.Peers.Ask(ctx, address, port.Question{Publish: g.published.pullRequest(document)})
 	switch {
 	case err != nil:
 		return nil, err
@@ -177,9 +177,9 @@
 	}
 }
 
-// question returns a pull of a document that asks only for the difference to a held one and only for the
+// pullRequest returns a pull of a document that asks only for the difference to a held one and only for the
 // missing parts.
-func (p *published) question(document string) *port.PullPublished {
+func (p *published) pullRequest(document string) *port.PullPublished {
 	q := &port.PullPublished{Document: document, From: p.gateway.ID.Name}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/src/gateway/pulling_test.go
+++ b/src/gateway/pulling_test.go
@@ -107,7 +107,7 @@
 			t.Errorf("what is not spoiled: more %t, %v, version %d", more, err, g.Version())
 		}
 		g.published.partial = partialDocument{whole: true}
-		if q := g.published.question(port.DocumentConfig); len(q.Held) > 0 {
+		if q := g.published.pullRequest(port.DocumentConfig); len(q.Held) > 0 {
 			t.Error("after a difference that did not fit a difference is asked for again")
 		}
 	})
--- a/src/gateway/spreading_test.go
+++ b/src/gateway/spreading_test.go
@@ -198,7 +198,7 @@
 		f.publish(withRoutes(f.catalog, 5000))
 		time.Sleep(3 * time.Second)
 		g := f.box("box0")
-		held := g.published.question(port.DocumentConfig)
+		held := g.published.pullRequest(port.DocumentConfig)
 		f.publish(withRoutes(f.catalog, 10))
 		time.Sleep(3 * time.Second)
 		part := g.answerPull(held).Part
