--- a/src/gateway/pull.go
+++ b/src/gateway/pull.go
@@ -111,7 +111,7 @@
 var (
 	errNotHeld = errors.New("the box does not hold the document")
 	errBusy    = errors.New("the box is busy sending to others")
-	errStrange = errors.New("the part does not follow those already received")
+	errUnexpectedPart = errors.New("the part does not follow those already received")
 	// errUnbounded rejects a configuration from a release that drops boundaries, which would look as if there were
 	// none: this box reads the store itself.
 	errUnbounded = errors.New("the configuration comes from a release without support for boundaries")
@@ -146,7 +146,7 @@
 	}
 	if d.Part.Offset != len(t.bytes) || len(d.Part.Bytes) == 0 || d.Part.Size > mostPacked || len(t.bytes)+len(d.Part.Bytes) > t.size {
 		*t = partialDocument{}
-		return nil, errStrange
+		return nil, errUnexpectedPart
 	}
 	t.bytes = append(t.bytes, d.Part.Bytes...)
 	if len(t.bytes) < t.size {
@@ -160,7 +160,7 @@
 	}
 	if done.base != "" && base == nil || catalog.Hash(string(done.bytes)) != done.sum {
 		t.whole = true
-		return nil, errStrange
+		return nil, errUnexpectedPart
 	}
 	if raw, err = pack.Unpack(done.bytes, base); err != nil {
 		t.whole = true
