--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -74,7 +74,7 @@
 	a := s.core.Configure(g.now(), limits, servers)
 	s.mu.Unlock()
 	g.Log.Info("scheduler opened", "pool", s.pool, "servers", len(servers))
-	d.carry(s, a)
+	d.execute(s, a)
 }
 
 func (d *schedulers) list() []*scheduler {
@@ -94,7 +94,7 @@
 			s.mu.Lock()
 			a := s.core.Configure(d.gateway.now(), limits, servers[s.pool])
 			s.mu.Unlock()
-			d.carry(s, a)
+			d.execute(s, a)
 		}
 	}
 }
@@ -106,7 +106,7 @@
 			s.mu.Lock()
 			a := s.core.Limit(d.gateway.now(), limits)
 			s.mu.Unlock()
-			d.carry(s, a)
+			d.execute(s, a)
 		}
 	}
 }
@@ -122,7 +122,7 @@
 	s.mu.Lock()
 	a := s.core.Change(d.gateway.now(), c.put, c.gone)
 	s.mu.Unlock()
-	d.carry(s, a)
+	d.execute(s, a)
 }
 
 // limitsOf returns the limits of a pool; false if it has no batches.
@@ -148,7 +148,7 @@
 		s.mu.Lock()
 		a := s.core.Tick(d.gateway.now())
 		s.mu.Unlock()
-		d.carry(s, a)
+		d.execute(s, a)
 	}
 }
 
@@ -169,7 +169,7 @@
 	h, a := s.core.HandOver(now, next)
 	s.mu.Unlock()
 	g.fleet.disclaim(s.pool)
-	d.carry(s, a)
+	d.execute(s, a)
 	if !h.Empty() {
 		g.Log.Info("scheduler handed over", "pool", s.pool, "to", next, "results", len(h.Held), "calls", len(h.Busy), "jobs", len(a.Replies))
 		g.tell(next, batch.Message{Handover: &h})
@@ -235,7 +235,7 @@
 	if elsewhere == "" {
 		d.gateway.fleet.claim(j.Pool)
 	}
-	d.carry(s, a)
+	d.execute(s, a)
 }
 
 func (d *schedulers) withdraw(w batch.Withdraw) {
@@ -266,11 +266,11 @@
 	s.mu.Lock()
 	a := do(d.gateway.now(), s.core)
 	s.mu.Unlock()
-	d.carry(s, a)
+	d.execute(s, a)
 }
 
-// carry executes a scheduler's actions.
-func (d *schedulers) carry(s *scheduler, a batch.Actions) {
+// execute executes a scheduler's actions.
+func (d *schedulers) execute(s *scheduler, a batch.Actions) {
 	for _, r := range a.Replies {
 		d.reply(r)
 	}
@@ -336,7 +336,7 @@
 	if g.Watch.Batched != nil {
 		g.Watch.Batched(s.pool, len(c.Items), outcome.String(), took)
 	}
-	d.carry(s, a)
+	d.execute(s, a)
 }
 
 // noteContents records what the end of a call shows about the contents in it.
