--- a/src/gateway/pushback_test.go
+++ b/src/gateway/pushback_test.go
@@ -227,7 +227,7 @@
 		g.recordSignals(catalog.Server{ID: "piece0", Pool: "encode"}, pushback.Word{Leaving: true}, "pieces", time.Now())
 		for range 3 {
 			for _, id := range []string{"piece0", "piece1"} {
-				g.schedulers.giveUp(f.ctx, catalog.Server{ID: id, Pool: "encode"}, []string{"h"})
+				g.schedulers.releaseResults(f.ctx, catalog.Server{ID: id, Pool: "encode"}, []string{"h"})
 			}
 		}
 		if freed["piece0"] != 0 || freed["piece1"] != 1 {
