--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -248,7 +248,7 @@
 func (g *Gateway) Draining() bool { return g.draining.Load() }
 
 // Running returns the number of requests that this box serves and of jobs that it schedules for others.
-func (g *Gateway) Running() int { return int(g.running.Load()) + g.schedulers.foreign() }
+func (g *Gateway) Running() int { return int(g.running.Load()) + g.schedulers.pendingWork() }
 
 // Version returns the version of the catalog in force, 0 for none.
 func (g *Gateway) Version() uint64 {
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -386,8 +386,8 @@
 	return out
 }
 
-// foreign counts the calls and waiting pieces of this box's schedulers, for a planned stop.
-func (d *schedulers) foreign() int {
+// pendingWork counts the calls and waiting pieces of this box's schedulers, for a planned stop.
+func (d *schedulers) pendingWork() int {
 	n := 0
 	for _, s := range d.list() {
 		s.mu.Lock()
