--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -324,7 +324,7 @@
 		sent = time.Time{}
 	}
 	g.recordSignals(c.Server, r.Said, "pieces", sent)
-	d.noteContents(c, outcome, results)
+	d.recordContents(c, outcome, results)
 	now := g.now()
 	took := now.Sub(began)
 	s.mu.Lock()
@@ -339,8 +339,8 @@
 	d.execute(s, a)
 }
 
-// noteContents records what the end of a call shows about the contents in it.
-func (d *schedulers) noteContents(c batch.Call, outcome batch.CallOutcome, results []batch.ItemResult) {
+// recordContents records what the end of a call shows about the contents in it.
+func (d *schedulers) recordContents(c batch.Call, outcome batch.CallOutcome, results []batch.ItemResult) {
 	g := d.gateway
 	switch outcome {
 	case batch.CallBroken:
