--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -32,8 +32,8 @@
 	foreign bool      // another box was the pool's scheduler at the last check
 }
 
-// keeps reports whether another box has just handed the pool over to this one.
-func (s *scheduler) keeps(now time.Time) bool { return now.Sub(s.givenAt) < handoverKeeps }
+// justReceived reports whether another box has just handed the pool over to this one.
+func (s *scheduler) justReceived(now time.Time) bool { return now.Sub(s.givenAt) < handoverKeeps }
 
 func (d *schedulers) init(g *Gateway) {
 	d.gateway = g
@@ -161,7 +161,7 @@
 	}
 	now := g.now()
 	s.mu.Lock()
-	if s.keeps(now) && !g.Draining() { // handing it back would start a loop, and the box that gave it may know more
+	if s.justReceived(now) && !g.Draining() { // handing it back would start a loop, and the box that gave it may know more
 		s.mu.Unlock()
 		return
 	}
@@ -222,7 +222,7 @@
 	}
 	s.mu.Lock()
 	s.usedAt = now
-	if s.keeps(now) && !d.gateway.Draining() {
+	if s.justReceived(now) && !d.gateway.Draining() {
 		elsewhere = ""
 	}
 	if elsewhere == "" && s.foreign && now.Sub(s.heldAt) > handoverAgain {
