--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -28,12 +28,12 @@
 	pool    string
 	usedAt  time.Time
 	heldAt  time.Time // when calls were last delayed for a handover
-	givenAt time.Time // when another box last handed the pool over to this one
+	receivedAt time.Time // when another box last handed the pool over to this one
 	foreign bool      // another box was the pool's scheduler at the last check
 }
 
 // justReceived reports whether another box has just handed the pool over to this one.
-func (s *scheduler) justReceived(now time.Time) bool { return now.Sub(s.givenAt) < handoverKeeps }
+func (s *scheduler) justReceived(now time.Time) bool { return now.Sub(s.receivedAt) < handoverKeeps }
 
 func (d *schedulers) init(g *Gateway) {
 	d.gateway = g
@@ -184,7 +184,7 @@
 	}
 	now := d.gateway.now()
 	s.mu.Lock()
-	s.givenAt, s.foreign = now, false
+	s.receivedAt, s.foreign = now, false
 	s.core.TakeOver(now, h)
 	s.mu.Unlock()
 	d.gateway.fleet.claim(h.Pool)
