--- a/src/gateway/jobs.go
+++ b/src/gateway/jobs.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// lost notifies the jobs that wait for a scheduler that it is gone.
-func (w *ownedJobs) lost(box string) {
+// failJobsAt notifies the jobs that wait for a scheduler that it is gone.
+func (w *ownedJobs) failJobsAt(box string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for n, c := range w.jobs {
@@ -89,7 +89,7 @@
 		return
 	}
 	g.Log.Warn("box refuses connections", "box_address", address, "peer", box)
-	g.ownedJobs.lost(box)
+	g.ownedJobs.failJobsAt(box)
 }
 
 // tell sends a message on jobs to a box, which may be this one.
