--- a/src/gateway/holdings.go
+++ b/src/gateway/holdings.go
@@ -118,14 +118,14 @@
 	if held := g.holdings.news(now, j.Pool, box); len(held) > 0 {
 		g.Log.Info("scheduler informed of held results", "pool", j.Pool, "to", box, "results", len(held))
 		for part := range slices.Chunk(held, resultsPerMessage) {
-			g.tell(box, batch.Message{Held: &batch.Held{Pool: j.Pool, Results: part}})
+			g.sendBatch(box, batch.Message{Held: &batch.Held{Pool: j.Pool, Results: part}})
 		}
 	}
 	m := j.Submission(now)
 	m.Silent = silent
 	if m.Within != nil {
-		g.tell(box, batch.Message{Confined: m})
+		g.sendBatch(box, batch.Message{Confined: m})
 		return
 	}
-	g.tell(box, batch.Message{Submit: m})
+	g.sendBatch(box, batch.Message{Submit: m})
 }
--- a/src/gateway/jobs.go
+++ b/src/gateway/jobs.go
@@ -92,8 +92,8 @@
 	g.ownedJobs.failJobsAt(box)
 }
 
-// tell sends a message on jobs to a box, which may be this one.
-func (g *Gateway) tell(box string, m batch.Message) {
+// sendBatch sends a message on jobs to a box, which may be this one.
+func (g *Gateway) sendBatch(box string, m batch.Message) {
 	m.From, m.Address = g.ID.Name, g.Settings.Address
 	if box == g.ID.Name {
 		g.schedulers.take(m)
@@ -120,7 +120,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			g.tell(box, batch.Message{Withdraw: &batch.Withdraw{ID: id, Pool: j.Pool}})
+			g.sendBatch(box, batch.Message{Withdraw: &batch.Withdraw{ID: id, Pool: j.Pool}})
 			return nil, batch.Stopped
 		case m := <-answers:
 			switch {
@@ -178,7 +178,7 @@
 
 // another moves a job from a scheduler that does not answer to the next one.
 func (g *Gateway) another(j *batch.Job, from string, avoid map[string]bool, why string) string {
-	g.tell(from, batch.Message{Withdraw: &batch.Withdraw{ID: j.ID, Pool: j.Pool}})
+	g.sendBatch(from, batch.Message{Withdraw: &batch.Withdraw{ID: j.ID, Pool: j.Pool}})
 	if why == silentScheduler {
 		g.fleet.shun(g.now(), from)
 	}
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -172,7 +172,7 @@
 	d.execute(s, a)
 	if !h.Empty() {
 		g.Log.Info("scheduler handed over", "pool", s.pool, "to", next, "results", len(h.Held), "calls", len(h.Busy), "jobs", len(a.Replies))
-		g.tell(next, batch.Message{Handover: &h})
+		g.sendBatch(next, batch.Message{Handover: &h})
 	}
 }
 
--- a/src/gateway/stages.go
+++ b/src/gateway/stages.go
@@ -76,7 +76,7 @@
 	r.freed[stage] = true
 	r.mu.Unlock()
 	g, pool := r.gateway, r.pipeline.Stages[stage].Pool
-	g.tell(g.schedulerOf(pool, nil), batch.Message{Free: &batch.Free{Pool: pool, Results: g.holdings.take(g.now(), pool, handles)}})
+	g.sendBatch(g.schedulerOf(pool, nil), batch.Message{Free: &batch.Free{Pool: pool, Results: g.holdings.take(g.now(), pool, handles)}})
 }
 
 // freeAll releases all results still held.
