--- a/src/gateway/jobs.go
+++ b/src/gateway/jobs.go
@@ -128,7 +128,7 @@
 				return m.Done, 0
 			case m.Failed != nil && m.Failed.Reason == batch.NoPool && box != g.ID.Name:
 				avoid[box] = true
-				box, accepted, silent = g.another(j, box, avoid, poolUnknown), false, 0
+				box, accepted, silent = g.reassign(j, box, avoid, poolUnknown), false, 0
 				timer.Reset(ackPatience)
 			case m.Failed != nil && m.Failed.Reason == batch.Moved:
 				// A box that did not answer is not asked again: the box that redirected to it accepts the
@@ -143,7 +143,7 @@
 			case m.Failed != nil && m.Failed.Reason == batch.Unreachable:
 				if m.From == box {
 					avoid[box] = true
-					box, accepted, silent = g.another(j, box, avoid, silentScheduler), false, 0
+					box, accepted, silent = g.reassign(j, box, avoid, silentScheduler), false, 0
 					timer.Reset(ackPatience)
 				}
 			case m.Failed != nil:
@@ -160,7 +160,7 @@
 			lost := g.fleet.stateOf(box) == core.MemberDead && box != g.ID.Name
 			if !accepted || silent > silentAsks || lost {
 				avoid[box] = true
-				box, accepted, silent = g.another(j, box, avoid, silentScheduler), false, 0
+				box, accepted, silent = g.reassign(j, box, avoid, silentScheduler), false, 0
 				timer.Reset(ackPatience)
 				continue
 			}
@@ -176,8 +176,8 @@
 	poolUnknown     = "no_pool"
 )
 
-// another moves a job from a scheduler that does not answer to the next one.
-func (g *Gateway) another(j *batch.Job, from string, avoid map[string]bool, why string) string {
+// reassign moves a job from a scheduler that does not answer to the next one.
+func (g *Gateway) reassign(j *batch.Job, from string, avoid map[string]bool, why string) string {
 	g.sendBatch(from, batch.Message{Withdraw: &batch.Withdraw{ID: j.ID, Pool: j.Pool}})
 	if why == silentScheduler {
 		g.fleet.shun(g.now(), from)
