--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -69,8 +69,8 @@
 	r.forget()
 }
 
-// contender is a box that takes work, with what the choice of schedulers depends on.
-type contender struct {
+// schedulerCandidate is a box that takes work, with what the choice of schedulers depends on.
+type schedulerCandidate struct {
 	name     string
 	up       time.Duration // uptime
 	seed     bool          // configured as a seed at every box
@@ -81,8 +81,8 @@
 // eligible lists the boxes that may schedule: those that have been running for a while or that started with
 // the oldest, on machines with enough capacity. Just after a start or a loss of all boxes few know one
 // another; then the seeds schedule, which every box contacts first.
-func eligible(all []contender) []string {
-	var settled []contender
+func eligible(all []schedulerCandidate) []string {
+	var settled []schedulerCandidate
 	var seeds []string
 	oldest := time.Duration(0)
 	for _, c := range all {
@@ -104,7 +104,7 @@
 
 // capable returns the boxes that have at least capablePart of the largest processor and of the fastest link;
 // all of them if no machine has both.
-func capable(all []contender) []string {
+func capable(all []schedulerCandidate) []string {
 	var most core.Capacity
 	for _, c := range all {
 		most.CPU, most.Link = max(most.CPU, c.capacity.CPU), max(most.Link, c.capacity.Link)
@@ -124,7 +124,7 @@
 }
 
 // readersOf chooses the boxes that read the platform from those with enough capacity.
-func readersOf(all []contender) []string {
+func readersOf(all []schedulerCandidate) []string {
 	able := capable(all)
 	var candidates []catalog.Candidate
 	for _, c := range all {
@@ -253,10 +253,10 @@
 	}
 	r.version, r.madeAt = f.core.Version(), now
 	r.running = f.core.Running(now)
-	all := make([]contender, 0, len(r.running))
+	all := make([]schedulerCandidate, 0, len(r.running))
 	r.links = make(map[string]uint32, len(r.running)) // a new map, as readers may hold the previous one
 	for _, m := range r.running {
-		all = append(all, contender{name: m.Name, up: m.Up, seed: slices.Contains(f.gateway.Settings.Seeds, m.Address), domain: m.Domain, capacity: m.Capacity})
+		all = append(all, schedulerCandidate{name: m.Name, up: m.Up, seed: slices.Contains(f.gateway.Settings.Seeds, m.Address), domain: m.Domain, capacity: m.Capacity})
 		r.links[m.Name] = m.Capacity.Link
 	}
 	r.readers, r.able = readersOf(all), capable(all)
@@ -269,7 +269,7 @@
 // rosterHolds returns how long a choice among members is valid while none of them changes: until one has been
 // running long enough to take a pool over, or until the fleet has formed. Computing it anew at each tick
 // would be half of the work of a box among 300.
-func rosterHolds(all []contender) time.Duration {
+func rosterHolds(all []schedulerCandidate) time.Duration {
 	holds, oldest := mostRosterLife, time.Duration(0)
 	for _, c := range all {
 		oldest = max(oldest, c.up)
--- a/src/gateway/roster_test.go
+++ b/src/gateway/roster_test.go
@@ -20,18 +20,18 @@
 	old, young := time.Minute, 5*time.Second
 	for _, c := range []struct {
 		name string
-		all  []contender
+		all  []schedulerCandidate
 		want []string
 	}{
-		{"a start of all without seeds", []contender{{name: "a", up: time.Second, seed: false}, {name: "b", up: 1200 * time.Millisecond, seed: false}}, []string{"a", "b"}},
-		{"a start of all", []contender{{name: "a", up: 1500 * time.Millisecond, seed: false}, {name: "b", up: 1500 * time.Millisecond, seed: true}, {name: "c", up: time.Second, seed: true}}, []string{"b", "c"}},
-		{"all know one another", []contender{{name: "a", up: young, seed: false}, {name: "b", up: young, seed: true}, {name: "c", up: young, seed: true}}, []string{"a", "b", "c"}},
-		{"one has come back", []contender{{name: "a", up: old, seed: false}, {name: "b", up: old, seed: false}, {name: "c", up: young, seed: true}}, []string{"a", "b"}},
-		{"it has settled", []contender{{name: "a", up: old, seed: false}, {name: "c", up: settledAfter, seed: true}}, []string{"a", "c"}},
-		{"a small machine", []contender{{name: "a", up: old, capacity: core.Capacity{CPU: 192, Link: 20}}, {name: "b", up: old, capacity: core.Capacity{CPU: 800, Link: 200}}, {name: "c", up: old, capacity: core.Capacity{CPU: 400, Link: 100}}}, []string{"b", "c"}},
-		{"no machine has the most of both", []contender{{name: "a", up: old, capacity: core.Capacity{CPU: 100, Link: 200}}, {name: "b", up: old, capacity: core.Capacity{CPU: 800, Link: 20}}}, []string{"a", "b"}},
-		{"a large machine has not settled", []contender{{name: "a", up: old, capacity: core.Capacity{CPU: 192, Link: 20}}, {name: "b", up: young, capacity: core.Capacity{CPU: 800, Link: 200}}}, []string{"a"}},
-		{"only one is old", []contender{{name: "a", up: 10 * time.Second, seed: false}, {name: "b", up: 4 * time.Second, seed: false}}, []string{"a"}},
+		{"a start of all without seeds", []schedulerCandidate{{name: "a", up: time.Second, seed: false}, {name: "b", up: 1200 * time.Millisecond, seed: false}}, []string{"a", "b"}},
+		{"a start of all", []schedulerCandidate{{name: "a", up: 1500 * time.Millisecond, seed: false}, {name: "b", up: 1500 * time.Millisecond, seed: true}, {name: "c", up: time.Second, seed: true}}, []string{"b", "c"}},
+		{"all know one another", []schedulerCandidate{{name: "a", up: young, seed: false}, {name: "b", up: young, seed: true}, {name: "c", up: young, seed: true}}, []string{"a", "b", "c"}},
+		{"one has come back", []schedulerCandidate{{name: "a", up: old, seed: false}, {name: "b", up: old, seed: false}, {name: "c", up: young, seed: true}}, []string{"a", "b"}},
+		{"it has settled", []schedulerCandidate{{name: "a", up: old, seed: false}, {name: "c", up: settledAfter, seed: true}}, []string{"a", "c"}},
+		{"a small machine", []schedulerCandidate{{name: "a", up: old, capacity: core.Capacity{CPU: 192, Link: 20}}, {name: "b", up: old, capacity: core.Capacity{CPU: 800, Link: 200}}, {name: "c", up: old, capacity: core.Capacity{CPU: 400, Link: 100}}}, []string{"b", "c"}},
+		{"no machine has the most of both", []schedulerCandidate{{name: "a", up: old, capacity: core.Capacity{CPU: 100, Link: 200}}, {name: "b", up: old, capacity: core.Capacity{CPU: 800, Link: 20}}}, []string{"a", "b"}},
+		{"a large machine has not settled", []schedulerCandidate{{name: "a", up: old, capacity: core.Capacity{CPU: 192, Link: 20}}, {name: "b", up: young, capacity: core.Capacity{CPU: 800, Link: 200}}}, []string{"a"}},
+		{"only one is old", []schedulerCandidate{{name: "a", up: 10 * time.Second, seed: false}, {name: "b", up: 4 * time.Second, seed: false}}, []string{"a"}},
 	} {
 		if got := eligible(c.all); !slices.Equal(got, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
--- a/src/gateway/spreading_test.go
+++ b/src/gateway/spreading_test.go
@@ -161,10 +161,10 @@
 // Readers are boxes that can carry the document, in different failure domains; a few of all where none can.
 func TestReadersCanCarryTheDocument(t *testing.T) {
 	for fleet := range 20 {
-		var all []contender
+		var all []schedulerCandidate
 		large, domain := map[string]bool{}, map[string]string{}
 		for i := range 40 {
-			c := contender{name: fmt.Sprintf("fleet%d-box%d", fleet, i), domain: fmt.Sprint("d", i%4), capacity: core.Capacity{CPU: 192, Link: 10}}
+			c := schedulerCandidate{name: fmt.Sprintf("fleet%d-box%d", fleet, i), domain: fmt.Sprint("d", i%4), capacity: core.Capacity{CPU: 192, Link: 10}}
 			if i%5 == 0 {
 				c.capacity = core.Capacity{CPU: 800, Link: 200}
 				large[c.name] = true
