--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -27,11 +27,11 @@
 	// Boxes that did not answer this box, and until when they are not chosen.
 	silent     map[string]time.Time
 	hints      map[string]hint      // redirects of schedulers to their successors, by pool
-	complaints map[string]complaint // the last report on a box that did not answer another, by that box
+	complaints map[string]silenceReport // the last report on a box that did not answer another, by that box
 }
 
-// complaint is a box's report that another one did not answer it.
-type complaint struct {
+// silenceReport is a box's report that another one did not answer it.
+type silenceReport struct {
 	from string
 	at   time.Time
 }
@@ -45,7 +45,7 @@
 
 func (r *roster) init() {
 	r.coordinators = map[string]string{}
-	r.chosen, r.silent, r.hints, r.complaints = map[string]string{}, map[string]time.Time{}, map[string]hint{}, map[string]complaint{}
+	r.chosen, r.silent, r.hints, r.complaints = map[string]string{}, map[string]time.Time{}, map[string]hint{}, map[string]silenceReport{}
 }
 
 // forget invalidates everything computed.
@@ -183,7 +183,7 @@
 		return
 	}
 	last, told := r.complaints[box]
-	r.complaints[box] = complaint{from: from, at: now}
+	r.complaints[box] = silenceReport{from: from, at: now}
 	alone := !told || last.from == from || now.Sub(last.at) > complaintLife
 	if alone && len(f.usableNow) > complaintsFrom {
 		f.gateway.Log.Info("report of a silent scheduler awaits a second one", "about", box, "from", from, "members", len(f.usableNow))
