--- a/src/gateway/claim_test.go
+++ b/src/gateway/claim_test.go
@@ -150,17 +150,17 @@
 		g := f.box("box0")
 		f.setLost("box1", true)
 		time.Sleep(2 * heardLately)
-		g.fleet.toldSilent(g.now(), "box1", "box2")
-		g.fleet.toldSilent(g.now(), "box1", "box2")
+		g.fleet.handleSilenceReport(g.now(), "box1", "box2")
+		g.fleet.handleSilenceReport(g.now(), "box1", "box2")
 		if !g.fleet.mayAsk(g.now(), "box1") {
 			t.Error("a scheduler is passed over on the word of one box")
 		}
 		time.Sleep(2 * complaintLife)
-		g.fleet.toldSilent(g.now(), "box1", "box3")
+		g.fleet.handleSilenceReport(g.now(), "box1", "box3")
 		if !g.fleet.mayAsk(g.now(), "box1") {
 			t.Error("a scheduler is passed over on an old word")
 		}
-		g.fleet.toldSilent(g.now(), "box1", "box4")
+		g.fleet.handleSilenceReport(g.now(), "box1", "box4")
 		if g.fleet.mayAsk(g.now(), "box1") {
 			t.Error("a scheduler that two boxes found silent is asked")
 		}
--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -172,10 +172,10 @@
 	f.roster.shun(now, box)
 }
 
-// toldSilent handles another box's report that a scheduler did not answer it, unless this box heard of that
+// handleSilenceReport handles another box's report that a scheduler did not answer it, unless this box heard of that
 // scheduler recently. In a large fleet boxes rarely hear of one another and a single report may come from a
 // lost message, so two boxes must report it.
-func (f *fleet) toldSilent(now time.Time, box, from string) {
+func (f *fleet) handleSilenceReport(now time.Time, box, from string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	r := &f.roster
--- a/src/gateway/roster_test.go
+++ b/src/gateway/roster_test.go
@@ -230,13 +230,13 @@
 		f := newTestFleet(t, 3)
 		settle()
 		g := f.box("box0")
-		g.fleet.toldSilent(g.now(), "box1", "box2")
+		g.fleet.handleSilenceReport(g.now(), "box1", "box2")
 		if !g.fleet.mayAsk(g.now(), "box1") {
 			t.Error("a box that was heard of a moment ago was passed over on another's word")
 		}
 		f.setLost("box1", true)
 		time.Sleep(2 * heardLately)
-		g.fleet.toldSilent(g.now(), "box1", "box2")
+		g.fleet.handleSilenceReport(g.now(), "box1", "box2")
 		if g.fleet.mayAsk(g.now(), "box1") {
 			t.Error("a box that is not heard of is asked though another found it silent")
 		}
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -215,7 +215,7 @@
 		return
 	}
 	now := d.gateway.now()
-	d.gateway.fleet.toldSilent(now, j.Silent, j.ID.Box)
+	d.gateway.fleet.handleSilenceReport(now, j.Silent, j.ID.Box)
 	elsewhere := d.gateway.schedulerOf(j.Pool, nil)
 	if elsewhere == d.gateway.ID.Name {
 		elsewhere = ""
