--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -26,7 +26,7 @@
 	until        time.Time            // time of the next computation even if no member changes
 	// Boxes that did not answer this box, and until when they are not chosen.
 	silent     map[string]time.Time
-	hints      map[string]hint      // redirects of schedulers to their successors, by pool
+	hints      map[string]redirect      // redirects of schedulers to their successors, by pool
 	complaints map[string]silenceReport // the last report on a box that did not answer another, by that box
 }
 
@@ -36,16 +36,16 @@
 	at   time.Time
 }
 
-// hint is a scheduler's redirect of its pool to another box. It overrides this box's own view, which learns
+// redirect is a scheduler's redirect of its pool to another box. It overrides this box's own view, which learns
 // of a change later in a large fleet.
-type hint struct {
+type redirect struct {
 	box   string
 	until time.Time
 }
 
 func (r *roster) init() {
 	r.coordinators = map[string]string{}
-	r.chosen, r.silent, r.hints, r.complaints = map[string]string{}, map[string]time.Time{}, map[string]hint{}, map[string]silenceReport{}
+	r.chosen, r.silent, r.hints, r.complaints = map[string]string{}, map[string]time.Time{}, map[string]redirect{}, map[string]silenceReport{}
 }
 
 // forget invalidates everything computed.
@@ -298,7 +298,7 @@
 func (f *fleet) moved(now time.Time, pool, to string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.roster.hints[pool] = hint{box: to, until: now.Add(hintLife)}
+	f.roster.hints[pool] = redirect{box: to, until: now.Add(hintLife)}
 }
 
 // schedulers lists the boxes that may schedule pools now. The fleet's lock is held.
