--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -415,7 +415,7 @@
 	if now.Before(f.roster.silent[box]) {
 		return false
 	}
-	f.roster.shun(now, box)
+	f.roster.avoid(now, box)
 	return true
 }
 
--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// shun stops choosing a box that did not answer, until it is heard of again or shunFor has passed.
-func (r *roster) shun(now time.Time, box string) {
+// avoid stops choosing a box that did not answer, until it is heard of again or shunFor has passed.
+func (r *roster) avoid(now time.Time, box string) {
 	r.silent[box] = now.Add(shunFor)
 	r.forget()
 }
@@ -169,7 +169,7 @@
 func (f *fleet) shun(now time.Time, box string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.roster.shun(now, box)
+	f.roster.avoid(now, box)
 }
 
 // handleSilenceReport handles another box's report that a scheduler did not answer it, unless this box heard of that
@@ -190,7 +190,7 @@
 		return
 	}
 	delete(r.complaints, box)
-	r.shun(now, box)
+	r.avoid(now, box)
 }
 
 // claim makes this box the scheduler of a pool and announces it.
