--- a/src/gateway/jobs.go
+++ b/src/gateway/jobs.go
@@ -180,7 +180,7 @@
 func (g *Gateway) reassign(j *batch.Job, from string, avoid map[string]bool, why string) string {
 	g.sendBatch(from, batch.Message{Withdraw: &batch.Withdraw{ID: j.ID, Pool: j.Pool}})
 	if why == silentScheduler {
-		g.fleet.shun(g.now(), from)
+		g.fleet.avoidScheduler(g.now(), from)
 	}
 	box := g.schedulerOf(j.Pool, avoid)
 	g.Log.Warn("scheduler changed", "request", j.Request, "pool", j.Pool, "from", from, "to", box, "cause", why)
--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -165,8 +165,8 @@
 	return best
 }
 
-// shun stops choosing a box as a scheduler.
-func (f *fleet) shun(now time.Time, box string) {
+// avoidScheduler stops choosing a box as a scheduler.
+func (f *fleet) avoidScheduler(now time.Time, box string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.roster.avoid(now, box)
--- a/src/gateway/roster_test.go
+++ b/src/gateway/roster_test.go
@@ -164,7 +164,7 @@
 			t.Errorf("the word of a scheduler counts for ever: %s", got)
 		}
 		g.fleet.moved(g.now(), "encode", next)
-		g.fleet.shun(g.now(), next)
+		g.fleet.avoidScheduler(g.now(), next)
 		if got := g.schedulerOf("encode", nil); got == next {
 			t.Error("a box that does not answer schedules")
 		}
