--- a/src/gateway/store_reader.go
+++ b/src/gateway/store_reader.go
@@ -83,7 +83,7 @@
 	p.mu.Lock()
 	plea := p.feed(document).Unanswered(now, living)
 	p.mu.Unlock()
-	g.plead(now, document, plea)
+	g.notifyReaders(now, document, plea)
 }
 
 // hearUnanswered handles another reader's notice that it gets no answers; if it is the last of the readers,
@@ -98,11 +98,11 @@
 	p.mu.Lock()
 	plea := p.feed(u.Document).UnansweredToo(now, living)
 	p.mu.Unlock()
-	g.plead(now, u.Document, plea)
+	g.notifyReaders(now, u.Document, plea)
 }
 
-// plead notifies other boxes that reads of a document get no answer.
-func (g *Gateway) plead(now time.Time, document string, plea catalog.Plea) {
+// notifyReaders notifies other boxes that reads of a document get no answer.
+func (g *Gateway) notifyReaders(now time.Time, document string, plea catalog.Plea) {
 	if len(plea.Beside)+len(plea.Next) == 0 {
 		return
 	}
