--- a/src/gateway/store_reader.go
+++ b/src/gateway/store_reader.go
@@ -71,12 +71,12 @@
 		g.Log.Warn("store lost", "document", r.document, "cause", fmt.Sprint(err))
 	}
 	r.failures++
-	g.tellUnanswered(r.document)
+	g.reportUnanswered(r.document)
 }
 
-// tellUnanswered notifies the other readers that this box's reads get no answer. Once that holds for all of
+// reportUnanswered notifies the other readers that this box's reads get no answer. Once that holds for all of
 // them, the next boxes in rank are asked to read.
-func (g *Gateway) tellUnanswered(document string) {
+func (g *Gateway) reportUnanswered(document string) {
 	now := g.now()
 	living := g.fleet.usable()
 	p := &g.published
@@ -127,7 +127,7 @@
 
 // overdue starts a timer that notifies the other readers when a watch is overdue. The watch itself continues.
 func (g *Gateway) overdue(document string) *time.Timer {
-	return time.AfterFunc(watchWait+overdueAfter, func() { g.tellUnanswered(document) })
+	return time.AfterFunc(watchWait+overdueAfter, func() { g.reportUnanswered(document) })
 }
 
 // readCatalog reads the whole configuration and then waits for its changes, in a loop.
