--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -260,7 +260,7 @@
 		g.pullPublished(f.gateway.stages) // without waiting for the next tick
 	}
 	g.hearNotes(m)
-	g.hearUnanswered(m.Unanswered)
+	g.handleUnanswered(m.Unanswered)
 	g.suspects.Hear(m.Suspects, m.From.ID.Name)
 	g.mergeLeavingNotes(m.Leavings, m.From.ID.Name)
 	g.mergeLimits(m.Limits, m.From.ID.Name)
--- a/src/gateway/store_reader.go
+++ b/src/gateway/store_reader.go
@@ -86,9 +86,9 @@
 	g.notifyReaders(now, document, plea)
 }
 
-// hearUnanswered handles another reader's notice that it gets no answers; if it is the last of the readers,
+// handleUnanswered handles another reader's notice that it gets no answers; if it is the last of the readers,
 // the next boxes in rank are asked to read.
-func (g *Gateway) hearUnanswered(u *core.Unanswered) {
+func (g *Gateway) handleUnanswered(u *core.Unanswered) {
 	if u == nil {
 		return
 	}
