--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -120,9 +120,9 @@
 	b.List.Version = uint64(catalog.ListHeard(b.List.Version, base))
 }
 
-// hearNotes merges another box's notes on evacuations and doubted servers that no document of the newest era
+// mergeStoreNotes merges another box's notes on evacuations and doubted servers that no document of the newest era
 // contains.
-func (g *Gateway) hearNotes(b core.Beat) {
+func (g *Gateway) mergeStoreNotes(b core.Beat) {
 	if len(b.Closures)+len(b.Doubts) == 0 {
 		return
 	}
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -259,7 +259,7 @@
 	if behind := g.published.mergeStatements(m, h.AskedAt); behind || g.published.empty() {
 		g.pullPublished(f.gateway.stages) // without waiting for the next tick
 	}
-	g.hearNotes(m)
+	g.mergeStoreNotes(m)
 	g.handleUnanswered(m.Unanswered)
 	g.suspects.Hear(m.Suspects, m.From.ID.Name)
 	g.mergeLeavingNotes(m.Leavings, m.From.ID.Name)
