--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -53,7 +53,7 @@
 	f := &g.fleet
 	now := g.now()
 	f.mu.Lock()
-	f.core.Expect = g.news(now)
+	f.core.Expect = g.beatFiller(now)
 	out := append(f.core.Tick(now), f.core.Indirect(now)...)
 	out = append(out, f.seedBeats(now)...)
 	changed := f.core.Changed()
@@ -74,7 +74,7 @@
 		f.mu.Unlock()
 		return
 	}
-	f.core.Expect = g.news(now)
+	f.core.Expect = g.beatFiller(now)
 	out := f.core.Seek(now)
 	if now.Sub(g.startedAt) <= introduceFor {
 		out = append(out, f.seedBeats(now)...)
@@ -144,12 +144,12 @@
 	f.mu.Lock()
 	b := f.core.News(now)
 	f.mu.Unlock()
-	g.news(now)(&b)
+	g.beatFiller(now)(&b)
 	return b
 }
 
-// news returns a function that fills heartbeats with the notes of the other parts of the box.
-func (g *Gateway) news(now time.Time) func(*core.Beat) {
+// beatFiller returns a function that fills heartbeats with the notes of the other parts of the box.
+func (g *Gateway) beatFiller(now time.Time) func(*core.Beat) {
 	waits, reads, asked, leavings, limits := g.schedulers.waits(now), g.readNotes(now), g.askNotes(now), g.leavingNotes(), g.limitNotes()
 	loads := g.loadNotes(now, leavings)
 	return func(b *core.Beat) {
@@ -240,7 +240,7 @@
 	f.mu.Lock()
 	f.seen[m.From.ID.Name] = now
 	f.roster.heard(m.From.ID.Name)
-	f.core.Expect = g.news(now)
+	f.core.Expect = g.beatFiller(now)
 	h := f.core.Receive(now, m)
 	changed := f.core.Changed()
 	if len(m.Waits) > 0 {
