--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -48,8 +48,8 @@
 	f.roster.init()
 }
 
-// beat sends the heartbeats that are due, also to seeds whose names are not known yet.
-func (g *Gateway) beat(context.Context) {
+// sendHeartbeats sends the heartbeats that are due, also to seeds whose names are not known yet.
+func (g *Gateway) sendHeartbeats(context.Context) {
 	f := &g.fleet
 	now := g.now()
 	f.mu.Lock()
--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -98,7 +98,7 @@
 func (g *Gateway) Run(ctx context.Context) {
 
 	g.every(ctx, tickEvery, g.tick)
-	g.every(ctx, core.HeartbeatEvery, g.beat)
+	g.every(ctx, core.HeartbeatEvery, g.sendHeartbeats)
 	g.every(ctx, core.NewsEvery, g.tellNews)
 	g.every(ctx, introduceEvery, g.introduce)
 	g.every(ctx, scheduleTick, g.schedulers.tick)
