--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -64,9 +64,9 @@
 	}
 }
 
-// introduce contacts, more often than heartbeats are sent, the seeds that a newly started box has not met,
+// contactSeeds contacts, more often than heartbeats are sent, the seeds that a newly started box has not met,
 // and random members while the fleet forms.
-func (g *Gateway) introduce(context.Context) {
+func (g *Gateway) contactSeeds(context.Context) {
 	f := &g.fleet
 	now := g.now()
 	f.mu.Lock()
