--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -40,8 +40,8 @@
 	p.registry.Confirm(now, p.heldRevision(port.DocumentServers).Era())
 }
 
-// noteRise reports that the store was restored from an older copy; before is 0 if it was not.
-func (g *Gateway) noteRise(before catalog.Era, held, revision catalog.Revision, from string) {
+// reportRestore reports that the store was restored from an older copy; before is 0 if it was not.
+func (g *Gateway) reportRestore(before catalog.Era, held, revision catalog.Revision, from string) {
 	if before == 0 {
 		return
 	}
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -94,7 +94,7 @@
 	p.lists.Hear(now, b.From.ID.Name, b.List, askedAt)
 	p.confirmList(now)
 	revision := p.heldRevision(port.DocumentServers)
-	p.gateway.noteRise(p.takeEra(revision.Era()), held, revision, b.From.ID.Name)
+	p.gateway.reportRestore(p.takeEra(revision.Era()), held, revision, b.From.ID.Name)
 	if b.Settled {
 		p.registry.Settle(now, catalog.ListRevision(catalog.State(b.List.Version)).Era())
 	}
@@ -180,7 +180,7 @@
 	rise := p.takeEra(revision.Era())
 	if !changed {
 		p.mu.Unlock()
-		g.noteRise(rise, heldRevision, revision, from)
+		g.reportRestore(rise, heldRevision, revision, from)
 		if !readAt.IsZero() && digest != held.Digest {
 			g.logPassedOver(port.DocumentConfig, revision, heldRevision, digest, held.Digest)
 		}
@@ -195,7 +195,7 @@
 	p.source.setCurrent(digest, raw)
 	g.index.Store(catalog.NewIndex(c))
 	p.mu.Unlock()
-	g.noteRise(rise, heldRevision, revision, from)
+	g.reportRestore(rise, heldRevision, revision, from)
 	g.Log.Info("configuration in force", "version", c.Version, "revision", revision, "from", from, "pipelines", len(c.Pipelines), "workspaces", len(c.Workspaces), "evacuated", c.Evacuated, "kept_evacuated", kept, "held_version", versionOf(before), "behind_ms", milliseconds(g.now(), behindSince))
 	g.logChanges(c.Version, catalog.ChangesOf(before, c))
 	if before == nil || evacuations {
--- a/src/gateway/serverlist.go
+++ b/src/gateway/serverlist.go
@@ -51,7 +51,7 @@
 	if !changed {
 		p.confirmList(now)
 		p.mu.Unlock()
-		g.noteRise(rise, heldRevision, revision, from)
+		g.reportRestore(rise, heldRevision, revision, from)
 		if !readAt.IsZero() && digest != held.Digest {
 			g.logPassedOver(port.DocumentServers, revision, heldRevision, digest, held.Digest)
 		}
@@ -64,7 +64,7 @@
 	effects := p.registry.Take(now, d, revision, p.lists.Returned())
 	listed := p.list.Len()
 	p.mu.Unlock()
-	g.noteRise(rise, heldRevision, revision, from)
+	g.reportRestore(rise, heldRevision, revision, from)
 	g.logServers(c, listed, revision, from)
 	g.logEffects(effects, revision, from)
 	g.hearRestored(effects.Leaving)
