--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -17,9 +17,9 @@
 	known  bool        // base is known
 }
 
-// takeEra records an era. If it is newer than the known one, the store was restored from an older copy, and
+// advanceEra records an era. If it is newer than the known one, the store was restored from an older copy, and
 // the previous era is returned. p.mu is held.
-func (p *published) takeEra(era catalog.Era) (before catalog.Era) {
+func (p *published) advanceEra(era catalog.Era) (before catalog.Era) {
 	e := &p.eras
 	if !e.known && era > 0 {
 		e.base, e.known = era, true
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -94,7 +94,7 @@
 	p.lists.Hear(now, b.From.ID.Name, b.List, askedAt)
 	p.confirmList(now)
 	revision := p.heldRevision(port.DocumentServers)
-	p.gateway.reportRestore(p.takeEra(revision.Era()), held, revision, b.From.ID.Name)
+	p.gateway.reportRestore(p.advanceEra(revision.Era()), held, revision, b.From.ID.Name)
 	if b.Settled {
 		p.registry.Settle(now, catalog.ListRevision(catalog.State(b.List.Version)).Era())
 	}
@@ -177,7 +177,7 @@
 	} else {
 		changed = p.catalogs.Read(readAt, asOf, digest, c.Version)
 	}
-	rise := p.takeEra(revision.Era())
+	rise := p.advanceEra(revision.Era())
 	if !changed {
 		p.mu.Unlock()
 		g.reportRestore(rise, heldRevision, revision, from)
--- a/src/gateway/serverlist.go
+++ b/src/gateway/serverlist.go
@@ -47,7 +47,7 @@
 		changed = p.lists.Read(readAt, asOf, digest, 0)
 	}
 	p.known = true
-	rise, heldRevision := p.takeEra(revision.Era()), catalog.ListRevision(catalog.State(held.Version))
+	rise, heldRevision := p.advanceEra(revision.Era()), catalog.ListRevision(catalog.State(held.Version))
 	if !changed {
 		p.confirmList(now)
 		p.mu.Unlock()
