--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -113,8 +113,8 @@
 	return catalog.ListRevision(p.lists.AsOf())
 }
 
-// hearEra converts the revisions of a heartbeat into states. p.mu is held.
-func (p *published) hearEra(b *core.Beat) {
+// decodeRevisions converts the revisions of a heartbeat into states. p.mu is held.
+func (p *published) decodeRevisions(b *core.Beat) {
 	base := p.heardBase(b.Era)
 	b.Config.Version = uint64(catalog.ConfigHeard(b.Config.Version, base))
 	b.List.Version = uint64(catalog.ListHeard(b.List.Version, base))
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -89,7 +89,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now, held := p.gateway.now(), p.heldRevision(port.DocumentServers)
-	p.hearEra(&b)
+	p.decodeRevisions(&b)
 	p.catalogs.Hear(now, b.From.ID.Name, b.Config, askedAt)
 	p.lists.Hear(now, b.From.ID.Name, b.List, askedAt)
 	p.confirmList(now)
