--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// tellEra fills a heartbeat with the base era of its revisions, and with evacuations and doubts about servers
+// fillEra fills a heartbeat with the base era of its revisions, and with evacuations and doubts about servers
 // that no document of the newest era contains. p.mu is held.
-func (p *published) tellEra(now time.Time, b *core.Beat) {
+func (p *published) fillEra(now time.Time, b *core.Beat) {
 	base := p.eras.base
 	b.Era = uint64(base)
 	b.Config.Version = catalog.ConfigTold(p.catalogs.AsOf(), base)
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -81,7 +81,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b.Config, b.List = p.catalogs.Say(now), p.lists.Say(now)
-	p.tellEra(now, b)
+	p.fillEra(now, b)
 }
 
 // mergeStatements merges the statements of a heartbeat and reports whether a newer document than a held one is known.
