--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -71,9 +71,9 @@
 // configEra returns the era of the held configuration. p.mu is held.
 func (p *published) configEra() catalog.Era { return p.heldRevision(port.DocumentConfig).Era() }
 
-// heardBase returns the base era of a message's revisions: this box's own if the message has none. p.mu is
+// messageBase returns the base era of a message's revisions: this box's own if the message has none. p.mu is
 // held.
-func (p *published) heardBase(era uint64) catalog.Era {
+func (p *published) messageBase(era uint64) catalog.Era {
 	e := &p.eras
 	if era == 0 {
 		return e.base
@@ -115,7 +115,7 @@
 
 // decodeRevisions converts the revisions of a heartbeat into states. p.mu is held.
 func (p *published) decodeRevisions(b *core.Beat) {
-	base := p.heardBase(b.Era)
+	base := p.messageBase(b.Era)
 	b.Config.Version = uint64(catalog.ConfigHeard(b.Config.Version, base))
 	b.List.Version = uint64(catalog.ListHeard(b.List.Version, base))
 }
@@ -129,7 +129,7 @@
 	p := &g.published
 	now := g.now()
 	p.mu.Lock()
-	base, closed := p.heardBase(b.Era), false
+	base, closed := p.messageBase(b.Era), false
 	for _, n := range b.Closures[:min(len(b.Closures), pushback.NotesMost)] {
 		note := catalog.ClosureNote{Domain: n.Domain, Closed: n.Closed, At: catalog.RevisionTold(n.Revision, base)}
 		if p.closures.Hear(now, note, p.configEra()) {
@@ -221,7 +221,7 @@
 // hearPublished converts the numbers of a document received from another box into revisions.
 func (p *published) hearPublished(document string, d *port.Published) {
 	p.mu.Lock()
-	base := p.heardBase(d.Era)
+	base := p.messageBase(d.Era)
 	p.mu.Unlock()
 	if document == port.DocumentConfig {
 		d.AsOf = uint64(catalog.ConfigHeard(d.AsOf, base))
