--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -84,10 +84,10 @@
 	return catalog.Era(era)
 }
 
-// checkNumbers compares the revision of a read that began at a time with the held one. Within an era the
+// correctEra compares the revision of a read that began at a time with the held one. Within an era the
 // store never goes back, so a held revision that is later belongs to an earlier era than assumed: boxes of
 // earlier releases send no era, and a box that learns of one after a restore assigns their revisions to it.
-func (g *Gateway) checkNumbers(document string, began time.Time, at catalog.Revision) {
+func (g *Gateway) correctEra(document string, began time.Time, at catalog.Revision) {
 	p := &g.published
 	asOf := catalog.ConfigAt(at)
 	if document == port.DocumentServers {
--- a/src/gateway/store_reader.go
+++ b/src/gateway/store_reader.go
@@ -143,7 +143,7 @@
 			continue
 		}
 		f.held = after
-		g.checkNumbers(port.DocumentConfig, asked, f.at)
+		g.correctEra(port.DocumentConfig, asked, f.at)
 		g.liftClosures(f.restored, f.at)
 		g.applyCatalog(after, nil, catalog.ConfigAt(f.at), began, "store")
 	}
@@ -229,7 +229,7 @@
 		if at == 0 {
 			continue
 		}
-		g.checkNumbers(port.DocumentServers, asked, at)
+		g.correctEra(port.DocumentServers, asked, at)
 		if listing.Changed() || !g.confirmServers(began, catalog.ListAt(at), listing.Digest()) {
 			g.applyListing(listing, catalog.ListAt(at), began)
 			sleep(ctx, min(mostListPace, time.Duration(len(listing.Servers()))*listPace)) // batches changes of a large list
