--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// liftClosures applies that the operator ended the evacuation of failure domains.
-func (g *Gateway) liftClosures(domains []string, at catalog.Revision) {
+// endEvacuations applies that the operator ended the evacuation of failure domains.
+func (g *Gateway) endEvacuations(domains []string, at catalog.Revision) {
 	if len(domains) == 0 {
 		return
 	}
--- a/src/gateway/store_reader.go
+++ b/src/gateway/store_reader.go
@@ -144,7 +144,7 @@
 		}
 		f.held = after
 		g.correctEra(port.DocumentConfig, asked, f.at)
-		g.liftClosures(f.restored, f.at)
+		g.endEvacuations(f.restored, f.at)
 		g.applyCatalog(after, nil, catalog.ConfigAt(f.at), began, "store")
 	}
 }
