--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -169,10 +169,10 @@
 	}
 }
 
-// hearRestored handles servers that a restored list names as working although they had signalled that they
+// reannounceLeaving handles servers that a restored list names as working although they had signalled that they
 // leave. All boxes are notified as if the server had signalled it now, because boxes that started since don't
 // know.
-func (g *Gateway) hearRestored(servers []catalog.Server) {
+func (g *Gateway) reannounceLeaving(servers []catalog.Server) {
 	now := g.now()
 	var news []catalog.Server
 	g.signals.with(func(r *pushback.Register) {
--- a/src/gateway/serverlist.go
+++ b/src/gateway/serverlist.go
@@ -67,7 +67,7 @@
 	g.reportRestore(rise, heldRevision, revision, from)
 	g.logServers(c, listed, revision, from)
 	g.logEffects(effects, revision, from)
-	g.hearRestored(effects.Leaving)
+	g.reannounceLeaving(effects.Leaving)
 	g.applyChanged(effects.Changed)
 	g.listEnds(c, effects)
 	g.takeRestarts(effects.Restarted, revision, from)
