--- a/src/gateway/catalog_source.go
+++ b/src/gateway/catalog_source.go
@@ -155,7 +155,7 @@
 // answerPull answers another box's pull of a document.
 func (g *Gateway) answerPull(q *port.PullPublished) *port.Published {
 	d := g.documentFor(q)
-	g.published.tellPublished(q.Document, d)
+	g.published.encodeRevisions(q.Document, d)
 	return d
 }
 
--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -204,8 +204,8 @@
 	g.applyChanged(back)
 }
 
-// tellPublished converts the revisions of a document to be sent into numbers that count from the base era.
-func (p *published) tellPublished(document string, d *port.Published) {
+// encodeRevisions converts the revisions of a document to be sent into numbers that count from the base era.
+func (p *published) encodeRevisions(document string, d *port.Published) {
 	p.mu.Lock()
 	base := p.eras.base
 	p.mu.Unlock()
