--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -218,8 +218,8 @@
 	eachEntry(d, func(s *catalog.Server) { s.Revision = catalog.Revision(s.Revision.Told(base)) })
 }
 
-// hearPublished converts the numbers of a document received from another box into revisions.
-func (p *published) hearPublished(document string, d *port.Published) {
+// decodeDocument converts the numbers of a document received from another box into revisions.
+func (p *published) decodeDocument(document string, d *port.Published) {
 	p.mu.Lock()
 	base := p.messageBase(d.Era)
 	p.mu.Unlock()
--- a/src/gateway/pull.go
+++ b/src/gateway/pull.go
@@ -132,7 +132,7 @@
 	case a.Publish == nil || a.Publish.AsOf == 0:
 		return nil, errNotHeld
 	}
-	g.published.hearPublished(document, a.Publish)
+	g.published.decodeDocument(document, a.Publish)
 	return a.Publish, nil
 }
 
