--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -315,7 +315,7 @@
 		if len(c.Free) > 0 {
 			d.releaseResults(ctx, c.Server, c.Free)
 		}
-		r = g.Backends.RunPieces(ctx, PieceCall{Server: c.Server, Items: c.Items, Start: g.startOf(ctx, c.Server, "pieces", owner, began)})
+		r = g.Backends.RunPieces(ctx, PieceCall{Server: c.Server, Items: c.Items, Start: g.startCheck(ctx, c.Server, "pieces", owner, began)})
 	}
 	cancel()
 	outcome, results := r.Outcome, r.Results
--- a/src/gateway/start_check.go
+++ b/src/gateway/start_check.go
@@ -12,11 +12,11 @@
 // ErrServerLeft means that nothing was sent because the server takes no new work.
 var ErrServerLeft = errors.New("the server takes no new work")
 
-// startOf returns the check that runs just before the first byte goes to a chosen server. Between the choice
+// startCheck returns the check that runs just before the first byte goes to a chosen server. Between the choice
 // and that byte a connection may take most of a second to open, or this process may be paused, while the
 // server leaves. The list of servers therefore decides again, after a pause only once it is confirmed. This
 // covers up to 0.7 s of the 2 s in which a leaving server may still get requests.
-func (g *Gateway) startOf(ctx context.Context, s catalog.Server, what, owner string, chosen time.Time) func() error {
+func (g *Gateway) startCheck(ctx context.Context, s catalog.Server, what, owner string, chosen time.Time) func() error {
 	return func() error {
 		g.awaitConfirmed(ctx)
 		if g.mayUse(s.ID) {
