--- a/src/gateway/start_check.go
+++ b/src/gateway/start_check.go
@@ -20,7 +20,7 @@
 	return func() error {
 		g.awaitConfirmed(ctx)
 		if g.mayUse(s.ID) {
-			return g.beginAt(s, what, owner, chosen)
+			return g.checkSignals(s, what, owner, chosen)
 		}
 		g.logWithheld(s, what, chosen)
 		if g.Watch.Withheld != nil {
@@ -30,9 +30,9 @@
 	}
 }
 
-// beginAt checks the server's own signals again: two concurrent choices may have picked a server that wants
+// checkSignals checks the server's own signals again: two concurrent choices may have picked a server that wants
 // no more after the first.
-func (g *Gateway) beginAt(s catalog.Server, what, owner string, chosen time.Time) error {
+func (g *Gateway) checkSignals(s catalog.Server, what, owner string, chosen time.Time) error {
 	now := g.now()
 	v := g.signals.begin(now, s, owner)
 	if v.Open() {
