--- a/src/gateway/restarts.go
+++ b/src/gateway/restarts.go
@@ -4,12 +4,12 @@
 	"github.com/stilemast/stilemast/src/catalog"
 )
 
-// takeRestarts drops the state kept for earlier incarnations of servers that restarted under the same id;
+// dropEarlierIncarnations drops the state kept for earlier incarnations of servers that restarted under the same id;
 // pools and schedulers do so when they apply the new list. Requests running there are not touched: an answer
 // of the earlier incarnation may be on its way, and whether they ran stays unknown. A request whose first
 // stage's results were lost is answered within 1 s, and after 1.5 s where only a failed call shows the loss
 // (virtual time).
-func (g *Gateway) takeRestarts(restarted []catalog.Restart, revision catalog.Revision, from string) {
+func (g *Gateway) dropEarlierIncarnations(restarted []catalog.Restart, revision catalog.Revision, from string) {
 	for i, r := range restarted {
 		lost := g.holdings.lose(r.Now.ID)
 		if g.Backends.Forget != nil {
--- a/src/gateway/serverlist.go
+++ b/src/gateway/serverlist.go
@@ -70,7 +70,7 @@
 	g.reannounceLeaving(effects.Leaving)
 	g.applyChanged(effects.Changed)
 	g.listEnds(c, effects)
-	g.takeRestarts(effects.Restarted, revision, from)
+	g.dropEarlierIncarnations(effects.Restarted, revision, from)
 	g.announce()
 	if len(effects.Doubted)+len(effects.Leaving) > 0 {
 		g.tellBoxes([]string{from}, g.newsBeat(now)) // the sender may have started since and know of neither
