--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -163,7 +163,7 @@
 	if now.Sub(last) > pauseLimit {
 		g.wokenAt.Store(now.UnixNano())
 		g.published.resumed(now, last)
-		g.endLapsed(now)
+		g.endExpired(now)
 		g.Log.Warn("process was paused", "gap_ms", now.Sub(last).Milliseconds())
 	}
 	g.dropLapsed(now)
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -66,9 +66,9 @@
 	v.run(ctx)
 }
 
-// endLapsed ends the requests whose deadline passed while the machine was suspended, as timers don't advance
+// endExpired ends the requests whose deadline passed while the machine was suspended, as timers don't advance
 // meanwhile.
-func (g *Gateway) endLapsed(now time.Time) {
+func (g *Gateway) endExpired(now time.Time) {
 	ended := 0
 	g.deadlines.Range(func(key, cancel any) bool {
 		if !now.Before(key.(*requestRun).deadline) {
