--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -214,7 +214,7 @@
 			}
 		}
 	}
-	out = g.fullNotes(out)
+	out = g.limitedLoadNotes(out)
 	out = out[:min(len(out), notesPerBeat)]
 	sort.Slice(out, func(i, j int) bool { return out[i].Server < out[j].Server })
 	return out
--- a/src/gateway/limits.go
+++ b/src/gateway/limits.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// fullNotes replaces the load notes of servers with a limit: boxes without limit support see them as full.
-func (g *Gateway) fullNotes(plain []core.BackendNote) []core.BackendNote {
+// limitedLoadNotes replaces the load notes of servers with a limit: boxes without limit support see them as full.
+func (g *Gateway) limitedLoadNotes(plain []core.BackendNote) []core.BackendNote {
 	if !g.signals.any.Load() {
 		return plain
 	}
