--- a/src/gateway/permits.go
+++ b/src/gateway/permits.go
@@ -19,11 +19,11 @@
 type permits struct {
 	mu      sync.Mutex
 	limiter quota.Limiter
-	unable  map[string]time.Time // boxes without limit support, and until when they are not chosen
+	unsupported  map[string]time.Time // boxes without limit support, and until when they are not chosen
 	silent  map[string]time.Time // boxes that did not answer, and until when they are not asked
 }
 
-func (p *permits) init() { p.unable, p.silent = map[string]time.Time{}, map[string]time.Time{} }
+func (p *permits) init() { p.unsupported, p.silent = map[string]time.Time{}, map[string]time.Time{} }
 
 var (
 	errNoCoordinator  = errors.New("the server's coordinator is not known")
@@ -218,7 +218,7 @@
 func (p *permits) passOver(box string, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.unable[box] = until
+	p.unsupported[box] = until
 }
 
 // passedOver returns the boxes without limit support.
@@ -226,11 +226,11 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := map[string]bool{}
-	for box, until := range p.unable {
+	for box, until := range p.unsupported {
 		if now.Before(until) {
 			out[box] = true
 		} else {
-			delete(p.unable, box)
+			delete(p.unsupported, box)
 		}
 	}
 	return out
