--- a/src/gateway/permits.go
+++ b/src/gateway/permits.go
@@ -120,7 +120,7 @@
 		case err != nil:
 			return box, port.Permits{}, err
 		case a == nil: // a release without limit support
-			g.permits.passOver(box, g.now().Add(unableFor))
+			g.permits.markUnsupported(box, g.now().Add(unableFor))
 			passed[box] = true
 			box = g.coordinatorOf(s.Pool, s.ID, passed)
 		case a.Coordinator == "":
@@ -214,8 +214,8 @@
 	return float64(n) / float64(n+f.core.Missing(now, seenLately))
 }
 
-// passOver excludes a box without limit support from the choice of coordinators.
-func (p *permits) passOver(box string, until time.Time) {
+// markUnsupported excludes a box without limit support from the choice of coordinators.
+func (p *permits) markUnsupported(box string, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.unsupported[box] = until
