--- a/src/gateway/fleet_test.go
+++ b/src/gateway/fleet_test.go
@@ -50,7 +50,7 @@
 	turnsAway func(box string) bool                                             // whether the store answers a box with an error; nil for none
 	silent    func(box string) bool                                             // whether a box hears nothing of the store; nil for none
 	hear      map[string]func(to string, q port.Question, a *port.Answer) error // by the asker's address
-	watch     func(box string) Watcher                                          // nil for none
+	watch     func(box string) Observer                                          // nil for none
 	clockBack time.Duration                                                     // how far the clock was set back from which a box that starts takes its life
 	earlier   func(box string) bool                                             // whether a box reads the store as one of a release that knows no eras; nil for none
 	regions   catalog.Regions                                                   // nil where none is known
--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -47,7 +47,7 @@
 	Store    Store
 	Peers    port.Peers
 	Log      *slog.Logger
-	Watch    Watcher
+	Watch    Observer
 	Clock    func() time.Time // monotonic
 	Rand     *rand.Rand
 
@@ -76,8 +76,8 @@
 	background sync.WaitGroup
 }
 
-// Watcher receives events for metrics. Nil fields are skipped.
-type Watcher struct {
+// Observer receives events for metrics. Nil fields are skipped.
+type Observer struct {
 	Ended     func(pipeline, result string, took, first time.Duration)
 	Exchanged func(pool, outcome string, took time.Duration)
 	Batched   func(pool string, pieces int, outcome string, took time.Duration)
--- a/src/gateway/restored_test.go
+++ b/src/gateway/restored_test.go
@@ -153,9 +153,9 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newEmptyFleet(t)
 			counted := make([]atomic.Int32, boxes)
-			f.watch = func(box string) Watcher {
+			f.watch = func(box string) Observer {
 				i, _ := strconv.Atoi(strings.TrimPrefix(box, "box"))
-				return Watcher{Restored: func() { counted[i].Add(1) }}
+				return Observer{Restored: func() { counted[i].Add(1) }}
 			}
 			for i := range boxes {
 				f.start(fmt.Sprint("box", i))
--- a/src/metrics/gateway.go
+++ b/src/metrics/gateway.go
@@ -67,8 +67,8 @@
 }
 
 // Watcher gives the hooks through which a gateway fills the set.
-func (s *GatewaySet) Watcher() gateway.Watcher {
-	return gateway.Watcher{
+func (s *GatewaySet) Watcher() gateway.Observer {
+	return gateway.Observer{
 		Ended: func(pipeline, result string, took, first time.Duration) {
 			s.ended.WithLabelValues(pipeline, result).Inc()
 			s.took.WithLabelValues(pipeline).Observe(took.Seconds())
