--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -93,8 +93,8 @@
 	ok := e.budget.Take(now, boxes)
 	e.mu.Unlock()
 	g.Log.Info("retry", "request", v.request.ID, "pool", v.pool, "allowed", ok, "boxes", boxes, "attempts", v.attempts)
-	if g.Watch.Retried != nil {
-		g.Watch.Retried(v.pool, ok)
+	if g.Observer.Retried != nil {
+		g.Observer.Retried(v.pool, ok)
 	}
 	return ok
 }
@@ -413,7 +413,7 @@
 	took := now.Sub(began)
 	g.Log.Info("exchange", "request", v.request.ID, "pool", e.name, "content", v.content.String(), "server", s.ID, "incarnation", s.Incarnation, "domain", s.Domain, "outcome", o.String(), "took_ms", took.Milliseconds(), "detail", detail, "chosen", why, "rests", rests, "says_leaving", v.signals.Leaving, "asks_rest_ms", v.signals.Rest.Milliseconds(), "names_limit", v.signals.Limit)
 	v.signals = pushback.Word{}
-	if g.Watch.Exchanged != nil {
-		g.Watch.Exchanged(e.name, o.String(), took)
+	if g.Observer.Exchanged != nil {
+		g.Observer.Exchanged(e.name, o.String(), took)
 	}
 }
--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -46,8 +46,8 @@
 		return
 	}
 	g.Log.Warn("store restored from an older copy", "era", revision.Era(), "era_before", before, "revision", revision, "held_revision", held, "from", from)
-	if g.Watch.Restored != nil {
-		g.Watch.Restored()
+	if g.Observer.Restored != nil {
+		g.Observer.Restored()
 	}
 }
 
--- a/src/gateway/fleet_test.go
+++ b/src/gateway/fleet_test.go
@@ -179,7 +179,7 @@
 	}
 	g.Settings.Regions = f.regions
 	if f.watch != nil {
-		g.Watch = f.watch(name)
+		g.Observer = f.watch(name)
 	}
 	if f.links != nil {
 		g.Settings.Capacity = f.links.capacity(name)
--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -47,7 +47,7 @@
 	Store    Store
 	Peers    port.Peers
 	Log      *slog.Logger
-	Watch    Observer
+	Observer    Observer
 	Clock    func() time.Time // monotonic
 	Rand     *rand.Rand
 
--- a/src/gateway/permits.go
+++ b/src/gateway/permits.go
@@ -96,8 +96,8 @@
 		line = append(line, "cause", err.Error())
 	}
 	g.Log.Info("permit requested", line...)
-	if g.Watch.Permitted != nil {
-		g.Watch.Permitted(s.Pool, a.N > 0)
+	if g.Observer.Permitted != nil {
+		g.Observer.Permitted(s.Pool, a.N > 0)
 	}
 	return now.Add(a.Begin), a.N > 0
 }
--- a/src/gateway/pull.go
+++ b/src/gateway/pull.go
@@ -213,8 +213,8 @@
 }
 
 func (g *Gateway) watchPull(document string, began time.Time, ok bool) {
-	if g.Watch.Pulled != nil {
-		g.Watch.Pulled(document, ok, g.now().Sub(began))
+	if g.Observer.Pulled != nil {
+		g.Observer.Pulled(document, ok, g.now().Sub(began))
 	}
 }
 
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -333,8 +333,8 @@
 	s.mu.Unlock()
 	late, gone, noRoom, failed := batch.CountReasons(results)
 	g.Log.Info("batch ended", "pool", s.pool, "server", c.Server.ID, "pieces", len(c.Items), "outcome", outcome.String(), "took_ms", took.Milliseconds(), "pending", pending, "calls", calls, "late", late, "gone", gone, "no_room", noRoom, "failed", failed, "says_leaving", r.Said.Leaving, "asks_rest_ms", r.Said.Rest.Milliseconds(), "names_limit", r.Said.Limit, "requests", c.Requests())
-	if g.Watch.Batched != nil {
-		g.Watch.Batched(s.pool, len(c.Items), outcome.String(), took)
+	if g.Observer.Batched != nil {
+		g.Observer.Batched(s.pool, len(c.Items), outcome.String(), took)
 	}
 	d.execute(s, a)
 }
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -274,8 +274,8 @@
 	g.Log.Info("request ended", append([]any{"request", v.request.ID, "content", v.content.String(), "pipeline", name, "workspace", v.workspace,
 		"result", result, "took_ms", took.Milliseconds(), "first_ms", first.Milliseconds(), "objective_ms", objective.Milliseconds(), "attempts", v.attempts,
 		"version", v.version}, more...)...)
-	if g.Watch.Ended != nil {
-		g.Watch.Ended(name, result, took, first)
+	if g.Observer.Ended != nil {
+		g.Observer.Ended(name, result, took, first)
 	}
 }
 
--- a/src/gateway/signals.go
+++ b/src/gateway/signals.go
@@ -115,8 +115,8 @@
 )
 
 func (g *Gateway) countSignal(pool, word string) {
-	if g.Watch.Said != nil {
-		g.Watch.Said(pool, word)
+	if g.Observer.Said != nil {
+		g.Observer.Said(pool, word)
 	}
 }
 
--- a/src/gateway/start_check.go
+++ b/src/gateway/start_check.go
@@ -23,8 +23,8 @@
 			return g.checkSignals(s, what, owner, chosen)
 		}
 		g.logWithheld(s, what, chosen)
-		if g.Watch.Withheld != nil {
-			g.Watch.Withheld(s.Pool)
+		if g.Observer.Withheld != nil {
+			g.Observer.Withheld(s.Pool)
 		}
 		return ErrServerLeft
 	}
@@ -39,8 +39,8 @@
 		return nil
 	}
 	g.Log.Info("request not sent, server takes no more requests now", "server", s.ID, "pool", s.Pool, "what", what, "state", v.State.String(), "choice_ms", now.Sub(chosen).Milliseconds(), "left_ms", v.Until.Sub(now).Milliseconds())
-	if g.Watch.Withheld != nil {
-		g.Watch.Withheld(s.Pool)
+	if g.Observer.Withheld != nil {
+		g.Observer.Withheld(s.Pool)
 	}
 	if v.State == pushback.Leaving {
 		return ErrServerLeft
--- a/src/gateway/store_reader.go
+++ b/src/gateway/store_reader.go
@@ -57,8 +57,8 @@
 // ended records the outcome of a read.
 func (r *reader) ended(err error) {
 	g := r.gateway
-	if g.Watch.StoreRead != nil {
-		g.Watch.StoreRead(r.document, err == nil)
+	if g.Observer.StoreRead != nil {
+		g.Observer.StoreRead(r.document, err == nil)
 	}
 	if err == nil {
 		if r.failures > 0 {
@@ -199,8 +199,8 @@
 // logUnreadable logs an unreadable configuration, once for each revision.
 func (g *Gateway) logUnreadable(u *Unreadable, held *catalog.Catalog) {
 	g.Log.Error("unreadable configuration, the previous one stays in force", "revision", u.Revision, "held_version", versionOf(held), "cause", u.Cause.Error())
-	if g.Watch.Refused != nil {
-		g.Watch.Refused(port.DocumentConfig, "unreadable")
+	if g.Observer.Refused != nil {
+		g.Observer.Refused(port.DocumentConfig, "unreadable")
 	}
 }
 
--- a/src/gateway/suspects.go
+++ b/src/gateway/suspects.go
@@ -15,7 +15,7 @@
 func (g *Gateway) initSuspects() {
 	u := &g.suspects
 	u.Self, u.Now, u.Log = g.ID.Name, g.now, g.Log
-	u.Boxes, u.Announce, u.Counted = g.fleet.usable, g.announce, g.Watch.Suspected
+	u.Boxes, u.Announce, u.Counted = g.fleet.usable, g.announce, g.Observer.Suspected
 	if probe := g.Backends.Probe; probe != nil {
 		u.Probe = func(ctx context.Context, s suspects.Server) suspects.Presence {
 			return suspects.PresenceOf(probe(ctx, s.Address))
