--- a/src/gateway/bench_test.go
+++ b/src/gateway/bench_test.go
@@ -31,7 +31,7 @@
 	b.Helper()
 	g.applyServers(benchServers(servers, 0), 2, time.Now(), "bench")
 	for i := range boxes {
-		g.TakeBeat(core.Beat{From: core.Rumour{ID: core.BoxID{Name: fmt.Sprint("box", i), Incarnation: 1}, Address: fmt.Sprint("h", i, ":1"), State: core.MemberAlive}, News: true})
+		g.HandleBeat(core.Beat{From: core.Rumour{ID: core.BoxID{Name: fmt.Sprint("box", i), Incarnation: 1}, Address: fmt.Sprint("h", i, ":1"), State: core.MemberAlive}, News: true})
 	}
 	return g
 }
@@ -73,7 +73,7 @@
 			}
 			for i := 0; b.Loop(); i++ {
 				beat.Seq = uint64(i)
-				g.TakeBeat(beat)
+				g.HandleBeat(beat)
 			}
 		})
 	}
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -233,8 +233,8 @@
 	return out[max(0, len(out)-readsPerBeat):]
 }
 
-// TakeBeat handles a heartbeat of another box.
-func (g *Gateway) TakeBeat(m core.Beat) {
+// HandleBeat handles a heartbeat of another box.
+func (g *Gateway) HandleBeat(m core.Beat) {
 	f := &g.fleet
 	now := g.now()
 	f.mu.Lock()
--- a/src/gateway/fleet_test.go
+++ b/src/gateway/fleet_test.go
@@ -282,7 +282,7 @@
 			if f.alter != nil {
 				f.alter(to, &b)
 			}
-			later(to, func(g *Gateway) { g.TakeBeat(b) })
+			later(to, func(g *Gateway) { g.HandleBeat(b) })
 		},
 		Batch: func(to string, m batch.Message) {
 			f.count(m)
