--- a/src/gateway/fleet_test.go
+++ b/src/gateway/fleet_test.go
@@ -289,7 +289,7 @@
 			if f.alterBatch != nil {
 				f.alterBatch(from, &m)
 			}
-			later(to, func(g *Gateway) { g.TakeBatch(m) })
+			later(to, func(g *Gateway) { g.HandleBatch(m) })
 		},
 		Ask: func(ctx context.Context, to string, q port.Question) (port.Answer, error) {
 			g := f.reach(from, to)
--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -287,8 +287,8 @@
 	}
 }
 
-// TakeBatch handles another box's message on jobs.
-func (g *Gateway) TakeBatch(m batch.Message) {
+// HandleBatch handles another box's message on jobs.
+func (g *Gateway) HandleBatch(m batch.Message) {
 	g.fleet.heardFrom(m.From, m.Address)
 	if m.Submit != nil || m.Withdraw != nil || m.Free != nil || m.Held != nil || m.Handover != nil {
 		g.schedulers.take(m)
--- a/src/gateway/scheduling_test.go
+++ b/src/gateway/scheduling_test.go
@@ -206,9 +206,9 @@
 				next = f.box(b)
 			}
 		}
-		next.TakeBatch(batch.Message{From: first, Handover: &batch.Handover{Pool: "encode"}})
+		next.HandleBatch(batch.Message{From: first, Handover: &batch.Handover{Pool: "encode"}})
 		for n := range uint64(12) { // each fills all servers for 300 ms
-			next.TakeBatch(batch.Message{From: "box0", Submit: &batch.Submit{
+			next.HandleBatch(batch.Message{From: "box0", Submit: &batch.Submit{
 				ID: batch.JobID{Box: "box0", N: n}, Pool: "encode", Pieces: 12, DeadlineIn: time.Minute, DueIn: time.Second}})
 		}
 		waiting := func() int {
