--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -446,8 +446,8 @@
 	f.waits[catalog.Hash(pool)] = waitNote{waits: waits, at: now}
 }
 
-// TakeQuestion answers a question of another box.
-func (g *Gateway) TakeQuestion(ctx context.Context, q port.Question) port.Answer {
+// HandleQuestion answers a question of another box.
+func (g *Gateway) HandleQuestion(ctx context.Context, q port.Question) port.Answer {
 	switch {
 	case q.Suspects != nil:
 		return port.Answer{Suspects: &port.Suspects{From: g.ID.Name, Notes: g.suspects.AddUp(q.Suspects.Notes, q.Suspects.From)}}
--- a/src/gateway/fleet_test.go
+++ b/src/gateway/fleet_test.go
@@ -299,7 +299,7 @@
 			if err := f.links.connect(ctx, from, to); err != nil {
 				return port.Answer{}, err
 			}
-			a := g.TakeQuestion(ctx, q)
+			a := g.HandleQuestion(ctx, q)
 			if q.Suspects != nil {
 				f.countNotes(q.Suspects.Notes)
 				f.countNotes(a.Suspects.Notes)
--- a/src/gateway/published_test.go
+++ b/src/gateway/published_test.go
@@ -52,15 +52,15 @@
 		held := g.published.pullRequest(port.DocumentServers)
 		f.changeServers(3)
 		time.Sleep(time.Second)
-		d := g.TakeQuestion(t.Context(), port.Question{Publish: held}).Publish
+		d := g.HandleQuestion(t.Context(), port.Question{Publish: held}).Publish
 		if d.Since == nil || len(d.Since.Put) != 3 || len(d.Servers) != 0 {
 			t.Errorf("told %+v, want the three servers that are new", d)
 		}
 		other := &port.PullPublished{Document: port.DocumentServers, Held: append([]string{"unknown"}, held.Held...)}
-		if d = g.TakeQuestion(t.Context(), port.Question{Publish: other}).Publish; d.Since == nil || d.Base != held.Held[0] {
+		if d = g.HandleQuestion(t.Context(), port.Question{Publish: other}).Publish; d.Since == nil || d.Base != held.Held[0] {
 			t.Errorf("told %+v, want the difference to the earlier list that both know", d)
 		}
-		d = g.TakeQuestion(t.Context(), port.Question{Publish: &port.PullPublished{Document: port.DocumentServers, Held: []string{"unknown"}}}).Publish
+		d = g.HandleQuestion(t.Context(), port.Question{Publish: &port.PullPublished{Document: port.DocumentServers, Held: []string{"unknown"}}}).Publish
 		if d.Since != nil || len(d.Servers) != len(f.servers) {
 			t.Errorf("a box with an unknown list was told %+v, want the whole", d)
 		}
--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -144,7 +144,7 @@
 	}()
 	go func() {
 		defer n.done.Done()
-		h := peer.Handlers{Beat: n.gateway.HandleBeat, Batch: n.gateway.HandleBatch, Ask: n.gateway.TakeQuestion}
+		h := peer.Handlers{Beat: n.gateway.HandleBeat, Batch: n.gateway.HandleBatch, Ask: n.gateway.HandleQuestion}
 		(&peer.Server{Handlers: h}).Serve(ctx, beats)
 	}()
 	go n.sweep(ctx)
