--- a/src/gateway/fleet_test.go
+++ b/src/gateway/fleet_test.go
@@ -272,7 +272,7 @@
 				deliver(g)
 			}
 			if g == nil && f.refusal(to) {
-				f.box(strings.TrimSuffix(from, ":1")).TakeRefusal(to)
+				f.box(strings.TrimSuffix(from, ":1")).HandleRefusal(to)
 			}
 		}()
 	}
--- a/src/gateway/jobs.go
+++ b/src/gateway/jobs.go
@@ -81,9 +81,9 @@
 	}
 }
 
-// TakeRefusal handles that a box's address refuses connections, which means that its process has ended. Jobs
+// HandleRefusal handles that a box's address refuses connections, which means that its process has ended. Jobs
 // that wait there are moved at once; the box is used again when it is next heard of.
-func (g *Gateway) TakeRefusal(address string) {
+func (g *Gateway) HandleRefusal(address string) {
 	box := g.fleet.boxAt(address)
 	if box == "" || !g.fleet.refused(g.now(), box) {
 		return
--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -133,7 +133,7 @@
 		Clock:    clock.Now,
 	}
 	logClock(n.Log)
-	n.peers.Refused = n.gateway.TakeRefusal
+	n.peers.Refused = n.gateway.HandleRefusal
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
 	n.gateway.Init()
