--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -206,12 +206,12 @@
 	}
 	v.attempts++
 	if reply != nil {
-		v.signals = reply.Said
+		v.signals = reply.Signals
 		sent := began
 		if reply.Moved {
 			sent = time.Time{}
 		}
-		g.recordSignals(s, reply.Said, "request "+v.request.ID, sent)
+		g.recordSignals(s, reply.Signals, "request "+v.request.ID, sent)
 	}
 	if err != nil {
 		v.maybeRan = true
@@ -337,7 +337,7 @@
 	case reply.NotRun:
 		reply.Close(false)
 		outcome, after := balance.Full, failureReturn
-		if reply.Said.Rest > 0 {
+		if reply.Signals.Rest > 0 {
 			outcome, after, v.restingServers = balance.AsksRest, elsewhereAfter, append(v.restingServers, s.ID)
 		}
 		v.recordOutcome(e, s, outcome, began, http.StatusText(reply.Status)+", not run", why)
--- a/src/gateway/limits_words_test.go
+++ b/src/gateway/limits_words_test.go
@@ -160,7 +160,7 @@
 	s.f.send = func(ctx context.Context, box string, c *Call) (*Reply, error) {
 		r, err := send(ctx, box, c)
 		if r != nil && old(box) {
-			r.Said.Limit = 0
+			r.Signals.Limit = 0
 		}
 		return r, err
 	}
@@ -236,10 +236,10 @@
 					s.mu.Lock()
 					defer s.mu.Unlock()
 					n++
-					if r.Said.Limit = c.says(n); math.IsInf(r.Said.Limit, 1) {
-						r.Said.Limit = 0
+					if r.Signals.Limit = c.says(n); math.IsInf(r.Signals.Limit, 1) {
+						r.Signals.Limit = 0
 						if call.Server.ID == "model0" {
-							r.Said.Limit = pushback.LeastLimit
+							r.Signals.Limit = pushback.LeastLimit
 						}
 					}
 					return r, err
--- a/src/gateway/ports.go
+++ b/src/gateway/ports.go
@@ -86,7 +86,7 @@
 	Missing bool // an input is gone
 	Signed  bool // the server signed the answer
 	Events  bool // the answer is a stream of events
-	Said    pushback.Word
+	Signals    pushback.Word
 }
 
 // Backends are the calls to backend servers.
--- a/src/gateway/pushback_site_test.go
+++ b/src/gateway/pushback_site_test.go
@@ -130,15 +130,15 @@
 	switch {
 	case shed:
 		r := textReply(http.StatusServiceUnavailable, "")
-		r.NotRun, r.Signed, r.Said = true, false, w
+		r.NotRun, r.Signed, r.Signals = true, false, w
 		return r, nil
 	case strings.HasPrefix(c.Request.Path, "/draft/"):
 		r := events(ctx, 1, 2, time.Millisecond, io.EOF)
-		r.Said = w
+		r.Signals = w
 		return r, nil
 	}
 	r := textReply(http.StatusOK, "ok")
-	r.Said = w
+	r.Signals = w
 	return r, nil
 }
 
--- a/src/gateway/pushback_test.go
+++ b/src/gateway/pushback_test.go
@@ -253,7 +253,7 @@
 				s.f.send = func(ctx context.Context, box string, c *Call) (*Reply, error) {
 					r, err := send(ctx, box, c)
 					if r != nil && old(box) {
-						r.Said = pushback.Word{}
+						r.Signals = pushback.Word{}
 					}
 					return r, err
 				}
