--- a/src/gateway/ports.go
+++ b/src/gateway/ports.go
@@ -72,7 +72,7 @@
 type PieceReply struct {
 	Outcome batch.CallOutcome
 	Results []batch.ItemResult // one per item if the outcome is CallDone
-	Said    pushback.Word
+	Signals    pushback.Word
 }
 
 // Reply is the head of a server's answer. Close must be called.
--- a/src/gateway/pushback_site_test.go
+++ b/src/gateway/pushback_site_test.go
@@ -157,9 +157,9 @@
 	}
 	s.hears(box, c.Server.ID, w)
 	if shed {
-		return PieceReply{Outcome: batch.CallFull, Said: w}
+		return PieceReply{Outcome: batch.CallFull, Signals: w}
 	}
-	return PieceReply{Outcome: batch.CallDone, Results: piecesOf(c.Server, c.Items), Said: w}
+	return PieceReply{Outcome: batch.CallDone, Results: piecesOf(c.Server, c.Items), Signals: w}
 }
 
 func (s *wordSite) free(box string, v catalog.Server) pushback.Word {
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -323,7 +323,7 @@
 	if outcome != batch.CallDone && outcome != batch.CallFull {
 		sent = time.Time{}
 	}
-	g.recordSignals(c.Server, r.Said, "pieces", sent)
+	g.recordSignals(c.Server, r.Signals, "pieces", sent)
 	d.recordContents(c, outcome, results)
 	now := g.now()
 	took := now.Sub(began)
@@ -332,7 +332,7 @@
 	pending, calls := s.core.Pending()
 	s.mu.Unlock()
 	late, gone, noRoom, failed := batch.CountReasons(results)
-	g.Log.Info("batch ended", "pool", s.pool, "server", c.Server.ID, "pieces", len(c.Items), "outcome", outcome.String(), "took_ms", took.Milliseconds(), "pending", pending, "calls", calls, "late", late, "gone", gone, "no_room", noRoom, "failed", failed, "says_leaving", r.Said.Leaving, "asks_rest_ms", r.Said.Rest.Milliseconds(), "names_limit", r.Said.Limit, "requests", c.Requests())
+	g.Log.Info("batch ended", "pool", s.pool, "server", c.Server.ID, "pieces", len(c.Items), "outcome", outcome.String(), "took_ms", took.Milliseconds(), "pending", pending, "calls", calls, "late", late, "gone", gone, "no_room", noRoom, "failed", failed, "says_leaving", r.Signals.Leaving, "asks_rest_ms", r.Signals.Rest.Milliseconds(), "names_limit", r.Signals.Limit, "requests", c.Requests())
 	if g.Observer.Batched != nil {
 		g.Observer.Batched(s.pool, len(c.Items), outcome.String(), took)
 	}
