--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -90,7 +90,7 @@
 	Suspected func(contents int)            // a server ended while it ran so many contents
 	// A server signalled that it leaves, wants rest or limits its requests, or another box passed its leaving
 	// on.
-	Said      func(pool, word string)
+	Signalled      func(pool, word string)
 	Permitted func(pool string, ok bool) // a permit of a server with a limit was requested
 }
 
--- a/src/gateway/signals.go
+++ b/src/gateway/signals.go
@@ -115,8 +115,8 @@
 )
 
 func (g *Gateway) countSignal(pool, word string) {
-	if g.Observer.Said != nil {
-		g.Observer.Said(pool, word)
+	if g.Observer.Signalled != nil {
+		g.Observer.Signalled(pool, word)
 	}
 }
 
--- a/src/metrics/gateway.go
+++ b/src/metrics/gateway.go
@@ -95,7 +95,7 @@
 		Refused:   func(document, reason string) { s.refused.WithLabelValues(document, reason).Inc() },
 		Suspected: func(contents int) { s.suspected.Add(float64(contents)) },
 		Withheld:  func(pool string) { s.withheld.WithLabelValues(pool).Inc() },
-		Said:      func(pool, word string) { s.said.WithLabelValues(pool, word).Inc() },
+		Signalled:      func(pool, word string) { s.said.WithLabelValues(pool, word).Inc() },
 		Permitted: func(pool string, ok bool) { s.permits.WithLabelValues(pool, strconv.FormatBool(ok)).Inc() },
 	}
 }
