--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -85,7 +85,7 @@
 	Restored  func()                                             // the store was restored from an older copy
 	Pulled    func(document string, ok bool, took time.Duration) // from another box
 	Retried   func(pool string, allowed bool)
-	Refused   func(document, reason string) // an unusable server entry or configuration was read
+	Unusable   func(document, reason string) // an unusable server entry or configuration was read
 	Withheld  func(pool string)             // a chosen server stopped taking new work before the first byte was sent
 	Suspected func(contents int)            // a server ended while it ran so many contents
 	// A server signalled that it leaves, wants rest or limits its requests, or another box passed its leaving
--- a/src/gateway/serverlist.go
+++ b/src/gateway/serverlist.go
@@ -147,8 +147,8 @@
 		if s.Fault == "" || old != nil && old.Fault == s.Fault {
 			continue
 		}
-		if g.Observer.Refused != nil {
-			g.Observer.Refused(port.DocumentServers, s.Fault)
+		if g.Observer.Unusable != nil {
+			g.Observer.Unusable(port.DocumentServers, s.Fault)
 		}
 		if lines++; lines <= serverLines {
 			g.Log.Warn("server entry is not usable", "server", s.ID, "fault", s.Fault, "draining", s.Draining, "entry_revision", s.Revision, "revision", revision, "from", from)
--- a/src/gateway/store_reader.go
+++ b/src/gateway/store_reader.go
@@ -199,8 +199,8 @@
 // logUnreadable logs an unreadable configuration, once for each revision.
 func (g *Gateway) logUnreadable(u *Unreadable, held *catalog.Catalog) {
 	g.Log.Error("unreadable configuration, the previous one stays in force", "revision", u.Revision, "held_version", versionOf(held), "cause", u.Cause.Error())
-	if g.Observer.Refused != nil {
-		g.Observer.Refused(port.DocumentConfig, "unreadable")
+	if g.Observer.Unusable != nil {
+		g.Observer.Unusable(port.DocumentConfig, "unreadable")
 	}
 }
 
