--- a/src/gateway/absent_test.go
+++ b/src/gateway/absent_test.go
@@ -103,7 +103,7 @@
 // replaced answers as a server does that has the address of one that ended.
 func replaced() (*Reply, error) {
 	r := textReply(http.StatusMisdirectedRequest, "")
-	r.NotRun, r.Moved = true, true
+	r.NotRun, r.AddressReused = true, true
 	return r, nil
 }
 
--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -208,7 +208,7 @@
 	if reply != nil {
 		v.signals = reply.Signals
 		sent := began
-		if reply.Moved {
+		if reply.AddressReused {
 			sent = time.Time{}
 		}
 		g.recordSignals(s, reply.Signals, "request "+v.request.ID, sent)
@@ -330,7 +330,7 @@
 		v.remade = true
 		v.attempts--
 		return stepRetry, refusal(code.BackendFailed, "stages", failureReturn, "stage results were gone"), true
-	case reply.Moved: // a server got the request, so it counts towards the operator's limit of attempts
+	case reply.AddressReused: // a server got the request, so it counts towards the operator's limit of attempts
 		reply.Close(false)
 		v.recordOutcome(e, s, balance.Replaced, began, "another server has the address", why)
 		return stepRetry, refusal(code.BackendsDown, "pool", failureReturn, "%s is gone", s.ID), true
--- a/src/gateway/ports.go
+++ b/src/gateway/ports.go
@@ -82,7 +82,7 @@
 	Read    func([]byte) (int, error) // io.EOF only after a clean end
 	Close   func(whole bool)
 	NotRun  bool // the server states that it did not run the request
-	Moved   bool // another server now has the address
+	AddressReused   bool // another server now has the address
 	Missing bool // an input is gone
 	Signed  bool // the server signed the answer
 	Events  bool // the answer is a stream of events
