--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -318,7 +318,7 @@
 func (v *requestRun) handleReply(ctx context.Context, e *pool, s catalog.Server, reply *Reply, began time.Time, watch *time.Timer, why string) (nextStep, *code.Error, bool) {
 	g := v.gateway
 	switch {
-	case reply.Missing:
+	case reply.InputGone:
 		reply.Close(false)
 		v.recordOutcome(e, s, balance.Dropped, began, "an input is gone", why)
 		e.inputGone()
--- a/src/gateway/ports.go
+++ b/src/gateway/ports.go
@@ -83,7 +83,7 @@
 	Close   func(whole bool)
 	NotRun  bool // the server states that it did not run the request
 	AddressReused   bool // another server now has the address
-	Missing bool // an input is gone
+	InputGone bool // an input is gone
 	Signed  bool // the server signed the answer
 	Events  bool // the answer is a stream of events
 	Signals    pushback.Word
--- a/src/gateway/scheduling_test.go
+++ b/src/gateway/scheduling_test.go
@@ -136,7 +136,7 @@
 		f.send = func(ctx context.Context, _ string, c *Call) (*Reply, error) {
 			if sent++; sent == 1 {
 				r := textReply(http.StatusConflict, "")
-				r.NotRun, r.Missing = true, true
+				r.NotRun, r.InputGone = true, true
 				return r, nil
 			}
 			return events(ctx, 1, 1, time.Millisecond, io.EOF), nil
