--- a/src/gateway/ports.go
+++ b/src/gateway/ports.go
@@ -56,7 +56,7 @@
 	Inputs    []string // handles of stage results
 	LastEvent string
 	Source    string // address of a server that holds shared prompt parts, "" for none
-	Fresh     bool   // use a new connection, for requests that can't be sent again
+	NewConnection     bool   // use a new connection, for requests that can't be sent again
 	// Start is called just before the first byte is sent; on an error nothing must be sent.
 	Start func() error
 }
