--- a/src/gateway/ports.go
+++ b/src/gateway/ports.go
@@ -52,7 +52,7 @@
 	Request   *Request
 	Left      time.Duration
 	Workspace string
-	Urgency   int
+	Priority   int
 	Inputs    []string // handles of stage results
 	LastEvent string
 	Source    string // address of a server that holds shared prompt parts, "" for none
