--- a/src/gateway/permits.go
+++ b/src/gateway/permits.go
@@ -105,7 +105,7 @@
 // askCoordinator asks the coordinator of a server for a permit. It asks the next box if the first has no
 // limit support, names another one, or does not answer.
 func (g *Gateway) askCoordinator(ctx context.Context, s catalog.Server, q port.AskPermits) (string, port.Permits, error) {
-	passed := g.permits.passedOver(g.now())
+	passed := g.permits.unsupportedBoxes(g.now())
 	box := g.coordinatorOf(s.Pool, s.ID, passed)
 	var last error
 	for range coordinatorsAsked {
@@ -221,8 +221,8 @@
 	p.unsupported[box] = until
 }
 
-// passedOver returns the boxes without limit support.
-func (p *permits) passedOver(now time.Time) map[string]bool {
+// unsupportedBoxes returns the boxes without limit support.
+func (p *permits) unsupportedBoxes(now time.Time) map[string]bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := map[string]bool{}
