--- a/src/gateway/permits.go
+++ b/src/gateway/permits.go
@@ -149,7 +149,7 @@
 	defer cancel()
 	a, err := g.Peers.Ask(ctx, address, port.Question{Permits: &q})
 	if err != nil {
-		g.permits.noAnswer(box, g.now().Add(coordinatorPause))
+		g.permits.markSilent(box, g.now().Add(coordinatorPause))
 		return nil, err
 	}
 	return a.Permits, nil
@@ -236,9 +236,9 @@
 	return out
 }
 
-// noAnswer records that a box did not answer. It remains the coordinator: a second one beside it would double
+// markSilent records that a box did not answer. It remains the coordinator: a second one beside it would double
 // the requests that a server gets.
-func (p *permits) noAnswer(box string, until time.Time) {
+func (p *permits) markSilent(box string, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.silent[box] = until
