--- a/src/gateway/permits.go
+++ b/src/gateway/permits.go
@@ -176,7 +176,7 @@
 		return port.Permits{N: max(1, q.Wants), Limit: noteOf(l.LimitNote)}
 	}
 	a := quota.Ask{Server: l.Server.ID, Incarnation: l.Server.Incarnation, PerSecond: l.Rate, Known: max(q.Known, l.Known), Patience: q.Patience, Wants: q.Wants, StandsIn: standsIn}
-	part := g.fleet.inSight(now)
+	part := g.fleet.reachableShare(now)
 	g.permits.mu.Lock()
 	t := g.permits.limiter.Take(now, a, part)
 	g.permits.mu.Unlock()
@@ -205,9 +205,9 @@
 	return g.ID.Name, true
 }
 
-// inSight returns the share of the possibly running boxes that this box can reach. Boxes lost recently may
+// reachableShare returns the share of the possibly running boxes that this box can reach. Boxes lost recently may
 // still run on the other side of a partition, with a coordinator of their own.
-func (f *fleet) inSight(now time.Time) float64 {
+func (f *fleet) reachableShare(now time.Time) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := max(1, len(f.usableNow))
