--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -454,7 +454,7 @@
 	case q.Publish != nil:
 		return port.Answer{Publish: g.answerPull(q.Publish)}
 	case q.Permits != nil:
-		a := g.permitsOf(ctx, *q.Permits)
+		a := g.grantPermits(ctx, *q.Permits)
 		return port.Answer{Permits: &a}
 	}
 	return port.Answer{}
--- a/src/gateway/permits.go
+++ b/src/gateway/permits.go
@@ -135,7 +135,7 @@
 // askBox asks a box for permits; the result is nil without an error if it has no limit support.
 func (g *Gateway) askBox(ctx context.Context, box string, q port.AskPermits) (*port.Permits, error) {
 	if box == g.ID.Name {
-		a := g.permitsOf(ctx, q)
+		a := g.grantPermits(ctx, q)
 		return &a, nil
 	}
 	address := g.fleet.addressOf(box)
@@ -155,8 +155,8 @@
 	return a.Permits, nil
 }
 
-// permitsOf answers a request for permits.
-func (g *Gateway) permitsOf(ctx context.Context, q port.AskPermits) port.Permits {
+// grantPermits answers a request for permits.
+func (g *Gateway) grantPermits(ctx context.Context, q port.AskPermits) port.Permits {
 	now := g.now()
 	note := noteFrom(q.Limit)
 	box, standsIn := g.grants(ctx, q)
