--- a/src/gateway/permits.go
+++ b/src/gateway/permits.go
@@ -159,7 +159,7 @@
 func (g *Gateway) grantPermits(ctx context.Context, q port.AskPermits) port.Permits {
 	now := g.now()
 	note := noteFrom(q.Limit)
-	box, standsIn := g.grants(ctx, q)
+	box, standsIn := g.permitGranter(ctx, q)
 	if box != g.ID.Name {
 		return port.Permits{Coordinator: box, Next: coordinatorPause}
 	}
@@ -183,10 +183,10 @@
 	return port.Permits{N: t.Permits, Begin: t.Begin, Next: t.Next, Limit: noteOf(l.LimitNote)}
 }
 
-// grants returns the box that should answer a request for permits, and whether it stands in for the
+// permitGranter returns the box that should answer a request for permits, and whether it stands in for the
 // coordinator. This box stands in if it is next in rank and the coordinator answers neither the asking box
 // nor this one.
-func (g *Gateway) grants(ctx context.Context, q port.AskPermits) (box string, standsIn bool) {
+func (g *Gateway) permitGranter(ctx context.Context, q port.AskPermits) (box string, standsIn bool) {
 	passed := map[string]bool{}
 	for _, b := range q.Passed {
 		passed[b] = true
