--- a/src/gateway/holdings.go
+++ b/src/gateway/holdings.go
@@ -90,9 +90,9 @@
 	stage int
 }
 
-// news returns the results that a box that is to schedule a pool has not been informed of, and marks it as
+// unreported returns the results that a box that is to schedule a pool has not been informed of, and marks it as
 // informed.
-func (h *holdings) news(now time.Time, pool, box string) []batch.HeldResult {
+func (h *holdings) unreported(now time.Time, pool, box string) []batch.HeldResult {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	before, known := h.told[pool]
@@ -115,7 +115,7 @@
 // that the box holds in the pool.
 func (g *Gateway) submit(box string, j *batch.Job, silent string) {
 	now := g.now()
-	if held := g.holdings.news(now, j.Pool, box); len(held) > 0 {
+	if held := g.holdings.unreported(now, j.Pool, box); len(held) > 0 {
 		g.Log.Info("scheduler informed of held results", "pool", j.Pool, "to", box, "results", len(held))
 		for part := range slices.Chunk(held, resultsPerMessage) {
 			g.sendBatch(box, batch.Message{Held: &batch.Held{Pool: j.Pool, Results: part}})
