--- a/src/gateway/holdings.go
+++ b/src/gateway/holdings.go
@@ -63,9 +63,9 @@
 	return out
 }
 
-// lose drops the results at a server that restarted, notifies the requests that hold them and returns their
+// dropServer drops the results at a server that restarted, notifies the requests that hold them and returns their
 // number.
-func (h *holdings) lose(server string) (results int) {
+func (h *holdings) dropServer(server string) (results int) {
 	lost := map[resultsOfStage]bool{}
 	h.mu.Lock()
 	for _, all := range h.pools {
--- a/src/gateway/restarts.go
+++ b/src/gateway/restarts.go
@@ -11,7 +11,7 @@
 // (virtual time).
 func (g *Gateway) dropEarlierIncarnations(restarted []catalog.Restart, revision catalog.Revision, from string) {
 	for i, r := range restarted {
-		lost := g.holdings.lose(r.Now.ID)
+		lost := g.holdings.dropServer(r.Now.ID)
 		if g.Backends.Forget != nil {
 			g.Backends.Forget(r.Before.Address)
 			g.Backends.Forget(r.Now.Address)
--- a/src/gateway/restarts_test.go
+++ b/src/gateway/restarts_test.go
@@ -103,10 +103,10 @@
 	h.init(nil)
 	r := &results{freed: make([]bool, 2), onLoss: func() {}}
 	h.add("vault", &batch.Done{Handles: []string{"a", "b"}, Servers: []string{"i-1", "i-2"}}, 1, time.Time{}, r, 1)
-	if n := h.lose("i-1"); n != 1 || !r.wasLost() || !r.freed[1] || r.freed[0] {
+	if n := h.dropServer("i-1"); n != 1 || !r.wasLost() || !r.freed[1] || r.freed[0] {
 		t.Errorf("%d results were lost, of the stages %v", n, r.freed)
 	}
-	if n := h.lose("i-1"); n != 0 {
+	if n := h.dropServer("i-1"); n != 0 {
 		t.Errorf("%d results were lost twice", n)
 	}
 }
