--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -9,7 +9,7 @@
 // Admission and the retry-after times of refusals.
 const (
 	lateFactor     = 1.1                    // share of the time left to the objective that the forecast may take
-	leastReturn    = 300 * time.Millisecond // minimum retry-after
+	minRetryAfter    = 300 * time.Millisecond // minimum retry-after
 	mostReturn     = 3 * time.Second        // maximum retry-after
 	returnPart     = 1.0                    // share of the excess over the objective that becomes the retry-after
 	notReadyAfter  = 300 * time.Millisecond // retry-after while this box has no confirmed configuration
--- a/src/gateway/scheduling_test.go
+++ b/src/gateway/scheduling_test.go
@@ -118,7 +118,7 @@
 		}
 		time.Sleep(500 * time.Millisecond)
 		a := f.ask("box1", "/draft/x", "late", nil)
-		if a.refused == nil || a.refused.Code != code.CannotFinish || a.refused.DidRun() != code.RanNo || a.refused.RetryAfter < leastReturn || a.took > 10*time.Millisecond {
+		if a.refused == nil || a.refused.Code != code.CannotFinish || a.refused.DidRun() != code.RanNo || a.refused.RetryAfter < minRetryAfter || a.took > 10*time.Millisecond {
 			t.Errorf("with 240 pieces before three servers: %+v", a)
 		}
 		all.Wait()
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -238,14 +238,14 @@
 			return err
 		}
 	}
-	return refusal(code.BackendsDown, "stages", leastReturn, "the stages could not be made: %s", r)
+	return refusal(code.BackendsDown, "stages", minRetryAfter, "the stages could not be made: %s", r)
 }
 
 // stagesReturn returns the retry-after of a request whose stages could not be made: the longest waiting time
 // in their pools.
 func (v *requestRun) stagesReturn() time.Duration {
 	longest := slices.Max(v.stages.forecast(v.gateway.now()).waits)
-	return min(mostReturn, max(leastReturn, longest))
+	return min(mostReturn, max(minRetryAfter, longest))
 }
 
 // callerLeft reports whether the context ended because the caller left and not because the deadline passed.
