--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -10,7 +10,7 @@
 const (
 	lateFactor     = 1.1                    // share of the time left to the objective that the forecast may take
 	minRetryAfter    = 300 * time.Millisecond // minimum retry-after
-	mostReturn     = 3 * time.Second        // maximum retry-after
+	maxRetryAfter     = 3 * time.Second        // maximum retry-after
 	returnPart     = 1.0                    // share of the excess over the objective that becomes the retry-after
 	notReadyAfter  = 300 * time.Millisecond // retry-after while this box has no confirmed configuration
 	elsewhereAfter = 30 * time.Millisecond  // retry-after when another box can take the request at once
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -245,7 +245,7 @@
 // in their pools.
 func (v *requestRun) stagesReturn() time.Duration {
 	longest := slices.Max(v.stages.forecast(v.gateway.now()).waits)
-	return min(mostReturn, max(minRetryAfter, longest))
+	return min(maxRetryAfter, max(minRetryAfter, longest))
 }
 
 // callerLeft reports whether the context ended because the caller left and not because the deadline passed.
