--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -202,7 +202,7 @@
 			outcome = balance.Dropped
 		}
 		v.recordOutcome(e, s, outcome, began, "not sent: "+notSent.Cause.Error(), why)
-		return stepRetry, refusal(code.BackendsDown, "pool", failureReturn, "%s could not be reached", s.ID), false
+		return stepRetry, refusal(code.BackendsDown, "pool", failureRetryAfter, "%s could not be reached", s.ID), false
 	}
 	v.attempts++
 	if reply != nil {
@@ -325,18 +325,18 @@
 		v.made.freeAll()
 		delete(v.wish.Exclude, s.ID)
 		if v.remade {
-			return stepFail, refusal(code.BackendFailed, "stages", failureReturn, "stage results were gone twice"), true
+			return stepFail, refusal(code.BackendFailed, "stages", failureRetryAfter, "stage results were gone twice"), true
 		}
 		v.remade = true
 		v.attempts--
-		return stepRetry, refusal(code.BackendFailed, "stages", failureReturn, "stage results were gone"), true
+		return stepRetry, refusal(code.BackendFailed, "stages", failureRetryAfter, "stage results were gone"), true
 	case reply.AddressReused: // a server got the request, so it counts towards the operator's limit of attempts
 		reply.Close(false)
 		v.recordOutcome(e, s, balance.Replaced, began, "another server has the address", why)
-		return stepRetry, refusal(code.BackendsDown, "pool", failureReturn, "%s is gone", s.ID), true
+		return stepRetry, refusal(code.BackendsDown, "pool", failureRetryAfter, "%s is gone", s.ID), true
 	case reply.NotRun:
 		reply.Close(false)
-		outcome, after := balance.Full, failureReturn
+		outcome, after := balance.Full, failureRetryAfter
 		if reply.Signals.Rest > 0 {
 			outcome, after, v.restingServers = balance.AsksRest, elsewhereAfter, append(v.restingServers, s.ID)
 		}
--- a/src/gateway/boundary.go
+++ b/src/gateway/boundary.go
@@ -81,5 +81,5 @@
 
 // boundaryRefusal returns the refusal of a request for which no server is inside its boundary.
 func (v *requestRun) boundaryRefusal(what string) *code.Error {
-	return refusal(code.NowhereToRun, "boundary", failureReturn, "no server of %s is inside the boundary", what)
+	return refusal(code.NowhereToRun, "boundary", failureRetryAfter, "no server of %s is inside the boundary", what)
 }
--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -29,7 +29,7 @@
 	silentFactor   = 4.0                     // multiple of the expected time to the first event before a resumable stream moves
 	silentFloor    = 1200 * time.Millisecond // minimum of that time
 	gapLimit       = 2 * time.Second         // silence within a resumable stream before it moves
-	failureReturn  = 400 * time.Millisecond  // retry-after when servers failed
+	failureRetryAfter  = 400 * time.Millisecond  // retry-after when servers failed
 	priorityHigher = 9                       // least urgent priority that servers accept
 )
 
--- a/src/gateway/rest.go
+++ b/src/gateway/rest.go
@@ -130,5 +130,5 @@
 	if resting {
 		return v.restRefusal(now, end)
 	}
-	return refusal(code.BackendsDown, "pool", failureReturn, "no server of %s is left to try", v.pool)
+	return refusal(code.BackendsDown, "pool", failureRetryAfter, "no server of %s is left to try", v.pool)
 }
