--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -338,7 +338,7 @@
 		reply.Close(false)
 		outcome, after := balance.Full, failureRetryAfter
 		if reply.Signals.Rest > 0 {
-			outcome, after, v.restingServers = balance.AsksRest, elsewhereAfter, append(v.restingServers, s.ID)
+			outcome, after, v.restingServers = balance.AsksRest, otherBoxRetryAfter, append(v.restingServers, s.ID)
 		}
 		v.recordOutcome(e, s, outcome, began, http.StatusText(reply.Status)+", not run", why)
 		if _, resting := v.restEnds(e, g.now()); resting {
--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -13,7 +13,7 @@
 	maxRetryAfter     = 3 * time.Second        // maximum retry-after
 	returnPart     = 1.0                    // share of the excess over the objective that becomes the retry-after
 	notReadyAfter  = 300 * time.Millisecond // retry-after while this box has no confirmed configuration
-	elsewhereAfter = 30 * time.Millisecond  // retry-after when another box can take the request at once
+	otherBoxRetryAfter = 30 * time.Millisecond  // retry-after when another box can take the request at once
 )
 
 // Attempts at servers.
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -95,7 +95,7 @@
 	}
 	v.version = x.Version()
 	if g.closing() {
-		return refusal(code.Draining, "box", elsewhereAfter, "this box is stopping")
+		return refusal(code.Draining, "box", otherBoxRetryAfter, "this box is stopping")
 	}
 	unsure := g.published.catalogAge(g.now()) > trustFor
 	p := x.Route(r.Host, r.Path)
@@ -224,7 +224,7 @@
 func (v *requestRun) stageError(ctx context.Context, r batch.Reason) *code.Error {
 	switch {
 	case v.gateway.stages.Err() != nil:
-		return refusal(code.Draining, "box", elsewhereAfter, "this box is stopping and the stages are not complete")
+		return refusal(code.Draining, "box", otherBoxRetryAfter, "this box is stopping and the stages are not complete")
 	case ctx.Err() != nil && v.callerLeft(ctx):
 		return refusal(code.Cancelled, "", 0, "the caller left during the stages")
 	case r == batch.Late || ctx.Err() != nil:
