--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -44,8 +44,8 @@
 		if what == stepDone {
 			return
 		}
-		if !sent && v.withheld && what != stepFail && ctx.Err() == nil {
-			v.withheld = false
+		if !sent && v.uncounted && what != stepFail && ctx.Err() == nil {
+			v.uncounted = false
 			continue
 		}
 		if !sent {
@@ -146,12 +146,12 @@
 	reserved := v.wish.Only != ""
 	v.wish.Only = ""
 	if !ok && reserved { // the server left while the request waited for its permit
-		v.withheld = true
+		v.uncounted = true
 		return stepRetry, v.noServer(e, now), false
 	}
 	if !ok {
-		v.withheld = v.mayWait(e, now)
-		if v.withheld {
+		v.uncounted = v.mayWait(e, now)
+		if v.uncounted {
 			return stepRetry, v.noServer(e, now), false
 		}
 		return stepFail, v.noServer(e, now), false
@@ -163,7 +163,7 @@
 		if v.permitRequests >= permitsAsked {
 			return stepFail, v.noServer(e, g.now()), false
 		}
-		v.withheld = true
+		v.uncounted = true
 		return stepRetry, v.noServer(e, g.now()), false
 	}
 	now = g.now()
@@ -197,7 +197,7 @@
 			outcome = balance.Absent
 			g.suspects.Ended(lifeOf(s), suspects.Refused)
 		case errors.Is(err, ErrServerRests):
-			outcome, v.withheld, v.restingServers = balance.Dropped, true, append(v.restingServers, s.ID)
+			outcome, v.uncounted, v.restingServers = balance.Dropped, true, append(v.restingServers, s.ID)
 		case errors.Is(err, ErrServerLeft), errors.Is(err, errOutside):
 			outcome = balance.Dropped
 		}
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -39,7 +39,7 @@
 	signals       pushback.Word // signals in the answer of the current attempt
 	restingServers []string      // servers that asked for rest instead of taking this request
 	// The last attempt sent nothing because the server asked for rest or had no permit; it does not count.
-	withheld bool
+	uncounted bool
 	permitRequests    int // permits requested at servers with limits that were not free at once
 
 	// State of a stream that has begun.
