--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -70,13 +70,13 @@
 
 // needsStages reports whether results that were released are needed again.
 func (v *requestRun) needsStages() bool {
-	if v.made == nil {
+	if v.stageResults == nil {
 		return false
 	}
-	v.made.mu.Lock()
-	defer v.made.mu.Unlock()
+	v.stageResults.mu.Lock()
+	defer v.stageResults.mu.Unlock()
 	for _, i := range v.pipeline.Final() {
-		if v.made.freed[i] {
+		if v.stageResults.freed[i] {
 			return true
 		}
 	}
@@ -171,7 +171,7 @@
 	if copied {
 		why += ", copies from " + source.ID
 	}
-	handles, _, _ := v.made.final()
+	handles, _, _ := v.stageResults.final()
 	c := &Call{
 		Server: s, Request: v.request, Left: v.deadline.Sub(now), Workspace: v.workspace,
 		Priority: min(v.priority, priorityHigher), Inputs: handles, Source: source.Address, LastEvent: v.lastEvent, NewConnection: !v.repeatable(),
@@ -322,7 +322,7 @@
 		reply.Close(false)
 		v.recordOutcome(e, s, balance.Dropped, began, "an input is gone", why)
 		e.inputGone()
-		v.made.freeAll()
+		v.stageResults.freeAll()
 		delete(v.wish.Exclude, s.ID)
 		if v.remade {
 			return stepFail, refusal(code.BackendFailed, "stages", failureRetryAfter, "stage results were gone twice"), true
--- a/src/gateway/inputs.go
+++ b/src/gateway/inputs.go
@@ -12,7 +12,7 @@
 	if !any {
 		return func() {}
 	}
-	timer := time.AfterFunc(e.fetchTime(), v.made.freeAll)
+	timer := time.AfterFunc(e.fetchTime(), v.stageResults.freeAll)
 	return func() { timer.Stop() }
 }
 
--- a/src/gateway/relay.go
+++ b/src/gateway/relay.go
@@ -134,7 +134,7 @@
 		}
 		e.mu.Unlock()
 	}
-	v.made.freeAll()
+	v.stageResults.freeAll()
 	if id := lastID(whole); id != "" {
 		v.lastEvent = id
 	}
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -30,7 +30,7 @@
 	objective  time.Time
 	deadline   time.Time
 	limitedBy  string // what set the deadline: the caller or the pipeline
-	made       *results
+	stageResults       *results
 	stages     *stageRun
 	wish       balance.Wish
 	attempts   int
@@ -193,7 +193,7 @@
 		v.refuse(err)
 		return
 	}
-	defer func() { v.made.freeAll() }()
+	defer func() { v.stageResults.freeAll() }()
 	v.runAttempts(ctx)
 }
 
@@ -209,7 +209,7 @@
 	for again := range 2 {
 		made, reason := g.runStages(ctx, v.stages)
 		if reason == 0 {
-			v.made = made
+			v.stageResults = made
 			_, v.wish.Domain, v.wish.InputBytes = made.final()
 			return nil
 		}
