--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -324,10 +324,10 @@
 		e.inputGone()
 		v.stageResults.freeAll()
 		delete(v.wish.Exclude, s.ID)
-		if v.remade {
+		if v.resultsRemade {
 			return stepFail, refusal(code.BackendFailed, "stages", failureRetryAfter, "stage results were gone twice"), true
 		}
-		v.remade = true
+		v.resultsRemade = true
 		v.attempts--
 		return stepRetry, refusal(code.BackendFailed, "stages", failureRetryAfter, "stage results were gone"), true
 	case reply.AddressReused: // a server got the request, so it counts towards the operator's limit of attempts
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -34,7 +34,7 @@
 	stages     *stageRun
 	wish       balance.Wish
 	attempts   int
-	remade     bool
+	resultsRemade     bool
 	maybeRan   bool
 	signals       pushback.Word // signals in the answer of the current attempt
 	restingServers []string      // servers that asked for rest instead of taking this request
