--- a/src/gateway/boundary.go
+++ b/src/gateway/boundary.go
@@ -58,15 +58,15 @@
 		}
 	}
 	for _, name := range pools {
-		if !v.standsInside(name) {
+		if !v.hasServerInside(name) {
 			return v.boundaryRefusal(name)
 		}
 	}
 	return nil
 }
 
-// standsInside reports whether a pool has a server inside the request's boundary, or no servers at all.
-func (v *requestRun) standsInside(pool string) bool {
+// hasServerInside reports whether a pool has a server inside the request's boundary, or no servers at all.
+func (v *requestRun) hasServerInside(pool string) bool {
 	e := v.gateway.pools.get(pool)
 	e.mu.Lock()
 	domains := e.picker.Domains()
