--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -183,7 +183,7 @@
 	defer cancel(nil)
 	watch := v.silenceTimer(cancel)
 	defer watch.Stop()
-	c.Start = v.startInside(s, g.startCheck(ctx, s, "request "+v.request.ID, v.request.ID, now))
+	c.Start = v.startInBoundary(s, g.startCheck(ctx, s, "request "+v.request.ID, v.request.ID, now))
 	began := g.now()
 	stop := v.giveUpInputs(e, len(handles) > 0)
 	defer stop()
--- a/src/gateway/boundary.go
+++ b/src/gateway/boundary.go
@@ -31,9 +31,9 @@
 	return g.Settings.Regions.Confine(bounds...)
 }
 
-// startInside checks the boundary again just before the first byte is sent, as the configuration may have
+// startInBoundary checks the boundary again just before the first byte is sent, as the configuration may have
 // changed since the server was chosen.
-func (v *requestRun) startInside(s catalog.Server, start func() error) func() error {
+func (v *requestRun) startInBoundary(s catalog.Server, start func() error) func() error {
 	return func() error {
 		if err := start(); err != nil {
 			return err
