--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -264,10 +264,10 @@
 	g.suspects.Hear(m.Suspects, m.From.ID.Name)
 	g.mergeLeavingNotes(m.Leavings, m.From.ID.Name)
 	g.mergeLimits(m.Limits, m.From.ID.Name)
-	g.takeLoads(now, m)
+	g.mergeLoads(now, m)
 }
 
-func (g *Gateway) takeLoads(now time.Time, m core.Beat) {
+func (g *Gateway) mergeLoads(now time.Time, m core.Beat) {
 	boxes := len(g.fleet.usable())
 	notes := make([]balance.Note, len(m.Backends))
 	for i, n := range m.Backends {
