--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -179,8 +179,8 @@
 	return out
 }
 
-// hearAsked merges the prompt parts that another box was asked for.
-func (p *pool) hearAsked(now time.Time, box string, notes []core.AskNote) {
+// mergeAsked merges the prompt parts that another box was asked for.
+func (p *pool) mergeAsked(now time.Time, box string, notes []core.AskNote) {
 	for _, n := range notes {
 		if n.Pool != catalog.Hash(p.name) || len(n.Parts) != len(n.Tokens) {
 			continue
@@ -282,7 +282,7 @@
 		e.picker.Boxes = boxes
 		e.picker.Hear(now, m.From.ID.Name, notes)
 		e.picker.HearReads(now, reads)
-		e.hearAsked(now, m.From.ID.Name, m.Asked)
+		e.mergeAsked(now, m.From.ID.Name, m.Asked)
 		e.mu.Unlock()
 	}
 }
