--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -27,7 +27,7 @@
 	// Boxes that did not answer this box, and until when they are not chosen.
 	silent     map[string]time.Time
 	hints      map[string]redirect      // redirects of schedulers to their successors, by pool
-	complaints map[string]silenceReport // the last report on a box that did not answer another, by that box
+	silenceReports map[string]silenceReport // the last report on a box that did not answer another, by that box
 }
 
 // silenceReport is a box's report that another one did not answer it.
@@ -45,7 +45,7 @@
 
 func (r *roster) init() {
 	r.coordinators = map[string]string{}
-	r.chosen, r.silent, r.hints, r.complaints = map[string]string{}, map[string]time.Time{}, map[string]redirect{}, map[string]silenceReport{}
+	r.chosen, r.silent, r.hints, r.silenceReports = map[string]string{}, map[string]time.Time{}, map[string]redirect{}, map[string]silenceReport{}
 }
 
 // forget invalidates everything computed.
@@ -182,14 +182,14 @@
 	if box == "" || box == f.gateway.ID.Name || now.Sub(f.seen[box]) < heardLately || now.Before(r.silent[box]) {
 		return
 	}
-	last, told := r.complaints[box]
-	r.complaints[box] = silenceReport{from: from, at: now}
+	last, told := r.silenceReports[box]
+	r.silenceReports[box] = silenceReport{from: from, at: now}
 	alone := !told || last.from == from || now.Sub(last.at) > complaintLife
 	if alone && len(f.usableNow) > complaintsFrom {
 		f.gateway.Log.Info("report of a silent scheduler awaits a second one", "about", box, "from", from, "members", len(f.usableNow))
 		return
 	}
-	delete(r.complaints, box)
+	delete(r.silenceReports, box)
 	r.avoid(now, box)
 }
 
