--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -26,7 +26,7 @@
 	until        time.Time            // time of the next computation even if no member changes
 	// Boxes that did not answer this box, and until when they are not chosen.
 	silent     map[string]time.Time
-	hints      map[string]redirect      // redirects of schedulers to their successors, by pool
+	redirects      map[string]redirect      // redirects of schedulers to their successors, by pool
 	silenceReports map[string]silenceReport // the last report on a box that did not answer another, by that box
 }
 
@@ -45,7 +45,7 @@
 
 func (r *roster) init() {
 	r.coordinators = map[string]string{}
-	r.chosen, r.silent, r.hints, r.silenceReports = map[string]string{}, map[string]time.Time{}, map[string]redirect{}, map[string]silenceReport{}
+	r.chosen, r.silent, r.redirects, r.silenceReports = map[string]string{}, map[string]time.Time{}, map[string]redirect{}, map[string]silenceReport{}
 }
 
 // forget invalidates everything computed.
@@ -201,7 +201,7 @@
 		return
 	}
 	f.core.Claim(catalog.Hash(pool))
-	delete(f.roster.hints, pool)
+	delete(f.roster.redirects, pool)
 	f.roster.forget()
 	f.mu.Unlock()
 	f.gateway.Log.Info("pool claimed", "pool", pool)
@@ -298,7 +298,7 @@
 func (f *fleet) moved(now time.Time, pool, to string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.roster.hints[pool] = redirect{box: to, until: now.Add(hintLife)}
+	f.roster.redirects[pool] = redirect{box: to, until: now.Add(hintLife)}
 }
 
 // schedulers lists the boxes that may schedule pools now. The fleet's lock is held.
@@ -326,11 +326,11 @@
 	if box == f.gateway.ID.Name && f.claims(pool) {
 		return box
 	}
-	if h, ok := f.roster.hints[pool]; ok {
+	if h, ok := f.roster.redirects[pool]; ok {
 		if now.Before(h.until) && !now.Before(f.roster.silent[h.box]) {
 			return h.box
 		}
-		delete(f.roster.hints, pool)
+		delete(f.roster.redirects, pool)
 	}
 	return box
 }
