--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -239,7 +239,7 @@
 	now := g.now()
 	f.mu.Lock()
 	f.seen[m.From.ID.Name] = now
-	f.roster.heard(m.From.ID.Name)
+	f.roster.clearSilent(m.From.ID.Name)
 	f.core.Expect = g.beatFiller(now)
 	h := f.core.Receive(now, m)
 	changed := f.core.Changed()
@@ -383,7 +383,7 @@
 func (f *fleet) heardFrom(box, address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.roster.heard(box)
+	f.roster.clearSilent(box)
 	f.addresses[box] = address
 }
 
--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -55,8 +55,8 @@
 	r.until = time.Time{}
 }
 
-// heard records a message of a box, which is then no longer silent.
-func (r *roster) heard(box string) {
+// clearSilent records a message of a box, which is then no longer silent.
+func (r *roster) clearSilent(box string) {
 	if _, ok := r.silent[box]; ok {
 		delete(r.silent, box)
 		r.forget()
