--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -293,7 +293,7 @@
 	f.mu.Lock()
 	before := f.usableNow
 	f.usableNow = f.core.Usable()
-	f.roster.forget()
+	f.roster.invalidate()
 	after := f.usableNow
 	f.mu.Unlock()
 	_, lost := differences(before, after)
--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -48,8 +48,8 @@
 	r.chosen, r.silent, r.redirects, r.silenceReports = map[string]string{}, map[string]time.Time{}, map[string]redirect{}, map[string]silenceReport{}
 }
 
-// forget invalidates everything computed.
-func (r *roster) forget() {
+// invalidate invalidates everything computed.
+func (r *roster) invalidate() {
 	clear(r.chosen)
 	clear(r.coordinators)
 	r.until = time.Time{}
@@ -59,14 +59,14 @@
 func (r *roster) clearSilent(box string) {
 	if _, ok := r.silent[box]; ok {
 		delete(r.silent, box)
-		r.forget()
+		r.invalidate()
 	}
 }
 
 // avoid stops choosing a box that did not answer, until it is heard of again or shunFor has passed.
 func (r *roster) avoid(now time.Time, box string) {
 	r.silent[box] = now.Add(shunFor)
-	r.forget()
+	r.invalidate()
 }
 
 // schedulerCandidate is a box that takes work, with what the choice of schedulers depends on.
@@ -202,7 +202,7 @@
 	}
 	f.core.Claim(catalog.Hash(pool))
 	delete(f.roster.redirects, pool)
-	f.roster.forget()
+	f.roster.invalidate()
 	f.mu.Unlock()
 	f.gateway.Log.Info("pool claimed", "pool", pool)
 	f.gateway.announce()
@@ -220,7 +220,7 @@
 	defer f.mu.Unlock()
 	claimed := f.claims(pool)
 	f.core.Disclaim(catalog.Hash(pool))
-	f.roster.forget()
+	f.roster.invalidate()
 	if claimed {
 		f.gateway.Log.Info("pool released", "pool", pool)
 	}
