--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -262,14 +262,14 @@
 	r.readers, r.able = readersOf(all), capable(all)
 	clear(r.chosen)
 	clear(r.coordinators)
-	r.boxes, r.until = eligible(all), now.Add(rosterHolds(all))
+	r.boxes, r.until = eligible(all), now.Add(rosterValidity(all))
 	return r.boxes
 }
 
-// rosterHolds returns how long a choice among members is valid while none of them changes: until one has been
+// rosterValidity returns how long a choice among members is valid while none of them changes: until one has been
 // running long enough to take a pool over, or until the fleet has formed. Computing it anew at each tick
 // would be half of the work of a box among 300.
-func rosterHolds(all []schedulerCandidate) time.Duration {
+func rosterValidity(all []schedulerCandidate) time.Duration {
 	holds, oldest := mostRosterLife, time.Duration(0)
 	for _, c := range all {
 		oldest = max(oldest, c.up)
