--- a/src/gateway/jobs.go
+++ b/src/gateway/jobs.go
@@ -135,7 +135,7 @@
 				// job when it is sent again.
 				if to := m.Failed.To; !avoid[to] && g.fleet.mayAsk(g.now(), to) {
 					box = to
-					g.fleet.moved(g.now(), j.Pool, to)
+					g.fleet.recordRedirect(g.now(), j.Pool, to)
 				}
 				accepted, silent = false, 0
 				g.submit(box, j, "")
--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -294,8 +294,8 @@
 	return known && !now.Before(f.roster.silent[box])
 }
 
-// moved records a scheduler's redirect of its pool to another box.
-func (f *fleet) moved(now time.Time, pool, to string) {
+// recordRedirect records a scheduler's redirect of its pool to another box.
+func (f *fleet) recordRedirect(now time.Time, pool, to string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.roster.redirects[pool] = redirect{box: to, until: now.Add(hintLife)}
--- a/src/gateway/roster_test.go
+++ b/src/gateway/roster_test.go
@@ -155,7 +155,7 @@
 		if first == next {
 			next = "box2"
 		}
-		g.fleet.moved(g.now(), "encode", next)
+		g.fleet.recordRedirect(g.now(), "encode", next)
 		if got := g.schedulerOf("encode", nil); got != next {
 			t.Errorf("%s schedules, want %s as %s said", got, next, first)
 		}
@@ -163,7 +163,7 @@
 		if got := g.schedulerOf("encode", nil); got != first {
 			t.Errorf("the word of a scheduler counts for ever: %s", got)
 		}
-		g.fleet.moved(g.now(), "encode", next)
+		g.fleet.recordRedirect(g.now(), "encode", next)
 		g.fleet.avoidScheduler(g.now(), next)
 		if got := g.schedulerOf("encode", nil); got == next {
 			t.Error("a box that does not answer schedules")
