--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -379,8 +379,8 @@
 	return max(n, len(f.gateway.Settings.Seeds))
 }
 
-// heardFrom records a box that sent a message, and its address.
-func (f *fleet) heardFrom(box, address string) {
+// recordSender records a box that sent a message, and its address.
+func (f *fleet) recordSender(box, address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.roster.clearSilent(box)
--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -289,7 +289,7 @@
 
 // HandleBatch handles another box's message on jobs.
 func (g *Gateway) HandleBatch(m batch.Message) {
-	g.fleet.heardFrom(m.From, m.Address)
+	g.fleet.recordSender(m.From, m.Address)
 	if m.Submit != nil || m.Withdraw != nil || m.Free != nil || m.Held != nil || m.Handover != nil {
 		g.schedulers.take(m)
 		return
