--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -408,8 +408,8 @@
 	return ""
 }
 
-// refused stops choosing a box whose process has ended; it returns false if the box was already avoided.
-func (f *fleet) refused(now time.Time, box string) bool {
+// avoidEnded stops choosing a box whose process has ended; it returns false if the box was already avoided.
+func (f *fleet) avoidEnded(now time.Time, box string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if now.Before(f.roster.silent[box]) {
--- a/src/gateway/jobs.go
+++ b/src/gateway/jobs.go
@@ -85,7 +85,7 @@
 // that wait there are moved at once; the box is used again when it is next heard of.
 func (g *Gateway) HandleRefusal(address string) {
 	box := g.fleet.boxAt(address)
-	if box == "" || !g.fleet.refused(g.now(), box) {
+	if box == "" || !g.fleet.avoidEnded(g.now(), box) {
 		return
 	}
 	g.Log.Warn("box refuses connections", "box_address", address, "peer", box)
