--- a/src/gateway/holdings.go
+++ b/src/gateway/holdings.go
@@ -16,7 +16,7 @@
 
 	mu    sync.Mutex
 	pools map[string]map[string]holding // by pool and handle
-	told  map[string]string             // the box last informed of a pool's results
+	informed  map[string]string             // the box last informed of a pool's results
 }
 
 // holding is one stage result held at a server.
@@ -30,7 +30,7 @@
 
 func (h *holdings) init(g *Gateway) {
 	h.gateway = g
-	h.pools, h.told = map[string]map[string]holding{}, map[string]string{}
+	h.pools, h.informed = map[string]map[string]holding{}, map[string]string{}
 }
 
 // add records the results of a job, which makes a stage of a request.
@@ -95,8 +95,8 @@
 func (h *holdings) unreported(now time.Time, pool, box string) []batch.HeldResult {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	before, known := h.told[pool]
-	h.told[pool] = box
+	before, known := h.informed[pool]
+	h.informed[pool] = box
 	if !known || before == box {
 		return nil
 	}
