--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -27,7 +27,7 @@
 	core    *batch.Scheduler
 	pool    string
 	usedAt  time.Time
-	heldAt  time.Time // when calls were last delayed for a handover
+	delayedAt  time.Time // when calls were last delayed for a handover
 	receivedAt time.Time // when another box last handed the pool over to this one
 	foreign bool      // another box was the pool's scheduler at the last check
 }
@@ -225,8 +225,8 @@
 	if s.justReceived(now) && !d.gateway.Draining() {
 		elsewhere = ""
 	}
-	if elsewhere == "" && s.foreign && now.Sub(s.heldAt) > handoverAgain {
-		s.heldAt = now
+	if elsewhere == "" && s.foreign && now.Sub(s.delayedAt) > handoverAgain {
+		s.delayedAt = now
 		s.core.HoldUntil(now.Add(handoverWait))
 	}
 	s.foreign = elsewhere != ""
