--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -169,7 +169,7 @@
 	g.dropLapsed(now)
 	g.endDoubts(now)
 	g.suspects.Tick()
-	g.sweepWords(now)
+	g.sweepSignals(now)
 	g.permits.sweep(now)
 }
 
--- a/src/gateway/signals.go
+++ b/src/gateway/signals.go
@@ -190,8 +190,8 @@
 	g.stopUsing(slices.Collect(maps.Values(news)), from)
 }
 
-// sweepWords drops outdated signals.
-func (g *Gateway) sweepWords(now time.Time) {
+// sweepSignals drops outdated signals.
+func (g *Gateway) sweepSignals(now time.Time) {
 	if !g.signals.any.Load() {
 		return
 	}
