--- a/src/gateway/signals.go
+++ b/src/gateway/signals.go
@@ -109,7 +109,7 @@
 
 // Kinds of servers' signals, as metric labels.
 const (
-	wordLeaving = "leaving"
+	signalLeaving = "leaving"
 	wordRest    = "rest"
 	wordLimit   = "limit"
 )
@@ -125,7 +125,7 @@
 	var changed []catalog.Changed
 	for i, s := range list {
 		changed = append(changed, catalog.Changed{ID: s.ID, Pool: s.Pool})
-		g.countSignal(s.Pool, wordLeaving)
+		g.countSignal(s.Pool, signalLeaving)
 		if i < serverLines {
 			g.Log.Info("server signalled that it leaves", "server", s.ID, "incarnation", s.Incarnation, "pool", s.Pool, "from", from, "list_age_ms", g.published.listAge(g.now()).Milliseconds())
 		}
