--- a/src/gateway/signals.go
+++ b/src/gateway/signals.go
@@ -100,7 +100,7 @@
 	})
 	if rests {
 		g.Log.Info("server asks for rest", "server", s.ID, "pool", s.Pool, "what", what, "asks_ms", w.Rest.Milliseconds(), "rests_ms", until.Sub(now).Milliseconds())
-		g.countSignal(s.Pool, wordRest)
+		g.countSignal(s.Pool, signalRest)
 	}
 	if leaves {
 		g.stopUsing([]catalog.Server{s}, what)
@@ -110,7 +110,7 @@
 // Kinds of servers' signals, as metric labels.
 const (
 	signalLeaving = "leaving"
-	wordRest    = "rest"
+	signalRest    = "rest"
 	wordLimit   = "limit"
 )
 
