--- a/src/gateway/limits.go
+++ b/src/gateway/limits.go
@@ -40,7 +40,7 @@
 		return
 	}
 	g.Log.Info("server's request limit changed", "server", s.ID, "pool", s.Pool, "what", what, "limit", l.PerSecond, "ended", l.Ended, "known_ms", l.Known.Milliseconds())
-	g.countSignal(s.Pool, wordLimit)
+	g.countSignal(s.Pool, signalLimit)
 	g.announceLimits()
 }
 
--- a/src/gateway/signals.go
+++ b/src/gateway/signals.go
@@ -111,7 +111,7 @@
 const (
 	signalLeaving = "leaving"
 	signalRest    = "rest"
-	wordLimit   = "limit"
+	signalLimit   = "limit"
 )
 
 func (g *Gateway) countSignal(pool, word string) {
