--- a/src/gateway/serverlist.go
+++ b/src/gateway/serverlist.go
@@ -73,7 +73,7 @@
 	g.dropEarlierIncarnations(effects.Restarted, revision, from)
 	g.announce()
 	if len(effects.Doubted)+len(effects.Leaving) > 0 {
-		g.tellBoxes([]string{from}, g.newsBeat(now)) // the sender may have started since and know of neither
+		g.sendBeatTo([]string{from}, g.newsBeat(now)) // the sender may have started since and know of neither
 	}
 	return true
 }
--- a/src/gateway/store_reader.go
+++ b/src/gateway/store_reader.go
@@ -111,13 +111,13 @@
 	}
 	b := g.newsBeat(now)
 	b.Unanswered = &core.Unanswered{Document: document}
-	g.tellBoxes(plea.Beside, b)
+	g.sendBeatTo(plea.Beside, b)
 	b.Unanswered = &core.Unanswered{Document: document, Round: uint8(plea.Round)}
-	g.tellBoxes(plea.Next, b)
+	g.sendBeatTo(plea.Next, b)
 }
 
-// tellBoxes sends a heartbeat that needs no answer to boxes.
-func (g *Gateway) tellBoxes(boxes []string, b core.Beat) {
+// sendBeatTo sends a heartbeat that needs no answer to boxes.
+func (g *Gateway) sendBeatTo(boxes []string, b core.Beat) {
 	for _, box := range boxes {
 		if address := g.fleet.addressOf(box); address != "" {
 			g.Peers.Beat(address, b)
