--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -112,7 +112,7 @@
 	f.mu.Lock()
 	to := f.core.Near()
 	f.mu.Unlock()
-	g.tellTo(to)
+	g.sendNewsTo(to)
 }
 
 // announce sends this box's state without waiting for a heartbeat: to every box of a small fleet, or to a few
@@ -125,10 +125,10 @@
 		to = f.core.Some(announceTo)
 	}
 	f.mu.Unlock()
-	g.tellTo(to)
+	g.sendNewsTo(to)
 }
 
-func (g *Gateway) tellTo(to []string) {
+func (g *Gateway) sendNewsTo(to []string) {
 	if len(to) == 0 {
 		return
 	}
