--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// tellNews sends this box's loads to every box of a small fleet, more often than heartbeats are sent.
-func (g *Gateway) tellNews(context.Context) {
+// sendNews sends this box's loads to every box of a small fleet, more often than heartbeats are sent.
+func (g *Gateway) sendNews(context.Context) {
 	f := &g.fleet
 	f.mu.Lock()
 	to := f.core.Near()
