--- a/src/gateway/store_reader.go
+++ b/src/gateway/store_reader.go
@@ -17,7 +17,7 @@
 	document string
 	feed     *catalog.Feed
 	failures int
-	relieves bool // reads because other boxes asked for it
+	onRequest bool // reads because other boxes asked for it
 }
 
 // wait blocks until this box should read; it returns false if the context ended.
@@ -34,8 +34,8 @@
 		reads := r.feed.Reads(g.now(), living)
 		round, relieves := r.feed.Relieves(g.now())
 		g.published.mu.Unlock()
-		if relieves != r.relieves {
-			r.relieves = relieves
+		if relieves != r.onRequest {
+			r.onRequest = relieves
 			g.Log.Info("reading the store on request of other boxes", "document", r.document, "reads", relieves, "round", round)
 		}
 		if reads {
