--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -150,7 +150,7 @@
 		return stepRetry, v.noServer(e, now), false
 	}
 	if !ok {
-		v.uncounted = v.mayWait(e, now)
+		v.uncounted = v.serverExpected(e, now)
 		if v.uncounted {
 			return stepRetry, v.noServer(e, now), false
 		}
--- a/src/gateway/rest.go
+++ b/src/gateway/rest.go
@@ -76,9 +76,9 @@
 	return s, v.gateway.signals.judge(now, s).State == pushback.Full
 }
 
-// mayWait reports whether a server is or will be available although the choice found none: since then another
+// serverExpected reports whether a server is or will be available although the choice found none: since then another
 // request may have taken a permit, or an answer may have come.
-func (v *requestRun) mayWait(e *pool, now time.Time) bool {
+func (v *requestRun) serverExpected(e *pool, now time.Time) bool {
 	if _, resting := v.restEnds(e, now); resting {
 		return true
 	}
