--- a/src/gateway/rest.go
+++ b/src/gateway/rest.go
@@ -34,7 +34,7 @@
 			}
 			continue
 		}
-		if v.tooLong(now, end) {
+		if v.cannotWaitUntil(now, end) {
 			return v.restRefusal(now, end)
 		}
 		pace := max(restStep, min(restPace, end.Sub(now), v.startBy().Sub(now)/restLooks))
@@ -87,9 +87,9 @@
 	return e.picker.Awake(now, &v.wish)
 }
 
-// tooLong reports whether a request can't wait for a server until a time, because what is left would not
+// cannotWaitUntil reports whether a request can't wait for a server until a time, because what is left would not
 // suffice for its run or, unless the server is available within restPace, for its caller to retry.
-func (v *requestRun) tooLong(now, end time.Time) bool {
+func (v *requestRun) cannotWaitUntil(now, end time.Time) bool {
 	run := v.gateway.estimates.get(v.pipeline.Name)
 	return end.After(v.deadline.Add(-run)) || end.Sub(now) > restPace && end.After(v.startBy())
 }
@@ -109,7 +109,7 @@
 	if !resting {
 		return nil
 	}
-	if _, limited := v.nextPermit(e, now); limited && end.Sub(now) > v.permitPatience(now) || !limited && v.tooLong(now, end) {
+	if _, limited := v.nextPermit(e, now); limited && end.Sub(now) > v.permitPatience(now) || !limited && v.cannotWaitUntil(now, end) {
 		return v.restRefusal(now, end)
 	}
 	return nil
