--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -69,7 +69,7 @@
 	draining   atomic.Bool
 	drainedAt  atomic.Int64 // unix nanoseconds of the start of the planned stop
 	lastTick   atomic.Int64 // unix nanoseconds
-	wokenAt    atomic.Int64 // end of the last pause of this process, 0 for none
+	resumedAt    atomic.Int64 // end of the last pause of this process, 0 for none
 	startedAt  time.Time
 	running    atomic.Int64
 	deadlines  sync.Map // *visit to the context.CancelFunc of its deadline
@@ -161,7 +161,7 @@
 	g.logMembers()
 	last := time.Unix(0, g.lastTick.Swap(now.UnixNano()))
 	if now.Sub(last) > pauseLimit {
-		g.wokenAt.Store(now.UnixNano())
+		g.resumedAt.Store(now.UnixNano())
 		g.published.resumed(now, last)
 		g.endExpired(now)
 		g.Log.Warn("process was paused", "gap_ms", now.Sub(last).Milliseconds())
@@ -180,12 +180,12 @@
 	if now.Sub(time.Unix(0, g.lastTick.Load())) > pauseLimit {
 		return false
 	}
-	woken := g.wokenAt.Load()
+	woken := g.resumedAt.Load()
 	if woken == 0 {
 		return true
 	}
 	if g.published.confirmedAt().UnixNano() > woken || now.Sub(time.Unix(0, woken)) > wakeWait {
-		g.wokenAt.CompareAndSwap(woken, 0)
+		g.resumedAt.CompareAndSwap(woken, 0)
 		return true
 	}
 	return false
