--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -182,7 +182,7 @@
 		p.mu.Unlock()
 		g.reportRestore(rise, heldRevision, revision, from)
 		if !readAt.IsZero() && digest != held.Digest {
-			g.logPassedOver(port.DocumentConfig, revision, heldRevision, digest, held.Digest)
+			g.logIgnoredState(port.DocumentConfig, revision, heldRevision, digest, held.Digest)
 		}
 		return
 	}
--- a/src/gateway/serverlist.go
+++ b/src/gateway/serverlist.go
@@ -53,7 +53,7 @@
 		p.mu.Unlock()
 		g.reportRestore(rise, heldRevision, revision, from)
 		if !readAt.IsZero() && digest != held.Digest {
-			g.logPassedOver(port.DocumentServers, revision, heldRevision, digest, held.Digest)
+			g.logIgnoredState(port.DocumentServers, revision, heldRevision, digest, held.Digest)
 		}
 		return true
 	}
--- a/src/gateway/store_reader.go
+++ b/src/gateway/store_reader.go
@@ -278,8 +278,8 @@
 	g.Log.Info("full read of the store", "document", document, "revision", at, "held_revision", held)
 }
 
-// logPassedOver logs that a state of the store was ignored because a later one is held.
-func (g *Gateway) logPassedOver(document string, revision, held catalog.Revision, digest, heldDigest string) {
+// logIgnoredState logs that a state of the store was ignored because a later one is held.
+func (g *Gateway) logIgnoredState(document string, revision, held catalog.Revision, digest, heldDigest string) {
 	g.Log.Warn("older state of the store ignored", "document", document, "revision", revision, "held_revision", held, "digest", digest, "held_digest", heldDigest)
 }
 
