--- a/src/gateway/claim_test.go
+++ b/src/gateway/claim_test.go
@@ -145,7 +145,7 @@
 // In a large fleet one box's word that a scheduler is silent may come of a lost message; it takes two.
 func TestInALargeFleetASchedulerIsSilentOnTheWordOfTwo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newTestFleet(t, complaintsFrom+2)
+		f := newTestFleet(t, twoReportsFrom+2)
 		time.Sleep(5 * time.Second)
 		g := f.box("box0")
 		f.setLost("box1", true)
--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -153,7 +153,7 @@
 	cohortSpread   = 3 * time.Second         // boxes that started within this time of the oldest may schedule at once
 	formedAfter    = 2 * time.Second         // uptime of the oldest box by which all know one another: twice the time of 1,000 boxes
 	capablePart    = 0.5                     // minimum capacity of a scheduler as a share of the largest machine's
-	complaintsFrom = 16                      // in fleets larger than this, two boxes must report a scheduler as silent
+	twoReportsFrom = 16                      // in fleets larger than this, two boxes must report a scheduler as silent
 	complaintLife  = time.Second             // validity of the first report
 	formingFor     = time.Second             // maximum wait of a new box to meet one that may schedule
 	formingPace    = 10 * time.Millisecond   // polling interval of that wait
