--- a/src/gateway/claim_test.go
+++ b/src/gateway/claim_test.go
@@ -155,7 +155,7 @@
 		if !g.fleet.mayAsk(g.now(), "box1") {
 			t.Error("a scheduler is passed over on the word of one box")
 		}
-		time.Sleep(2 * complaintLife)
+		time.Sleep(2 * reportValidity)
 		g.fleet.handleSilenceReport(g.now(), "box1", "box3")
 		if !g.fleet.mayAsk(g.now(), "box1") {
 			t.Error("a scheduler is passed over on an old word")
--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -154,7 +154,7 @@
 	formedAfter    = 2 * time.Second         // uptime of the oldest box by which all know one another: twice the time of 1,000 boxes
 	capablePart    = 0.5                     // minimum capacity of a scheduler as a share of the largest machine's
 	twoReportsFrom = 16                      // in fleets larger than this, two boxes must report a scheduler as silent
-	complaintLife  = time.Second             // validity of the first report
+	reportValidity  = time.Second             // validity of the first report
 	formingFor     = time.Second             // maximum wait of a new box to meet one that may schedule
 	formingPace    = 10 * time.Millisecond   // polling interval of that wait
 	heardLately    = 2 * core.NewsEvery      // a box heard of within this time is not silent, whatever others report
--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -184,7 +184,7 @@
 	}
 	last, told := r.silenceReports[box]
 	r.silenceReports[box] = silenceReport{from: from, at: now}
-	alone := !told || last.from == from || now.Sub(last.at) > complaintLife
+	alone := !told || last.from == from || now.Sub(last.at) > reportValidity
 	if alone && len(f.usableNow) > twoReportsFrom {
 		f.gateway.Log.Info("report of a silent scheduler awaits a second one", "about", box, "from", from, "members", len(f.usableNow))
 		return
