--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -298,7 +298,7 @@
 func (f *fleet) recordRedirect(now time.Time, pool, to string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.roster.redirects[pool] = redirect{box: to, until: now.Add(hintLife)}
+	f.roster.redirects[pool] = redirect{box: to, until: now.Add(redirectValidity)}
 }
 
 // schedulers lists the boxes that may schedule pools now. The fleet's lock is held.
--- a/src/gateway/roster_test.go
+++ b/src/gateway/roster_test.go
@@ -159,7 +159,7 @@
 		if got := g.schedulerOf("encode", nil); got != next {
 			t.Errorf("%s schedules, want %s as %s said", got, next, first)
 		}
-		time.Sleep(hintLife)
+		time.Sleep(redirectValidity)
 		if got := g.schedulerOf("encode", nil); got != first {
 			t.Errorf("the word of a scheduler counts for ever: %s", got)
 		}
