--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -65,7 +65,7 @@
 
 // avoid stops choosing a box that did not answer, until it is heard of again or shunFor has passed.
 func (r *roster) avoid(now time.Time, box string) {
-	r.silent[box] = now.Add(shunFor)
+	r.silent[box] = now.Add(avoidFor)
 	r.invalidate()
 }
 
