--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -71,7 +71,7 @@
 	membersLogEvery = time.Second     // minimum interval between logs of membership changes
 	announceTo      = 6               // boxes of a large fleet that an announcement goes to
 	unsureFor       = 5 * time.Second // after its start, for which a box does not know the fleet's size
-	unsureBoxes     = 40              // size of the fleet assumed meanwhile
+	assumedFleetSize     = 40              // size of the fleet assumed meanwhile
 )
 
 // Periodic work and the waits of requests for it.
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -374,7 +374,7 @@
 		n++
 	}
 	if now.Sub(f.gateway.startedAt) < unsureFor {
-		n = max(n, unsureBoxes)
+		n = max(n, assumedFleetSize)
 	}
 	return max(n, len(f.gateway.Settings.Seeds))
 }
