--- a/src/gateway/absent_test.go
+++ b/src/gateway/absent_test.go
@@ -49,7 +49,7 @@
 		return reply, err
 	}
 	settle()
-	time.Sleep(unsureFor) // then the box knows that the whole budget of repeats is its own
+	time.Sleep(fleetUnknownFor) // then the box knows that the whole budget of repeats is its own
 	for i := range 60 {
 		a := f.ask("box0", "/stamp/x", fmt.Sprint("r", i), nil)
 		switch {
--- a/src/gateway/confined_test.go
+++ b/src/gateway/confined_test.go
@@ -47,7 +47,7 @@
 	for i := range 6 {
 		f.start(fmt.Sprint("box", i))
 	}
-	time.Sleep(2 * unsureFor) // until the boxes know how many they are, and so how much they may repeat
+	time.Sleep(2 * fleetUnknownFor) // until the boxes know how many they are, and so how much they may repeat
 	return s
 }
 
--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -70,7 +70,7 @@
 
 	membersLogEvery = time.Second     // minimum interval between logs of membership changes
 	announceTo      = 6               // boxes of a large fleet that an announcement goes to
-	unsureFor       = 5 * time.Second // after its start, for which a box does not know the fleet's size
+	fleetUnknownFor       = 5 * time.Second // after its start, for which a box does not know the fleet's size
 	assumedFleetSize     = 40              // size of the fleet assumed meanwhile
 )
 
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -373,7 +373,7 @@
 		}
 		n++
 	}
-	if now.Sub(f.gateway.startedAt) < unsureFor {
+	if now.Sub(f.gateway.startedAt) < fleetUnknownFor {
 		n = max(n, assumedFleetSize)
 	}
 	return max(n, len(f.gateway.Settings.Seeds))
