--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -206,7 +206,7 @@
 		return
 	}
 	began := g.now()
-	wait := knownWait
+	wait := documentsWait
 	if r.Left > 0 {
 		wait = min(wait, time.Duration(knownPart*float64(r.Left)))
 	}
