--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -208,7 +208,7 @@
 	began := g.now()
 	wait := documentsWait
 	if r.Left > 0 {
-		wait = min(wait, time.Duration(knownPart*float64(r.Left)))
+		wait = min(wait, time.Duration(documentsWaitShare*float64(r.Left)))
 	}
 	for !g.hasDocuments() && ctx.Err() == nil && g.now().Sub(began) < wait {
 		sleep(ctx, knownPace)
