--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -83,7 +83,7 @@
 	writeTime    = 10 * time.Second       // write deadline of one piece of an answer
 	documentsWait    = 500 * time.Millisecond // maximum wait of requests for a new box's first documents: seeds start 0.3 s after the others
 	documentsWaitShare    = 0.2                    // maximum of that wait as a share of the caller's time
-	knownPace    = 10 * time.Millisecond  // polling interval of that wait
+	documentsPollInterval    = 10 * time.Millisecond  // polling interval of that wait
 	takesFor     = 3 * time.Second        // for which a stopping box accepts requests; the load balancer has noticed by then
 )
 
--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -211,7 +211,7 @@
 		wait = min(wait, time.Duration(documentsWaitShare*float64(r.Left)))
 	}
 	for !g.hasDocuments() && ctx.Err() == nil && g.now().Sub(began) < wait {
-		sleep(ctx, knownPace)
+		sleep(ctx, documentsPollInterval)
 	}
 	g.Log.Info("request waited for the first documents", "request", r.ID, "waited_ms", g.now().Sub(began).Milliseconds(), "known", g.hasDocuments(), "box_age_ms", g.now().Sub(g.startedAt).Milliseconds())
 }
--- a/src/gateway/known_test.go
+++ b/src/gateway/known_test.go
@@ -51,7 +51,7 @@
 func TestCallersDoNotWaitForADocumentThatStaysAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, a := range returnOfAll(t, 5*time.Second) {
-			if a.refused == nil || a.refused.Code != code.NotReady || a.refused.DidRun() != code.RanNo || a.refused.RetryAfter == 0 || a.took > documentsWait+2*knownPace {
+			if a.refused == nil || a.refused.Code != code.NotReady || a.refused.DidRun() != code.RanNo || a.refused.RetryAfter == 0 || a.took > documentsWait+2*documentsPollInterval {
 				t.Errorf("a caller without a configuration got %+v", a)
 			}
 		}
