--- a/src/gateway/catalog_source.go
+++ b/src/gateway/catalog_source.go
@@ -127,7 +127,7 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if ahead := now.Add(giveAhead); v.reservedUntil.After(ahead) {
+	if ahead := now.Add(linkReserveAhead); v.reservedUntil.After(ahead) {
 		return v.reservedUntil.Sub(ahead)
 	}
 	if v.reservedUntil.Before(now) {
