--- a/src/gateway/catalog_source.go
+++ b/src/gateway/catalog_source.go
@@ -133,7 +133,7 @@
 	if v.reservedUntil.Before(now) {
 		v.reservedUntil = now
 	}
-	v.reservedUntil = v.reservedUntil.Add(time.Duration(float64(bytes) * 8 / (giveShare * float64(link) * 1e6) * float64(time.Second)))
+	v.reservedUntil = v.reservedUntil.Add(time.Duration(float64(bytes) * 8 / (linkShare * float64(link) * 1e6) * float64(time.Second)))
 	return 0
 }
 
--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -121,7 +121,7 @@
 	partTime    = 900 * time.Millisecond // timeout of one part; enough down to 36 kB/s
 	mostPacked  = 4 << 20                // maximum bytes of a packed document; 10,000 routes take 0.2 MB
 	linkReserveAhead   = 150 * time.Millisecond // link time that a box reserves in advance
-	giveShare   = 0.5                    // share of a box's link used for transfers
+	linkShare   = 0.5                    // share of a box's link used for transfers
 	assumedLink = 10                     // Mbit/s of a box with an unknown link
 	pastBytes   = 2 << 20                // maximum bytes of earlier configurations kept as bases of differences
 	pastMost    = 6                      // maximum number of them
--- a/src/gateway/pulling_test.go
+++ b/src/gateway/pulling_test.go
@@ -134,7 +134,7 @@
 			}
 			begun++
 		}
-		if most := 2 + int(linkReserveAhead.Seconds()*giveShare*10*bytesPerMbit/float64(size)); busy == nil || begun > most {
+		if most := 2 + int(linkReserveAhead.Seconds()*linkShare*10*bytesPerMbit/float64(size)); busy == nil || begun > most {
 			t.Fatalf("%d transfers of %d bytes were begun at once, want %d at most", begun, size, most)
 		}
 		if busy.For <= 0 || busy.For > time.Second {
