--- a/src/gateway/catalog_source.go
+++ b/src/gateway/catalog_source.go
@@ -54,7 +54,7 @@
 	total := 0
 	for i, e := range v.past {
 		total += len(e.raw)
-		if i > 0 && (i >= maxPastCatalogs || total > pastBytes) {
+		if i > 0 && (i >= maxPastCatalogs || total > maxPastBytes) {
 			v.past = v.past[:i]
 			break
 		}
--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -123,7 +123,7 @@
 	linkReserveAhead   = 150 * time.Millisecond // link time that a box reserves in advance
 	linkShare   = 0.5                    // share of a box's link used for transfers
 	assumedLink = 10                     // Mbit/s of a box with an unknown link
-	pastBytes   = 2 << 20                // maximum bytes of earlier configurations kept as bases of differences
+	maxPastBytes   = 2 << 20                // maximum bytes of earlier configurations kept as bases of differences
 	maxPastCatalogs    = 6                      // maximum number of them
 	packsKept   = 4                      // packed documents cached for further pulls
 	namedMost   = 4                      // other holders that a busy box names
