--- a/src/gateway/catalog_source.go
+++ b/src/gateway/catalog_source.go
@@ -142,7 +142,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if box != "" && !slices.Contains(v.holders, box) {
-		v.holders = append(v.holders[max(0, len(v.holders)+1-namedMost):], box)
+		v.holders = append(v.holders[max(0, len(v.holders)+1-maxNamedHolders):], box)
 	}
 }
 
--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -126,7 +126,7 @@
 	maxPastBytes   = 2 << 20                // maximum bytes of earlier configurations kept as bases of differences
 	maxPastCatalogs    = 6                      // maximum number of them
 	packsKept   = 4                      // packed documents cached for further pulls
-	namedMost   = 4                      // other holders that a busy box names
+	maxNamedHolders   = 4                      // other holders that a busy box names
 )
 
 // Relayed streams.
