--- a/src/gateway/catalog_source.go
+++ b/src/gateway/catalog_source.go
@@ -102,7 +102,7 @@
 	p := packed{asOf: asOf, digest: digest, base: base}
 	p.bytes = pack.Pack(raw, v.raw(base)) // an unset base has an empty digest
 	p.sum = catalog.Hash(string(p.bytes))
-	v.packs = append(slices.Clone(v.packs[max(0, len(v.packs)+1-packsKept):]), p)
+	v.packs = append(slices.Clone(v.packs[max(0, len(v.packs)+1-maxPacks):]), p)
 	return &v.packs[len(v.packs)-1]
 }
 
--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -125,7 +125,7 @@
 	assumedLink = 10                     // Mbit/s of a box with an unknown link
 	maxPastBytes   = 2 << 20                // maximum bytes of earlier configurations kept as bases of differences
 	maxPastCatalogs    = 6                      // maximum number of them
-	packsKept   = 4                      // packed documents cached for further pulls
+	maxPacks   = 4                      // packed documents cached for further pulls
 	maxNamedHolders   = 4                      // other holders that a busy box names
 )
 
