--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -119,7 +119,7 @@
 const (
 	partBytes   = 32 << 10               // of a packed document in one answer: 26 ms at 10 Mbit/s, the smallest supported link
 	partTime    = 900 * time.Millisecond // timeout of one part; enough down to 36 kB/s
-	mostPacked  = 4 << 20                // maximum bytes of a packed document; 10,000 routes take 0.2 MB
+	maxPackedBytes  = 4 << 20                // maximum bytes of a packed document; 10,000 routes take 0.2 MB
 	linkReserveAhead   = 150 * time.Millisecond // link time that a box reserves in advance
 	linkShare   = 0.5                    // share of a box's link used for transfers
 	assumedLink = 10                     // Mbit/s of a box with an unknown link
--- a/src/gateway/pull.go
+++ b/src/gateway/pull.go
@@ -144,7 +144,7 @@
 	if t.sum != d.Part.Sum || t.digest != d.Digest || t.base != d.Base {
 		*t = partialDocument{sum: d.Part.Sum, size: d.Part.Size, digest: d.Digest, base: d.Base}
 	}
-	if d.Part.Offset != len(t.bytes) || len(d.Part.Bytes) == 0 || d.Part.Size > mostPacked || len(t.bytes)+len(d.Part.Bytes) > t.size {
+	if d.Part.Offset != len(t.bytes) || len(d.Part.Bytes) == 0 || d.Part.Size > maxPackedBytes || len(t.bytes)+len(d.Part.Bytes) > t.size {
 		*t = partialDocument{}
 		return nil, errUnexpectedPart
 	}
--- a/src/gateway/pulling_test.go
+++ b/src/gateway/pulling_test.go
@@ -83,7 +83,7 @@
 			{"a part that does not begin", func(d *port.Published) { d.Part.Offset = 7 }},
 			{"an empty part", func(d *port.Published) { d.Part.Bytes = nil }},
 			{"a part longer than the whole", func(d *port.Published) { d.Part.Size = 5 }},
-			{"a document too large", func(d *port.Published) { d.Part.Size = mostPacked + 1 }},
+			{"a document too large", func(d *port.Published) { d.Part.Size = maxPackedBytes + 1 }},
 			{"a wrong sum", func(d *port.Published) { d.Part.Sum++ }},
 			{"an unknown base", func(d *port.Published) { d.Base = "unknown" }},
 			{"another digest", func(d *port.Published) { d.Digest = "77" }},
