--- a/src/gateway/inputs.go
+++ b/src/gateway/inputs.go
@@ -20,7 +20,7 @@
 func (p *pool) fetchTime() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.fetch = max(leastFetch, time.Duration(float64(p.fetch)*fetchDecay))
+	p.fetch = max(minFetch, time.Duration(float64(p.fetch)*fetchDecay))
 	return p.fetch
 }
 
@@ -28,5 +28,5 @@
 func (p *pool) inputGone() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.fetch = min(mostFetch, 2*max(leastFetch, p.fetch))
+	p.fetch = min(mostFetch, 2*max(minFetch, p.fetch))
 }
--- a/src/gateway/inputs_test.go
+++ b/src/gateway/inputs_test.go
@@ -38,19 +38,19 @@
 
 func TestTheTimeToFetchInputsIsLearned(t *testing.T) {
 	p := &pool{}
-	if d := p.fetchTime(); d != leastFetch {
+	if d := p.fetchTime(); d != minFetch {
 		t.Fatalf("%s at first", d)
 	}
 	for range 3 {
 		p.inputGone()
 	}
-	if d := p.fetchTime(); d < 6*leastFetch {
+	if d := p.fetchTime(); d < 6*minFetch {
 		t.Errorf("%s after three requests whose inputs were gone", d)
 	}
 	for range 200 {
 		p.fetchTime()
 	}
-	if d := p.fetchTime(); d != leastFetch {
+	if d := p.fetchTime(); d != minFetch {
 		t.Errorf("%s after 200 requests without trouble", d)
 	}
 }
