--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -188,7 +188,7 @@
 // Time after which a request's inputs are released; see inputs.go.
 const (
 	minFetch = 60 * time.Millisecond // minimum; 25 ms brings no gain, and the fetch itself takes about 5 ms
-	mostFetch  = 2 * time.Second       // maximum
+	maxFetch  = 2 * time.Second       // maximum
 	fetchDecay = 0.98                  // factor applied to the learned time with each request
 )
 
--- a/src/gateway/inputs.go
+++ b/src/gateway/inputs.go
@@ -28,5 +28,5 @@
 func (p *pool) inputGone() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.fetch = min(mostFetch, 2*max(minFetch, p.fetch))
+	p.fetch = min(maxFetch, 2*max(minFetch, p.fetch))
 }
--- a/src/gateway/roster_test.go
+++ b/src/gateway/roster_test.go
@@ -206,7 +206,7 @@
 				owner = name
 			}
 		}
-		f.box(owner).pools.get("model").fetch = mostFetch // so that results are held meanwhile
+		f.box(owner).pools.get("model").fetch = maxFetch // so that results are held meanwhile
 		go f.ask(owner, "/draft/x", "first", nil)
 		time.Sleep(400 * time.Millisecond)
 		var second answerOf
