--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -41,7 +41,7 @@
 	// necessary.
 	restPart   = 0.75
 	restPace   = 20 * time.Millisecond  // maximum polling interval of a waiting request; one answer of a fast service
-	restLooks  = 16                     // polls in the remaining waiting time: requests near their end poll more often
+	restPolls  = 16                     // polls in the remaining waiting time: requests near their end poll more often
 	restStep   = time.Millisecond       // added to the polling interval for each step of lower urgency
 	restSpread = 500 * time.Millisecond // jitter of retry-after, so that refused callers don't return together
 )
--- a/src/gateway/rest.go
+++ b/src/gateway/rest.go
@@ -37,7 +37,7 @@
 		if v.cannotWaitUntil(now, end) {
 			return v.restRefusal(now, end)
 		}
-		pace := max(restStep, min(restPace, end.Sub(now), v.startBy().Sub(now)/restLooks))
+		pace := max(restStep, min(restPace, end.Sub(now), v.startBy().Sub(now)/restPolls))
 		sleep(ctx, pace+time.Duration(v.priority)*restStep)
 	}
 	if waited := g.now().Sub(began); waited >= restStep {
