--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -40,7 +40,7 @@
 	// time 1,612, with none 929. With all of it 2,470 are, but refusals then come up to 2.9 s later than
 	// necessary.
 	restPart   = 0.75
-	restPace   = 20 * time.Millisecond  // maximum polling interval of a waiting request; one answer of a fast service
+	restPollInterval   = 20 * time.Millisecond  // maximum polling interval of a waiting request; one answer of a fast service
 	restPolls  = 16                     // polls in the remaining waiting time: requests near their end poll more often
 	restStep   = time.Millisecond       // added to the polling interval for each step of lower urgency
 	restSpread = 500 * time.Millisecond // jitter of retry-after, so that refused callers don't return together
--- a/src/gateway/rest.go
+++ b/src/gateway/rest.go
@@ -37,7 +37,7 @@
 		if v.cannotWaitUntil(now, end) {
 			return v.restRefusal(now, end)
 		}
-		pace := max(restStep, min(restPace, end.Sub(now), v.startBy().Sub(now)/restPolls))
+		pace := max(restStep, min(restPollInterval, end.Sub(now), v.startBy().Sub(now)/restPolls))
 		sleep(ctx, pace+time.Duration(v.priority)*restStep)
 	}
 	if waited := g.now().Sub(began); waited >= restStep {
@@ -91,7 +91,7 @@
 // suffice for its run or, unless the server is available within restPace, for its caller to retry.
 func (v *requestRun) cannotWaitUntil(now, end time.Time) bool {
 	run := v.gateway.estimates.get(v.pipeline.Name)
-	return end.After(v.deadline.Add(-run)) || end.Sub(now) > restPace && end.After(v.startBy())
+	return end.After(v.deadline.Add(-run)) || end.Sub(now) > restPollInterval && end.After(v.startBy())
 }
 
 // startBy returns until when a request may wait for a rest to end.
