--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -152,7 +152,7 @@
 	settledAfter   = 20 * time.Second        // uptime before a box takes a pool over from another
 	cohortSpread   = 3 * time.Second         // boxes that started within this time of the oldest may schedule at once
 	formedAfter    = 2 * time.Second         // uptime of the oldest box by which all know one another: twice the time of 1,000 boxes
-	capablePart    = 0.5                     // minimum capacity of a scheduler as a share of the largest machine's
+	minCapacityShare    = 0.5                     // minimum capacity of a scheduler as a share of the largest machine's
 	twoReportsFrom = 16                      // in fleets larger than this, two boxes must report a scheduler as silent
 	reportValidity  = time.Second             // validity of the first report
 	formingFor     = time.Second             // maximum wait of a new box to meet one that may schedule
--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -109,7 +109,7 @@
 	for _, c := range all {
 		most.CPU, most.Link = max(most.CPU, c.capacity.CPU), max(most.Link, c.capacity.Link)
 	}
-	enough := func(have, most uint32) bool { return float64(have) >= capablePart*float64(most) }
+	enough := func(have, most uint32) bool { return float64(have) >= minCapacityShare*float64(most) }
 	var out, names []string
 	for _, c := range all {
 		names = append(names, c.name)
