--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -84,7 +84,7 @@
 	documentsWait    = 500 * time.Millisecond // maximum wait of requests for a new box's first documents: seeds start 0.3 s after the others
 	documentsWaitShare    = 0.2                    // maximum of that wait as a share of the caller's time
 	documentsPollInterval    = 10 * time.Millisecond  // polling interval of that wait
-	takesFor     = 3 * time.Second        // for which a stopping box accepts requests; the load balancer has noticed by then
+	acceptsFor     = 3 * time.Second        // for which a stopping box accepts requests; the load balancer has noticed by then
 )
 
 // Estimates of the time to the first output.
--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -241,7 +241,7 @@
 // closing reports whether a planned stop is so advanced that further requests are refused, because they might
 // not complete in the time left.
 func (g *Gateway) closing() bool {
-	return g.draining.Load() && g.now().Sub(time.Unix(0, g.drainedAt.Load())) > takesFor
+	return g.draining.Load() && g.now().Sub(time.Unix(0, g.drainedAt.Load())) > acceptsFor
 }
 
 // Draining reports whether a planned stop has begun.
