--- a/src/gateway/pull.go
+++ b/src/gateway/pull.go
@@ -51,7 +51,7 @@
 		if err == nil {
 			more, err = g.applyPulled(d, from, began)
 		}
-		busy := errors.Is(err, errBusy)
+		busy := errors.Is(err, errPeerBusy)
 		if !more && !busy {
 			g.watchPull(document, began, err == nil)
 		}
@@ -82,7 +82,7 @@
 	switch {
 	case d.Busy != nil:
 		g.published.recordHolders(d)
-		return false, errBusy
+		return false, errPeerBusy
 	case d.Part != nil:
 		raw, err := g.published.addPart(d)
 		if raw == nil || err != nil {
@@ -110,7 +110,7 @@
 
 var (
 	errNotHeld = errors.New("the box does not hold the document")
-	errBusy    = errors.New("the box is busy sending to others")
+	errPeerBusy    = errors.New("the box is busy sending to others")
 	errUnexpectedPart = errors.New("the part does not follow those already received")
 	// errUnbounded rejects a configuration from a release that drops boundaries, which would look as if there were
 	// none: this box reads the store itself.
