--- a/src/gateway/pull.go
+++ b/src/gateway/pull.go
@@ -93,7 +93,7 @@
 			return false, eris.Wrap(err, "configuration can't be decoded")
 		}
 		if !c.Bounded {
-			return false, errUnbounded
+			return false, errNoBoundaries
 		}
 		if c.Digest() != d.Digest {
 			return false, eris.Errorf("the configuration's digest is %s, want %s", c.Digest(), d.Digest)
@@ -112,9 +112,9 @@
 	errNotHeld = errors.New("the box does not hold the document")
 	errPeerBusy    = errors.New("the box is busy sending to others")
 	errUnexpectedPart = errors.New("the part does not follow those already received")
-	// errUnbounded rejects a configuration from a release that drops boundaries, which would look as if there were
+	// errNoBoundaries rejects a configuration from a release that drops boundaries, which would look as if there were
 	// none: this box reads the store itself.
-	errUnbounded = errors.New("the configuration comes from a release without support for boundaries")
+	errNoBoundaries = errors.New("the configuration comes from a release without support for boundaries")
 )
 
 // askDocument requests one part of a document from a box.
