--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -23,9 +23,9 @@
 type nextStep uint8
 
 const (
-	stepDone nextStep = iota + 1 // the caller has its answer
-	stepRetry                       // try another server
-	stepFail                        // end the request with the error
+	stepDone  nextStep = iota + 1 // the caller has its answer
+	stepRetry                     // try another server
+	stepFail                      // end the request with the error
 )
 
 // repeatable reports whether the request may be sent again although it may have run.
--- a/src/gateway/catalog_source.go
+++ b/src/gateway/catalog_source.go
@@ -16,12 +16,12 @@
 type catalogSource struct {
 	gateway *Gateway
 
-	mu       sync.Mutex
-	held     encoded
-	past     []encoded // earlier ones, newest first
-	packs    []packed  // cached, newest last
+	mu            sync.Mutex
+	held          encoded
+	past          []encoded // earlier ones, newest first
+	packs         []packed  // cached, newest last
 	reservedUntil time.Time // end of the link time reserved for transfers
-	holders  []string  // boxes that recently received the newest catalog, latest last
+	holders       []string  // boxes that recently received the newest catalog, latest last
 
 	packing sync.Mutex // held while packing, so that concurrent pulls share the result
 }
--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -8,11 +8,11 @@
 
 // Admission and the retry-after times of refusals.
 const (
-	lateFactor     = 1.1                    // share of the time left to the objective that the forecast may take
-	minRetryAfter    = 300 * time.Millisecond // minimum retry-after
-	maxRetryAfter     = 3 * time.Second        // maximum retry-after
-	returnPart     = 1.0                    // share of the excess over the objective that becomes the retry-after
-	notReadyAfter  = 300 * time.Millisecond // retry-after while this box has no confirmed configuration
+	lateFactor         = 1.1                    // share of the time left to the objective that the forecast may take
+	minRetryAfter      = 300 * time.Millisecond // minimum retry-after
+	maxRetryAfter      = 3 * time.Second        // maximum retry-after
+	returnPart         = 1.0                    // share of the excess over the objective that becomes the retry-after
+	notReadyAfter      = 300 * time.Millisecond // retry-after while this box has no confirmed configuration
 	otherBoxRetryAfter = 30 * time.Millisecond  // retry-after when another box can take the request at once
 )
 
@@ -21,16 +21,16 @@
 	// maxUnsent and unsentFor together end a request to which no server could be connected: after maxUnsent
 	// servers and unsentFor, this box itself is probably cut off. Within unsentFor a hundred servers that
 	// refuse at once can be tried, or one that does not respond.
-	maxUnsent      = 3
-	unsentFor      = 300 * time.Millisecond
-	maxAnswer      = 8 << 20                 // bytes of a non-streaming answer
-	hedgeShare     = 1.0                     // share of the objective that the first attempt of a repeatable request gets
-	leastAttempt   = 100 * time.Millisecond  // minimum time of an attempt that may be repeated
-	silentFactor   = 4.0                     // multiple of the expected time to the first event before a resumable stream moves
-	silentFloor    = 1200 * time.Millisecond // minimum of that time
-	gapLimit       = 2 * time.Second         // silence within a resumable stream before it moves
-	failureRetryAfter  = 400 * time.Millisecond  // retry-after when servers failed
-	priorityHigher = 9                       // least urgent priority that servers accept
+	maxUnsent         = 3
+	unsentFor         = 300 * time.Millisecond
+	maxAnswer         = 8 << 20                 // bytes of a non-streaming answer
+	hedgeShare        = 1.0                     // share of the objective that the first attempt of a repeatable request gets
+	leastAttempt      = 100 * time.Millisecond  // minimum time of an attempt that may be repeated
+	silentFactor      = 4.0                     // multiple of the expected time to the first event before a resumable stream moves
+	silentFloor       = 1200 * time.Millisecond // minimum of that time
+	gapLimit          = 2 * time.Second         // silence within a resumable stream before it moves
+	failureRetryAfter = 400 * time.Millisecond  // retry-after when servers failed
+	priorityHigher    = 9                       // least urgent priority that servers accept
 )
 
 // Requests whose servers have all asked for rest.
@@ -39,11 +39,11 @@
 	// caller retry. With 6 boxes and all servers resting, 2,437 of 2,500 callers are served; with 0.5 of the
 	// time 1,612, with none 929. With all of it 2,470 are, but refusals then come up to 2.9 s later than
 	// necessary.
-	restPart   = 0.75
-	restPollInterval   = 20 * time.Millisecond  // maximum polling interval of a waiting request; one answer of a fast service
-	restPolls  = 16                     // polls in the remaining waiting time: requests near their end poll more often
-	restStep   = time.Millisecond       // added to the polling interval for each step of lower urgency
-	restSpread = 500 * time.Millisecond // jitter of retry-after, so that refused callers don't return together
+	restPart         = 0.75
+	restPollInterval = 20 * time.Millisecond  // maximum polling interval of a waiting request; one answer of a fast service
+	restPolls        = 16                     // polls in the remaining waiting time: requests near their end poll more often
+	restStep         = time.Millisecond       // added to the polling interval for each step of lower urgency
+	restSpread       = 500 * time.Millisecond // jitter of retry-after, so that refused callers don't return together
 )
 
 // Permits at servers with a request limit.
@@ -68,23 +68,23 @@
 	namesPerLine = 8                       // names in one log line
 	serverLines  = 32                      // changed servers logged one by one: the largest failure domain, but not a first list
 
-	membersLogEvery = time.Second     // minimum interval between logs of membership changes
-	announceTo      = 6               // boxes of a large fleet that an announcement goes to
-	fleetUnknownFor       = 5 * time.Second // after its start, for which a box does not know the fleet's size
-	assumedFleetSize     = 40              // size of the fleet assumed meanwhile
+	membersLogEvery  = time.Second     // minimum interval between logs of membership changes
+	announceTo       = 6               // boxes of a large fleet that an announcement goes to
+	fleetUnknownFor  = 5 * time.Second // after its start, for which a box does not know the fleet's size
+	assumedFleetSize = 40              // size of the fleet assumed meanwhile
 )
 
 // Periodic work and the waits of requests for it.
 const (
-	tickEvery    = 100 * time.Millisecond
-	scheduleTick = 40 * time.Millisecond
-	pauseLimit   = time.Second            // a longer gap between ticks means that the process was paused
-	wakeWait     = 800 * time.Millisecond // maximum wait of requests for a confirmation after a pause
-	writeTime    = 10 * time.Second       // write deadline of one piece of an answer
-	documentsWait    = 500 * time.Millisecond // maximum wait of requests for a new box's first documents: seeds start 0.3 s after the others
+	tickEvery             = 100 * time.Millisecond
+	scheduleTick          = 40 * time.Millisecond
+	pauseLimit            = time.Second            // a longer gap between ticks means that the process was paused
+	wakeWait              = 800 * time.Millisecond // maximum wait of requests for a confirmation after a pause
+	writeTime             = 10 * time.Second       // write deadline of one piece of an answer
+	documentsWait         = 500 * time.Millisecond // maximum wait of requests for a new box's first documents: seeds start 0.3 s after the others
 	documentsWaitShare    = 0.2                    // maximum of that wait as a share of the caller's time
-	documentsPollInterval    = 10 * time.Millisecond  // polling interval of that wait
-	acceptsFor     = 3 * time.Second        // for which a stopping box accepts requests; the load balancer has noticed by then
+	documentsPollInterval = 10 * time.Millisecond  // polling interval of that wait
+	acceptsFor            = 3 * time.Second        // for which a stopping box accepts requests; the load balancer has noticed by then
 )
 
 // Estimates of the time to the first output.
@@ -117,16 +117,16 @@
 
 // Transfer of the configuration between boxes. A document goes in parts, so that no limit depends on its size.
 const (
-	partBytes   = 32 << 10               // of a packed document in one answer: 26 ms at 10 Mbit/s, the smallest supported link
-	partTime    = 900 * time.Millisecond // timeout of one part; enough down to 36 kB/s
-	maxPackedBytes  = 4 << 20                // maximum bytes of a packed document; 10,000 routes take 0.2 MB
-	linkReserveAhead   = 150 * time.Millisecond // link time that a box reserves in advance
-	linkShare   = 0.5                    // share of a box's link used for transfers
-	assumedLink = 10                     // Mbit/s of a box with an unknown link
-	maxPastBytes   = 2 << 20                // maximum bytes of earlier configurations kept as bases of differences
-	maxPastCatalogs    = 6                      // maximum number of them
-	maxPacks   = 4                      // packed documents cached for further pulls
-	maxNamedHolders   = 4                      // other holders that a busy box names
+	partBytes        = 32 << 10               // of a packed document in one answer: 26 ms at 10 Mbit/s, the smallest supported link
+	partTime         = 900 * time.Millisecond // timeout of one part; enough down to 36 kB/s
+	maxPackedBytes   = 4 << 20                // maximum bytes of a packed document; 10,000 routes take 0.2 MB
+	linkReserveAhead = 150 * time.Millisecond // link time that a box reserves in advance
+	linkShare        = 0.5                    // share of a box's link used for transfers
+	assumedLink      = 10                     // Mbit/s of a box with an unknown link
+	maxPastBytes     = 2 << 20                // maximum bytes of earlier configurations kept as bases of differences
+	maxPastCatalogs  = 6                      // maximum number of them
+	maxPacks         = 4                      // packed documents cached for further pulls
+	maxNamedHolders  = 4                      // other holders that a busy box names
 )
 
 // Relayed streams.
@@ -147,21 +147,21 @@
 
 // Choice of schedulers.
 const (
-	introduceEvery = 50 * time.Millisecond   // interval at which a newly started box contacts seeds that it has not met
-	introduceFor   = 2 * time.Second         // after the start
-	settledAfter   = 20 * time.Second        // uptime before a box takes a pool over from another
-	cohortSpread   = 3 * time.Second         // boxes that started within this time of the oldest may schedule at once
-	formedAfter    = 2 * time.Second         // uptime of the oldest box by which all know one another: twice the time of 1,000 boxes
-	minCapacityShare    = 0.5                     // minimum capacity of a scheduler as a share of the largest machine's
-	twoReportsFrom = 16                      // in fleets larger than this, two boxes must report a scheduler as silent
-	reportValidity  = time.Second             // validity of the first report
-	formingFor     = time.Second             // maximum wait of a new box to meet one that may schedule
-	formingPace    = 10 * time.Millisecond   // polling interval of that wait
-	heardLately    = 2 * core.NewsEvery      // a box heard of within this time is not silent, whatever others report
-	redirectValidity       = 1500 * time.Millisecond // validity of a scheduler's redirect to its successor
-	avoidFor        = 3 * time.Second         // for which a box that did not answer is not chosen
-	rosterLife     = 100 * time.Millisecond  // minimum validity of the chosen schedulers while members change
-	mostRosterLife = 5 * time.Second         // maximum validity while no member changes
+	introduceEvery   = 50 * time.Millisecond   // interval at which a newly started box contacts seeds that it has not met
+	introduceFor     = 2 * time.Second         // after the start
+	settledAfter     = 20 * time.Second        // uptime before a box takes a pool over from another
+	cohortSpread     = 3 * time.Second         // boxes that started within this time of the oldest may schedule at once
+	formedAfter      = 2 * time.Second         // uptime of the oldest box by which all know one another: twice the time of 1,000 boxes
+	minCapacityShare = 0.5                     // minimum capacity of a scheduler as a share of the largest machine's
+	twoReportsFrom   = 16                      // in fleets larger than this, two boxes must report a scheduler as silent
+	reportValidity   = time.Second             // validity of the first report
+	formingFor       = time.Second             // maximum wait of a new box to meet one that may schedule
+	formingPace      = 10 * time.Millisecond   // polling interval of that wait
+	heardLately      = 2 * core.NewsEvery      // a box heard of within this time is not silent, whatever others report
+	redirectValidity = 1500 * time.Millisecond // validity of a scheduler's redirect to its successor
+	avoidFor         = 3 * time.Second         // for which a box that did not answer is not chosen
+	rosterLife       = 100 * time.Millisecond  // minimum validity of the chosen schedulers while members change
+	mostRosterLife   = 5 * time.Second         // maximum validity while no member changes
 )
 
 // resultsPerMessage is the maximum number of held results reported to a scheduler in one message.
@@ -187,8 +187,8 @@
 
 // Time after which a request's inputs are released; see inputs.go.
 const (
-	minFetch = 60 * time.Millisecond // minimum; 25 ms brings no gain, and the fetch itself takes about 5 ms
-	maxFetch  = 2 * time.Second       // maximum
+	minFetch   = 60 * time.Millisecond // minimum; 25 ms brings no gain, and the fetch itself takes about 5 ms
+	maxFetch   = 2 * time.Second       // maximum
 	fetchDecay = 0.98                  // factor applied to the learned time with each request
 )
 
--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -47,32 +47,32 @@
 	Store    Store
 	Peers    port.Peers
 	Log      *slog.Logger
-	Observer    Observer
+	Observer Observer
 	Clock    func() time.Time // monotonic
 	Rand     *rand.Rand
 
-	index     atomic.Pointer[catalog.Index]
-	published published
-	fleet     fleet
-	pools     pools
-	schedulers      schedulers // jobs that this box schedules
-	ownedJobs   ownedJobs
-	estimates estimates
-	holdings  holdings
-	suspects  suspects.Tracker
-	signals     serverSignals
-	permits   permits
-	limitsDue atomic.Bool // a message on servers' limits is scheduled
+	index      atomic.Pointer[catalog.Index]
+	published  published
+	fleet      fleet
+	pools      pools
+	schedulers schedulers // jobs that this box schedules
+	ownedJobs  ownedJobs
+	estimates  estimates
+	holdings   holdings
+	suspects   suspects.Tracker
+	signals    serverSignals
+	permits    permits
+	limitsDue  atomic.Bool // a message on servers' limits is scheduled
 
 	stages     context.Context // ends when no further stages may run
 	endStages  context.CancelFunc
 	draining   atomic.Bool
 	drainedAt  atomic.Int64 // unix nanoseconds of the start of the planned stop
 	lastTick   atomic.Int64 // unix nanoseconds
-	resumedAt    atomic.Int64 // end of the last pause of this process, 0 for none
+	resumedAt  atomic.Int64 // end of the last pause of this process, 0 for none
 	startedAt  time.Time
 	running    atomic.Int64
-	deadlines  sync.Map // *visit to the context.CancelFunc of its deadline
+	deadlines  sync.Map // *requestRun to the context.CancelFunc of its deadline
 	background sync.WaitGroup
 }
 
@@ -85,12 +85,12 @@
 	Restored  func()                                             // the store was restored from an older copy
 	Pulled    func(document string, ok bool, took time.Duration) // from another box
 	Retried   func(pool string, allowed bool)
-	Unusable   func(document, reason string) // an unusable server entry or configuration was read
+	Unusable  func(document, reason string) // an unusable server entry or configuration was read
 	Withheld  func(pool string)             // a chosen server stopped taking new work before the first byte was sent
 	Suspected func(contents int)            // a server ended while it ran so many contents
 	// A server signalled that it leaves, wants rest or limits its requests, or another box passed its leaving
 	// on.
-	Signalled      func(pool, word string)
+	Signalled func(pool, word string)
 	Permitted func(pool string, ok bool) // a permit of a server with a limit was requested
 }
 
--- a/src/gateway/holdings.go
+++ b/src/gateway/holdings.go
@@ -14,9 +14,9 @@
 type holdings struct {
 	gateway *Gateway
 
-	mu    sync.Mutex
-	pools map[string]map[string]holding // by pool and handle
-	informed  map[string]string             // the box last informed of a pool's results
+	mu       sync.Mutex
+	pools    map[string]map[string]holding // by pool and handle
+	informed map[string]string             // the box last informed of a pool's results
 }
 
 // holding is one stage result held at a server.
--- a/src/gateway/jobs.go
+++ b/src/gateway/jobs.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// HandleRefusal handles that a box's address refuses connections, which means that its process has ended. Jobs
+// HandleRefusal handles a refused connection to a box's address: its process has ended. Jobs
 // that wait there are moved at once; the box is used again when it is next heard of.
 func (g *Gateway) HandleRefusal(address string) {
 	box := g.fleet.boxAt(address)
--- a/src/gateway/permits.go
+++ b/src/gateway/permits.go
@@ -17,10 +17,10 @@
 // permits holds the permits that this box grants at servers with a limit, and which other boxes can't grant
 // any.
 type permits struct {
-	mu      sync.Mutex
-	limiter quota.Limiter
-	unsupported  map[string]time.Time // boxes without limit support, and until when they are not chosen
-	silent  map[string]time.Time // boxes that did not answer, and until when they are not asked
+	mu          sync.Mutex
+	limiter     quota.Limiter
+	unsupported map[string]time.Time // boxes without limit support, and until when they are not chosen
+	silent      map[string]time.Time // boxes that did not answer, and until when they are not asked
 }
 
 func (p *permits) init() { p.unsupported, p.silent = map[string]time.Time{}, map[string]time.Time{} }
--- a/src/gateway/ports.go
+++ b/src/gateway/ports.go
@@ -48,15 +48,15 @@
 
 // Call is one attempt at a server.
 type Call struct {
-	Server    catalog.Server
-	Request   *Request
-	Left      time.Duration
-	Workspace string
-	Priority   int
-	Inputs    []string // handles of stage results
-	LastEvent string
-	Source    string // address of a server that holds shared prompt parts, "" for none
-	NewConnection     bool   // use a new connection, for requests that can't be sent again
+	Server        catalog.Server
+	Request       *Request
+	Left          time.Duration
+	Workspace     string
+	Priority      int
+	Inputs        []string // handles of stage results
+	LastEvent     string
+	Source        string // address of a server that holds shared prompt parts, "" for none
+	NewConnection bool   // use a new connection, for requests that can't be sent again
 	// Start is called just before the first byte is sent; on an error nothing must be sent.
 	Start func() error
 }
@@ -72,21 +72,21 @@
 type PieceReply struct {
 	Outcome batch.CallOutcome
 	Results []batch.ItemResult // one per item if the outcome is CallDone
-	Signals    pushback.Word
+	Signals pushback.Word
 }
 
 // Reply is the head of a server's answer. Close must be called.
 type Reply struct {
-	Status  int
-	Header  http.Header
-	Read    func([]byte) (int, error) // io.EOF only after a clean end
-	Close   func(whole bool)
-	NotRun  bool // the server states that it did not run the request
-	AddressReused   bool // another server now has the address
-	InputGone bool // an input is gone
-	Signed  bool // the server signed the answer
-	Events  bool // the answer is a stream of events
-	Signals    pushback.Word
+	Status        int
+	Header        http.Header
+	Read          func([]byte) (int, error) // io.EOF only after a clean end
+	Close         func(whole bool)
+	NotRun        bool // the server states that it did not run the request
+	AddressReused bool // another server now has the address
+	InputGone     bool // an input is gone
+	Signed        bool // the server signed the answer
+	Events        bool // the answer is a stream of events
+	Signals       pushback.Word
 }
 
 // Backends are the calls to backend servers.
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -27,8 +27,8 @@
 	closures catalog.Closures
 	eras     eras
 	known    bool // a list of servers has been received
-	source    catalogSource
-	partial   partialDocument
+	source   catalogSource
+	partial  partialDocument
 }
 
 func (p *published) init(g *Gateway) {
--- a/src/gateway/pull.go
+++ b/src/gateway/pull.go
@@ -109,8 +109,8 @@
 }
 
 var (
-	errNotHeld = errors.New("the box does not hold the document")
-	errPeerBusy    = errors.New("the box is busy sending to others")
+	errNotHeld        = errors.New("the box does not hold the document")
+	errPeerBusy       = errors.New("the box is busy sending to others")
 	errUnexpectedPart = errors.New("the part does not follow those already received")
 	// errNoBoundaries rejects a configuration from a release that drops boundaries, which would look as if there were
 	// none: this box reads the store itself.
--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -25,7 +25,7 @@
 	madeAt       time.Time            // time of that computation
 	until        time.Time            // time of the next computation even if no member changes
 	// Boxes that did not answer this box, and until when they are not chosen.
-	silent     map[string]time.Time
+	silent         map[string]time.Time
 	redirects      map[string]redirect      // redirects of schedulers to their successors, by pool
 	silenceReports map[string]silenceReport // the last report on a box that did not answer another, by that box
 }
@@ -63,7 +63,7 @@
 	}
 }
 
-// avoid stops choosing a box that did not answer, until it is heard of again or shunFor has passed.
+// avoid stops choosing a box that did not answer, until it is heard of again or avoidFor has passed.
 func (r *roster) avoid(now time.Time, box string) {
 	r.silent[box] = now.Add(avoidFor)
 	r.invalidate()
@@ -102,7 +102,7 @@
 	return capable(settled)
 }
 
-// capable returns the boxes that have at least capablePart of the largest processor and of the fastest link;
+// capable returns the boxes that have at least minCapacityShare of the largest processor and of the fastest link;
 // all of them if no machine has both.
 func capable(all []schedulerCandidate) []string {
 	var most core.Capacity
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -23,13 +23,13 @@
 
 // scheduler is the scheduler of one pool.
 type scheduler struct {
-	mu      sync.Mutex
-	core    *batch.Scheduler
-	pool    string
-	usedAt  time.Time
+	mu         sync.Mutex
+	core       *batch.Scheduler
+	pool       string
+	usedAt     time.Time
 	delayedAt  time.Time // when calls were last delayed for a handover
 	receivedAt time.Time // when another box last handed the pool over to this one
-	foreign bool      // another box was the pool's scheduler at the last check
+	foreign    bool      // another box was the pool's scheduler at the last check
 }
 
 // justReceived reports whether another box has just handed the pool over to this one.
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -16,31 +16,31 @@
 
 // requestRun is the state of one request that the gateway serves.
 type requestRun struct {
-	gateway    *Gateway
-	request    *Request
-	caller     *Caller
-	pipeline   *catalog.Pipeline
-	pool       string
-	workspace  string
-	content    crasher.Content
-	confines   *catalog.Confines
-	priority   int
-	version    uint64
-	began      time.Time
-	objective  time.Time
-	deadline   time.Time
-	limitedBy  string // what set the deadline: the caller or the pipeline
-	stageResults       *results
-	stages     *stageRun
-	wish       balance.Wish
-	attempts   int
-	resultsRemade     bool
-	maybeRan   bool
-	signals       pushback.Word // signals in the answer of the current attempt
+	gateway        *Gateway
+	request        *Request
+	caller         *Caller
+	pipeline       *catalog.Pipeline
+	pool           string
+	workspace      string
+	content        crasher.Content
+	confines       *catalog.Confines
+	priority       int
+	version        uint64
+	began          time.Time
+	objective      time.Time
+	deadline       time.Time
+	limitedBy      string // what set the deadline: the caller or the pipeline
+	stageResults   *results
+	stages         *stageRun
+	wish           balance.Wish
+	attempts       int
+	resultsRemade  bool
+	maybeRan       bool
+	signals        pushback.Word // signals in the answer of the current attempt
 	restingServers []string      // servers that asked for rest instead of taking this request
 	// The last attempt sent nothing because the server asked for rest or had no permit; it does not count.
-	uncounted bool
-	permitRequests    int // permits requested at servers with limits that were not free at once
+	uncounted      bool
+	permitRequests int // permits requested at servers with limits that were not free at once
 
 	// State of a stream that has begun.
 	begun     bool
--- a/src/gateway/store_reader.go
+++ b/src/gateway/store_reader.go
@@ -13,10 +13,10 @@
 
 // reader paces the reads of one document and logs when the store is lost and found again.
 type reader struct {
-	gateway  *Gateway
-	document string
-	feed     *catalog.Feed
-	failures int
+	gateway   *Gateway
+	document  string
+	feed      *catalog.Feed
+	failures  int
 	onRequest bool // reads because other boxes asked for it
 }
 
