--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -43,7 +43,7 @@
 	restPollInterval = 20 * time.Millisecond  // maximum polling interval of a waiting request; one answer of a fast service
 	restPolls        = 16                     // polls in the remaining waiting time: requests near their end poll more often
 	restStep         = time.Millisecond       // added to the polling interval for each step of lower urgency
-	restSpread       = 500 * time.Millisecond // jitter of retry-after, so that refused callers don't return together
+	restSpread       = 500 * time.Millisecond // jitter of retry-after, about twenty tries of a server, so that refused callers don't return together
 )
 
 // Permits at servers with a request limit.
@@ -111,7 +111,7 @@
 	mostListPace = 250 * time.Millisecond // maximum of that pause
 	namedLists   = 6                      // base lists that a pull offers for a difference
 	notReading   = 150 * time.Millisecond // interval at which a box checks whether it should read
-	// Age of a confirmation up to which a missing pipeline or token is reported as nonexistent.
+	// trustFor is the age of a confirmation up to which a missing pipeline or token is reported as nonexistent.
 	trustFor = 2500 * time.Millisecond
 )
 
--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -174,16 +174,16 @@
 // know.
 func (g *Gateway) reannounceLeaving(servers []catalog.Server) {
 	now := g.now()
-	var news []catalog.Server
+	var updated []catalog.Server
 	g.signals.with(func(r *pushback.Register) {
 		for _, s := range servers {
 			if r.HearLeaving(now, signalServer(s)) {
-				news = append(news, s)
+				updated = append(updated, s)
 			}
 		}
 	})
-	if len(news) > 0 {
-		g.stopUsing(news, "an earlier era of the store")
+	if len(updated) > 0 {
+		g.stopUsing(updated, "an earlier era of the store")
 	}
 }
 
--- a/src/gateway/limits.go
+++ b/src/gateway/limits.go
@@ -26,17 +26,17 @@
 // recordLimit records the limit that a server's answer states.
 func (g *Gateway) recordLimit(s catalog.Server, perSecond float64, sent time.Time, what string) {
 	now := g.now()
-	news := false
+	updated := false
 	var l pushback.Limited
 	g.signals.with(func(r *pushback.Register) {
-		if news = r.HearLimit(now, sent, signalServer(s), perSecond); news {
+		if updated = r.HearLimit(now, sent, signalServer(s), perSecond); updated {
 			l, _ = r.LimitOf(now, signalServer(s))
 		}
 	})
 	if perSecond == pushback.NoSense {
 		g.Log.Warn("unreadable request limit from a server", "server", s.ID, "pool", s.Pool, "what", what)
 	}
-	if !news {
+	if !updated {
 		return
 	}
 	g.Log.Info("server's request limit changed", "server", s.ID, "pool", s.Pool, "what", what, "limit", l.PerSecond, "ended", l.Ended, "known_ms", l.Known.Milliseconds())
@@ -64,20 +64,20 @@
 		return
 	}
 	now := g.now()
-	var news []core.LimitNote
+	var updated []core.LimitNote
 	g.signals.with(func(r *pushback.Register) {
 		for _, n := range notes[:min(len(notes), pushback.NotesMost)] {
 			if r.HearNote(now, noteFrom(n)) {
-				news = append(news, n)
+				updated = append(updated, n)
 			}
 		}
 	})
-	for i, n := range news {
+	for i, n := range updated {
 		if i < serverLines {
 			g.Log.Info("server's request limit received from a peer", "server", n.Server, "limit", n.PerSecond, "ended", n.Ended, "from", from)
 		}
 	}
-	if len(news) > 0 {
+	if len(updated) > 0 {
 		g.announceLimits()
 	}
 }
--- a/src/gateway/permits.go
+++ b/src/gateway/permits.go
@@ -82,12 +82,12 @@
 	if now = g.now(); err != nil {
 		a = port.Permits{Next: coordinatorPause}
 	}
-	news := false
+	updated := false
 	g.signals.with(func(r *pushback.Register) {
-		news = r.HearNote(now, noteFrom(a.Limit))
+		updated = r.HearNote(now, noteFrom(a.Limit))
 		r.Granted(now, s.ID, owner, a.N, a.Begin, a.Next)
 	})
-	if news {
+	if updated {
 		g.announceLimits()
 	}
 	line := []any{"server", s.ID, "pool", s.Pool, "what", owner, "limit", l.Rate, "known_ms", l.Known.Milliseconds(), "coordinator", box, "patience_ms", patience.Milliseconds(),
@@ -163,13 +163,13 @@
 	if box != g.ID.Name {
 		return port.Permits{Coordinator: box, Next: coordinatorPause}
 	}
-	news, limited := false, false
+	updated, limited := false, false
 	var l pushback.Limited
 	g.signals.with(func(r *pushback.Register) {
-		news = r.HearNote(now, note)
+		updated = r.HearNote(now, note)
 		l, limited = r.LimitOf(now, note.Server)
 	})
-	if news {
+	if updated {
 		g.announceLimits()
 	}
 	if !limited { // this box knows that the limit ended
--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -182,9 +182,9 @@
 	if box == "" || box == f.gateway.ID.Name || now.Sub(f.seen[box]) < heardLately || now.Before(r.silent[box]) {
 		return
 	}
-	last, told := r.silenceReports[box]
+	last, reported := r.silenceReports[box]
 	r.silenceReports[box] = silenceReport{from: from, at: now}
-	alone := !told || last.from == from || now.Sub(last.at) > reportValidity
+	alone := !reported || last.from == from || now.Sub(last.at) > reportValidity
 	if alone && len(f.usableNow) > twoReportsFrom {
 		f.gateway.Log.Info("report of a silent scheduler awaits a second one", "about", box, "from", from, "members", len(f.usableNow))
 		return
@@ -270,17 +270,17 @@
 // running long enough to take a pool over, or until the fleet has formed. Computing it anew at each tick
 // would be half of the work of a box among 300.
 func rosterValidity(all []schedulerCandidate) time.Duration {
-	holds, oldest := mostRosterLife, time.Duration(0)
+	validity, oldest := mostRosterLife, time.Duration(0)
 	for _, c := range all {
 		oldest = max(oldest, c.up)
 		if c.up < settledAfter {
-			holds = min(holds, settledAfter-c.up)
+			validity = min(validity, settledAfter-c.up)
 		}
 	}
 	if oldest < formedAfter {
-		holds = min(holds, formedAfter-oldest)
+		validity = min(validity, formedAfter-oldest)
 	}
-	return max(rosterLife, holds)
+	return max(rosterLife, validity)
 }
 
 // mayAsk reports whether a box can be asked: its address is known and it has not been silent recently.
--- a/src/gateway/signals.go
+++ b/src/gateway/signals.go
@@ -114,9 +114,9 @@
 	signalLimit   = "limit"
 )
 
-func (g *Gateway) countSignal(pool, word string) {
+func (g *Gateway) countSignal(pool, signal string) {
 	if g.Observer.Signalled != nil {
-		g.Observer.Signalled(pool, word)
+		g.Observer.Signalled(pool, signal)
 	}
 }
 
@@ -167,27 +167,27 @@
 		return
 	}
 	now := g.now()
-	news := map[string]catalog.Server{}
+	updated := map[string]catalog.Server{}
 	g.signals.with(func(r *pushback.Register) {
 		for _, n := range notes[:min(len(notes), pushback.NotesMost)] {
 			s := pushback.Server{ID: n.Server, Incarnation: int64(n.Incarnation)}
 			if r.HearLeaving(now, s) {
-				news[s.ID] = catalog.Server{ID: s.ID, Incarnation: catalog.Incarnation(s.Incarnation)}
+				updated[s.ID] = catalog.Server{ID: s.ID, Incarnation: catalog.Incarnation(s.Incarnation)}
 			}
 		}
 	})
-	if len(news) == 0 {
+	if len(updated) == 0 {
 		return
 	}
 	p := &g.published
 	p.mu.Lock()
-	for id := range news {
+	for id := range updated {
 		if s, ok := p.registry.Get(id); ok {
-			news[id] = *s
+			updated[id] = *s
 		}
 	}
 	p.mu.Unlock()
-	g.stopUsing(slices.Collect(maps.Values(news)), from)
+	g.stopUsing(slices.Collect(maps.Values(updated)), from)
 }
 
 // sweepSignals drops outdated signals.
