--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -200,7 +200,7 @@
 	for i, c := range back {
 		names[i] = c.ID
 	}
-	g.Log.Info("servers used again, their entries outlasted a lease after the restore", "servers", len(back), "names", firstOf(names))
+	g.Log.Info("servers used again, their entries outlasted a lease after the restore", "servers", len(back), "names", firstNames(names))
 	g.applyChanged(back)
 }
 
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -321,10 +321,10 @@
 	}
 	f.mu.Unlock()
 	if len(joined) > 0 {
-		g.Log.Info("members joined", "members", members, "joined", len(joined), "names", firstOf(joined))
+		g.Log.Info("members joined", "members", members, "joined", len(joined), "names", firstNames(joined))
 	}
 	if len(lost) > 0 {
-		g.Log.Warn("members lost", "members", members, "lost", len(lost), "names", firstOf(lost))
+		g.Log.Warn("members lost", "members", members, "lost", len(lost), "names", firstNames(lost))
 	}
 }
 
@@ -343,8 +343,8 @@
 	return added, removed
 }
 
-// firstOf shortens a list of names for a log line.
-func firstOf(names []string) []string { return names[:min(len(names), namesPerLine)] }
+// firstNames shortens a list of names for a log line.
+func firstNames(names []string) []string { return names[:min(len(names), namesPerLine)] }
 
 func (f *fleet) leave() {
 	f.mu.Lock()
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -238,7 +238,7 @@
 		{"pools_changed", c.PoolsChanged}, {"tokens_added_of", c.TokensAdded}, {"tokens_removed_of", c.TokensRemoved},
 	} {
 		if len(f.list) > 0 {
-			line = append(line, f.name, len(f.list), f.name+"_names", firstOf(f.list))
+			line = append(line, f.name, len(f.list), f.name+"_names", firstNames(f.list))
 		}
 	}
 	g.Log.Info("configuration changes", line...)
--- a/src/gateway/serverlist.go
+++ b/src/gateway/serverlist.go
@@ -101,7 +101,7 @@
 	for i, c := range dropped {
 		names[i] = c.ID
 	}
-	g.Log.Warn("servers dropped, their entries did not return", "servers", len(dropped), "names", firstOf(names))
+	g.Log.Warn("servers dropped, their entries did not return", "servers", len(dropped), "names", firstNames(names))
 	g.applyChanged(dropped)
 }
 
--- a/src/gateway/start_check.go
+++ b/src/gateway/start_check.go
@@ -66,10 +66,10 @@
 func (g *Gateway) logEffects(t catalog.Effects, revision catalog.Revision, from string) {
 	now := g.now()
 	if len(t.Lapsed) > 0 {
-		g.Log.Warn("servers without an entry kept after an outage or restore of the store", "servers", len(t.Lapsed), "names", firstOf(t.Lapsed), "revision", revision, "from", from)
+		g.Log.Warn("servers without an entry kept after an outage or restore of the store", "servers", len(t.Lapsed), "names", firstNames(t.Lapsed), "revision", revision, "from", from)
 	}
 	if len(t.Doubted) > 0 {
-		g.Log.Warn("servers that had left are listed again by the restored store", "servers", len(t.Doubted), "names", firstOf(t.Doubted), "revision", revision, "from", from)
+		g.Log.Warn("servers that had left are listed again by the restored store", "servers", len(t.Doubted), "names", firstNames(t.Doubted), "revision", revision, "from", from)
 	}
 	for i, b := range t.Back {
 		if i < serverLines {
--- a/src/gateway/store_reader.go
+++ b/src/gateway/store_reader.go
@@ -107,7 +107,7 @@
 		return
 	}
 	if plea.First {
-		g.Log.Warn("others are asked to read the store", "document", document, "round", plea.Round, "boxes", len(plea.Next), "names", firstOf(plea.Next))
+		g.Log.Warn("others are asked to read the store", "document", document, "round", plea.Round, "boxes", len(plea.Next), "names", firstNames(plea.Next))
 	}
 	b := g.newsBeat(now)
 	b.Unanswered = &core.Unanswered{Document: document}
