--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -142,7 +142,7 @@
 	handoverWait  = 60 * time.Millisecond  // for which a scheduler new to a pool waits for the previous one's handover
 	handoverAgain = time.Second            // minimum interval between such waits
 	handoverKeeps = time.Second            // for which a scheduler keeps a pool handed over to it, whichever box it would choose
-	silentAsks    = 2                      // unanswered questions after which another box is asked
+	maxSilentAsks    = 2                      // unanswered questions after which another box is asked
 )
 
 // Choice of schedulers.
--- a/src/gateway/jobs.go
+++ b/src/gateway/jobs.go
@@ -158,7 +158,7 @@
 		case <-timer.C:
 			silent++
 			lost := g.fleet.stateOf(box) == core.MemberDead && box != g.ID.Name
-			if !accepted || silent > silentAsks || lost {
+			if !accepted || silent > maxSilentAsks || lost {
 				avoid[box] = true
 				box, accepted, silent = g.reassign(j, box, avoid, silentScheduler), false, 0
 				timer.Reset(ackPatience)
