--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -290,7 +290,7 @@
 	if v.attempts+1 < p.Attempts {
 		switch {
 		case p.Kind == catalog.Repeatable:
-			limit = max(leastAttempt, time.Duration(hedgeShare*float64(p.Objective)))
+			limit = max(minAttemptTime, time.Duration(hedgeShare*float64(p.Objective)))
 		case p.Kind == catalog.Stream && p.Resumable:
 			limit = max(silentFloor, time.Duration(silentFactor*float64(v.gateway.estimates.get(p.Name))))
 		}
--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -25,7 +25,7 @@
 	unsentFor         = 300 * time.Millisecond
 	maxAnswer         = 8 << 20                 // bytes of a non-streaming answer
 	hedgeShare        = 1.0                     // share of the objective that the first attempt of a repeatable request gets
-	leastAttempt      = 100 * time.Millisecond  // minimum time of an attempt that may be repeated
+	minAttemptTime      = 100 * time.Millisecond  // minimum time of an attempt that may be repeated
 	silentFactor      = 4.0                     // multiple of the expected time to the first event before a resumable stream moves
 	silentFloor       = 1200 * time.Millisecond // minimum of that time
 	gapLimit          = 2 * time.Second         // silence within a resumable stream before it moves
