--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -292,7 +292,7 @@
 		case p.Kind == catalog.Repeatable:
 			limit = max(minAttemptTime, time.Duration(hedgeShare*float64(p.Objective)))
 		case p.Kind == catalog.Stream && p.Resumable:
-			limit = max(silentFloor, time.Duration(silentFactor*float64(v.gateway.estimates.get(p.Name))))
+			limit = max(minSilence, time.Duration(silentFactor*float64(v.gateway.estimates.get(p.Name))))
 		}
 	}
 	return time.AfterFunc(limit, func() {
--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -27,7 +27,7 @@
 	hedgeShare        = 1.0                     // share of the objective that the first attempt of a repeatable request gets
 	minAttemptTime      = 100 * time.Millisecond  // minimum time of an attempt that may be repeated
 	silentFactor      = 4.0                     // multiple of the expected time to the first event before a resumable stream moves
-	silentFloor       = 1200 * time.Millisecond // minimum of that time
+	minSilence       = 1200 * time.Millisecond // minimum of that time
 	gapLimit          = 2 * time.Second         // silence within a resumable stream before it moves
 	failureRetryAfter = 400 * time.Millisecond  // retry-after when servers failed
 	priorityHigher    = 9                       // least urgent priority that servers accept
