--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -106,7 +106,7 @@
 	maxBackoff   = time.Second            // for the boxes that read first
 	overdueAfter = 350 * time.Millisecond // a watch this much late is reported to others; exceeds a slow store's latency (240 ms)
 	backoffBoxes = 8                      // every so many boxes ranked ahead add maxBackoff, so that a fleet of any size makes 10 to 20 calls/s
-	mostBackoffs = 8                      // maximum doublings
+	maxBackoffDoublings = 8                      // maximum doublings
 	listPace     = 100 * time.Microsecond // pause of a reader after a change of the list, per server in it
 	mostListPace = 250 * time.Millisecond // maximum of that pause
 	namedLists   = 6                      // base lists that a pull offers for a difference
--- a/src/gateway/store_reader.go
+++ b/src/gateway/store_reader.go
@@ -51,7 +51,7 @@
 func (r *reader) backoff() time.Duration {
 	living := r.gateway.fleet.usable() // the feed still ranks the readers chosen when this box began to read
 	most := maxBackoff * time.Duration(1+r.feed.Ahead(living)/backoffBoxes)
-	return min(most, readBackoff<<min(r.failures-1, mostBackoffs))
+	return min(most, readBackoff<<min(r.failures-1, maxBackoffDoublings))
 }
 
 // ended records the outcome of a read.
