--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -108,7 +108,7 @@
 	backoffBoxes = 8                      // every so many boxes ranked ahead add maxBackoff, so that a fleet of any size makes 10 to 20 calls/s
 	maxBackoffDoublings = 8                      // maximum doublings
 	listPace     = 100 * time.Microsecond // pause of a reader after a change of the list, per server in it
-	mostListPace = 250 * time.Millisecond // maximum of that pause
+	maxListPause = 250 * time.Millisecond // maximum of that pause
 	namedLists   = 6                      // base lists that a pull offers for a difference
 	notReading   = 150 * time.Millisecond // interval at which a box checks whether it should read
 	// trustFor is the age of a confirmation up to which a missing pipeline or token is reported as nonexistent.
