--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -107,7 +107,7 @@
 	overdueAfter = 350 * time.Millisecond // a watch this much late is reported to others; exceeds a slow store's latency (240 ms)
 	backoffBoxes = 8                      // every so many boxes ranked ahead add maxBackoff, so that a fleet of any size makes 10 to 20 calls/s
 	maxBackoffDoublings = 8                      // maximum doublings
-	listPace     = 100 * time.Microsecond // pause of a reader after a change of the list, per server in it
+	listPausePerServer     = 100 * time.Microsecond // pause of a reader after a change of the list, per server in it
 	maxListPause = 250 * time.Millisecond // maximum of that pause
 	namedLists   = 6                      // base lists that a pull offers for a difference
 	notReading   = 150 * time.Millisecond // interval at which a box checks whether it should read
--- a/src/gateway/store_reader.go
+++ b/src/gateway/store_reader.go
@@ -232,7 +232,7 @@
 		g.correctEra(port.DocumentServers, asked, at)
 		if listing.Changed() || !g.confirmServers(began, catalog.ListAt(at), listing.Digest()) {
 			g.applyListing(listing, catalog.ListAt(at), began)
-			sleep(ctx, min(maxListPause, time.Duration(len(listing.Servers()))*listPace)) // batches changes of a large list
+			sleep(ctx, min(maxListPause, time.Duration(len(listing.Servers()))*listPausePerServer)) // batches changes of a large list
 		}
 	}
 }
