--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -160,7 +160,7 @@
 	heardLately      = 2 * core.NewsEvery      // a box heard of within this time is not silent, whatever others report
 	redirectValidity = 1500 * time.Millisecond // validity of a scheduler's redirect to its successor
 	avoidFor         = 3 * time.Second         // for which a box that did not answer is not chosen
-	rosterLife       = 100 * time.Millisecond  // minimum validity of the chosen schedulers while members change
+	minRosterValidity       = 100 * time.Millisecond  // minimum validity of the chosen schedulers while members change
 	mostRosterLife   = 5 * time.Second         // maximum validity while no member changes
 )
 
--- a/src/gateway/costs_test.go
+++ b/src/gateway/costs_test.go
@@ -127,7 +127,7 @@
 		g := f.box("box7")
 		made := func(watch time.Duration) (times int) {
 			var last time.Time
-			for began := time.Now(); time.Since(began) < watch; time.Sleep(rosterLife / 4) {
+			for began := time.Now(); time.Since(began) < watch; time.Sleep(minRosterValidity / 4) {
 				g.fleet.mu.Lock()
 				at := g.fleet.roster.madeAt
 				g.fleet.mu.Unlock()
@@ -141,12 +141,12 @@
 			t.Errorf("in a minute without a change it was worked out %d times, want %d at most", n, most)
 		}
 		f.kill("box20")
-		for began := time.Now(); slices.Contains(g.fleet.usable(), "box20"); time.Sleep(rosterLife / 4) {
+		for began := time.Now(); slices.Contains(g.fleet.usable(), "box20"); time.Sleep(minRosterValidity / 4) {
 			if time.Since(began) > 10*time.Second {
 				t.Fatal("a box that was killed counts still")
 			}
 		}
-		time.Sleep(2 * rosterLife)
+		time.Sleep(2 * minRosterValidity)
 		g.fleet.mu.Lock()
 		held := slices.Contains(g.fleet.eligible(g.now()), "box20")
 		g.fleet.mu.Unlock()
--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -248,7 +248,7 @@
 // eligible lists the boxes that may schedule now. The fleet's lock is held.
 func (f *fleet) eligible(now time.Time) []string {
 	r := &f.roster
-	if now.Before(r.until) && (r.version == f.core.Version() || now.Sub(r.madeAt) < rosterLife) {
+	if now.Before(r.until) && (r.version == f.core.Version() || now.Sub(r.madeAt) < minRosterValidity) {
 		return r.boxes
 	}
 	r.version, r.madeAt = f.core.Version(), now
@@ -280,7 +280,7 @@
 	if oldest < formedAfter {
 		validity = min(validity, formedAfter-oldest)
 	}
-	return max(rosterLife, validity)
+	return max(minRosterValidity, validity)
 }
 
 // mayAsk reports whether a box can be asked: its address is known and it has not been silent recently.
