--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -161,7 +161,7 @@
 	redirectValidity = 1500 * time.Millisecond // validity of a scheduler's redirect to its successor
 	avoidFor         = 3 * time.Second         // for which a box that did not answer is not chosen
 	minRosterValidity       = 100 * time.Millisecond  // minimum validity of the chosen schedulers while members change
-	mostRosterLife   = 5 * time.Second         // maximum validity while no member changes
+	maxRosterValidity   = 5 * time.Second         // maximum validity while no member changes
 )
 
 // resultsPerMessage is the maximum number of held results reported to a scheduler in one message.
--- a/src/gateway/costs_test.go
+++ b/src/gateway/costs_test.go
@@ -137,7 +137,7 @@
 			}
 			return times
 		}
-		if n, most := made(time.Minute), 1+int(time.Minute/mostRosterLife); n > most {
+		if n, most := made(time.Minute), 1+int(time.Minute/maxRosterValidity); n > most {
 			t.Errorf("in a minute without a change it was worked out %d times, want %d at most", n, most)
 		}
 		f.kill("box20")
--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -270,7 +270,7 @@
 // running long enough to take a pool over, or until the fleet has formed. Computing it anew at each tick
 // would be half of the work of a box among 300.
 func rosterValidity(all []schedulerCandidate) time.Duration {
-	validity, oldest := mostRosterLife, time.Duration(0)
+	validity, oldest := maxRosterValidity, time.Duration(0)
 	for _, c := range all {
 		oldest = max(oldest, c.up)
 		if c.up < settledAfter {
