--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -160,7 +160,7 @@
 		e.mu.Lock()
 		e.picker.Ended(g.now(), s.ID, &v.wish, balance.Dropped)
 		e.mu.Unlock()
-		if v.permitRequests >= permitsAsked {
+		if v.permitRequests >= maxPermitRequests {
 			return stepFail, v.noServer(e, g.now()), false
 		}
 		v.uncounted = true
--- a/src/gateway/limits.go
+++ b/src/gateway/limits.go
@@ -138,7 +138,7 @@
 // permit begins within the request's patience, the request is refused at once.
 func (v *requestRun) reserve(ctx context.Context, s catalog.Server, now, next time.Time) *code.Error {
 	patience := v.permitPatience(now)
-	if next.Sub(now) > patience || v.permitRequests >= permitsAsked {
+	if next.Sub(now) > patience || v.permitRequests >= maxPermitRequests {
 		return v.restRefusal(now, next)
 	}
 	v.permitRequests++
--- a/src/gateway/limits_words_test.go
+++ b/src/gateway/limits_words_test.go
@@ -39,8 +39,8 @@
 					s.checkLimits(t, c.perSecond, time.Now())
 					perRequest := float64(asked()) / float64(h.answered+2*h.refused)
 					t.Logf("%d answered, %d refused, %d again, %d late, %.2f questions for a request", h.answered, h.refused, h.lost, h.slow, perRequest)
-					if perRequest > permitsAsked {
-						t.Errorf("%.2f questions for a request, want %d at most", perRequest, permitsAsked)
+					if perRequest > maxPermitRequests {
+						t.Errorf("%.2f questions for a request, want %d at most", perRequest, maxPermitRequests)
 					}
 				})
 			})
