--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -25,9 +25,9 @@
 	unsentFor         = 300 * time.Millisecond
 	maxAnswer         = 8 << 20                 // bytes of a non-streaming answer
 	hedgeShare        = 1.0                     // share of the objective that the first attempt of a repeatable request gets
-	minAttemptTime      = 100 * time.Millisecond  // minimum time of an attempt that may be repeated
+	minAttemptTime    = 100 * time.Millisecond  // minimum time of an attempt that may be repeated
 	silentFactor      = 4.0                     // multiple of the expected time to the first event before a resumable stream moves
-	minSilence       = 1200 * time.Millisecond // minimum of that time
+	minSilence        = 1200 * time.Millisecond // minimum of that time
 	gapLimit          = 2 * time.Second         // silence within a resumable stream before it moves
 	failureRetryAfter = 400 * time.Millisecond  // retry-after when servers failed
 	priorityHigher    = 9                       // least urgent priority that servers accept
@@ -53,7 +53,7 @@
 	coordinatorsAsked   = 3                      // boxes asked for one permit: the first, and the next after boxes without limit support
 	unableFor           = time.Minute            // for which a box whose release has no limit support is not chosen as coordinator
 	limitsTried         = 2                      // servers without a free permit before servers without a limit are preferred
-	maxPermitRequests        = 4                      // questions for permits that one request may cause
+	maxPermitRequests   = 4                      // questions for permits that one request may cause
 	lateWaitPart        = 0.25                   // share of its remaining time that a late request waits for a permit
 	urgencyStep         = 0.5                    // added to the divisor of the waiting time for each step of lower urgency
 	limitsTogether      = 30 * time.Millisecond  // for which changes of limits are batched into one message
@@ -100,17 +100,17 @@
 
 // Reads of the platform's store.
 const (
-	watchWait    = time.Second            // long-poll time of one watch
-	readLimit    = 10 * time.Second       // total time of one read: the largest answer, 16 MB, needs 13 Mbit/s, one of 1.4 MB 1.1
-	readBackoff  = 150 * time.Millisecond // after the first failed read, doubled with each further one
-	maxBackoff   = time.Second            // for the boxes that read first
-	overdueAfter = 350 * time.Millisecond // a watch this much late is reported to others; exceeds a slow store's latency (240 ms)
-	backoffBoxes = 8                      // every so many boxes ranked ahead add maxBackoff, so that a fleet of any size makes 10 to 20 calls/s
+	watchWait           = time.Second            // long-poll time of one watch
+	readLimit           = 10 * time.Second       // total time of one read: the largest answer, 16 MB, needs 13 Mbit/s, one of 1.4 MB 1.1
+	readBackoff         = 150 * time.Millisecond // after the first failed read, doubled with each further one
+	maxBackoff          = time.Second            // for the boxes that read first
+	overdueAfter        = 350 * time.Millisecond // a watch this much late is reported to others; exceeds a slow store's latency (240 ms)
+	backoffBoxes        = 8                      // every so many boxes ranked ahead add maxBackoff, so that a fleet of any size makes 10 to 20 calls/s
 	maxBackoffDoublings = 8                      // maximum doublings
-	listPausePerServer     = 100 * time.Microsecond // pause of a reader after a change of the list, per server in it
-	maxListPause = 250 * time.Millisecond // maximum of that pause
-	namedLists   = 6                      // base lists that a pull offers for a difference
-	notReading   = 150 * time.Millisecond // interval at which a box checks whether it should read
+	listPausePerServer  = 100 * time.Microsecond // pause of a reader after a change of the list, per server in it
+	maxListPause        = 250 * time.Millisecond // maximum of that pause
+	namedLists          = 6                      // base lists that a pull offers for a difference
+	notReading          = 150 * time.Millisecond // interval at which a box checks whether it should read
 	// trustFor is the age of a confirmation up to which a missing pipeline or token is reported as nonexistent.
 	trustFor = 2500 * time.Millisecond
 )
@@ -142,26 +142,26 @@
 	handoverWait  = 60 * time.Millisecond  // for which a scheduler new to a pool waits for the previous one's handover
 	handoverAgain = time.Second            // minimum interval between such waits
 	handoverKeeps = time.Second            // for which a scheduler keeps a pool handed over to it, whichever box it would choose
-	maxSilentAsks    = 2                      // unanswered questions after which another box is asked
+	maxSilentAsks = 2                      // unanswered questions after which another box is asked
 )
 
 // Choice of schedulers.
 const (
-	introduceEvery   = 50 * time.Millisecond   // interval at which a newly started box contacts seeds that it has not met
-	introduceFor     = 2 * time.Second         // after the start
-	settledAfter     = 20 * time.Second        // uptime before a box takes a pool over from another
-	cohortSpread     = 3 * time.Second         // boxes that started within this time of the oldest may schedule at once
-	formedAfter      = 2 * time.Second         // uptime of the oldest box by which all know one another: twice the time of 1,000 boxes
-	minCapacityShare = 0.5                     // minimum capacity of a scheduler as a share of the largest machine's
-	twoReportsFrom   = 16                      // in fleets larger than this, two boxes must report a scheduler as silent
-	reportValidity   = time.Second             // validity of the first report
-	formingFor       = time.Second             // maximum wait of a new box to meet one that may schedule
-	formingPace      = 10 * time.Millisecond   // polling interval of that wait
-	heardLately      = 2 * core.NewsEvery      // a box heard of within this time is not silent, whatever others report
-	redirectValidity = 1500 * time.Millisecond // validity of a scheduler's redirect to its successor
-	avoidFor         = 3 * time.Second         // for which a box that did not answer is not chosen
-	minRosterValidity       = 100 * time.Millisecond  // minimum validity of the chosen schedulers while members change
-	maxRosterValidity   = 5 * time.Second         // maximum validity while no member changes
+	introduceEvery    = 50 * time.Millisecond   // interval at which a newly started box contacts seeds that it has not met
+	introduceFor      = 2 * time.Second         // after the start
+	settledAfter      = 20 * time.Second        // uptime before a box takes a pool over from another
+	cohortSpread      = 3 * time.Second         // boxes that started within this time of the oldest may schedule at once
+	formedAfter       = 2 * time.Second         // uptime of the oldest box by which all know one another: twice the time of 1,000 boxes
+	minCapacityShare  = 0.5                     // minimum capacity of a scheduler as a share of the largest machine's
+	twoReportsFrom    = 16                      // in fleets larger than this, two boxes must report a scheduler as silent
+	reportValidity    = time.Second             // validity of the first report
+	formingFor        = time.Second             // maximum wait of a new box to meet one that may schedule
+	formingPace       = 10 * time.Millisecond   // polling interval of that wait
+	heardLately       = 2 * core.NewsEvery      // a box heard of within this time is not silent, whatever others report
+	redirectValidity  = 1500 * time.Millisecond // validity of a scheduler's redirect to its successor
+	avoidFor          = 3 * time.Second         // for which a box that did not answer is not chosen
+	minRosterValidity = 100 * time.Millisecond  // minimum validity of the chosen schedulers while members change
+	maxRosterValidity = 5 * time.Second         // maximum validity while no member changes
 )
 
 // resultsPerMessage is the maximum number of held results reported to a scheduler in one message.
