--- a/src/gateway/absent_servers_test.go
+++ b/src/gateway/absent_servers_test.go
@@ -49,7 +49,7 @@
 		return reply, err
 	}
 	settle()
-	time.Sleep(unsureFor) // until the box counts on the whole retry budget for itself
+	time.Sleep(fleetUnknownFor) // until the box counts on the whole retry budget for itself
 	for i := range 60 {
 		a := f.ask("box0", "/stamp/x", fmt.Sprint("r", i), nil)
 		switch {
@@ -105,7 +105,7 @@
 // wrongServer replies as a server that has taken over the address of another one.
 func wrongServer() (*Reply, error) {
 	r := textReply(http.StatusMisdirectedRequest, "")
-	r.NotRun, r.Moved = true, true
+	r.NotRun, r.AddressReused = true, true
 	return r, nil
 }
 
--- a/src/gateway/claim_test.go
+++ b/src/gateway/claim_test.go
@@ -147,22 +147,22 @@
 // needed.
 func TestLargeFleetNeedsTwoReportsOfUnresponsiveScheduler(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newTestFleet(t, complaintsFrom+2)
+		f := newTestFleet(t, twoReportsFrom+2)
 		time.Sleep(5 * time.Second)
 		g := f.box("box0")
 		f.setLost("box1", true)
 		time.Sleep(2 * heardLately)
-		g.fleet.toldSilent(g.now(), "box1", "box2")
-		g.fleet.toldSilent(g.now(), "box1", "box2")
+		g.fleet.handleSilenceReport(g.now(), "box1", "box2")
+		g.fleet.handleSilenceReport(g.now(), "box1", "box2")
 		if !g.fleet.mayAsk(g.now(), "box1") {
 			t.Error("a scheduler is skipped after the report of one box")
 		}
-		time.Sleep(2 * complaintLife)
-		g.fleet.toldSilent(g.now(), "box1", "box3")
+		time.Sleep(2 * reportValidity)
+		g.fleet.handleSilenceReport(g.now(), "box1", "box3")
 		if !g.fleet.mayAsk(g.now(), "box1") {
 			t.Error("a scheduler is skipped after an expired report")
 		}
-		g.fleet.toldSilent(g.now(), "box1", "box4")
+		g.fleet.handleSilenceReport(g.now(), "box1", "box4")
 		if g.fleet.mayAsk(g.now(), "box1") {
 			t.Error("a scheduler that two boxes reported as unresponsive is asked")
 		}
--- a/src/gateway/confined_test.go
+++ b/src/gateway/confined_test.go
@@ -48,7 +48,7 @@
 	for i := range 6 {
 		f.start(fmt.Sprint("box", i))
 	}
-	time.Sleep(2 * unsureFor) // until the boxes know the size of the fleet, on which their retry budgets depend
+	time.Sleep(2 * fleetUnknownFor) // until the boxes know the size of the fleet, on which their retry budgets depend
 	return s
 }
 
--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -9,15 +9,17 @@
 	"github.com/stilemast/stilemast/src/pushback"
 )
 
-// eras is what a box knows of the store's eras.
+// eras is what a box knows of the store's eras. The store begins a new era when it is restored from an older
+// copy.
 type eras struct {
-	newest catalog.Era // seen or heard of
-	base   catalog.Era // from which boxes count the numbers that they tell one another: the earliest that any of them knows
+	newest catalog.Era // read from the store or received from a peer
+	base   catalog.Era // the earliest era known to any box; revisions in messages count from it
 	known  bool        // base is known
 }
 
-// takeEra notes an era. It gives the one before where the era rose: the store came back from an older copy. p.mu is held.
-func (p *published) takeEra(era catalog.Era) (before catalog.Era) {
+// advanceEra records an era. If it is newer than the known one, the store was restored from an older copy, and
+// the previous era is returned. p.mu is held.
+func (p *published) advanceEra(era catalog.Era) (before catalog.Era) {
 	e := &p.eras
 	if !e.known && era > 0 {
 		e.base, e.known = era, true
@@ -32,24 +34,26 @@
 	return before
 }
 
-// confirmList has the registry know the era of the list that is held: the same list may be that of a later one. p.mu is held.
+// confirmList confirms the registry for the era of the held list; the same list may belong to a later era.
+// p.mu is held.
 func (p *published) confirmList(now time.Time) {
 	p.registry.Confirm(now, p.heldRevision(port.DocumentServers).Era())
 }
 
-// noteRise tells that the store came back from an older copy; before is 0 where it did not.
-func (g *Gateway) noteRise(before catalog.Era, held, revision catalog.Revision, from string) {
+// reportRestore reports that the store was restored from an older copy; before is 0 if it was not.
+func (g *Gateway) reportRestore(before catalog.Era, held, revision catalog.Revision, from string) {
 	if before == 0 {
 		return
 	}
 	g.Log.Warn("store restored from an older copy", "era", revision.Era(), "era_before", before, "revision", revision, "held_revision", held, "from", from)
-	if g.Watch.Restored != nil {
-		g.Watch.Restored()
+	if g.Observer.Restored != nil {
+		g.Observer.Restored()
 	}
 }
 
-// tellEra fills a heartbeat with the era from which its numbers count, and with what no document of the newest era has. p.mu is held.
-func (p *published) tellEra(now time.Time, b *core.Beat) {
+// fillEra fills a heartbeat with the base era of its revisions, and with evacuations and doubts about servers
+// that no document of the newest era contains. p.mu is held.
+func (p *published) fillEra(now time.Time, b *core.Beat) {
 	base := p.eras.base
 	b.Era = uint64(base)
 	b.Config.Version = catalog.ConfigToWire(p.catalogs.AsOf(), base)
@@ -64,11 +68,12 @@
 	}
 }
 
-// configEra is the era of the configuration that is held. p.mu is held.
+// configEra returns the era of the held configuration. p.mu is held.
 func (p *published) configEra() catalog.Era { return p.heldRevision(port.DocumentConfig).Era() }
 
-// heardBase is the era from which a message's numbers count, 0 where it does not say: then as this box's. p.mu is held.
-func (p *published) heardBase(era uint64) catalog.Era {
+// messageBase returns the base era of a message's revisions: this box's own if the message has none. p.mu is
+// held.
+func (p *published) messageBase(era uint64) catalog.Era {
 	e := &p.eras
 	if era == 0 {
 		return e.base
@@ -79,10 +84,10 @@
 	return catalog.Era(era)
 }
 
-// checkNumbers compares a read that began at a time with what is held. The store never goes back within an era, so a held revision
-// that is later counts from an earlier era than was taken: boxes of earlier releases tell none, and a box that first hears of one
-// after a restore takes their numbers for the same.
-func (g *Gateway) checkNumbers(document string, began time.Time, at catalog.Revision) {
+// correctEra compares the revision of a read that began at a time with the held one. Within an era the
+// store never goes back, so a held revision that is later belongs to an earlier era than assumed: boxes of
+// earlier releases send no era, and a box that learns of one after a restore assigns their revisions to it.
+func (g *Gateway) correctEra(document string, began time.Time, at catalog.Revision) {
 	p := &g.published
 	asOf := catalog.ConfigAt(at)
 	if document == port.DocumentServers {
@@ -96,11 +101,11 @@
 	}
 	p.mu.Unlock()
 	if mistaken {
-		g.Log.Warn("revisions of boxes that tell no era were taken for those of a later one", "document", document, "revision", at, "held_revision", held)
+		g.Log.Warn("revisions from boxes that send no era were assigned to a later era", "document", document, "revision", at, "held_revision", held)
 	}
 }
 
-// heldRevision is as of when the held document was the newest. p.mu is held.
+// heldRevision returns the revision at which the held document was the newest. p.mu is held.
 func (p *published) heldRevision(document string) catalog.Revision {
 	if document == port.DocumentConfig {
 		return catalog.ConfigRevision(p.catalogs.AsOf())
@@ -108,27 +113,28 @@
 	return catalog.ListRevision(p.lists.AsOf())
 }
 
-// hearEra turns the numbers of a heartbeat into states. p.mu is held.
-func (p *published) hearEra(b *core.Beat) {
-	base := p.heardBase(b.Era)
+// decodeRevisions converts the revisions of a heartbeat into states. p.mu is held.
+func (p *published) decodeRevisions(b *core.Beat) {
+	base := p.messageBase(b.Era)
 	b.Config.Version = uint64(catalog.ConfigFromWire(b.Config.Version, base))
 	b.List.Version = uint64(catalog.ListFromWire(b.List.Version, base))
 }
 
-// hearNotes takes what another box tells of evacuations and of servers that no document of the newest era has.
-func (g *Gateway) hearNotes(b core.Beat) {
+// mergeStoreNotes merges another box's notes on evacuations and doubted servers that no document of the newest era
+// contains.
+func (g *Gateway) mergeStoreNotes(b core.Beat) {
 	if len(b.Closures)+len(b.Doubts) == 0 {
 		return
 	}
 	p := &g.published
 	now := g.now()
 	p.mu.Lock()
-	base, closed := p.heardBase(b.Era), false
+	base, closed := p.messageBase(b.Era), false
 	for _, n := range b.Closures[:min(len(b.Closures), pushback.MaxNotes)] {
 		note := catalog.EvacuationNote{Domain: n.Domain, Evacuated: n.Closed, At: catalog.RevisionFromWire(n.Revision, base)}
 		if p.closures.ApplyNote(now, note, p.configEra()) {
 			closed = true
-			g.Log.Warn("evacuation heard that the store does not say", "domain", n.Domain, "evacuated", n.Closed, "revision", note.At, "from", b.From.ID.Name)
+			g.Log.Warn("evacuation learned from a peer is missing in the store", "domain", n.Domain, "evacuated", n.Closed, "revision", note.At, "from", b.From.ID.Name)
 		}
 	}
 	var doubted []catalog.Changed
@@ -136,7 +142,7 @@
 		note := catalog.DoubtNote{Server: n.Server, Incarnation: catalog.Incarnation(n.Incarnation), For: n.For}
 		if c, changed := p.registry.ApplyDoubt(now, note); changed {
 			doubted = append(doubted, c)
-			g.Log.Warn("server not used, had left before the store was restored", "server", n.Server, "for_ms", n.For.Milliseconds(), "from", b.From.ID.Name)
+			g.Log.Warn("server not used, it had left before the store was restored", "server", n.Server, "for_ms", n.For.Milliseconds(), "from", b.From.ID.Name)
 		}
 	}
 	p.mu.Unlock()
@@ -147,8 +153,8 @@
 	}
 }
 
-// liftClosures takes the operator's word that failure domains are not evacuated any more.
-func (g *Gateway) liftClosures(domains []string, at catalog.Revision) {
+// endEvacuations applies that the operator ended the evacuation of failure domains.
+func (g *Gateway) endEvacuations(domains []string, at catalog.Revision) {
 	if len(domains) == 0 {
 		return
 	}
@@ -157,30 +163,31 @@
 	changed := p.closures.End(g.now(), domains, at)
 	p.mu.Unlock()
 	if changed {
-		g.Log.Info("evacuations taken back", "domains", domains, "revision", at)
+		g.Log.Info("evacuations ended", "domains", domains, "revision", at)
 		g.applyAll()
 		g.announce()
 	}
 }
 
-// hearRestored takes that servers which a restored list names as working had said that they leave. All boxes are told as of a server's
-// own word: one that started since knows of none.
-func (g *Gateway) hearRestored(servers []catalog.Server) {
+// reannounceLeaving handles servers that a restored list names as working although they had signalled that they
+// leave. All boxes are notified as if the server had signalled it now, because boxes that started since don't
+// know.
+func (g *Gateway) reannounceLeaving(servers []catalog.Server) {
 	now := g.now()
-	var news []catalog.Server
-	g.words.with(func(r *pushback.Register) {
+	var updated []catalog.Server
+	g.signals.with(func(r *pushback.Register) {
 		for _, s := range servers {
-			if r.RecordLeaving(now, wordLife(s)) {
-				news = append(news, s)
+			if r.RecordLeaving(now, signalServer(s)) {
+				updated = append(updated, s)
 			}
 		}
 	})
-	if len(news) > 0 {
-		g.takeDepartures(news, "an earlier era of the store")
+	if len(updated) > 0 {
+		g.stopUsing(updated, "an earlier era of the store")
 	}
 }
 
-// endDoubts takes servers back whose entries outlasted a lease since the store was restored.
+// endDoubts readmits doubted servers whose entries outlasted a lease since the store was restored.
 func (g *Gateway) endDoubts(now time.Time) {
 	p := &g.published
 	p.mu.Lock()
@@ -193,12 +200,12 @@
 	for i, c := range back {
 		names[i] = c.ID
 	}
-	g.Log.Info("servers used again, their entries outlasted a lease", "servers", len(back), "names", firstOf(names))
+	g.Log.Info("servers used again, their entries outlasted a lease after the restore", "servers", len(back), "names", firstNames(names))
 	g.applyChanged(back)
 }
 
-// tellPublished turns the revisions of a document that is given into numbers.
-func (p *published) tellPublished(document string, d *port.Published) {
+// encodeRevisions converts the revisions of a document to be sent into numbers that count from the base era.
+func (p *published) encodeRevisions(document string, d *port.Published) {
 	p.mu.Lock()
 	base := p.eras.base
 	p.mu.Unlock()
@@ -211,10 +218,10 @@
 	eachEntry(d, func(s *catalog.Server) { s.Revision = catalog.Revision(s.Revision.ToWire(base)) })
 }
 
-// hearPublished turns the numbers of a document that another box gave into revisions.
-func (p *published) hearPublished(document string, d *port.Published) {
+// decodeDocument converts the numbers of a document received from another box into revisions.
+func (p *published) decodeDocument(document string, d *port.Published) {
 	p.mu.Lock()
-	base := p.heardBase(d.Era)
+	base := p.messageBase(d.Era)
 	p.mu.Unlock()
 	if document == port.DocumentConfig {
 		d.AsOf = uint64(catalog.ConfigFromWire(d.AsOf, base))
@@ -224,6 +231,7 @@
 	eachEntry(d, func(s *catalog.Server) { s.Revision = catalog.RevisionFromWire(uint64(s.Revision), base) })
 }
 
+// eachEntry calls do for each server entry of a document.
 func eachEntry(d *port.Published, do func(s *catalog.Server)) {
 	for i := range d.Servers {
 		do(&d.Servers[i])
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -15,21 +15,22 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// fleet is the membership and what the boxes tell one another of their loads.
+// fleet holds the membership and the load notes that boxes exchange.
 type fleet struct {
 	gateway *Gateway
 
 	mu        sync.Mutex
 	core      *core.Members
 	addresses map[string]string    // of boxes that sent messages, by name
-	seen      map[string]time.Time // boxes heard of, and when last
+	seen      map[string]time.Time // time of the last message, by box
 	waits     map[uint64]waitNote  // by the hash of a pool
 	usableNow []string
 	logged    []string  // the usable boxes when they were last logged
-	loggedAt  time.Time // when that was
+	loggedAt  time.Time // time of that log line
 	roster    roster
 }
 
+// waitNote is a scheduler's report on the waiting times in its pool.
 type waitNote struct {
 	waits backlog.Waits
 	at    time.Time
@@ -47,12 +48,12 @@
 	f.roster.init()
 }
 
-// beat sends the heartbeats that are due. Seeds whose names are not known yet are asked too.
-func (g *Gateway) beat(context.Context) {
+// sendHeartbeats sends the heartbeats that are due, also to seeds whose names are not known yet.
+func (g *Gateway) sendHeartbeats(context.Context) {
 	f := &g.fleet
 	now := g.now()
 	f.mu.Lock()
-	f.core.Expect = g.news(now)
+	f.core.Expect = g.beatFiller(now)
 	out := append(f.core.Tick(now), f.core.IndirectProbes(now)...)
 	out = append(out, f.seedBeats(now)...)
 	changed := f.core.Changed()
@@ -63,9 +64,9 @@
 	}
 }
 
-// introduce asks, more often than heartbeats go, the seeds that this box has not met just after its
-// start, and members drawn by chance while the fleet forms.
-func (g *Gateway) introduce(context.Context) {
+// contactSeeds contacts, more often than heartbeats are sent, the seeds that a newly started box has not met,
+// and random members while the fleet forms.
+func (g *Gateway) contactSeeds(context.Context) {
 	f := &g.fleet
 	now := g.now()
 	f.mu.Lock()
@@ -73,7 +74,7 @@
 		f.mu.Unlock()
 		return
 	}
-	f.core.Expect = g.news(now)
+	f.core.Expect = g.beatFiller(now)
 	out := f.core.FormingProbe(now)
 	if now.Sub(g.startedAt) <= introduceFor {
 		out = append(out, f.seedBeats(now)...)
@@ -82,7 +83,7 @@
 	g.send(out)
 }
 
-// seedBeats asks the seeds that no living member is known to have.
+// seedBeats returns heartbeats to the seeds that belong to no known living member.
 func (f *fleet) seedBeats(now time.Time) []core.BeatTo {
 	known := map[string]bool{f.gateway.Settings.Address: true}
 	for _, m := range f.core.All() {
@@ -105,17 +106,17 @@
 	}
 }
 
-// tellNews gives every box of a small fleet this box's loads, more often than heartbeats go round.
-func (g *Gateway) tellNews(context.Context) {
+// sendNews sends this box's loads to every box of a small fleet, more often than heartbeats are sent.
+func (g *Gateway) sendNews(context.Context) {
 	f := &g.fleet
 	f.mu.Lock()
 	to := f.core.SmallFleetAddresses()
 	f.mu.Unlock()
-	g.tellTo(to)
+	g.sendNewsTo(to)
 }
 
-// announce tells what this box holds and has without waiting for a beat: every box of a small fleet,
-// a few of a large one, which tell others in their turn when it is news to them.
+// announce sends this box's state without waiting for a heartbeat: to every box of a small fleet, or to a few
+// of a large one, which pass on what is new to them.
 func (g *Gateway) announce() {
 	f := &g.fleet
 	f.mu.Lock()
@@ -124,10 +125,10 @@
 		to = f.core.RandomAddresses(announceTo)
 	}
 	f.mu.Unlock()
-	g.tellTo(to)
+	g.sendNewsTo(to)
 }
 
-func (g *Gateway) tellTo(to []string) {
+func (g *Gateway) sendNewsTo(to []string) {
 	if len(to) == 0 {
 		return
 	}
@@ -137,29 +138,29 @@
 	}
 }
 
-// newsBeat is a heartbeat that tells of what this box holds and has and wants no answer.
+// newsBeat returns a heartbeat that carries this box's state and needs no answer.
 func (g *Gateway) newsBeat(now time.Time) core.Beat {
 	f := &g.fleet
 	f.mu.Lock()
 	b := f.core.News(now)
 	f.mu.Unlock()
-	g.news(now)(&b)
+	g.beatFiller(now)(&b)
 	return b
 }
 
-// news fills heartbeats with what other parts of the box tell.
-func (g *Gateway) news(now time.Time) func(*core.Beat) {
-	waits, reads, asked, leavings, limits := g.desk.waits(now), g.readNotes(now), g.askNotes(now), g.departures(), g.limitNotes()
+// beatFiller returns a function that fills heartbeats with the notes of the other parts of the box.
+func (g *Gateway) beatFiller(now time.Time) func(*core.Beat) {
+	waits, reads, asked, leavings, limits := g.schedulers.waits(now), g.readNotes(now), g.askNotes(now), g.leavingNotes(), g.limitNotes()
 	loads := g.loadNotes(now, leavings)
 	return func(b *core.Beat) {
-		g.published.say(now, b)
+		g.published.fillStatements(now, b)
 		b.Backends, b.Waits, b.Reads, b.Asked = loads, waits, reads, asked
 		b.Suspects = g.suspects.Notes(b.News)
 		b.Leavings, b.Limits = leavings, limits
 	}
 }
 
-// askNotes tells which first prompt parts this box was asked for lately.
+// askNotes returns the first prompt parts that this box was recently asked for.
 func (g *Gateway) askNotes(now time.Time) []core.AskNote {
 	var out []core.AskNote
 	for _, p := range g.pools.list() {
@@ -178,8 +179,8 @@
 	return out
 }
 
-// hearAsked takes what another box was asked for.
-func (p *pool) hearAsked(now time.Time, box string, notes []core.AskNote) {
+// mergeAsked merges the prompt parts that another box was asked for.
+func (p *pool) mergeAsked(now time.Time, box string, notes []core.AskNote) {
 	for _, n := range notes {
 		if n.Pool != catalog.Hash(p.name) || len(n.Parts) != len(n.Tokens) {
 			continue
@@ -192,9 +193,9 @@
 	}
 }
 
-// loadNotes tells of this box's loads. Servers that leave are told as full: boxes of a release that reads no other word of it go
-// where there is room. Where a third of 6 boxes and a fifth of 61 read none, 0 requests of 2,000 come late, 147 and 57 without
-// (TestABoxThatHearsNoWordsGoesElsewhere).
+// loadNotes returns this box's load notes. Leaving servers are reported as full, so that boxes of a release
+// without leaving notes choose servers with capacity. With a third of 6 boxes and a fifth of 61 on such a
+// release, 0 of 2,000 requests are late; without this, 147 and 57.
 func (g *Gateway) loadNotes(now time.Time, leaving []core.LeavingNote) []core.BackendNote {
 	var out []core.BackendNote
 	for _, n := range leaving {
@@ -213,13 +214,13 @@
 			}
 		}
 	}
-	out = g.fullNotes(out)
+	out = g.limitedLoadNotes(out)
 	out = out[:min(len(out), notesPerBeat)]
 	sort.Slice(out, func(i, j int) bool { return out[i].Server < out[j].Server })
 	return out
 }
 
-// readNotes lists the latest reads of shared prompt parts, as many as a beat may carry.
+// readNotes returns the latest reads of shared prompt parts, as many as a heartbeat may carry.
 func (g *Gateway) readNotes(now time.Time) []core.ReadNote {
 	var out []core.ReadNote
 	for _, p := range g.pools.list() {
@@ -232,14 +233,14 @@
 	return out[max(0, len(out)-readsPerBeat):]
 }
 
-// TakeBeat takes a heartbeat of another box.
-func (g *Gateway) TakeBeat(m core.Beat) {
+// HandleBeat handles a heartbeat of another box.
+func (g *Gateway) HandleBeat(m core.Beat) {
 	f := &g.fleet
 	now := g.now()
 	f.mu.Lock()
 	f.seen[m.From.ID.Name] = now
-	f.roster.heard(m.From.ID.Name)
-	f.core.Expect = g.news(now)
+	f.roster.clearSilent(m.From.ID.Name)
+	f.core.Expect = g.beatFiller(now)
 	h := f.core.Receive(now, m)
 	changed := f.core.Changed()
 	if len(m.Waits) > 0 {
@@ -253,20 +254,20 @@
 		g.membersChanged()
 	}
 	if m.Table != nil && m.News {
-		return // it tells of members only
+		return // it carries membership only
 	}
-	if behind := g.published.hear(m, h.AskedAt); behind || g.published.empty() {
+	if behind := g.published.mergeStatements(m, h.AskedAt); behind || g.published.empty() {
 		g.pullPublished(f.gateway.stages) // without waiting for the next tick
 	}
-	g.hearNotes(m)
-	g.hearUnanswered(m.Unanswered)
+	g.mergeStoreNotes(m)
+	g.handleUnanswered(m.Unanswered)
 	g.suspects.Merge(m.Suspects, m.From.ID.Name)
-	g.hearDepartures(m.Leavings, m.From.ID.Name)
-	g.hearLimits(m.Limits, m.From.ID.Name)
-	g.takeLoads(now, m)
+	g.mergeLeavingNotes(m.Leavings, m.From.ID.Name)
+	g.mergeLimits(m.Limits, m.From.ID.Name)
+	g.mergeLoads(now, m)
 }
 
-func (g *Gateway) takeLoads(now time.Time, m core.Beat) {
+func (g *Gateway) mergeLoads(now time.Time, m core.Beat) {
 	boxes := len(g.fleet.usable())
 	notes := make([]balance.LoadReport, len(m.Backends))
 	for i, n := range m.Backends {
@@ -281,18 +282,18 @@
 		e.picker.Boxes = boxes
 		e.picker.SetBoxLoads(now, m.From.ID.Name, notes)
 		e.picker.RecordReads(now, reads)
-		e.hearAsked(now, m.From.ID.Name, m.Asked)
+		e.mergeAsked(now, m.From.ID.Name, m.Asked)
 		e.mu.Unlock()
 	}
 }
 
-// membersChanged notes who is usable now and forgets who is not.
+// membersChanged updates the usable boxes and drops state of those that are no longer usable.
 func (g *Gateway) membersChanged() {
 	f := &g.fleet
 	f.mu.Lock()
 	before := f.usableNow
 	f.usableNow = f.core.Usable()
-	f.roster.forget()
+	f.roster.invalidate()
 	after := f.usableNow
 	f.mu.Unlock()
 	_, lost := differences(before, after)
@@ -300,11 +301,11 @@
 	for _, b := range lost {
 		g.published.forget(b)
 	}
-	g.desk.handOverAll()
+	g.schedulers.handOverAll()
 }
 
-// logMembers tells of the members that joined or were lost since it last did, at most once in
-// membersLogEvery: while a large fleet forms each message brings some.
+// logMembers logs the members that joined or were lost since the last time, at most once in membersLogEvery:
+// while a large fleet forms, each message brings some.
 func (g *Gateway) logMembers() {
 	f := &g.fleet
 	now := g.now()
@@ -320,14 +321,14 @@
 	}
 	f.mu.Unlock()
 	if len(joined) > 0 {
-		g.Log.Info("members joined", "members", members, "joined", len(joined), "names", firstOf(joined))
+		g.Log.Info("members joined", "members", members, "joined", len(joined), "names", firstNames(joined))
 	}
 	if len(lost) > 0 {
-		g.Log.Warn("members lost", "members", members, "lost", len(lost), "names", firstOf(lost))
+		g.Log.Warn("members lost", "members", members, "lost", len(lost), "names", firstNames(lost))
 	}
 }
 
-// differences lists what only one of two sorted lists holds.
+// differences returns the elements that only one of two sorted lists holds.
 func differences(before, after []string) (added, removed []string) {
 	for len(before) > 0 || len(after) > 0 {
 		switch {
@@ -342,25 +343,25 @@
 	return added, removed
 }
 
-// firstOf shortens a list of names for a line of the log.
-func firstOf(names []string) []string { return names[:min(len(names), namesPerLine)] }
+// firstNames shortens a list of names for a log line.
+func firstNames(names []string) []string { return names[:min(len(names), namesPerLine)] }
 
 func (f *fleet) leave() {
 	f.mu.Lock()
 	f.core.Leave("")
 	f.mu.Unlock()
-	f.gateway.announce() // first, so that no job comes back here
+	f.gateway.announce() // before the handover, so that no job comes back here
 	f.gateway.membersChanged()
 }
 
-// usable lists the boxes that take work, this one among them unless it is leaving.
+// usable lists the boxes that take work, including this one unless it is leaving.
 func (f *fleet) usable() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.usableNow
 }
 
-// boxes counts the boxes that may be alive, those heard of in the last minute among them.
+// boxes counts the boxes that may be alive, including those heard of within seenLately.
 func (f *fleet) boxes(now time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -372,17 +373,17 @@
 		}
 		n++
 	}
-	if now.Sub(f.gateway.startedAt) < unsureFor {
-		n = max(n, unsureBoxes)
+	if now.Sub(f.gateway.startedAt) < fleetUnknownFor {
+		n = max(n, assumedFleetSize)
 	}
 	return max(n, len(f.gateway.Settings.Seeds))
 }
 
-// heardFrom notes a box that sent a message, and where it listens.
-func (f *fleet) heardFrom(box, address string) {
+// recordSender records a box that sent a message, and its address.
+func (f *fleet) recordSender(box, address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.roster.heard(box)
+	f.roster.clearSilent(box)
 	f.addresses[box] = address
 }
 
@@ -395,7 +396,7 @@
 	return f.addresses[box]
 }
 
-// boxAt names the box at an address, "" for none.
+// boxAt returns the name of the box at an address, "" for none.
 func (f *fleet) boxAt(address string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -407,18 +408,18 @@
 	return ""
 }
 
-// refused passes a box over whose process has ended; false when it was passed over already.
-func (f *fleet) refused(now time.Time, box string) bool {
+// avoidEnded stops choosing a box whose process has ended; it returns false if the box was already avoided.
+func (f *fleet) avoidEnded(now time.Time, box string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if now.Before(f.roster.silent[box]) {
 		return false
 	}
-	f.roster.shun(now, box)
+	f.roster.avoid(now, box)
 	return true
 }
 
-// stateOf is what this box thinks of another.
+// stateOf returns the membership state of another box.
 func (f *fleet) stateOf(box string) core.MemberState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -428,7 +429,7 @@
 	return core.MemberDead
 }
 
-// waitsIn is how long a piece waits in a pool, as its scheduler told lately.
+// waitsIn returns how long a piece waits in a pool according to its scheduler's latest note.
 func (f *fleet) waitsIn(now time.Time, pool string) backlog.Waits {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -438,22 +439,22 @@
 	return backlog.Waits{}
 }
 
-// noteWaits takes what a scheduler told of its waits with an answer.
+// noteWaits records the waiting times that a scheduler sent with an answer.
 func (f *fleet) noteWaits(now time.Time, pool string, waits backlog.Waits) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.waits[catalog.Hash(pool)] = waitNote{waits: waits, at: now}
 }
 
-// TakeQuestion answers another box.
-func (g *Gateway) TakeQuestion(ctx context.Context, q port.Question) port.Answer {
+// HandleQuestion answers a question of another box.
+func (g *Gateway) HandleQuestion(ctx context.Context, q port.Question) port.Answer {
 	switch {
 	case q.Suspects != nil:
 		return port.Answer{Suspects: &port.Suspects{From: g.ID.Name, Notes: g.suspects.HandleReport(q.Suspects.Notes, q.Suspects.From)}}
 	case q.Publish != nil:
-		return port.Answer{Publish: g.give(q.Publish)}
+		return port.Answer{Publish: g.answerPull(q.Publish)}
 	case q.Permits != nil:
-		a := g.permitsOf(ctx, *q.Permits)
+		a := g.grantPermits(ctx, *q.Permits)
 		return port.Answer{Permits: &a}
 	}
 	return port.Answer{}
--- a/src/gateway/fleet_test.go
+++ b/src/gateway/fleet_test.go
@@ -50,7 +50,7 @@
 	storeRefuses  func(box string) bool                                             // whether the store answers a box with an error; nil: never
 	storeSilent   func(box string) bool                                             // whether the store leaves a box without an answer; nil: never
 	onAnswer      map[string]func(to string, q port.Question, a *port.Answer) error // called with each answer, by the asker's address
-	watcher       func(box string) Watcher                                          // nil: none
+	watcher       func(box string) Observer                                          // nil: none
 	clockBack     time.Duration                                                     // how far the clock is set back from which a starting box takes its incarnation
 	oldRelease    func(box string) bool                                             // whether a box reads the store as a release without eras does; nil: never
 	regions       catalog.Regions                                                   // nil: none is known
@@ -179,7 +179,7 @@
 	}
 	g.Settings.Regions = f.regions
 	if f.watcher != nil {
-		g.Watch = f.watcher(name)
+		g.Observer = f.watcher(name)
 	}
 	if f.links != nil {
 		g.Settings.Capacity = f.links.capacity(name)
@@ -272,7 +272,7 @@
 				deliver(g)
 			}
 			if g == nil && f.refusesConnections(to) {
-				f.box(strings.TrimSuffix(from, ":1")).TakeRefusal(to)
+				f.box(strings.TrimSuffix(from, ":1")).HandleRefusal(to)
 			}
 		}()
 	}
@@ -282,14 +282,14 @@
 			if f.alterBeat != nil {
 				f.alterBeat(to, &b)
 			}
-			sendAsync(to, func(g *Gateway) { g.TakeBeat(b) })
+			sendAsync(to, func(g *Gateway) { g.HandleBeat(b) })
 		},
 		Batch: func(to string, m batch.Message) {
 			f.countHeld(m)
 			if f.alterBatch != nil {
 				f.alterBatch(from, &m)
 			}
-			sendAsync(to, func(g *Gateway) { g.TakeBatch(m) })
+			sendAsync(to, func(g *Gateway) { g.HandleBatch(m) })
 		},
 		Ask: func(ctx context.Context, to string, q port.Question) (port.Answer, error) {
 			g := f.reach(from, to)
@@ -299,7 +299,7 @@
 			if err := f.links.connect(ctx, from, to); err != nil {
 				return port.Answer{}, err
 			}
-			a := g.TakeQuestion(ctx, q)
+			a := g.HandleQuestion(ctx, q)
 			if q.Suspects != nil {
 				f.countNotes(q.Suspects.Notes)
 				f.countNotes(a.Suspects.Notes)
--- a/src/gateway/inputs.go
+++ b/src/gateway/inputs.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// An engine fetches the results of stages that a request needs before it reads the prompt, and the first
-// output comes only when that is read. Their room at the makers is given up after the time that fetching
-// takes, which is learned: a request whose inputs were gone doubles it.
+// An engine fetches the stage results that a request needs before it reads the prompt, and the first output
+// comes only after that. The results are released at their servers after the time that fetching takes. That
+// time is learned: it doubles when a request finds its inputs gone.
 
-// giveUpInputs has the inputs of a request that is being sent given up when its engine will have fetched
-// them. The function that it gives calls this off.
-func (v *visit) giveUpInputs(e *pool, any bool) func() {
+// releaseInputs releases the inputs of a request that is being sent once its engine should have fetched them.
+// The returned function cancels the release.
+func (v *requestRun) releaseInputs(e *pool, any bool) func() {
 	if !any {
 		return func() {}
 	}
-	timer := time.AfterFunc(e.fetchTime(), v.made.freeAll)
+	timer := time.AfterFunc(e.fetchTime(), v.stageResults.freeAll)
 	return func() { timer.Stop() }
 }
 
-// fetchTime is how long an engine of the pool may take to fetch inputs.
+// fetchTime returns how long an engine of the pool may take to fetch inputs.
 func (p *pool) fetchTime() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.fetch = max(leastFetch, time.Duration(float64(p.fetch)*fetchDecay))
+	p.fetch = max(minFetch, time.Duration(float64(p.fetch)*fetchDecay))
 	return p.fetch
 }
 
-// inputGone notes that an input was gone when an engine wanted it.
+// inputGone records that an input was gone when an engine fetched it.
 func (p *pool) inputGone() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.fetch = min(mostFetch, 2*max(leastFetch, p.fetch))
+	p.fetch = min(maxFetch, 2*max(minFetch, p.fetch))
 }
--- a/src/gateway/limits_propagation_test.go
+++ b/src/gateway/limits_propagation_test.go
@@ -41,8 +41,8 @@
 					s.checkLimits(t, c.perSecond, time.Now())
 					perRequest := float64(asked()) / float64(h.answered+2*h.refused)
 					t.Logf("%d answered, %d refused, %d refused twice, %d late, %.2f questions per request", h.answered, h.refused, h.refusedTwice, h.slow, perRequest)
-					if perRequest > permitsAsked {
-						t.Errorf("%.2f questions per request, want at most %d", perRequest, permitsAsked)
+					if perRequest > maxPermitRequests {
+						t.Errorf("%.2f questions per request, want at most %d", perRequest, maxPermitRequests)
 					}
 				})
 			})
@@ -95,7 +95,7 @@
 				}{{"named", 4, 2 * limitKnownAfter}, {"falls", 1, 2 * limitKnownAfter}, {"ends", 0, 2 * limitKnownAfter}} {
 					time.Sleep(2 * time.Second)
 					began := time.Now()
-					s.f.box("box0").hear(server, pushback.Signals{Limit: step.says}, "a request", began)
+					s.f.box("box0").recordSignals(server, pushback.Signals{Limit: step.says}, "a request", began)
 					last := time.Duration(0)
 					for time.Since(began) < 4*time.Second && last == 0 {
 						time.Sleep(5 * time.Millisecond)
@@ -162,7 +162,7 @@
 	s.f.send = func(ctx context.Context, box string, c *Call) (*Reply, error) {
 		r, err := send(ctx, box, c)
 		if r != nil && old(box) {
-			r.Said.Limit = 0
+			r.Signals.Limit = 0
 		}
 		return r, err
 	}
@@ -238,10 +238,10 @@
 					s.mu.Lock()
 					defer s.mu.Unlock()
 					n++
-					if r.Said.Limit = c.says(n); math.IsInf(r.Said.Limit, 1) {
-						r.Said.Limit = 0
+					if r.Signals.Limit = c.says(n); math.IsInf(r.Signals.Limit, 1) {
+						r.Signals.Limit = 0
 						if call.Server.ID == "model0" {
-							r.Said.Limit = pushback.MinLimit
+							r.Signals.Limit = pushback.MinLimit
 						}
 					}
 					return r, err
--- a/src/gateway/permits.go
+++ b/src/gateway/permits.go
@@ -14,24 +14,25 @@
 	"github.com/stilemast/stilemast/src/quota"
 )
 
-// permits are the permits that this box grants at servers with a limit, and what it knows of the boxes that grant others.
+// permits holds the permits that this box grants at servers with a limit, and which other boxes can't grant
+// any.
 type permits struct {
-	mu      sync.Mutex
-	limiter quota.Limiter
-	unable  map[string]time.Time // boxes that know no limits, and until when they are passed over
-	silent  map[string]time.Time // boxes that did not answer, and until when they are not asked
+	mu          sync.Mutex
+	limiter     quota.Limiter
+	unsupported map[string]time.Time // boxes without limit support, and until when they are not chosen
+	silent      map[string]time.Time // boxes that did not answer, and until when they are not asked
 }
 
-func (p *permits) init() { p.unable, p.silent = map[string]time.Time{}, map[string]time.Time{} }
+func (p *permits) init() { p.unsupported, p.silent = map[string]time.Time{}, map[string]time.Time{} }
 
 var (
-	errNoCoordinator  = errors.New("no box is known that coordinates the server")
-	errCoordinatorOff = errors.New("the coordinator did not answer lately")
+	errNoCoordinator  = errors.New("the server's coordinator is not known")
+	errCoordinatorOff = errors.New("the coordinator did not answer recently")
 )
 
-// coordinatorOf is the box that grants the permits of a server, since no box sees what all of them send: the scheduler of a pool whose
-// calls one box forms, which so needs no message; otherwise the first by rendezvous hash on the server, so that many servers have many
-// coordinators.
+// coordinatorOf returns the box that grants the permits of a server; no single box sees the requests of all.
+// For a pool with batches it is the pool's scheduler, which then needs no message. Otherwise it is chosen by
+// rendezvous hash on the server, which spreads many servers over many coordinators.
 func (g *Gateway) coordinatorOf(pool, server string, passed map[string]bool) string {
 	if x := g.index.Load(); x != nil {
 		if p := x.Pool(pool); p != nil && p.Batch != nil {
@@ -44,25 +45,25 @@
 	return g.fleet.coordinatorOf(g.now(), server, passed)
 }
 
-// limitAt gives the limit in force at a server; false for none.
+// limitAt returns the limit in force at a server; false for none.
 func (g *Gateway) limitAt(s catalog.Server) (pushback.ActiveLimit, bool) {
-	if !g.words.any.Load() {
+	if !g.signals.any.Load() {
 		return pushback.ActiveLimit{}, false
 	}
-	w := &g.words
+	w := &g.signals
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.register.LimitOf(g.now(), wordLife(s))
+	return w.register.LimitOf(g.now(), signalServer(s))
 }
 
-// limitRate is the requests a second that all boxes may send to a server, 0 for no limit.
+// limitRate returns the requests per second that all boxes together may send to a server, 0 for no limit.
 func (g *Gateway) limitRate(s *catalog.Server) float64 {
 	l, _ := g.limitAt(*s)
 	return l.Rate
 }
 
-// takePermit gets a request a permit of a server, within its patience. It gives when the permit begins; false when
-// there is none, and the server is not chosen again until one is free.
+// takePermit gets a permit of a server for a request, within its patience, and returns when it begins. It
+// returns false if there is none; the server is then not chosen again until one is free.
 func (g *Gateway) takePermit(ctx context.Context, s catalog.Server, owner string, patience time.Duration) (time.Time, bool) {
 	now := g.now()
 	l, limited := g.limitAt(s)
@@ -70,7 +71,7 @@
 		return now, true
 	}
 	has := false
-	g.words.with(func(r *pushback.Register) { has = r.HasPermit(now, wordLife(s), owner) })
+	g.signals.with(func(r *pushback.Register) { has = r.HasPermit(now, signalServer(s), owner) })
 	if has {
 		return now, true
 	}
@@ -81,12 +82,12 @@
 	if now = g.now(); err != nil {
 		a = port.Permits{Next: coordinatorPause}
 	}
-	news := false
-	g.words.with(func(r *pushback.Register) {
-		news = r.MergeNote(now, noteFrom(a.Limit))
+	updated := false
+	g.signals.with(func(r *pushback.Register) {
+		updated = r.MergeNote(now, noteFrom(a.Limit))
 		r.AddPermits(now, s.ID, owner, a.N, a.Begin, a.Next)
 	})
-	if news {
+	if updated {
 		g.announceLimits()
 	}
 	line := []any{"server", s.ID, "pool", s.Pool, "what", owner, "limit", l.Rate, "known_ms", l.Known.Milliseconds(), "coordinator", box, "patience_ms", patience.Milliseconds(),
@@ -94,16 +95,17 @@
 	if err != nil {
 		line = append(line, "cause", err.Error())
 	}
-	g.Log.Info("permit asked for", line...)
-	if g.Watch.Permitted != nil {
-		g.Watch.Permitted(s.Pool, a.N > 0)
+	g.Log.Info("permit requested", line...)
+	if g.Observer.Permitted != nil {
+		g.Observer.Permitted(s.Pool, a.N > 0)
 	}
 	return now.Add(a.Begin), a.N > 0
 }
 
-// askCoordinator asks the coordinator of a server. The next one is asked where a box knows no limits, names another, or does not answer.
+// askCoordinator asks the coordinator of a server for a permit. It asks the next box if the first has no
+// limit support, names another one, or does not answer.
 func (g *Gateway) askCoordinator(ctx context.Context, s catalog.Server, q port.AskPermits) (string, port.Permits, error) {
-	passed := g.permits.passedOver(g.now())
+	passed := g.permits.unsupportedBoxes(g.now())
 	box := g.coordinatorOf(s.Pool, s.ID, passed)
 	var last error
 	for range coordinatorsAsked {
@@ -117,8 +119,8 @@
 			delete(passed, q.Silent)
 		case err != nil:
 			return box, port.Permits{}, err
-		case a == nil: // a box of an earlier release
-			g.permits.passOver(box, g.now().Add(unableFor))
+		case a == nil: // a release without limit support
+			g.permits.markUnsupported(box, g.now().Add(unableFor))
 			passed[box] = true
 			box = g.coordinatorOf(s.Pool, s.ID, passed)
 		case a.Coordinator == "":
@@ -130,10 +132,10 @@
 	return box, port.Permits{}, last
 }
 
-// askBox asks a box for permits; nil without an error when it knows no limits.
+// askBox asks a box for permits; the result is nil without an error if it has no limit support.
 func (g *Gateway) askBox(ctx context.Context, box string, q port.AskPermits) (*port.Permits, error) {
 	if box == g.ID.Name {
-		a := g.permitsOf(ctx, q)
+		a := g.grantPermits(ctx, q)
 		return &a, nil
 	}
 	address := g.fleet.addressOf(box)
@@ -147,43 +149,44 @@
 	defer cancel()
 	a, err := g.Peers.Ask(ctx, address, port.Question{Permits: &q})
 	if err != nil {
-		g.permits.noAnswer(box, g.now().Add(coordinatorPause))
+		g.permits.markSilent(box, g.now().Add(coordinatorPause))
 		return nil, err
 	}
 	return a.Permits, nil
 }
 
-// permitsOf answers a question for permits.
-func (g *Gateway) permitsOf(ctx context.Context, q port.AskPermits) port.Permits {
+// grantPermits answers a request for permits.
+func (g *Gateway) grantPermits(ctx context.Context, q port.AskPermits) port.Permits {
 	now := g.now()
 	note := noteFrom(q.Limit)
-	box, standsIn := g.grants(ctx, q)
+	box, standsIn := g.permitGranter(ctx, q)
 	if box != g.ID.Name {
 		return port.Permits{Coordinator: box, Next: coordinatorPause}
 	}
-	news, limited := false, false
+	updated, limited := false, false
 	var l pushback.ActiveLimit
-	g.words.with(func(r *pushback.Register) {
-		news = r.MergeNote(now, note)
+	g.signals.with(func(r *pushback.Register) {
+		updated = r.MergeNote(now, note)
 		l, limited = r.LimitOf(now, note.Server)
 	})
-	if news {
+	if updated {
 		g.announceLimits()
 	}
-	if !limited { // it ended, as this box has heard
+	if !limited { // this box knows that the limit ended
 		return port.Permits{N: max(1, q.Wants), Limit: noteOf(l.LimitNote)}
 	}
 	a := quota.PermitRequest{Server: l.Server.ID, Incarnation: l.Server.Incarnation, PerSecond: l.Rate, Known: max(q.Known, l.Known), Patience: q.Patience, Wants: q.Wants, Substitute: standsIn}
-	part := g.fleet.inSight(now)
+	part := g.fleet.reachableShare(now)
 	g.permits.mu.Lock()
 	t := g.permits.limiter.Take(now, a, part)
 	g.permits.mu.Unlock()
 	return port.Permits{N: t.Permits, Begin: t.Begin, Next: t.Next, Limit: noteOf(l.LimitNote)}
 }
 
-// grants is the box that should answer a question for permits, and whether it stands in for the coordinator. This one does where it is
-// the next, and the coordinator answers neither the asker nor this box.
-func (g *Gateway) grants(ctx context.Context, q port.AskPermits) (box string, standsIn bool) {
+// permitGranter returns the box that should answer a request for permits, and whether it stands in for the
+// coordinator. This box stands in if it is next in rank and the coordinator answers neither the asking box
+// nor this one.
+func (g *Gateway) permitGranter(ctx context.Context, q port.AskPermits) (box string, standsIn bool) {
 	passed := map[string]bool{}
 	for _, b := range q.Passed {
 		passed[b] = true
@@ -202,45 +205,46 @@
 	return g.ID.Name, true
 }
 
-// inSight is the part of the boxes that may be running which this box can see. Those that it lost a moment ago may go on at the
-// other side of a partition, with a coordinator of their own.
-func (f *fleet) inSight(now time.Time) float64 {
+// reachableShare returns the share of the possibly running boxes that this box can reach. Boxes lost recently may
+// still run on the other side of a partition, with a coordinator of their own.
+func (f *fleet) reachableShare(now time.Time) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := max(1, len(f.usableNow))
 	return float64(n) / float64(n+f.core.RecentlyLost(now, seenLately))
 }
 
-// passOver takes a box out of the choice of coordinators: it knows no limits.
-func (p *permits) passOver(box string, until time.Time) {
+// markUnsupported excludes a box without limit support from the choice of coordinators.
+func (p *permits) markUnsupported(box string, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.unable[box] = until
+	p.unsupported[box] = until
 }
 
-// passedOver lists the boxes that know no limits.
-func (p *permits) passedOver(now time.Time) map[string]bool {
+// unsupportedBoxes returns the boxes without limit support.
+func (p *permits) unsupportedBoxes(now time.Time) map[string]bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := map[string]bool{}
-	for box, until := range p.unable {
+	for box, until := range p.unsupported {
 		if now.Before(until) {
 			out[box] = true
 		} else {
-			delete(p.unable, box)
+			delete(p.unsupported, box)
 		}
 	}
 	return out
 }
 
-// noAnswer notes that a box did not answer. It stays the coordinator: another one beside it would double what a server gets.
-func (p *permits) noAnswer(box string, until time.Time) {
+// markSilent records that a box did not answer. It remains the coordinator: a second one beside it would double
+// the requests that a server gets.
+func (p *permits) markSilent(box string, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.silent[box] = until
 }
 
-// mayAsk says whether a box answered lately, as far as this one asked.
+// mayAsk reports whether a box may be asked: it has not failed to answer recently.
 func (p *permits) mayAsk(box string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/src/gateway/roster_test.go
+++ b/src/gateway/roster_test.go
@@ -20,18 +20,18 @@
 	old, young := time.Minute, 5*time.Second
 	for _, c := range []struct {
 		name string
-		all  []contender
+		all  []schedulerCandidate
 		want []string
 	}{
-		{"all start, without seeds", []contender{{name: "a", up: time.Second, seed: false}, {name: "b", up: 1200 * time.Millisecond, seed: false}}, []string{"a", "b"}},
-		{"all start", []contender{{name: "a", up: 1500 * time.Millisecond, seed: false}, {name: "b", up: 1500 * time.Millisecond, seed: true}, {name: "c", up: time.Second, seed: true}}, []string{"b", "c"}},
-		{"all know one another", []contender{{name: "a", up: young, seed: false}, {name: "b", up: young, seed: true}, {name: "c", up: young, seed: true}}, []string{"a", "b", "c"}},
-		{"one has restarted", []contender{{name: "a", up: old, seed: false}, {name: "b", up: old, seed: false}, {name: "c", up: young, seed: true}}, []string{"a", "b"}},
-		{"it has settled", []contender{{name: "a", up: old, seed: false}, {name: "c", up: settledAfter, seed: true}}, []string{"a", "c"}},
-		{"a small machine", []contender{{name: "a", up: old, capacity: core.Capacity{CPU: 192, Link: 20}}, {name: "b", up: old, capacity: core.Capacity{CPU: 800, Link: 200}}, {name: "c", up: old, capacity: core.Capacity{CPU: 400, Link: 100}}}, []string{"b", "c"}},
-		{"no machine has the most of both", []contender{{name: "a", up: old, capacity: core.Capacity{CPU: 100, Link: 200}}, {name: "b", up: old, capacity: core.Capacity{CPU: 800, Link: 20}}}, []string{"a", "b"}},
-		{"the large machine has not settled", []contender{{name: "a", up: old, capacity: core.Capacity{CPU: 192, Link: 20}}, {name: "b", up: young, capacity: core.Capacity{CPU: 800, Link: 200}}}, []string{"a"}},
-		{"only one is old", []contender{{name: "a", up: 10 * time.Second, seed: false}, {name: "b", up: 4 * time.Second, seed: false}}, []string{"a"}},
+		{"all start, without seeds", []schedulerCandidate{{name: "a", up: time.Second, seed: false}, {name: "b", up: 1200 * time.Millisecond, seed: false}}, []string{"a", "b"}},
+		{"all start", []schedulerCandidate{{name: "a", up: 1500 * time.Millisecond, seed: false}, {name: "b", up: 1500 * time.Millisecond, seed: true}, {name: "c", up: time.Second, seed: true}}, []string{"b", "c"}},
+		{"all know one another", []schedulerCandidate{{name: "a", up: young, seed: false}, {name: "b", up: young, seed: true}, {name: "c", up: young, seed: true}}, []string{"a", "b", "c"}},
+		{"one has restarted", []schedulerCandidate{{name: "a", up: old, seed: false}, {name: "b", up: old, seed: false}, {name: "c", up: young, seed: true}}, []string{"a", "b"}},
+		{"it has settled", []schedulerCandidate{{name: "a", up: old, seed: false}, {name: "c", up: settledAfter, seed: true}}, []string{"a", "c"}},
+		{"a small machine", []schedulerCandidate{{name: "a", up: old, capacity: core.Capacity{CPU: 192, Link: 20}}, {name: "b", up: old, capacity: core.Capacity{CPU: 800, Link: 200}}, {name: "c", up: old, capacity: core.Capacity{CPU: 400, Link: 100}}}, []string{"b", "c"}},
+		{"no machine has the most of both", []schedulerCandidate{{name: "a", up: old, capacity: core.Capacity{CPU: 100, Link: 200}}, {name: "b", up: old, capacity: core.Capacity{CPU: 800, Link: 20}}}, []string{"a", "b"}},
+		{"the large machine has not settled", []schedulerCandidate{{name: "a", up: old, capacity: core.Capacity{CPU: 192, Link: 20}}, {name: "b", up: young, capacity: core.Capacity{CPU: 800, Link: 200}}}, []string{"a"}},
+		{"only one is old", []schedulerCandidate{{name: "a", up: 10 * time.Second, seed: false}, {name: "b", up: 4 * time.Second, seed: false}}, []string{"a"}},
 	} {
 		if got := eligible(c.all); !slices.Equal(got, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
@@ -156,16 +156,16 @@
 		if first == next {
 			next = "box2"
 		}
-		g.fleet.moved(g.now(), "encode", next)
+		g.fleet.recordRedirect(g.now(), "encode", next)
 		if got := g.schedulerOf("encode", nil); got != next {
 			t.Errorf("%s is the scheduler, want %s as %s said", got, next, first)
 		}
-		time.Sleep(hintLife)
+		time.Sleep(redirectValidity)
 		if got := g.schedulerOf("encode", nil); got != first {
 			t.Errorf("a scheduler's hint does not expire: %s", got)
 		}
-		g.fleet.moved(g.now(), "encode", next)
-		g.fleet.shun(g.now(), next)
+		g.fleet.recordRedirect(g.now(), "encode", next)
+		g.fleet.avoidScheduler(g.now(), next)
 		if got := g.schedulerOf("encode", nil); got == next {
 			t.Error("a box that does not answer is taken for the scheduler")
 		}
@@ -207,7 +207,7 @@
 				owner = name
 			}
 		}
-		f.box(owner).pools.get("model").fetch = mostFetch // keeps results held meanwhile
+		f.box(owner).pools.get("model").fetch = maxFetch // keeps results held meanwhile
 		go f.ask(owner, "/draft/x", "first", nil)
 		time.Sleep(400 * time.Millisecond)
 		var second callResult
@@ -231,13 +231,13 @@
 		f := newTestFleet(t, 3)
 		settle()
 		g := f.box("box0")
-		g.fleet.toldSilent(g.now(), "box1", "box2")
+		g.fleet.handleSilenceReport(g.now(), "box1", "box2")
 		if !g.fleet.mayAsk(g.now(), "box1") {
 			t.Error("a box that was heard from a moment ago is skipped after another's report")
 		}
 		f.setLost("box1", true)
 		time.Sleep(2 * heardLately)
-		g.fleet.toldSilent(g.now(), "box1", "box2")
+		g.fleet.handleSilenceReport(g.now(), "box1", "box2")
 		if g.fleet.mayAsk(g.now(), "box1") {
 			t.Error("a box that is not heard from is asked though another reported it as unresponsive")
 		}
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -14,46 +14,47 @@
 	"github.com/stilemast/stilemast/src/pushback"
 )
 
-// visit is one request on its way through the gateway.
-type visit struct {
-	gateway    *Gateway
-	request    *Request
-	caller     *Caller
-	pipeline   *catalog.Pipeline
-	pool       string
-	workspace  string
-	content    crasher.Content
-	confines   *catalog.Confines
-	priority   int
-	version    uint64
-	began      time.Time
-	objective  time.Time
-	deadline   time.Time
-	limitedBy  string // what set the deadline: the caller or the pipeline
-	made       *results
-	stages     *stageRun
-	wish       balance.Request
-	attempts   int
-	remade     bool
-	maybeRan   bool
-	said       pushback.Signals // by the server of the attempt that is at work
-	turnedAway []string         // servers that asked for rest in place of taking this request
-	withheld   bool             // from a server that asked for rest since it was chosen, or had no permit left
-	asked      int              // times that it found no permit, or waited for one, at servers with limits
+// requestRun is the state of one request that the gateway serves.
+type requestRun struct {
+	gateway        *Gateway
+	request        *Request
+	caller         *Caller
+	pipeline       *catalog.Pipeline
+	pool           string
+	workspace      string
+	content        crasher.Content
+	confines       *catalog.Confines
+	priority       int
+	version        uint64
+	began          time.Time
+	objective      time.Time
+	deadline       time.Time
+	limitedBy      string // what set the deadline: the caller or the pipeline
+	stageResults   *results
+	stages         *stageRun
+	wish           balance.Request
+	attempts       int
+	resultsRemade  bool
+	maybeRan       bool
+	signals        pushback.Signals // signals in the answer of the current attempt
+	restingServers []string         // servers that asked for rest instead of taking this request
+	// The last attempt sent nothing because the server asked for rest or had no permit; it does not count.
+	uncounted      bool
+	permitRequests int // permits requested at servers with limits that were not free at once
 
-	// of a stream that has begun
+	// State of a stream that has begun.
 	begun     bool
 	lastEvent string
 	firstOut  time.Time
 }
 
-// Serve runs one request and gives its answer to the caller.
+// Serve runs one request and passes its answer to the caller.
 func (g *Gateway) Serve(ctx context.Context, r *Request, c *Caller) {
 	g.running.Add(1)
 	defer g.running.Add(-1)
-	v := &visit{gateway: g, request: r, caller: c, began: g.now()}
-	g.awaitAwake(ctx)
-	g.awaitKnown(ctx, r)
+	v := &requestRun{gateway: g, request: r, caller: c, began: g.now()}
+	g.awaitConfirmed(ctx)
+	g.awaitDocuments(ctx, r)
 	if err := v.route(); err != nil {
 		v.refuse(err)
 		return
@@ -65,24 +66,25 @@
 	v.run(ctx)
 }
 
-// endLapsed ends the requests whose time passed while the machine was suspended: timers did not move meanwhile.
-func (g *Gateway) endLapsed(now time.Time) {
+// endExpired ends the requests whose deadline passed while the machine was suspended, as timers don't advance
+// meanwhile.
+func (g *Gateway) endExpired(now time.Time) {
 	ended := 0
 	g.deadlines.Range(func(key, cancel any) bool {
-		if !now.Before(key.(*visit).deadline) {
+		if !now.Before(key.(*requestRun).deadline) {
 			cancel.(context.CancelFunc)()
 			ended++
 		}
 		return true
 	})
 	if ended > 0 {
-		g.Log.Warn("requests ended whose time passed in a pause", "requests", ended)
+		g.Log.Warn("requests ended, their deadlines passed during a pause", "requests", ended)
 	}
 }
 
-// route finds the pipeline and the workspace of a request. That there is none is said only with a
-// configuration that was confirmed lately; otherwise the caller is asked to come back.
-func (v *visit) route() *code.Error {
+// route finds the pipeline and the workspace of a request. It reports that there is none only if the
+// configuration was confirmed recently; otherwise the caller is asked to retry.
+func (v *requestRun) route() *code.Error {
 	g, r := v.gateway, v.request
 	if err := v.checkSize(); err != nil {
 		return err
@@ -93,13 +95,13 @@
 	}
 	v.version = x.Version()
 	if g.closing() {
-		return refusal(code.Draining, "box", elsewhereAfter, "this box is stopping")
+		return refusal(code.Draining, "box", otherBoxRetryAfter, "this box is stopping")
 	}
 	unsure := g.published.catalogAge(g.now()) > trustFor
 	p := x.Route(r.Host, r.Path)
 	if p == nil {
 		if unsure {
-			return refusal(code.NotReady, "path", notReadyAfter, "no pipeline there, but the configuration is not confirmed")
+			return refusal(code.NotReady, "path", notReadyAfter, "no pipeline matches, but the configuration is not confirmed")
 		}
 		return refusal(code.UnknownPipeline, "path", 0, "no pipeline there")
 	}
@@ -117,7 +119,7 @@
 			v.priority += 3 * w.Priority
 		}
 	}
-	v.confines = v.confinesNow()
+	v.confines = v.currentConfines()
 	v.content = crasher.ContentOf(v.workspace, r.Method, r.Host, r.Target, r.Body)
 	v.deadline, v.limitedBy = v.began.Add(p.Timeout), "pipeline"
 	if r.Left > 0 && r.Left < p.Timeout {
@@ -128,8 +130,8 @@
 	return v.checkPieces()
 }
 
-// checkSize refuses a request without an id and what is larger than callers may send.
-func (v *visit) checkSize() *code.Error {
+// checkSize refuses a request without an id and one that exceeds the size limits.
+func (v *requestRun) checkSize() *code.Error {
 	r, limits := v.request, v.gateway.Limits()
 	switch {
 	case r.ID == "":
@@ -142,8 +144,8 @@
 	return nil
 }
 
-// checkPieces makes the counts of pieces as many as there are stages.
-func (v *visit) checkPieces() *code.Error {
+// checkPieces checks the numbers of pieces and completes them with 0 for the remaining stages.
+func (v *requestRun) checkPieces() *code.Error {
 	r, n := v.request, len(v.pipeline.Stages)
 	for _, c := range r.Pieces {
 		if c < 0 || c > maxPieces {
@@ -156,14 +158,14 @@
 	return nil
 }
 
-// run takes a routed request to its end.
-func (v *visit) run(ctx context.Context) {
+// run serves a routed request.
+func (v *requestRun) run(ctx context.Context) {
 	g, p := v.gateway, v.pipeline
-	if err := v.barred(); err != nil {
+	if err := v.checkBarred(); err != nil {
 		v.refuse(err)
 		return
 	}
-	if err := v.nowhere(); err != nil {
+	if err := v.checkBoundary(); err != nil {
 		v.refuse(err)
 		return
 	}
@@ -171,8 +173,8 @@
 	e.mu.Lock()
 	e.budget.Request(g.now())
 	e.mu.Unlock()
-	// The stages may take all that the caller's time leaves: a late answer is worth more than a second try, which is late
-	// too. It gains 0.003 to 0.013 of worth over 0.45 of the time (four sites, 6 and 15 runs of each way).
+	// The stages may take all of the caller's remaining time: a late answer is worth more than a second try, which
+	// is late too. This gains 0.003 to 0.013 of worth over 0.45 of the time (four sites, 6 and 15 runs of each).
 	v.stages = &stageRun{gateway: g, pipeline: p, request: v.request, content: v.content, priority: v.priority, objective: v.objective, deadline: v.deadline, confines: v.confines}
 	v.stages.followers = followersOf(p)
 	if err := g.admit(v.stages); err != nil {
@@ -191,12 +193,12 @@
 		v.refuse(err)
 		return
 	}
-	defer func() { v.made.freeAll() }()
-	v.attempt(ctx)
+	defer func() { v.stageResults.freeAll() }()
+	v.runAttempts(ctx)
 }
 
-// makeStages has the stages made and notes where their results lie.
-func (v *visit) makeStages(ctx context.Context) *code.Error {
+// makeStages runs the stages and records where their results are held.
+func (v *requestRun) makeStages(ctx context.Context) *code.Error {
 	if len(v.pipeline.Stages) == 0 {
 		return nil
 	}
@@ -207,7 +209,7 @@
 	for again := range 2 {
 		made, reason := g.runStages(ctx, v.stages)
 		if reason == 0 {
-			v.made = made
+			v.stageResults = made
 			_, v.wish.Domain, v.wish.InputBytes = made.final()
 			return nil
 		}
@@ -218,46 +220,47 @@
 	return nil
 }
 
-// stageError says why the stages were not made. The request itself has not run.
-func (v *visit) stageError(ctx context.Context, r batch.Reason) *code.Error {
+// stageError returns the refusal for stages that were not made. The request itself has not run.
+func (v *requestRun) stageError(ctx context.Context, r batch.Reason) *code.Error {
 	switch {
 	case v.gateway.stages.Err() != nil:
-		return refusal(code.Draining, "box", elsewhereAfter, "this box is stopping and the stages are not made")
+		return refusal(code.Draining, "box", otherBoxRetryAfter, "this box is stopping and the stages are not complete")
 	case ctx.Err() != nil && v.callerLeft(ctx):
 		return refusal(code.Cancelled, "", 0, "the caller left during the stages")
 	case r == batch.Late || ctx.Err() != nil:
 		return refusal(code.CannotFinish, "deadline", v.stagesReturn(), "the stages could not be made in time")
 	}
 	if r == batch.Nowhere {
-		return v.outside("a stage")
+		return v.boundaryRefusal("a stage")
 	}
 	if r == batch.Barred {
-		if err := v.barred(); err != nil {
+		if err := v.checkBarred(); err != nil {
 			return err
 		}
 	}
-	return refusal(code.BackendsDown, "stages", leastReturn, "the stages could not be made: %s", r)
+	return refusal(code.BackendsDown, "stages", minRetryAfter, "the stages could not be made: %s", r)
 }
 
-// stagesReturn is when a caller should come back whose stages could not be made: when the longest wait of their pools is over.
-func (v *visit) stagesReturn() time.Duration {
+// stagesReturn returns the retry-after of a request whose stages could not be made: the longest waiting time
+// in their pools.
+func (v *requestRun) stagesReturn() time.Duration {
 	longest := slices.Max(v.stages.forecast(v.gateway.now()).waits)
-	return min(mostReturn, max(leastReturn, longest))
+	return min(maxRetryAfter, max(minRetryAfter, longest))
 }
 
-// callerLeft tells a caller that went away from a deadline that passed.
-func (v *visit) callerLeft(ctx context.Context) bool {
+// callerLeft reports whether the context ended because the caller left and not because the deadline passed.
+func (v *requestRun) callerLeft(ctx context.Context) bool {
 	return ctx.Err() == context.Canceled && v.gateway.now().Before(v.deadline)
 }
 
 // refuse ends a request with an error.
-func (v *visit) refuse(err *code.Error) {
+func (v *requestRun) refuse(err *code.Error) {
 	v.ended(err.Code.String(), "ran", err.DidRun().String(), "field", err.Field, "cause", err.Message, "retry_after_ms", err.RetryAfter.Milliseconds())
 	v.caller.Refuse(err)
 }
 
-// ended writes the line of a request's end and counts it.
-func (v *visit) ended(result string, more ...any) {
+// ended logs and counts the end of a request.
+func (v *requestRun) ended(result string, more ...any) {
 	g := v.gateway
 	now := g.now()
 	name, first, objective := "", time.Duration(0), time.Duration(0)
@@ -271,18 +274,18 @@
 	g.Log.Info("request ended", append([]any{"request", v.request.ID, "content", v.content.String(), "pipeline", name, "workspace", v.workspace,
 		"result", result, "took_ms", took.Milliseconds(), "first_ms", first.Milliseconds(), "objective_ms", objective.Milliseconds(), "attempts", v.attempts,
 		"version", v.version}, more...)...)
-	if g.Watch.Ended != nil {
-		g.Watch.Ended(name, result, took, first)
+	if g.Observer.Ended != nil {
+		g.Observer.Ended(name, result, took, first)
 	}
 }
 
-// isSuccess says whether a status is a success.
+// isSuccess reports whether a status is 2xx.
 func isSuccess(status int) bool {
 	return status >= http.StatusOK && status < http.StatusMultipleChoices
 }
 
-// makersOf counts, by domain, the servers that make a pipeline's largest results, those that the request
-// itself reads; nil when they are small.
+// makersOf counts, by failure domain, the servers of the pool that makes the largest results that the request
+// itself reads; nil if the results are small.
 func (g *Gateway) makersOf(p *catalog.Pipeline) map[string]int {
 	pool, most := "", 0
 	for _, i := range p.FinalStages() {
--- a/src/gateway/spreading_test.go
+++ b/src/gateway/spreading_test.go
@@ -162,10 +162,10 @@
 // enough, a few of all.
 func TestReadersHaveCapacityForDocument(t *testing.T) {
 	for fleet := range 20 {
-		var all []contender
+		var all []schedulerCandidate
 		large, domain := map[string]bool{}, map[string]string{}
 		for i := range 40 {
-			c := contender{name: fmt.Sprintf("fleet%d-box%d", fleet, i), domain: fmt.Sprint("d", i%4), capacity: core.Capacity{CPU: 192, Link: 10}}
+			c := schedulerCandidate{name: fmt.Sprintf("fleet%d-box%d", fleet, i), domain: fmt.Sprint("d", i%4), capacity: core.Capacity{CPU: 192, Link: 10}}
 			if i%5 == 0 {
 				c.capacity = core.Capacity{CPU: 800, Link: 200}
 				large[c.name] = true
@@ -199,11 +199,11 @@
 		f.publish(withRoutes(f.catalog, 5000))
 		time.Sleep(3 * time.Second)
 		g := f.box("box0")
-		held := g.published.question(port.DocumentConfig)
+		held := g.published.pullRequest(port.DocumentConfig)
 		f.publish(withRoutes(f.catalog, 10))
 		time.Sleep(3 * time.Second)
-		part := g.give(held).Part
-		whole := g.give(&port.PullPublished{Document: port.DocumentConfig, Held: []string{"unknown"}})
+		part := g.answerPull(held).Part
+		whole := g.answerPull(&port.PullPublished{Document: port.DocumentConfig, Held: []string{"unknown"}})
 		if part == nil || part.Size > 2000 || whole.Base != "" || whole.Part.Size < 20*part.Size {
 			t.Errorf("ten more routes are sent as %d bytes, the whole as %d", part.Size, whole.Part.Size)
 		}
--- a/src/metrics/gateway.go
+++ b/src/metrics/gateway.go
@@ -67,8 +67,8 @@
 }
 
 // Watcher gives the hooks through which a gateway fills the set.
-func (s *GatewaySet) Watcher() gateway.Watcher {
-	return gateway.Watcher{
+func (s *GatewaySet) Watcher() gateway.Observer {
+	return gateway.Observer{
 		Ended: func(pipeline, result string, took, first time.Duration) {
 			s.ended.WithLabelValues(pipeline, result).Inc()
 			s.took.WithLabelValues(pipeline).Observe(took.Seconds())
@@ -92,10 +92,10 @@
 			s.pulled.WithLabelValues(document).Observe(took.Seconds())
 		},
 		Retried:   func(pool string, allowed bool) { s.retries.WithLabelValues(pool, strconv.FormatBool(allowed)).Inc() },
-		Refused:   func(document, reason string) { s.refused.WithLabelValues(document, reason).Inc() },
+		Unusable:   func(document, reason string) { s.refused.WithLabelValues(document, reason).Inc() },
 		Suspected: func(contents int) { s.suspected.Add(float64(contents)) },
 		Withheld:  func(pool string) { s.withheld.WithLabelValues(pool).Inc() },
-		Said:      func(pool, word string) { s.said.WithLabelValues(pool, word).Inc() },
+		Signalled:      func(pool, word string) { s.said.WithLabelValues(pool, word).Inc() },
 		Permitted: func(pool string, ok bool) { s.permits.WithLabelValues(pool, strconv.FormatBool(ok)).Inc() },
 	}
 }
--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -129,11 +129,11 @@
 		Store:    n.ports.Store,
 		Peers:    n.peers.Ports(),
 		Log:      n.Log,
-		Watch:    set.Watcher(),
+		Observer:    set.Watcher(),
 		Clock:    clock.Now,
 	}
 	logClock(n.Log)
-	n.peers.OnRefused = n.gateway.TakeRefusal
+	n.peers.OnRefused = n.gateway.HandleRefusal
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
 	n.gateway.Init()
@@ -144,7 +144,7 @@
 	}()
 	go func() {
 		defer n.done.Done()
-		h := peer.Handlers{Beat: n.gateway.TakeBeat, Batch: n.gateway.TakeBatch, Ask: n.gateway.TakeQuestion}
+		h := peer.Handlers{Beat: n.gateway.HandleBeat, Batch: n.gateway.HandleBatch, Ask: n.gateway.HandleQuestion}
 		(&peer.Server{Handlers: h}).Serve(ctx, beats)
 	}()
 	go n.sweep(ctx)
