--- a/src/gateway/fleet_test.go
+++ b/src/gateway/fleet_test.go
@@ -50,7 +50,7 @@
 	storeRefuses  func(box string) bool                                             // whether the store answers a box with an error; nil: never
 	storeSilent   func(box string) bool                                             // whether the store leaves a box without an answer; nil: never
 	onAnswer      map[string]func(to string, q port.Question, a *port.Answer) error // called with each answer, by the asker's address
-	watcher       func(box string) Observer                                          // nil: none
+	watcher       func(box string) Observer                                         // nil: none
 	clockBack     time.Duration                                                     // how far the clock is set back from which a starting box takes its incarnation
 	oldRelease    func(box string) bool                                             // whether a box reads the store as a release without eras does; nil: never
 	regions       catalog.Regions                                                   // nil: none is known
--- a/src/gateway/pushback_test.go
+++ b/src/gateway/pushback_test.go
@@ -176,7 +176,9 @@
 					}
 					return textReply(http.StatusOK, "ok"), nil
 				}
-				time.AfterFunc(200*time.Millisecond, func() { g.recordSignals(catalog.Server{ID: server, Pool: "model"}, word, "another request", time.Now()) })
+				time.AfterFunc(200*time.Millisecond, func() {
+					g.recordSignals(catalog.Server{ID: server, Pool: "model"}, word, "another request", time.Now())
+				})
 				if a := f.ask("box2", "/stamp/x", "r", func(r *Request) { r.Pieces = nil }); a.status != http.StatusOK {
 					t.Errorf("the caller got %d %v, want the answer of another server", a.status, a.refused)
 				}
--- a/src/metrics/gateway.go
+++ b/src/metrics/gateway.go
@@ -92,10 +92,10 @@
 			s.pulled.WithLabelValues(document).Observe(took.Seconds())
 		},
 		Retried:   func(pool string, allowed bool) { s.retries.WithLabelValues(pool, strconv.FormatBool(allowed)).Inc() },
-		Unusable:   func(document, reason string) { s.refused.WithLabelValues(document, reason).Inc() },
+		Unusable:  func(document, reason string) { s.refused.WithLabelValues(document, reason).Inc() },
 		Suspected: func(contents int) { s.suspected.Add(float64(contents)) },
 		Withheld:  func(pool string) { s.withheld.WithLabelValues(pool).Inc() },
-		Signalled:      func(pool, word string) { s.said.WithLabelValues(pool, word).Inc() },
+		Signalled: func(pool, word string) { s.said.WithLabelValues(pool, word).Inc() },
 		Permitted: func(pool string, ok bool) { s.permits.WithLabelValues(pool, strconv.FormatBool(ok)).Inc() },
 	}
 }
--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -129,7 +129,7 @@
 		Store:    n.ports.Store,
 		Peers:    n.peers.Ports(),
 		Log:      n.Log,
-		Observer:    set.Watcher(),
+		Observer: set.Watcher(),
 		Clock:    clock.Now,
 	}
 	logClock(n.Log)
