--- a/src/experiment/experiment.go
+++ b/src/experiment/experiment.go
@@ -18,7 +18,7 @@
 	Name        string
 	Placement   core.Placer
 	NoAdmission bool
-	One         bool // a single decider with nothing stale: a baseline, no bound
+	SingleBox   bool // a single decider with nothing stale: a baseline, no bound
 }
 
 // Policies are the system's own, its baselines, and a single decider, which shares the policy's weaknesses and so bounds nothing.
@@ -29,64 +29,64 @@
 		{Name: "least-in-flight", Placement: core.LeastInFlight, NoAdmission: true},
 		{Name: "two-choices", Placement: core.TwoChoices, NoAdmission: true},
 		{Name: "first-come", Placement: core.ExpectedFinish, NoAdmission: true},
-		{Name: "single-decider", Placement: core.ExpectedFinish, One: true},
+		{Name: "single-decider", Placement: core.ExpectedFinish, SingleBox: true},
 	}
 }
 
 // Fault is something that goes wrong in the middle of a run.
 type Fault struct {
-	Name string
-	hurt func(s *sim, start, end time.Duration)
+	Name   string
+	inject func(s *sim, start, end time.Duration)
 }
 
 // at has something done at a moment of the run.
-func (s *sim) at(d time.Duration, do func()) { s.after(d, do) }
+func (s *sim) scheduleAt(d time.Duration, do func()) { s.schedule(d, do) }
 
 // Faults are what a run may suffer, from a third to two thirds of its time.
 func Faults() []Fault {
 	return []Fault{
-		{Name: "quiet", hurt: func(*sim, time.Duration, time.Duration) {}},
-		{Name: "slow engine", hurt: func(s *sim, a, b time.Duration) {
-			v := s.first(true)
-			s.at(a, func() { v.slow = 6 })
-			s.at(b, func() { v.slow = 1 })
+		{Name: "quiet", inject: func(*sim, time.Duration, time.Duration) {}},
+		{Name: "slow engine", inject: func(s *sim, a, b time.Duration) {
+			v := s.firstServer(true)
+			s.scheduleAt(a, func() { v.slowFactor = 6 })
+			s.scheduleAt(b, func() { v.slowFactor = 1 })
 		}},
-		{Name: "failing server", hurt: func(s *sim, a, b time.Duration) {
-			v := s.first(false)
-			s.at(a, func() { v.fails = true })
-			s.at(b, func() { v.fails = false })
+		{Name: "failing server", inject: func(s *sim, a, b time.Duration) {
+			v := s.firstServer(false)
+			s.scheduleAt(a, func() { v.failing = true })
+			s.scheduleAt(b, func() { v.failing = false })
 		}},
-		{Name: "failing engine", hurt: func(s *sim, a, b time.Duration) {
-			v := s.first(true)
-			s.at(a, func() { v.fails = true })
-			s.at(b, func() { v.fails = false })
+		{Name: "failing engine", inject: func(s *sim, a, b time.Duration) {
+			v := s.firstServer(true)
+			s.scheduleAt(a, func() { v.failing = true })
+			s.scheduleAt(b, func() { v.failing = false })
 		}},
-		{Name: "lost domain", hurt: func(s *sim, a, b time.Duration) {
-			s.at(a, func() {
-				for _, v := range s.sorted() {
+		{Name: "lost domain", inject: func(s *sim, a, b time.Duration) {
+			s.scheduleAt(a, func() {
+				for _, v := range s.sortedServers() {
 					if v.cfg.Domain() == 1 {
-						v.fall()
+						v.crash()
 					}
 				}
 			})
-			s.at(b, func() {
+			s.scheduleAt(b, func() {
 				for _, v := range s.servers {
 					v.down = false
 				}
 			})
 		}},
-		{Name: "killed box", hurt: func(s *sim, a, _ time.Duration) {
+		{Name: "killed box", inject: func(s *sim, a, _ time.Duration) {
 			if len(s.boxes) > 1 {
-				s.at(a, s.boxes[0].die)
+				s.scheduleAt(a, s.boxes[0].crash)
 			}
 		}},
-		{Name: "burst", hurt: func(*sim, time.Duration, time.Duration) {}},
+		{Name: "burst", inject: func(*sim, time.Duration, time.Duration) {}},
 	}
 }
 
 // first is the first engine or plain service by name.
-func (s *sim) first(engine bool) *simServer {
-	for _, v := range s.sorted() {
+func (s *sim) firstServer(engine bool) *simServer {
+	for _, v := range s.sortedServers() {
 		if (v.model != nil) == engine {
 			return v
 		}
@@ -94,7 +94,7 @@
 	return nil
 }
 
-func (s *sim) sorted() []*simServer {
+func (s *sim) sortedServers() []*simServer {
 	out := make([]*simServer, 0, len(s.servers))
 	for _, v := range s.servers {
 		out = append(out, v)
@@ -137,7 +137,7 @@
 // Capacity is the rate of a workload at which its engines are just busy, no cache helping.
 func Capacity(w load.Workload, c *config.Config) float64 {
 	cost := standin.DefaultEngineCost(1)
-	each := 0.0
+	secondsPerRequest := 0.0
 	for _, k := range w.Kinds {
 		p := c.Pipeline(k.Pipeline)
 		last := p.Stages()[len(p.Stages())-1]
@@ -145,9 +145,9 @@
 			continue
 		}
 		slots := float64(c.Pool(last.Pool())[0].Slots())
-		step := cost.Step.Seconds()/slots + cost.PerRunning.Seconds()
+		step := cost.Step.Seconds()/slots + cost.PerSequence.Seconds()
 		prompt := float64(k.Prefix+k.Own) / standin.TokenBytes
-		each += k.Share * (0.75*float64(last.MaxTokens())*step + prompt*cost.PerPrefill.Seconds())
+		secondsPerRequest += k.Share * (0.75*float64(last.MaxTokens())*step + prompt*cost.PerPrefillToken.Seconds())
 	}
 	engines := 0
 	for _, b := range c.BackendServers() {
@@ -155,49 +155,49 @@
 			engines++
 		}
 	}
-	return float64(engines) / each
+	return float64(engines) / secondsPerRequest
 }
 
 // Play makes one run.
-func Play(x Case) (Figures, error) {
-	c, err := load.Config(x.Document)
+func Play(c Case) (Figures, error) {
+	conf, err := load.Config(c.Document)
 	if err != nil {
 		return Figures{}, err
 	}
-	w := load.Workloads[x.Workload]
-	if x.Fault.Name == "burst" {
-		w.Burst, w.BurstEvery = 3, x.Length
+	w := load.Workloads[c.Workload]
+	if c.Fault.Name == "burst" {
+		w.Burst, w.BurstEvery = 3, c.Length
 	}
-	boxes := x.Boxes
-	if x.Policy.One {
+	boxes := c.Boxes
+	if c.Policy.SingleBox {
 		boxes = 1
 	}
 	var spaces []string
-	for _, d := range x.Document.Workspaces {
+	for _, d := range c.Document.Workspaces {
 		spaces = append(spaces, d.Name)
 	}
-	plan := load.Plan(w, c, spaces, x.Load*Capacity(w, c), x.Length, x.Boxes, x.Seed)
-	s := &sim{now: time.Unix(1_000_000, 0), conf: c, policy: x.Policy, servers: map[string]*simServer{}, rand: rand.New(rand.NewPCG(x.Seed, 3))}
-	s.end = s.now.Add(x.Length + afterwards)
-	for _, b := range c.BackendServers() {
+	plan := load.Plan(w, conf, spaces, c.Load*Capacity(w, conf), c.Length, c.Boxes, c.Seed)
+	s := &sim{now: time.Unix(1_000_000, 0), config: conf, policy: c.Policy, servers: map[string]*simServer{}, rand: rand.New(rand.NewPCG(c.Seed, 3))}
+	s.end = s.now.Add(c.Length + drainTime)
+	for _, b := range conf.BackendServers() {
 		s.servers[b.Name()] = s.newServer(b)
 	}
 	for i := range boxes {
 		s.boxes = append(s.boxes, s.newBox(i, boxes))
 	}
-	s.watch()
-	x.Fault.hurt(s, x.Length/3, 2*x.Length/3)
-	s.out = make([]outcome, len(plan))
+	s.startPolling()
+	c.Fault.inject(s, c.Length/3, 2*c.Length/3)
+	s.outcomes = make([]outcome, len(plan))
 	for i, a := range plan {
-		s.out[i].arrival = a
-		s.at(a.At, func() { s.balance(a).arrive(a, &s.out[i], s.now.Add(a.Pipeline.Deadline())) })
+		s.outcomes[i].arrival = a
+		s.scheduleAt(a.At, func() { s.pickBox(a).arrive(a, &s.outcomes[i], s.now.Add(a.Pipeline.Deadline())) })
 	}
 	s.run()
-	return s.figures(x.Length), nil
+	return s.summarize(c.Length), nil
 }
 
 // balance picks the box that the platform's balancer would, over those that live.
-func (s *sim) balance(a load.Arrival) *simBox {
+func (s *sim) pickBox(a load.Arrival) *simBox {
 	if b := s.boxes[a.Box%len(s.boxes)]; !b.dead {
 		return b
 	}
@@ -210,60 +210,60 @@
 }
 
 // figures sums a run. A request that never got its final answer counts as not attained.
-func (s *sim) figures(length time.Duration) Figures {
-	f := Figures{Requests: len(s.out), Refused: map[string]int{}, ByPipeline: map[string]float64{}}
+func (s *sim) summarize(length time.Duration) Figures {
+	f := Figures{Requests: len(s.outcomes), Refused: map[string]int{}, ByPipeline: map[string]float64{}}
 	count := map[string]float64{}
-	var weight, got, prompts, promptsIn, may, mayIn, must, mustOK, mustDone, mustIn, inTime float64
-	var firsts []time.Duration
-	for i := range s.out {
-		o := &s.out[i]
+	var weight, weightIn, prompts, promptIn, mayWait, mayWaitIn, mustFinish, mustAccepted, mustDone, mustIn, inTime float64
+	var firstOutputs []time.Duration
+	for i := range s.outcomes {
+		o := &s.outcomes[i]
 		p := o.arrival.Pipeline
 		whole := o.done && o.err == nil
-		in := whole && o.took <= p.Deadline()
+		inDeadline := whole && o.latency <= p.Deadline()
 		weight += p.Weight()
-		if in {
+		if inDeadline {
 			inTime++
-			got += p.Weight()
+			weightIn += p.Weight()
 		}
 		if p.Class() == config.Prompt {
 			prompts++
-			promptsIn += one(in)
-			if o.first > 0 {
-				firsts = append(firsts, o.first)
+			promptIn += boolToFloat(inDeadline)
+			if o.firstOutput > 0 {
+				firstOutputs = append(firstOutputs, o.firstOutput)
 			}
 		} else {
-			may++
-			mayIn += one(in)
+			mayWait++
+			mayWaitIn += boolToFloat(inDeadline)
 		}
 		count[p.Name()]++
-		f.ByPipeline[p.Name()] += one(in)
+		f.ByPipeline[p.Name()] += boolToFloat(inDeadline)
 		if o.err != nil {
 			f.Refused[p.Name()+" "+o.err.Code.String()]++
 		}
 		if p.MustFinish() {
-			must++
+			mustFinish++
 			accepted := o.err == nil || o.err.DidRun() != code.RanNo
-			mustOK += one(accepted)
-			mustDone += one(whole)
-			mustIn += one(in)
+			mustAccepted += boolToFloat(accepted)
+			mustDone += boolToFloat(whole)
+			mustIn += boolToFloat(inDeadline)
 		}
 	}
 	for name, n := range count {
 		f.ByPipeline[name] /= n
 	}
-	f.Attainment, f.Weighted = ratio(inTime, float64(len(s.out))), ratio(got, weight)
-	f.Prompt, f.MayWait = ratio(promptsIn, prompts), ratio(mayIn, may)
+	f.Attainment, f.Weighted = ratio(inTime, float64(len(s.outcomes))), ratio(weightIn, weight)
+	f.Prompt, f.MayWait = ratio(promptIn, prompts), ratio(mayWaitIn, mayWait)
 	f.Goodput = inTime / length.Seconds()
-	f.Accepted, f.MustFinished, f.MustInTime = ratio(mustOK, must), ratio(mustDone, mustOK), ratio(mustIn, mustOK)
-	s.costs(&f, inTime)
-	if len(firsts) > 0 {
-		sort.Slice(firsts, func(i, j int) bool { return firsts[i] < firsts[j] })
-		f.First95 = firsts[len(firsts)*95/100]
+	f.Accepted, f.MustFinished, f.MustInTime = ratio(mustAccepted, mustFinish), ratio(mustDone, mustAccepted), ratio(mustIn, mustAccepted)
+	s.addCosts(&f, inTime)
+	if len(firstOutputs) > 0 {
+		sort.Slice(firstOutputs, func(i, j int) bool { return firstOutputs[i] < firstOutputs[j] })
+		f.First95 = firstOutputs[len(firstOutputs)*95/100]
 	}
 	return f
 }
 
-func (s *sim) costs(f *Figures, inTime float64) {
+func (s *sim) addCosts(f *Figures, inTime float64) {
 	var total, wasted time.Duration
 	var cached, computed int
 	for _, b := range s.boxes {
@@ -279,7 +279,7 @@
 	f.SecondsEach = ratio(total.Seconds(), inTime)
 }
 
-func one(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/src/experiment/server.go
+++ b/src/experiment/server.go
@@ -15,7 +15,7 @@
 type simCall struct {
 	id        core.Attempt
 	input     []byte
-	held      int // bytes of output the box has already
+	received  int // bytes of output the box has already
 	stage     *config.Stage
 	limit     int
 	priority  int
@@ -25,55 +25,55 @@
 
 // simServer is one engine (a cost model) or one plain service (slots and a queue).
 type simServer struct {
-	s      *sim
-	cfg    *config.BackendServer
-	down   bool
-	fails  bool
-	slow   float64
-	model  *standin.Model
-	calls  map[string]*simJob
-	queue  []simCall
-	busy   int
-	seq    uint64
-	report core.Report
-	events []core.CacheEvent
-	evSeq  uint64
+	s          *sim
+	cfg        *config.BackendServer
+	down       bool
+	failing    bool
+	slowFactor float64
+	model      *standin.EngineModel
+	calls      map[string]*simJob
+	queue      []simCall
+	busy       int
+	seq        uint64
+	report     core.Report
+	events     []core.CacheEvent
+	eventSeq   uint64
 }
 
 type simJob struct {
-	call simCall
-	made int // bytes
-	base int
+	call      simCall
+	generated int // bytes
+	offset    int
 }
 
 func (s *sim) newServer(cfg *config.BackendServer) *simServer {
-	v := &simServer{s: s, cfg: cfg, slow: 1, calls: map[string]*simJob{}}
+	v := &simServer{s: s, cfg: cfg, slowFactor: 1, calls: map[string]*simJob{}}
 	if cfg.Model() != "" {
-		v.model = standin.NewModel(standin.DefaultEngineCost(cfg.Slots()))
+		v.model = standin.NewEngineModel(standin.DefaultEngineCost(cfg.Slots()))
 	}
 	return v
 }
 
 // renew makes a new report, again and again.
-func (v *simServer) renew() {
+func (v *simServer) renewReport() {
 	v.seq++
 	v.report = core.Report{Incarnation: 1, Seq: v.seq, Running: v.busy, Waiting: len(v.queue), Slots: v.cfg.Slots(), Model: v.cfg.Model()}
 	if v.model != nil {
 		v.report.Running, v.report.Waiting = v.model.Load()
 		if stored, removed := v.model.TakeEvents(); len(stored)+len(removed) > 0 {
-			v.evSeq++
-			if v.evSeq%11 != 0 { // some events are lost
-				v.events = append(v.events, core.CacheEvent{Seq: v.evSeq, Stored: stored, Removed: removed})
+			v.eventSeq++
+			if v.eventSeq%11 != 0 { // some events are lost
+				v.events = append(v.events, core.CacheEvent{Seq: v.eventSeq, Stored: stored, Removed: removed})
 			}
 			if len(v.events) > 64 {
 				v.events = v.events[32:]
 			}
 		}
 	}
-	v.s.after(reportEvery, v.renew)
+	v.s.schedule(reportInterval, v.renewReport)
 }
 
-func (v *simServer) takeEvents(after uint64) []core.CacheEvent {
+func (v *simServer) eventsAfter(after uint64) []core.CacheEvent {
 	for i, e := range v.events {
 		if e.Seq > after {
 			return v.events[i:]
@@ -82,35 +82,35 @@
 	return nil
 }
 
-func (v *simServer) take(c simCall) {
-	if v.down || v.fails {
+func (v *simServer) accept(c simCall) {
+	if v.down || v.failing {
 		c.reply(core.Failed{Attempt: c.id, Failure: core.Broken})
 		return
 	}
 	if v.model == nil {
 		v.queue = append(v.queue, c)
-		v.serve()
+		v.startQueued()
 		return
 	}
 	id := c.id.Wire(core.BoxID{Name: "sim"})
-	start := c.held / standin.TokenBytes
+	start := c.received / standin.TokenBytes
 	total := standin.TokenCount(c.input, c.limit)
-	v.calls[id] = &simJob{call: c, base: c.held}
-	v.model.Slow = v.slow
+	v.calls[id] = &simJob{call: c, offset: c.received}
+	v.model.SlowFactor = v.slowFactor
 	v.model.Submit(v.s.now, standin.Job{
-		ID: id, Prompt: (len(c.input)+c.held)/standin.TokenBytes + 1, Tokens: max(1, total-start),
+		ID: id, Prompt: (len(c.input)+c.received)/standin.TokenBytes + 1, Tokens: max(1, total-start),
 		Priority: c.priority, Prefix: core.PrefixBlocks(c.workspace, c.input),
 	})
-	v.wake()
+	v.scheduleStep()
 }
 
 // wake sees to the end of the model's step under way.
-func (v *simServer) wake() {
+func (v *simServer) scheduleStep() {
 	at, busy := v.model.Next()
 	if !busy {
 		return
 	}
-	v.s.after(at.Sub(v.s.now), func() {
+	v.s.schedule(at.Sub(v.s.now), func() {
 		if next, busy := v.model.Next(); !busy || !next.Equal(at) || v.s.now.Before(at) {
 			return
 		}
@@ -119,36 +119,36 @@
 }
 
 func (v *simServer) step() {
-	v.model.Slow = v.slow
+	v.model.SlowFactor = v.slowFactor
 	for _, o := range v.model.Step(v.s.now) {
 		j := v.calls[o.ID]
 		if j == nil {
 			continue
 		}
 		if o.Token {
-			text := standin.Token(j.call.input, (j.base+j.made)/standin.TokenBytes)
-			j.call.reply(core.Chunk{Attempt: j.call.id, Offset: j.base + j.made, Data: []byte(text)})
-			j.made += len(text)
+			text := standin.Token(j.call.input, (j.offset+j.generated)/standin.TokenBytes)
+			j.call.reply(core.Chunk{Attempt: j.call.id, Offset: j.offset + j.generated, Data: []byte(text)})
+			j.generated += len(text)
 		}
 		if o.Done {
 			delete(v.calls, o.ID)
-			j.call.reply(core.Done{Attempt: j.call.id, Length: j.base + j.made, Stream: true, Use: o.Use})
+			j.call.reply(core.Done{Attempt: j.call.id, Length: j.offset + j.generated, Stream: true, Use: o.Use})
 		}
 	}
-	v.wake()
+	v.scheduleStep()
 }
 
 // serve starts queued calls of a plain service while slots are free.
-func (v *simServer) serve() {
+func (v *simServer) startQueued() {
 	for v.busy < v.cfg.Slots() && len(v.queue) > 0 {
 		c := v.queue[0]
 		v.queue = v.queue[1:]
 		v.busy++
-		took := time.Duration(v.slow * float64(serviceTime))
-		v.s.after(took, func() {
+		duration := time.Duration(v.slowFactor * float64(serviceTime))
+		v.s.schedule(duration, func() {
 			v.busy--
-			c.reply(core.Done{Attempt: c.id, Output: standin.Served(string(c.stage.Kind()), c.input), Use: core.Use{Engine: took}})
-			v.serve()
+			c.reply(core.Done{Attempt: c.id, Output: standin.ServiceOutput(string(c.stage.Kind()), c.input), Use: core.Use{Engine: duration}})
+			v.startQueued()
 		})
 	}
 }
@@ -162,14 +162,14 @@
 }
 
 // fall loses the server: what runs there is broken off.
-func (v *simServer) fall() {
+func (v *simServer) crash() {
 	v.down = true
 	for _, j := range v.calls {
 		j.call.reply(core.Failed{Attempt: j.call.id, Failure: core.Broken})
 	}
 	v.calls = map[string]*simJob{}
 	if v.model != nil {
-		v.model = standin.NewModel(v.model.Cost)
+		v.model = standin.NewEngineModel(v.model.Cost)
 	}
 	for _, c := range v.queue {
 		c.reply(core.Failed{Attempt: c.id, Failure: core.Broken})
--- a/src/experiment/sim.go
+++ b/src/experiment/sim.go
@@ -18,36 +18,36 @@
 
 // The paces and delays of the simulated surroundings.
 const (
-	reportEvery = 250 * time.Millisecond // a box asks, and a server renews its report
-	beatEvery   = core.NewsEvery
-	nearDelay   = 100 * time.Microsecond // one way inside a failure domain
-	farDelay    = 500 * time.Microsecond // one way between failure domains
-	afterwards  = 90 * time.Second       // time for what is running to end
+	reportInterval    = 250 * time.Millisecond // a box asks, and a server renews its report
+	broadcastInterval = core.NewsEvery
+	sameDomainDelay   = 100 * time.Microsecond // one way inside a failure domain
+	crossDomainDelay  = 500 * time.Microsecond // one way between failure domains
+	drainTime         = 90 * time.Second       // time for what is running to end
 )
 
 // timed is something that happens at a moment; moments are ordered, then by when they were set.
-type timed struct {
+type scheduledEvent struct {
 	at  time.Time
 	seq int
-	do  func()
+	run func()
 }
 
-type timeline []timed
+type eventQueue []scheduledEvent
 
-func (t timeline) Len() int { return len(t) }
-func (t timeline) Less(i, j int) bool {
+func (t eventQueue) Len() int { return len(t) }
+func (t eventQueue) Less(i, j int) bool {
 	if !t[i].at.Equal(t[j].at) {
 		return t[i].at.Before(t[j].at)
 	}
 	return t[i].seq < t[j].seq
 }
-func (t timeline) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+func (t eventQueue) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
 
 // Push implements heap.Interface.
-func (t *timeline) Push(x any) { *t = append(*t, x.(timed)) }
+func (t *eventQueue) Push(x any) { *t = append(*t, x.(scheduledEvent)) }
 
 // Pop implements heap.Interface.
-func (t *timeline) Pop() any {
+func (t *eventQueue) Pop() any {
 	old := *t
 	x := old[len(old)-1]
 	*t = old[:len(old)-1]
@@ -56,82 +56,82 @@
 
 // sim is one run of one policy.
 type sim struct {
-	now     time.Time
-	seq     int
-	events  timeline
-	conf    *config.Config
-	policy  Policy
-	boxes   []*simBox
-	servers map[string]*simServer
-	out     []outcome
-	rand    *rand.Rand
-	end     time.Time
+	now      time.Time
+	seq      int
+	events   eventQueue
+	config   *config.Config
+	policy   Policy
+	boxes    []*simBox
+	servers  map[string]*simServer
+	outcomes []outcome
+	rand     *rand.Rand
+	end      time.Time
 }
 
 // outcome is what became of one arrival.
 type outcome struct {
-	arrival load.Arrival
-	came    time.Time
-	err     *code.Error
-	took    time.Duration
-	first   time.Duration
-	done    bool
+	arrival     load.Arrival
+	arrivedAt   time.Time
+	err         *code.Error
+	latency     time.Duration
+	firstOutput time.Duration
+	done        bool
 }
 
-func (s *sim) after(d time.Duration, do func()) {
+func (s *sim) schedule(d time.Duration, do func()) {
 	s.seq++
-	heap.Push(&s.events, timed{at: s.now.Add(d), seq: s.seq, do: do})
+	heap.Push(&s.events, scheduledEvent{at: s.now.Add(d), seq: s.seq, run: do})
 }
 
 // run plays the timeline to its end.
 func (s *sim) run() {
 	for len(s.events) > 0 {
-		e := heap.Pop(&s.events).(timed)
+		e := heap.Pop(&s.events).(scheduledEvent)
 		if e.at.After(s.end) {
 			return
 		}
 		s.now = e.at
-		e.do()
+		e.run()
 	}
 }
 
 // simBox is one box: the core's parts and the requests that run on it.
 type simBox struct {
-	s       *sim
-	name    string
-	domain  int
-	dead    bool
-	pools   map[string]*core.Pool
-	order   []string // of the pools, so that a seed always gives the same run
-	est     *core.Estimates
-	entries *core.Admission
-	cost    *core.Cost
-	waiting map[core.Attempt]*simFlight
-	flights map[int]*simFlight // running, by arrival
+	s         *sim
+	name      string
+	domain    int
+	dead      bool
+	pools     map[string]*core.Pool
+	poolNames []string // of the pools, so that a seed always gives the same run
+	estimates *core.Estimates
+	admission *core.Admission
+	cost      *core.Cost
+	waiting   map[core.Attempt]*simRequest
+	requests  map[int]*simRequest // running, by arrival
 }
 
 // simFlight is one request on a box.
-type simFlight struct {
-	box   *simBox
-	req   *core.Request
-	begun time.Time
-	out   *outcome
-	sent  map[core.Attempt]time.Time
-	at    map[core.Attempt]string // servers of the calls under way
+type simRequest struct {
+	box       *simBox
+	req       *core.Request
+	startedAt time.Time
+	outcome   *outcome
+	sentAt    map[core.Attempt]time.Time
+	servers   map[core.Attempt]string // servers of the calls under way
 }
 
 func (s *sim) newBox(i, boxes int) *simBox {
-	domains := s.conf.FailureDomains()
+	domains := s.config.FailureDomains()
 	b := &simBox{
 		s: s, name: fmt.Sprintf("box-%d", i+1), domain: i % len(domains), pools: map[string]*core.Pool{},
-		est: core.NewEstimates(), entries: core.NewAdmission(), cost: core.NewCost(), waiting: map[core.Attempt]*simFlight{}, flights: map[int]*simFlight{},
+		estimates: core.NewEstimates(), admission: core.NewAdmission(), cost: core.NewCost(), waiting: map[core.Attempt]*simRequest{}, requests: map[int]*simRequest{},
 	}
-	b.entries.Off = s.policy.NoAdmission
-	b.entries.Boxes = func() int { return boxes }
-	for name, list := range s.conf.Pools() {
+	b.admission.Off = s.policy.NoAdmission
+	b.admission.Boxes = func() int { return boxes }
+	for name, list := range s.config.Pools() {
 		p := core.NewPool(name)
 		p.Self, p.Domain, p.Region = b.name, b.domain, domains[b.domain].Region()
-		p.Estimates = b.est
+		p.Estimates = b.estimates
 		p.Placement = s.policy.Placement
 		p.NoAdmission = s.policy.NoAdmission
 		p.SetServers(list)
@@ -139,19 +139,19 @@
 			p.SetUsers(v.Name(), boxes)
 		}
 		b.pools[name] = p
-		b.order = append(b.order, name)
+		b.poolNames = append(b.poolNames, name)
 	}
-	sort.Strings(b.order)
+	sort.Strings(b.poolNames)
 	return b
 }
 
 // noticed is how long the boxes take to know that one of them is gone.
-const noticed = 5 * time.Second
+const failureDetectionTime = 5 * time.Second
 
 // forget has a box count on one box fewer at every server.
-func (b *simBox) forget(gone string, users int) {
+func (b *simBox) removePeer(peer string, users int) {
 	for _, p := range b.pools {
-		p.ForgetPeer(gone)
+		p.ForgetPeer(peer)
 		for _, name := range p.Servers() {
 			p.SetUsers(name, users)
 		}
@@ -159,31 +159,31 @@
 }
 
 // reconnect is how long callers take to notice that their box is gone and reach another.
-const reconnect = 200 * time.Millisecond
+const reconnectDelay = 200 * time.Millisecond
 
 // die loses the box. Its callers come back with the same key at another box, with the time they have
 // left; a request that may not be repeated has no other home.
-func (b *simBox) die() {
+func (b *simBox) crash() {
 	b.dead = true
 	s := b.s
-	s.after(noticed, func() {
+	s.schedule(failureDetectionTime, func() {
 		for _, o := range s.boxes {
-			o.forget(b.name, len(s.boxes)-1)
+			o.removePeer(b.name, len(s.boxes)-1)
 		}
 	})
-	for n := range s.out {
-		f := b.flights[n]
-		if f == nil {
+	for n := range s.outcomes {
+		r := b.requests[n]
+		if r == nil {
 			continue
 		}
-		for id, server := range f.at {
+		for id, server := range r.servers {
 			s.servers[server].cancel(id) // its connections close
 		}
-		if f.req.Pipeline().Once() {
-			f.out.err, f.out.done = code.New(code.OutcomeUnknown, "", "the box is gone"), true
+		if r.req.Pipeline().Once() {
+			r.outcome.err, r.outcome.done = code.New(code.OutcomeUnknown, "", "the box is gone"), true
 			continue
 		}
-		s.after(reconnect, func() { s.balance(f.out.arrival).arrive(f.out.arrival, f.out, f.req.Deadline()) })
+		s.schedule(reconnectDelay, func() { s.pickBox(r.outcome.arrival).arrive(r.outcome.arrival, r.outcome, r.req.Deadline()) })
 	}
 }
 
@@ -191,24 +191,24 @@
 func (b *simBox) arrive(a load.Arrival, out *outcome, deadline time.Time) {
 	s := b.s
 	key := core.Key{ID: core.MintID(s.now, s.random())}
-	w := s.conf.Workspace(a.Workspace)
-	if out.came.IsZero() {
-		out.came = s.now
+	w := s.config.Workspace(a.Workspace)
+	if out.arrivedAt.IsZero() {
+		out.arrivedAt = s.now
 	}
-	waits := func(st *config.Stage, c config.Class, d time.Time) time.Duration {
+	estimateWait := func(st *config.Stage, c config.Class, d time.Time) time.Duration {
 		return b.pools[st.Pool()].WaitFor(s.now, c, d)
 	}
-	if err := b.entries.Enter(s.now, w, a.Pipeline, deadline, b.est, waits); err != nil {
+	if err := b.admission.Enter(s.now, w, a.Pipeline, deadline, b.estimates, estimateWait); err != nil {
 		out.err, out.done = err, true
 		return
 	}
-	f := &simFlight{
-		box: b, begun: s.now, out: out, sent: map[core.Attempt]time.Time{}, at: map[core.Attempt]string{},
-		req: core.NewRequest(key, w, a.Pipeline, a.Input, deadline, 0, b.est),
+	r := &simRequest{
+		box: b, startedAt: s.now, outcome: out, sentAt: map[core.Attempt]time.Time{}, servers: map[core.Attempt]string{},
+		req: core.NewRequest(key, w, a.Pipeline, a.Input, deadline, 0, b.estimates),
 	}
-	b.flights[a.N] = f
-	s.after(f.req.GiveUp(s.now).Sub(s.now), func() { f.post(core.DeadlineOver{}) })
-	f.post(core.Begin{})
+	b.requests[a.N] = r
+	s.schedule(r.req.GiveUp(s.now).Sub(s.now), func() { r.handle(core.DeadlineOver{}) })
+	r.handle(core.Begin{})
 }
 
 func (s *sim) random() [16]byte {
@@ -219,148 +219,148 @@
 	return r
 }
 
-func (f *simFlight) post(ev core.Event) {
-	if f.box.dead {
+func (r *simRequest) handle(ev core.Event) {
+	if r.box.dead {
 		return
 	}
-	for _, a := range f.req.Step(f.box.s.now, ev) {
-		f.do(a)
+	for _, a := range r.req.Step(r.box.s.now, ev) {
+		r.perform(a)
 	}
 }
 
-func (f *simFlight) do(a core.Action) {
-	b, s := f.box, f.box.s
+func (r *simRequest) perform(a core.Action) {
+	b, s := r.box, r.box.s
 	switch a := a.(type) {
 	case core.Enqueue:
-		f.enqueue(a.Call)
+		r.enqueue(a.Call)
 	case core.Withdraw:
 		b.pools[a.Pool].Withdraw(a.Attempt)
 		delete(b.waiting, a.Attempt)
 	case core.Release:
 		b.pools[a.Pool].Release(a.Attempt, a.Server)
-		b.pumpSoon(a.Pool)
+		b.schedulePlacement(a.Pool)
 	case core.Send:
-		f.send(a)
+		r.send(a)
 	case core.Stop:
 		server := s.servers[a.Server]
-		s.after(s.delay(b, server), func() { server.cancel(a.Attempt) })
+		s.schedule(s.linkDelay(b, server), func() { server.cancel(a.Attempt) })
 	case core.ArmHedge:
-		s.after(a.After, func() { f.post(core.HedgeDue{Attempt: a.Attempt}) })
+		s.schedule(a.After, func() { r.handle(core.HedgeDue{Attempt: a.Attempt}) })
 	case core.Pause:
-		s.after(a.After, func() { f.post(core.PauseOver{}) })
+		s.schedule(a.After, func() { r.handle(core.PauseOver{}) })
 	case core.Emit:
-		if f.out.first == 0 {
-			f.out.first = s.now.Sub(f.out.came)
+		if r.outcome.firstOutput == 0 {
+			r.outcome.firstOutput = s.now.Sub(r.outcome.arrivedAt)
 		}
 	case core.Settle:
-		delete(f.at, a.Attempt)
+		delete(r.servers, a.Attempt)
 		b.pools[a.Pool].Done(s.now, a.Attempt, a.Server, a.Failure, a.Use, a.Wasted)
-		stage := f.req.Pipeline().Stages()[a.Attempt.Stage]
-		b.cost.Add(f.req.Pipeline(), stage, a.Attempt.N, a.Use, s.now.Sub(f.sent[a.Attempt]), a.Wasted)
-		b.pumpSoon(a.Pool)
+		stage := r.req.Pipeline().Stages()[a.Attempt.Stage]
+		b.cost.Add(r.req.Pipeline(), stage, a.Attempt.N, a.Use, s.now.Sub(r.sentAt[a.Attempt]), a.Wasted)
+		b.schedulePlacement(a.Pool)
 	case core.Finish:
-		f.out.err, f.out.done, f.out.took = a.Err, true, s.now.Sub(f.out.came)
-		delete(b.flights, f.out.arrival.N)
-		b.entries.Leave(f.req.Workspace().Name())
+		r.outcome.err, r.outcome.done, r.outcome.latency = a.Err, true, s.now.Sub(r.outcome.arrivedAt)
+		delete(b.requests, r.outcome.arrival.N)
+		b.admission.Leave(r.req.Workspace().Name())
 	}
 }
 
-func (f *simFlight) enqueue(c *core.Call) {
-	b := f.box
+func (r *simRequest) enqueue(c *core.Call) {
+	b := r.box
 	if err := b.pools[c.Stage.Pool()].Push(b.s.now, c); err != nil {
-		b.s.after(0, func() { f.post(core.Refused{Attempt: c.Attempt, Err: err}) })
+		b.s.schedule(0, func() { r.handle(core.Refused{Attempt: c.Attempt, Err: err}) })
 		return
 	}
-	b.waiting[c.Attempt] = f
-	b.pumpSoon(c.Stage.Pool())
+	b.waiting[c.Attempt] = r
+	b.schedulePlacement(c.Stage.Pool())
 }
 
 // pumpSoon places calls after the event under way, as the shell does on another goroutine.
-func (b *simBox) pumpSoon(pool string) {
-	b.s.after(0, func() { b.pump(pool) })
+func (b *simBox) schedulePlacement(pool string) {
+	b.s.schedule(0, func() { b.placeCalls(pool) })
 }
 
-func (b *simBox) pump(pool string) {
+func (b *simBox) placeCalls(pool string) {
 	if b.dead {
 		return
 	}
 	grants, drops := b.pools[pool].Next(b.s.now)
 	for _, g := range grants {
-		f := b.waiting[g.Call.Attempt]
+		r := b.waiting[g.Call.Attempt]
 		delete(b.waiting, g.Call.Attempt)
-		f.post(core.Granted{Attempt: g.Call.Attempt, Server: g.Server, Waited: b.s.now.Sub(g.Call.Enqueued)})
+		r.handle(core.Granted{Attempt: g.Call.Attempt, Server: g.Server, Waited: b.s.now.Sub(g.Call.Enqueued)})
 	}
 	for _, d := range drops {
-		f := b.waiting[d.Call.Attempt]
+		r := b.waiting[d.Call.Attempt]
 		delete(b.waiting, d.Call.Attempt)
-		f.post(core.Refused{Attempt: d.Call.Attempt, Err: d.Err})
+		r.handle(core.Refused{Attempt: d.Call.Attempt, Err: d.Err})
 	}
 }
 
 // send carries a call to its server and its end back.
-func (f *simFlight) send(a core.Send) {
-	b, s := f.box, f.box.s
+func (r *simRequest) send(a core.Send) {
+	b, s := r.box, r.box.s
 	server := s.servers[a.Server]
-	delay := s.delay(b, server)
-	f.sent[a.Attempt] = s.now
-	f.at[a.Attempt] = a.Server
-	stage := f.req.Pipeline().Stages()[a.Attempt.Stage]
+	delay := s.linkDelay(b, server)
+	r.sentAt[a.Attempt] = s.now
+	r.servers[a.Attempt] = a.Server
+	stage := r.req.Pipeline().Stages()[a.Attempt.Stage]
 	if server.down {
-		s.after(delay, func() { f.post(core.Failed{Attempt: a.Attempt, Failure: core.NotSent}) })
+		s.schedule(delay, func() { r.handle(core.Failed{Attempt: a.Attempt, Failure: core.NotSent}) })
 		return
 	}
 	if stage.Kind() != config.Generate {
-		s.after(f.req.CallLimit(s.now, f.begun, a.Attempt), func() {
-			f.post(core.Failed{Attempt: a.Attempt, Failure: core.TimedOut})
+		s.schedule(r.req.CallLimit(s.now, r.startedAt, a.Attempt), func() {
+			r.handle(core.Failed{Attempt: a.Attempt, Failure: core.TimedOut})
 		})
 	}
 	c := simCall{
-		id: a.Attempt, input: a.Input, held: len(a.Continue), stage: stage,
-		limit: f.req.TokenLimit(stage), priority: core.ServerPriority(f.req.Pipeline().Class(), f.req.Deadline()), workspace: f.req.Workspace().Name(),
+		id: a.Attempt, input: a.Input, received: len(a.Continue), stage: stage,
+		limit: r.req.TokenLimit(stage), priority: core.ServerPriority(r.req.Pipeline().Class(), r.req.Deadline()), workspace: r.req.Workspace().Name(),
 		reply: func(ev core.Event) {
 			if d, ok := ev.(core.Done); ok && d.Stream {
-				b.est.LearnTokens(s.now, f.req.Pipeline(), stage, d.Length/4, stage.MaxTokens())
+				b.estimates.LearnTokens(s.now, r.req.Pipeline(), stage, d.Length/4, stage.MaxTokens())
 			}
-			s.after(delay, func() { f.post(ev) })
+			s.schedule(delay, func() { r.handle(ev) })
 		},
 	}
-	s.after(delay, func() { server.take(c) })
+	s.schedule(delay, func() { server.accept(c) })
 }
 
-func (s *sim) delay(b *simBox, v *simServer) time.Duration {
+func (s *sim) linkDelay(b *simBox, v *simServer) time.Duration {
 	if v.cfg.Domain() == b.domain {
-		return nearDelay
+		return sameDomainDelay
 	}
-	return farDelay
+	return crossDomainDelay
 }
 
 // watch has every box ask for reports and hear the others' notes, at their paces.
-func (s *sim) watch() {
-	for _, v := range s.sorted() {
-		v.renew()
+func (s *sim) startPolling() {
+	for _, v := range s.sortedServers() {
+		v.renewReport()
 	}
 	var poll, beat func()
 	poll = func() {
 		for _, b := range s.boxes {
-			b.takeReports()
+			b.collectReports()
 		}
-		s.after(reportEvery, poll)
+		s.schedule(reportInterval, poll)
 	}
 	beat = func() {
 		for _, b := range s.boxes {
-			b.tell()
+			b.sendLoads()
 		}
-		s.after(beatEvery, beat)
+		s.schedule(broadcastInterval, beat)
 	}
-	s.after(reportEvery, poll)
-	s.after(beatEvery, beat)
+	s.schedule(reportInterval, poll)
+	s.schedule(broadcastInterval, beat)
 }
 
-func (b *simBox) takeReports() {
+func (b *simBox) collectReports() {
 	if b.dead {
 		return
 	}
-	for _, name := range b.order {
+	for _, name := range b.poolNames {
 		p := b.pools[name]
 		for _, server := range p.Servers() {
 			v := b.s.servers[server]
@@ -369,18 +369,18 @@
 				continue
 			}
 			p.Report(b.s.now, server, v.report)
-			p.Events(server, v.takeEvents(p.LastEvent(server)))
+			p.Events(server, v.eventsAfter(p.LastEvent(server)))
 		}
-		b.pump(name)
+		b.placeCalls(name)
 	}
 }
 
 // tell gives the other boxes this box's in-flight counts.
-func (b *simBox) tell() {
+func (b *simBox) sendLoads() {
 	if b.dead {
 		return
 	}
-	for _, name := range b.order {
+	for _, name := range b.poolNames {
 		for _, v := range b.pools[name].View(b.s.now) {
 			for _, o := range b.s.boxes {
 				if o != b && !o.dead {
--- a/src/experiment/table.go
+++ b/src/experiment/table.go
@@ -17,7 +17,7 @@
 }
 
 // Spread gives the mean of a figure and half the distance between its least and greatest.
-func (r Row) Spread(get func(Figures) float64) (mean, half float64) {
+func (r Row) Spread(get func(Figures) float64) (mean, halfRange float64) {
 	lo, hi := math.Inf(1), math.Inf(-1)
 	for _, f := range r.Runs {
 		v := get(f)
--- a/src/faults/caller_test.go
+++ b/src/faults/caller_test.go
@@ -16,16 +16,16 @@
 
 // answer is what a caller got.
 type answer struct {
-	key   string
-	input []byte
-	pipe  string
-	code  code.Code
-	ran   code.Ran
-	data  []byte
-	token string
-	box   core.BoxID
-	cut   bool // the connection to the box broke before the end
-	out   bool // a piece was out of place
+	key       string
+	input     []byte
+	pipeline  string
+	code      code.Code
+	ran       code.Ran
+	data      []byte
+	token     string
+	box       core.BoxID
+	cut       bool // the connection to the box broke before the end
+	misplaced bool // a piece was out of place
 }
 
 func (f *fleet) newKey() string {
@@ -38,7 +38,7 @@
 
 // send is a caller: it connects to a box and reads to the end, or until the box dies.
 func (f *fleet) send(name, pipeline, key string, input []byte) answer {
-	return f.read(name, answer{key: key, input: input, pipe: pipeline}, func(ctx context.Context, b *fakeBox, emit box.Emit) error {
+	return f.receive(name, answer{key: key, input: input, pipeline: pipeline}, func(ctx context.Context, b *fakeBox, emit box.Emit) error {
 		return b.Serve(ctx, box.Request{Workspace: "ws", Pipeline: pipeline, Key: key, Input: input}, emit)
 	})
 }
@@ -46,14 +46,14 @@
 // attach is a caller that comes back with a token.
 func (f *fleet) attach(name string, a answer, from int) answer {
 	a.data = a.data[:from]
-	return f.read(name, a, func(ctx context.Context, b *fakeBox, emit box.Emit) error {
+	return f.receive(name, a, func(ctx context.Context, b *fakeBox, emit box.Emit) error {
 		return b.Attach(ctx, "ws", a.token, from, emit)
 	})
 }
 
-func (f *fleet) read(name string, a answer, do func(context.Context, *fakeBox, box.Emit) error) answer {
+func (f *fleet) receive(name string, a answer, do func(context.Context, *fakeBox, box.Emit) error) answer {
 	a.code, a.ran, a.cut = code.OK, 0, false
-	t := f.target(name)
+	t := f.liveBox(name)
 	if t == nil {
 		a.cut = true
 		return a
@@ -61,10 +61,10 @@
 	a.box = t.ID
 	ctx, cancel := context.WithTimeout(t.ctx, 90*time.Second)
 	defer cancel()
-	t.gate()
+	t.waitWhilePaused()
 	ended := false
 	err := do(ctx, t, func(e port.ForwardEvent) error {
-		t.gate()
+		t.waitWhilePaused()
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
@@ -74,13 +74,13 @@
 			f.mu.Lock()
 			f.tokens[a.key] = a.token
 			f.mu.Unlock()
-			f.step("accepted", f.target(e.Accepted.Token.Holder.Name), "", port.CallRequest{Attempt: a.key})
+			f.reached("accepted", f.liveBox(e.Accepted.Token.Holder.Name), "", port.CallRequest{Attempt: a.key})
 		case e.Chunk != nil:
-			a.out = a.out || e.Chunk.Offset != len(a.data)
+			a.misplaced = a.misplaced || e.Chunk.Offset != len(a.data)
 			a.data = append(a.data, e.Chunk.Data...)
 		case e.End != nil:
 			ended = true
-			f.step("delivered", t, "", port.CallRequest{Attempt: a.key})
+			f.reached("delivered", t, "", port.CallRequest{Attempt: a.key})
 			if e.End.Err != nil {
 				a.code, a.ran = e.End.Err.Code, e.End.Err.DidRun()
 			}
@@ -117,33 +117,33 @@
 }
 
 // broken says which promise an answer broke, or "".
-func (f *fleet) broken(a answer) string {
+func (f *fleet) violation(a answer) string {
 	by := core.BoxID{}
-	if a.pipe != "receipt" {
+	if a.pipeline != "receipt" {
 		by = a.box // a repeatable request's answer speaks of its own copy
 	}
 	all, once := f.runs(a.key, by)
-	whole := standin.Whole(f.conf.Pipeline(a.pipe), a.input, 0)
+	want := standin.Whole(f.config.Pipeline(a.pipeline), a.input, 0)
 	switch {
-	case a.out:
+	case a.misplaced:
 		return "a piece of the answer was out of place"
 	case once > 1:
 		return fmt.Sprintf("a call that may not be repeated ran %d times", once)
 	case a.cut:
 		return ""
-	case a.code == code.OK && !bytes.Equal(a.data, whole):
-		return fmt.Sprintf("the answer is not the request's own: %d bytes, want %d", len(a.data), len(whole))
-	case a.code == code.OK && a.pipe == "receipt" && once != 1:
+	case a.code == code.OK && !bytes.Equal(a.data, want):
+		return fmt.Sprintf("the answer is not the request's own: %d bytes, want %d", len(a.data), len(want))
+	case a.code == code.OK && a.pipeline == "receipt" && once != 1:
 		return "answered whole, but the call did not run"
 	case a.code != code.OK && a.ran == code.RanNo && all > 0:
 		return fmt.Sprintf("%s said \"not run\" and %d calls ran", a.code, all)
 	case a.code != code.OK && a.ran == code.RanYes && all == 0:
 		return fmt.Sprintf("%s said \"ran\" and nothing ran", a.code)
-	case len(a.data) > 0 && !bytes.HasPrefix(whole, a.data):
+	case len(a.data) > 0 && !bytes.HasPrefix(want, a.data):
 		return "pieces of another answer"
 	}
 	return ""
 }
 
 // noBox asks runs for the calls of all boxes.
-var noBox core.BoxID
+var allBoxes core.BoxID
--- a/src/faults/crashing_test.go
+++ b/src/faults/crashing_test.go
@@ -18,68 +18,68 @@
 
 // crashes are servers that end when they get an input that holds "crash". For a time they refuse connections and give no
 // report, then they begin a new life.
-type crashes struct {
-	mu    sync.Mutex
-	down  map[string]time.Time // until when
-	lives map[string]uint64
-	gone  map[string]chan struct{} // closed at the end of the life
-	ended int
-	third time.Time
-	late  int
+type crashingServers struct {
+	mu         sync.Mutex
+	downUntil  map[string]time.Time // until when
+	restarts   map[string]uint64
+	exited     map[string]chan struct{} // closed at the end of the life
+	crashCount int
+	thirdCrash time.Time
+	lateSends  int
 }
 
 const (
-	crashAfter = 4 * time.Millisecond // less than any stage takes
-	downFor    = 3 * time.Second
-	lateAfter  = 3 * time.Second
-	lateMost   = 3
+	crashDelay    = 4 * time.Millisecond // less than any stage takes
+	downTime      = 3 * time.Second
+	lateSendAfter = 3 * time.Second
+	maxLateSends  = 3
 )
 
-func newCrashes() *crashes {
-	return &crashes{down: map[string]time.Time{}, lives: map[string]uint64{}, gone: map[string]chan struct{}{}}
+func newCrashingServers() *crashingServers {
+	return &crashingServers{downUntil: map[string]time.Time{}, restarts: map[string]uint64{}, exited: map[string]chan struct{}{}}
 }
 
 // begin lets a call in: it gives the life's end, nil when the server is down.
-func (c *crashes) begin(server string, r port.CallRequest) chan struct{} {
+func (c *crashingServers) begin(server string, r port.CallRequest) chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Now().Before(c.down[server]) {
+	if time.Now().Before(c.downUntil[server]) {
 		return nil
 	}
-	if c.gone[server] == nil {
-		c.gone[server] = make(chan struct{})
+	if c.exited[server] == nil {
+		c.exited[server] = make(chan struct{})
 	}
-	life := c.gone[server]
+	life := c.exited[server]
 	if bytes.Contains(r.Input, []byte("crash")) {
-		if !c.third.IsZero() && time.Since(c.third) > lateAfter {
-			c.late++
+		if !c.thirdCrash.IsZero() && time.Since(c.thirdCrash) > lateSendAfter {
+			c.lateSends++
 		}
-		time.AfterFunc(crashAfter, func() { c.end(server, life) })
+		time.AfterFunc(crashDelay, func() { c.crash(server, life) })
 	}
 	return life
 }
 
-func (c *crashes) end(server string, life chan struct{}) {
+func (c *crashingServers) crash(server string, life chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.gone[server] != life {
+	if c.exited[server] != life {
 		return
 	}
 	close(life)
-	c.gone[server] = nil
-	c.down[server] = time.Now().Add(downFor)
-	c.lives[server]++
-	if c.ended++; c.ended == 3 {
-		c.third = time.Now()
+	c.exited[server] = nil
+	c.downUntil[server] = time.Now().Add(downTime)
+	c.restarts[server]++
+	if c.crashCount++; c.crashCount == 3 {
+		c.thirdCrash = time.Now()
 	}
 }
 
 // report gives a report the incarnation of the server's life; false while it is down.
-func (c *crashes) report(server string, r core.Report) (core.Report, bool) {
+func (c *crashingServers) report(server string, r core.Report) (core.Report, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r.Incarnation += c.lives[server]
-	return r, !time.Now().Before(c.down[server])
+	r.Incarnation += c.restarts[server]
+	return r, !time.Now().Before(c.downUntil[server])
 }
 
 func TestWorkThatCrashesServersIsNotSentOn(t *testing.T) {
@@ -90,9 +90,9 @@
 		pipe := c.pipe
 		t.Run(fmt.Sprint(pipe, " before ", c.servers, " servers"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFleetBefore(t, 4, documentOf(c.servers))
-				defer f.end()
-				f.crashes = newCrashes()
+				f := newFleetWithDocument(t, 4, documentWithServers(c.servers))
+				defer f.shutdown()
+				f.crashing = newCrashingServers()
 				var all sync.WaitGroup
 				var last answer
 				for i := range 40 {
@@ -105,13 +105,13 @@
 					time.Sleep(500 * time.Millisecond)
 				}
 				all.Wait()
-				c := f.crashes
-				t.Logf("%d servers ended, %d sends late, the last try: %s %s", c.ended, c.late, last.code, last.ran)
-				if c.late > lateMost {
-					t.Errorf("sent %d times later than %s after the third server's end, want %d at most", c.late, lateAfter, lateMost)
+				c := f.crashing
+				t.Logf("%d servers ended, %d sends late, the last try: %s %s", c.crashCount, c.lateSends, last.code, last.ran)
+				if c.lateSends > maxLateSends {
+					t.Errorf("sent %d times later than %s after the third server's end, want %d at most", c.lateSends, lateSendAfter, maxLateSends)
 				}
-				if c.ended > 4 {
-					t.Errorf("%d servers ended, want 4 at most", c.ended)
+				if c.crashCount > 4 {
+					t.Errorf("%d servers ended, want 4 at most", c.crashCount)
 				}
 				if last.ran != code.RanNo {
 					t.Errorf("the last try ended with %s, ran %s", last.code, last.ran)
--- a/src/faults/fleet_test.go
+++ b/src/faults/fleet_test.go
@@ -23,31 +23,31 @@
 type fleet struct {
 	t        testing.TB
 	doc      *config.Document
-	conf     *config.Config
+	config   *config.Config
 	platform *standin.Platform
 	engines  map[string]*standin.Engine
 	services map[string]*standin.Service
 	cancel   context.CancelFunc
 	ctx      context.Context
 
-	mu        sync.Mutex
-	boxes     map[string]*fakeBox
-	cut       map[[2]string]bool
-	record    func(step string, who *fakeBox, server string, r port.CallRequest)
-	tokens    map[string]string
-	crashes   *crashes                                 // servers that a request may end; nil for none
-	turnsAway func(box, server string) *port.CallError // nil, or its nil, lets a call in
-	entropy   *rand.ChaCha8
-	hook      func(step string, who *fakeBox, server string, r port.CallRequest)
+	mu         sync.Mutex
+	boxes      map[string]*fakeBox
+	cut        map[[2]string]bool
+	record     func(step string, who *fakeBox, server string, r port.CallRequest)
+	tokens     map[string]string
+	crashing   *crashingServers                         // servers that a request may end; nil for none
+	rejectCall func(box, server string) *port.CallError // nil, or its nil, lets a call in
+	entropy    *rand.ChaCha8
+	hook       func(step string, who *fakeBox, server string, r port.CallRequest)
 }
 
 type fakeBox struct {
 	*box.Box
-	name   string
-	domain string
-	ctx    context.Context
-	kill   context.CancelFunc
-	skew   time.Duration
+	name      string
+	domain    string
+	ctx       context.Context
+	kill      context.CancelFunc
+	clockSkew time.Duration
 
 	mu     sync.Mutex
 	paused chan struct{}
@@ -58,13 +58,13 @@
 	dialTimeout = time.Second
 )
 
-var errLost = errors.New("connection lost")
+var errConnectionLost = errors.New("connection lost")
 
 // smallDocument is enough for every step: four pools, a record service, two engines.
-func smallDocument() *config.Document { return documentOf(2) }
+func smallDocument() *config.Document { return documentWithServers(2) }
 
 // documentOf has so many servers in each pool, in both failure domains by turns.
-func documentOf(servers int) *config.Document {
+func documentWithServers(servers int) *config.Document {
 	d := &config.Document{Version: 1, Models: []config.ModelDoc{{Name: "m", Version: "1"}}}
 	for _, n := range []string{"d1", "d2"} {
 		d.FailureDomains = append(d.FailureDomains, config.FailureDomainDoc{Name: n, Region: "r"})
@@ -100,10 +100,10 @@
 }
 
 // newFleet starts n boxes and waits until they are ready and settled as homes.
-func newFleet(t testing.TB, n int) *fleet { return newFleetBefore(t, n, smallDocument()) }
+func newFleet(t testing.TB, n int) *fleet { return newFleetWithDocument(t, n, smallDocument()) }
 
 // newFleetBefore starts n boxes before the servers of a document.
-func newFleetBefore(t testing.TB, n int, doc *config.Document) *fleet {
+func newFleetWithDocument(t testing.TB, n int, doc *config.Document) *fleet {
 	var seed [32]byte
 	copy(seed[:], t.Name())
 	f := &fleet{
@@ -122,17 +122,17 @@
 		f.engines[s.Name] = e
 		go e.Run(f.ctx)
 	}
-	f.publish()
+	f.publishConfig()
 	for i := range n {
-		f.start(fmt.Sprintf("b%d", i+1), f.doc.FailureDomains[i%2].Name)
+		f.startBox(fmt.Sprintf("b%d", i+1), f.doc.FailureDomains[i%2].Name)
 	}
-	f.list()
-	time.Sleep(settings("", "").AtMostOnce.Window() + 3*time.Second)
+	f.publishBoxes()
+	time.Sleep(testSettings("", "").AtMostOnce.Window() + 3*time.Second)
 	return f
 }
 
 // settings are short windows, so that a cell takes little virtual time.
-func settings(name, domain string) *config.Settings {
+func testSettings(name, domain string) *config.Settings {
 	s := config.DefaultSettings()
 	s.Box, s.FailureDomain = name, domain
 	s.Listen.Peers = name
@@ -143,7 +143,7 @@
 	return &s
 }
 
-func (f *fleet) publish() {
+func (f *fleet) publishConfig() {
 	raw, err := config.Marshal(f.doc)
 	if err != nil {
 		f.t.Fatal(err)
@@ -152,37 +152,37 @@
 	if len(faults) > 0 {
 		f.t.Fatal(faults)
 	}
-	f.conf = conf
+	f.config = conf
 	f.platform.Publish(raw)
 }
 
 // start begins a box; a name used before is a new incarnation.
-func (f *fleet) start(name, domain string) *fakeBox {
+func (f *fleet) startBox(name, domain string) *fakeBox {
 	b := &fakeBox{name: name, domain: domain}
 	b.ctx, b.kill = context.WithCancel(f.ctx)
 	id := core.BoxID{Name: name, Incarnation: uint64(time.Now().UnixNano())}
 	b.Box = &box.Box{
-		Settings: settings(name, domain), ID: id, Entropy: rand.NewChaCha8([32]byte([]byte(fmt.Sprintf("%-32s", name)))), Rand: rand.New(rand.NewPCG(id.Incarnation, uint64(len(name)))),
-		Wall: func() time.Time { return time.Now().Add(b.skew) },
-		Gate: b.gate,
+		Settings: testSettings(name, domain), ID: id, Entropy: rand.NewChaCha8([32]byte([]byte(fmt.Sprintf("%-32s", name)))), Rand: rand.New(rand.NewPCG(id.Incarnation, uint64(len(name)))),
+		Wall: func() time.Time { return time.Now().Add(b.clockSkew) },
+		Gate: b.waitWhilePaused,
 		Backends: port.Backends{
 			Call: func(ctx context.Context, s *config.BackendServer, r port.CallRequest, emit func(int, []byte)) (port.CallResult, *port.CallError) {
 				return f.call(ctx, b, s, r, emit)
 			},
 			Stop: func(_ context.Context, s *config.BackendServer, attempt string) {
-				if e := f.engines[s.Name()]; e != nil && f.joined(b, s.Name()) {
+				if e := f.engines[s.Name()]; e != nil && f.connected(b, s.Name()) {
 					e.Stop(attempt)
 				}
 			},
-			Load: func(_ context.Context, s *config.BackendServer) (core.Report, error) { return f.load(b, s) },
+			Load: func(_ context.Context, s *config.BackendServer) (core.Report, error) { return f.report(b, s) },
 			Events: func(_ context.Context, s *config.BackendServer, after uint64) ([]core.CacheEvent, error) {
 				return f.engines[s.Name()].Events(after), nil
 			},
 			Order: func(_ context.Context, s *config.BackendServer, o core.Order) error { return f.order(b, s, o) },
 		},
 		Platform: port.Platform{
-			Config: func(ctx context.Context) ([]byte, error) { b.gate(); return f.platform.Config(ctx) },
-			Boxes:  func(ctx context.Context) (port.BoxList, error) { b.gate(); return f.platform.Boxes(ctx) },
+			Config: func(ctx context.Context) ([]byte, error) { b.waitWhilePaused(); return f.platform.Config(ctx) },
+			Boxes:  func(ctx context.Context) (port.BoxList, error) { b.waitWhilePaused(); return f.platform.Boxes(ctx) },
 		},
 		Peers: port.Peers{
 			Beat: func(to string, m core.Beat) { f.beat(b, to, m) },
@@ -203,11 +203,11 @@
 }
 
 // list shows the living boxes on the platform's list.
-func (f *fleet) list() {
+func (f *fleet) publishBoxes() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var l []core.ListedBox
-	for _, n := range f.names() {
+	for _, n := range f.boxNames() {
 		if b := f.boxes[n]; b.ctx.Err() == nil {
 			l = append(l, core.ListedBox{Name: n, Address: n, FailureDomain: b.domain})
 		}
@@ -216,7 +216,7 @@
 }
 
 // names lists every box that ever was; the lock is held.
-func (f *fleet) names() []string {
+func (f *fleet) boxNames() []string {
 	var out []string
 	for n := range f.boxes {
 		out = append(out, n)
@@ -226,7 +226,7 @@
 }
 
 // end stops everything, so that the bubble can close.
-func (f *fleet) end() {
+func (f *fleet) shutdown() {
 	f.mu.Lock()
 	boxes := f.boxes
 	f.mu.Unlock()
@@ -246,7 +246,7 @@
 	time.Sleep(2 * time.Minute)
 }
 
-func (b *fakeBox) gate() {
+func (b *fakeBox) waitWhilePaused() {
 	b.mu.Lock()
 	p := b.paused
 	b.mu.Unlock()
@@ -282,7 +282,7 @@
 // isolate cuts a box from every other box, both ways or only what it sends.
 func (f *fleet) isolate(name string, both bool) {
 	f.mu.Lock()
-	all := f.names()
+	all := f.boxNames()
 	f.mu.Unlock()
 	for _, o := range all {
 		if o != name {
@@ -308,11 +308,11 @@
 }
 
 // switchesOf gives the switches of a stand-in by name.
-func (f *fleet) switchesOf(server string) *standin.Switches {
+func (f *fleet) injectorOf(server string) *standin.FaultInjector {
 	if v := f.services[server]; v != nil {
-		return &v.Switches
+		return &v.FaultInjector
 	}
-	return &f.engines[server].Switches
+	return &f.engines[server].FaultInjector
 }
 
 func (f *fleet) isCut(from, to string) bool {
@@ -321,16 +321,16 @@
 	return f.cut[[2]string{from, to}]
 }
 
-func (f *fleet) joined(b *fakeBox, to string) bool {
+func (f *fleet) connected(b *fakeBox, to string) bool {
 	return b.ctx.Err() == nil && !f.isCut(b.name, to) && !f.isCut(to, b.name)
 }
 
 // through waits while a link is cut, as TCP would, until the context ends.
-func (f *fleet) through(ctx context.Context, from, to string) error {
+func (f *fleet) waitForLink(ctx context.Context, from, to string) error {
 	for f.isCut(from, to) {
 		select {
 		case <-ctx.Done():
-			return errLost
+			return errConnectionLost
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
@@ -338,13 +338,13 @@
 }
 
 // any gives a box by name, dead or alive.
-func (f *fleet) any(name string) *fakeBox {
+func (f *fleet) boxNamed(name string) *fakeBox {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.boxes[name]
 }
 
-func (f *fleet) target(name string) *fakeBox {
+func (f *fleet) liveBox(name string) *fakeBox {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	b := f.boxes[name]
@@ -354,7 +354,7 @@
 	return b
 }
 
-func (f *fleet) step(step string, b *fakeBox, server string, r port.CallRequest) {
+func (f *fleet) reached(step string, b *fakeBox, server string, r port.CallRequest) {
 	f.mu.Lock()
 	h, record := f.hook, f.record
 	f.mu.Unlock()
--- a/src/faults/golden_test.go
+++ b/src/faults/golden_test.go
@@ -16,13 +16,13 @@
 )
 
 // story is a session that is kept whole in a golden file.
-type story struct {
+type goldenSession struct {
 	name  string
 	step  string
 	fault string // "" for none
 }
 
-var stories = []story{
+var goldenSessions = []goldenSession{
 	{name: "draft", step: "accept"},
 	{name: "receipt", step: "accept, once"},
 	{name: "review", step: "stream, must finish"},
@@ -43,35 +43,35 @@
 }
 
 // session records what passes between caller, boxes and servers for one key.
-type session struct {
-	mu    sync.Mutex
-	begun time.Time
-	lines []string
+type transcript struct {
+	mu        sync.Mutex
+	startedAt time.Time
+	lines     []string
 }
 
-func (x *session) add(format string, args ...any) {
+func (x *transcript) add(format string, args ...any) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	at := time.Since(x.begun).Round(time.Millisecond)
+	at := time.Since(x.startedAt).Round(time.Millisecond)
 	x.lines = append(x.lines, fmt.Sprintf("%9.3fs  ", at.Seconds())+fmt.Sprintf(format, args...))
 }
 
 // text gives the lines by time; what happens at one moment stands in the order of its words, since
 // that order is nobody's promise.
-func (x *session) text() []byte {
+func (x *transcript) text() []byte {
 	sort.Strings(x.lines)
 	return []byte(strings.Join(x.lines, "\n") + "\n")
 }
 
 // TestGoldenSessions holds whole sessions against their golden files; go test -update writes them.
 func TestGoldenSessions(t *testing.T) {
-	for _, st := range stories {
+	for _, st := range goldenSessions {
 		t.Run(st.name, func(t *testing.T) {
 			t.Parallel()
 			var got []byte
-			synctest.Test(t, func(t *testing.T) { got = playStory(t, st) })
+			synctest.Test(t, func(t *testing.T) { got = recordSession(t, st) })
 			g := goldie.New(t, goldie.WithFixtureDir("testdata/sessions"))
-			if updating() {
+			if updateRequested() {
 				if err := g.Update(t, st.name, got); err != nil {
 					t.Fatal(err)
 				}
@@ -81,13 +81,13 @@
 	}
 }
 
-func playStory(t *testing.T, st story) []byte {
+func recordSession(t *testing.T, st goldenSession) []byte {
 	f := newFleet(t, 4)
-	defer f.end()
-	s := &scene{f: f, key: f.newKey()}
-	x := &session{begun: time.Now()}
+	defer f.shutdown()
+	c := &cell{f: f, key: f.newKey()}
+	x := &transcript{startedAt: time.Now()}
 	f.record = func(step string, b *fakeBox, server string, r port.CallRequest) {
-		if !strings.HasPrefix(r.Attempt, s.key) || b == nil {
+		if !strings.HasPrefix(r.Attempt, c.key) || b == nil {
 			return
 		}
 		switch {
@@ -105,7 +105,7 @@
 		}
 	}
 	var faults []fault
-	for _, c := range columns {
+	for _, c := range faultColumns {
 		if c.name == st.fault {
 			faults = append(faults, c)
 		}
@@ -116,16 +116,16 @@
 			at = c
 		}
 	}
-	wrong, final := f.play(s, at, faults...)
+	wrong, final := f.playCell(c, at, faults...)
 	if wrong != "" {
 		t.Error(wrong)
 	}
-	for _, a := range s.extra {
-		if a.key == s.key {
+	for _, a := range c.answers {
+		if a.key == c.key {
 			x.lines = append(x.lines, fmt.Sprintf("answer from %s: %s, ran %s, cut %t, %d bytes", a.box.Name, a.code, a.ran, a.cut, len(a.data)))
 		}
 	}
-	all, once := f.runs(s.key, noBox)
+	all, once := f.runs(c.key, allBoxes)
 	x.lines = append(x.lines, fmt.Sprintf("final answer: %s, ran %s, %d bytes; the servers ran %d calls, %d of them that may not be repeated", final.code, final.ran, len(final.data), all, once))
-	return bytes.ReplaceAll(x.text(), []byte(s.key), []byte("KEY"))
+	return bytes.ReplaceAll(x.text(), []byte(c.key), []byte("KEY"))
 }
--- a/src/faults/promises_test.go
+++ b/src/faults/guarantees_test.go
@@ -20,7 +20,7 @@
 func TestPlannedStopCutsNoneOf500Streams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4)
-		defer f.end()
+		defer f.shutdown()
 		for i := range f.doc.BackendServers {
 			f.doc.BackendServers[i].Slots = 300
 		}
@@ -31,7 +31,7 @@
 			s.SetSlots(300)
 		}
 		f.doc.Version++
-		f.publish()
+		f.publishConfig()
 		time.Sleep(3 * time.Second)
 		var wg sync.WaitGroup
 		got := make([]answer, 500)
@@ -52,8 +52,8 @@
 		}
 		wg.Wait()
 		for i, a := range got {
-			if a.code != code.OK || a.cut || f.broken(a) != "" {
-				t.Errorf("stream %d: %s, cut %t %s", i, a.code, a.cut, f.broken(a))
+			if a.code != code.OK || a.cut || f.violation(a) != "" {
+				t.Errorf("stream %d: %s, cut %t %s", i, a.code, a.cut, f.violation(a))
 			}
 		}
 		f.boxes["b1"].kill()
@@ -68,7 +68,7 @@
 func TestUnusedTicketOfStoppedBoxIsKnownNotToHaveRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4)
-		defer f.end()
+		defer f.shutdown()
 		tickets, err := f.boxes["b1"].IssueTickets("ws", 2)
 		if err != nil {
 			t.Fatal(err)
@@ -90,13 +90,13 @@
 func TestConfigurationIsInForceEverywhereWithSlowService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 7)
-		defer f.end()
+		defer f.shutdown()
 		f.platform.SetSlow(300 * time.Millisecond)
 		time.Sleep(2 * time.Second)
 		worst := time.Duration(0)
 		for range 10 {
 			f.doc.Version++
-			f.publish()
+			f.publishConfig()
 			published := time.Now()
 			for !f.allAt(f.doc.Version) {
 				time.Sleep(20 * time.Millisecond)
@@ -126,14 +126,14 @@
 func TestFreshBoxTakesThePeersVersionOverAStaleService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4)
-		defer f.end()
+		defer f.shutdown()
 		old, _ := f.platform.Config(f.ctx)
 		f.doc.Version++
-		f.publish()
+		f.publishConfig()
 		time.Sleep(3 * time.Second)
 		f.platform.SetStale(old)
-		b := f.start("b5", "d1")
-		f.list()
+		b := f.startBox("b5", "d1")
+		f.publishBoxes()
 		for !b.Ready() {
 			if c := b.Config(); c != nil && c.Version() < f.doc.Version && b.Ready() {
 				t.Fatal("serves on the stale version")
@@ -155,10 +155,10 @@
 func TestSameVersionWithOtherContentIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4)
-		defer f.end()
+		defer f.shutdown()
 		before := f.boxes["b1"].Config().Digest()
 		f.doc.Workspaces[0].Weight = 9
-		f.publish()
+		f.publishConfig()
 		time.Sleep(4 * time.Second)
 		conflicts := 0
 		for _, b := range f.boxes {
@@ -178,7 +178,7 @@
 func TestInvalidConfigurationLeavesTheLastGoodOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4)
-		defer f.end()
+		defer f.shutdown()
 		f.platform.Publish([]byte("version = 9\nbogus = 1\n"))
 		time.Sleep(4 * time.Second)
 		if !f.allAt(1) {
@@ -199,13 +199,13 @@
 func TestLeavingServerGetsNoNewWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4)
-		defer f.end()
+		defer f.shutdown()
 		f.services["encoders-1"].SetLeaving(true)
 		time.Sleep(2 * time.Second)
 		before := len(f.services["encoders-1"].Log.All())
 		refusedBefore := f.services["encoders-1"].Refused()
 		for i := range 40 {
-			a := f.send(names[i%4], "draft", f.newKey(), []byte{byte(i)})
+			a := f.send(boxNames[i%4], "draft", f.newKey(), []byte{byte(i)})
 			if a.code != code.OK {
 				t.Errorf("%s", a.code)
 			}
@@ -222,10 +222,10 @@
 func TestOrdersLoadModelsAndFencesHold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4)
-		defer f.end()
+		defer f.shutdown()
 		f.doc.Version++
 		f.doc.Models[0].Version = "2"
-		f.publish()
+		f.publishConfig()
 		time.Sleep(5 * time.Second)
 		for n, e := range f.engines {
 			if r := e.Report(); r.Version != "2" || r.Fence != f.doc.Version {
@@ -250,9 +250,9 @@
 func TestBoundaryHoldsAtEveryStep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4)
-		defer f.end()
+		defer f.shutdown()
 		inside := map[string]bool{}
-		for _, s := range f.conf.BackendServers() {
+		for _, s := range f.config.BackendServers() {
 			inside[s.Name()] = s.FailureDomain() == "d1"
 		}
 		var mu sync.Mutex
@@ -275,14 +275,14 @@
 			name := []string{"b1", "b3"}[i%2]
 			key := f.newKey()
 			pipe := []string{"draft", "receipt"}[i%2]
-			a := f.read(name, answer{key: key, input: inputOf(key), pipe: pipe}, func(ctx context.Context, b *fakeBox, emit box.Emit) error {
+			a := f.receive(name, answer{key: key, input: inputOf(key), pipeline: pipe}, func(ctx context.Context, b *fakeBox, emit box.Emit) error {
 				return b.Serve(ctx, box.Request{Workspace: "fenced", Pipeline: pipe, Key: key, Input: inputOf(key)}, emit)
 			})
 			if a.code != code.OK {
 				t.Errorf("%s on %s: %s", pipe, name, a.code)
 			}
 		}
-		out := f.read("b2", answer{key: f.newKey(), pipe: "draft"}, func(ctx context.Context, b *fakeBox, emit box.Emit) error {
+		out := f.receive("b2", answer{key: f.newKey(), pipeline: "draft"}, func(ctx context.Context, b *fakeBox, emit box.Emit) error {
 			return b.Serve(ctx, box.Request{Workspace: "fenced", Pipeline: "draft", Input: []byte("x")}, emit)
 		})
 		if out.code != code.BoxOutsideBoundary || out.ran != code.RanNo {
@@ -297,7 +297,7 @@
 func TestNarrowedBoundaryHoldsForCallsUnderWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4)
-		defer f.end()
+		defer f.shutdown()
 		f.services["encoders-1"].SetSlow(200) // 2 s in the first stage
 		f.services["encoders-2"].SetSlow(200)
 		done := make(chan answer)
@@ -305,12 +305,12 @@
 		time.Sleep(200 * time.Millisecond)
 		f.doc.Version++
 		f.doc.Workspaces[0].RunIn = []string{"d1"}
-		f.publish()
+		f.publishConfig()
 		var mu sync.Mutex
 		f.hook = func(at string, b *fakeBox, server string, r port.CallRequest) {
 			mu.Lock()
 			defer mu.Unlock()
-			if b.Config().Version() == f.doc.Version && f.conf.BackendServer(server) != nil && f.conf.BackendServer(server).FailureDomain() != "d1" && at == "dispatch retrieve" {
+			if b.Config().Version() == f.doc.Version && f.config.BackendServer(server) != nil && f.config.BackendServer(server).FailureDomain() != "d1" && at == "dispatch retrieve" {
 				t.Errorf("%s to %s after the boundary was narrowed", at, server)
 			}
 		}
@@ -324,10 +324,10 @@
 func TestOnceCallsDuringAHomesReplacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 7)
-		defer f.end()
+		defer f.shutdown()
 		f.boxes["b3"].kill()
 		lost := time.Now()
-		time.AfterFunc(time.Second, f.list)
+		time.AfterFunc(time.Second, f.publishBoxes)
 		var last time.Duration
 		refused, tickets, all := 0, 0, 0
 		for time.Since(lost) < 30*time.Second {
@@ -338,7 +338,7 @@
 				refused++
 				last = time.Since(lost)
 			}
-			if why := f.broken(a); why != "" {
+			if why := f.violation(a); why != "" {
 				t.Error(why)
 			}
 			ticket, err := f.boxes["b1"].IssueTickets("ws", 1)
@@ -351,7 +351,7 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		t.Logf("keys: %d of %d refused, the last after %s; tickets: %d of %d answered", refused, all, last, tickets, all)
-		window := settings("", "").AtMostOnce.Window()
+		window := testSettings("", "").AtMostOnce.Window()
 		if last > window+4*time.Second {
 			t.Errorf("keys are still refused after %s", last)
 		}
@@ -364,7 +364,7 @@
 func TestMisuseOfKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4)
-		defer f.end()
+		defer f.shutdown()
 		key := f.newKey()
 		if a := f.send("b1", "receipt", key, []byte("one")); a.code != code.OK {
 			t.Fatal(a.code)
@@ -389,14 +389,14 @@
 func TestRenouncedEntryIsNoAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4)
-		defer f.end()
+		defer f.shutdown()
 		key := f.newKey()
 		if a := f.send("b1", "receipt", key, inputOf(key)); a.code != code.OK {
 			t.Fatal(a.code)
 		}
 		parsed, _ := core.ParseKey(key)
 		promised := 0
-		for _, n := range names {
+		for _, n := range boxNames {
 			if f.boxes[n].TakeQuestion(context.Background(), port.Question{Renounce: &port.Renounce{Key: parsed}}).Renounced {
 				promised++
 			}
@@ -404,9 +404,9 @@
 		if promised != 3 {
 			t.Errorf("%d boxes promised never to run a key that one of them ran", promised)
 		}
-		for _, n := range names {
+		for _, n := range boxNames {
 			a := f.send(n, "receipt", key, inputOf(key))
-			if why := f.broken(a); why != "" {
+			if why := f.violation(a); why != "" {
 				t.Errorf("%s: %s", n, why)
 			}
 		}
--- a/src/faults/history_test.go
+++ b/src/faults/history_test.go
@@ -21,136 +21,138 @@
 
 // history is a minute or so of random requests and faults.
 type history struct {
-	f   *fleet
-	r   *rand.Rand
-	wg  sync.WaitGroup
-	mu  sync.Mutex
-	got []answer
+	f       *fleet
+	rand    *rand.Rand
+	wg      sync.WaitGroup
+	mu      sync.Mutex
+	answers []answer
 }
 
-var names = []string{"b1", "b2", "b3", "b4"}
+var boxNames = []string{"b1", "b2", "b3", "b4"}
 
 // playHistory runs one history and gives every broken promise and how many answers there were.
-func playHistory(t *testing.T, seed uint64) (bad []string, codes map[string]int) {
+func runHistory(t *testing.T, seed uint64) (violations []string, codes map[string]int) {
 	codes = map[string]int{}
 	f := newFleet(t, 4)
-	defer f.end()
-	h := &history{f: f, r: rand.New(rand.NewPCG(seed, 11))}
+	defer f.shutdown()
+	h := &history{f: f, rand: rand.New(rand.NewPCG(seed, 11))}
 	for range 60 {
 		h.wg.Add(1)
-		h.event()
-		time.Sleep(time.Duration(h.r.IntN(400)) * time.Millisecond)
+		h.randomEvent()
+		time.Sleep(time.Duration(h.rand.IntN(400)) * time.Millisecond)
 	}
 	f.healAll()
-	for _, n := range names {
-		f.any(n).resume()
+	for _, n := range boxNames {
+		f.boxNamed(n).resume()
 	}
 	f.platform.SetDown(false)
 	f.platform.SetStale(nil)
 	h.wg.Wait()
 	time.Sleep(20 * time.Second)
-	for _, a := range h.got {
-		what := a.pipe + " " + a.code.String()
+	for _, a := range h.answers {
+		what := a.pipeline + " " + a.code.String()
 		if a.cut {
-			what = a.pipe + " CUT"
+			what = a.pipeline + " CUT"
 		}
 		codes[what]++
-		if why := f.broken(a); why != "" {
-			bad = append(bad, fmt.Sprintf("%s %s: %s", a.pipe, a.key, why))
+		if why := f.violation(a); why != "" {
+			violations = append(violations, fmt.Sprintf("%s %s: %s", a.pipeline, a.key, why))
 		}
 	}
-	return bad, codes
+	return violations, codes
 }
 
 // event is one random thing that happens.
-func (h *history) event() {
+func (h *history) randomEvent() {
 	defer h.wg.Done()
-	switch x := h.r.IntN(100); {
+	switch x := h.rand.IntN(100); {
 	case x < 78:
-		h.request()
+		h.sendRequest()
 	case x < 81:
-		h.replace(h.pick())
+		h.replace(h.randomBox())
 	case x < 84:
-		h.drain(h.pick())
+		h.drain(h.randomBox())
 	case x < 88:
-		b := h.f.any(h.pick())
+		b := h.f.boxNamed(h.randomBox())
 		b.pause()
-		time.AfterFunc(h.upTo(8*time.Second), b.resume)
+		time.AfterFunc(h.randomDuration(8*time.Second), b.resume)
 	case x < 92:
-		h.f.isolate(h.pick(), h.r.IntN(2) == 0)
-		time.AfterFunc(h.upTo(8*time.Second), h.f.healAll)
+		h.f.isolate(h.randomBox(), h.rand.IntN(2) == 0)
+		time.AfterFunc(h.randomDuration(8*time.Second), h.f.healAll)
 	case x < 94:
 		h.f.platform.SetDown(true)
-		time.AfterFunc(h.upTo(15*time.Second), func() { h.f.platform.SetDown(false) })
+		time.AfterFunc(h.randomDuration(15*time.Second), func() { h.f.platform.SetDown(false) })
 	case x < 95:
 		h.f.doc.Version++
-		h.f.publish()
+		h.f.publishConfig()
 	default:
 		h.serverFault()
 	}
 }
 
-func (h *history) pick() string { return names[h.r.IntN(len(names))] }
+func (h *history) randomBox() string { return boxNames[h.rand.IntN(len(boxNames))] }
 
-func (h *history) upTo(d time.Duration) time.Duration { return time.Duration(h.r.Int64N(int64(d))) }
+func (h *history) randomDuration(d time.Duration) time.Duration {
+	return time.Duration(h.rand.Int64N(int64(d)))
+}
 
 // request sends a request, often in copies to several boxes at slightly different times; callers
 // come back with the same key after a broken connection.
-func (h *history) request() {
-	key, pipe, to := h.f.newKey(), []string{"draft", "receipt", "receipt"}[h.r.IntN(3)], h.pick()
-	if pipe == "receipt" && h.r.IntN(3) == 0 {
-		if b := h.f.target(h.pick()); b != nil {
+func (h *history) sendRequest() {
+	key, pipe, to := h.f.newKey(), []string{"draft", "receipt", "receipt"}[h.rand.IntN(3)], h.randomBox()
+	if pipe == "receipt" && h.rand.IntN(3) == 0 {
+		if b := h.f.liveBox(h.randomBox()); b != nil {
 			if tickets, err := b.IssueTickets("ws", 1); err == nil {
 				key = tickets[0]
 			}
 		}
 	}
-	for range 1 + h.r.IntN(3) {
-		delay, retry := h.upTo(500*time.Millisecond), h.upTo(4*time.Second)
-		again := h.pick()
+	for range 1 + h.rand.IntN(3) {
+		delay, retry := h.randomDuration(500*time.Millisecond), h.randomDuration(4*time.Second)
+		again := h.randomBox()
 		h.wg.Add(1)
 		go func(to string) {
 			defer h.wg.Done()
 			time.Sleep(delay)
-			a := h.keep(h.f.send(to, pipe, key, inputOf(key)))
+			a := h.add(h.f.send(to, pipe, key, inputOf(key)))
 			if a.cut || a.code.Entry().SameKey {
 				time.Sleep(retry)
-				h.keep(h.f.send(again, pipe, key, inputOf(key)))
+				h.add(h.f.send(again, pipe, key, inputOf(key)))
 			}
 		}(to)
-		to = h.pick()
+		to = h.randomBox()
 	}
 }
 
-func (h *history) keep(a answer) answer {
+func (h *history) add(a answer) answer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.got = append(h.got, a)
+	h.answers = append(h.answers, a)
 	return a
 }
 
 // replace loses a box and starts another life under its name; the list follows late.
 func (h *history) replace(name string) {
-	b := h.f.any(name)
+	b := h.f.boxNamed(name)
 	b.kill()
 	b.resume()
-	pause := h.upTo(6 * time.Second)
+	pause := h.randomDuration(6 * time.Second)
 	h.wg.Add(1)
 	go func() {
 		defer h.wg.Done()
 		time.Sleep(pause / 2)
-		h.f.list()
+		h.f.publishBoxes()
 		time.Sleep(pause / 2)
-		if h.f.target(name) == nil {
-			h.f.start(name, b.domain)
-			h.f.list()
+		if h.f.liveBox(name) == nil {
+			h.f.startBox(name, b.domain)
+			h.f.publishBoxes()
 		}
 	}()
 }
 
 // drain stops a box as planned and starts another life under its name.
 func (h *history) drain(name string) {
-	b := h.f.target(name)
+	b := h.f.liveBox(name)
 	if b == nil {
 		return
 	}
@@ -159,41 +161,41 @@
 		defer h.wg.Done()
 		b.Drain(b.ctx)
 		b.kill()
-		h.f.list()
+		h.f.publishBoxes()
 		time.Sleep(time.Second)
-		if h.f.target(name) == nil {
-			h.f.start(name, b.domain)
-			h.f.list()
+		if h.f.liveBox(name) == nil {
+			h.f.startBox(name, b.domain)
+			h.f.publishBoxes()
 		}
 	}()
 }
 
 // serverFault has a server do something wrong, leave for a while, or lose a box.
 func (h *history) serverFault() {
-	pool := []string{"encoders", "retrievers", "rerankers", "records", "engines"}[h.r.IntN(5)]
-	server := fmt.Sprintf("%s-%d", pool, 1+h.r.IntN(2))
-	switch h.r.IntN(6) {
+	pool := []string{"encoders", "retrievers", "rerankers", "records", "engines"}[h.rand.IntN(5)]
+	server := fmt.Sprintf("%s-%d", pool, 1+h.rand.IntN(2))
+	switch h.rand.IntN(6) {
 	case 0:
-		b := h.pick()
+		b := h.randomBox()
 		h.f.cutLink(b, server)
 		h.f.cutLink(server, b)
-		time.AfterFunc(h.upTo(8*time.Second), func() { h.f.healLink(b, server) })
+		time.AfterFunc(h.randomDuration(8*time.Second), func() { h.f.healLink(b, server) })
 		return
 	case 1:
-		w := h.f.switchesOf(server)
+		w := h.f.injectorOf(server)
 		w.SetLeaving(true)
-		time.AfterFunc(h.upTo(8*time.Second), func() { w.SetLeaving(false) })
+		time.AfterFunc(h.randomDuration(8*time.Second), func() { w.SetLeaving(false) })
 		return
 	case 2:
-		w := h.f.switchesOf(server)
+		w := h.f.injectorOf(server)
 		w.Pause()
-		time.AfterFunc(h.upTo(4*time.Second), w.Resume)
+		time.AfterFunc(h.randomDuration(4*time.Second), w.Resume)
 		return
 	}
-	fault := []standin.Fault{standin.Fail, standin.Busy, standin.DropReply, standin.LateReply, standin.TwiceReply, standin.BreakMid, standin.Refuse}[h.r.IntN(7)]
-	w := h.f.switchesOf(server)
+	fault := []standin.Fault{standin.Fail, standin.Busy, standin.DropReply, standin.LateReply, standin.TwiceReply, standin.BreakMid, standin.Refuse}[h.rand.IntN(7)]
+	w := h.f.injectorOf(server)
 	w.SetDelay(2 * time.Second)
-	w.Arm(fault, 1+h.r.IntN(3))
+	w.Arm(fault, 1+h.rand.IntN(3))
 }
 
 func TestHistories(t *testing.T) {
@@ -205,7 +207,7 @@
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
-					bad, codes := playHistory(t, seed)
+					bad, codes := runHistory(t, seed)
 					for _, b := range bad {
 						t.Error(b)
 					}
--- a/src/faults/links_test.go
+++ b/src/faults/links_test.go
@@ -14,8 +14,8 @@
 // The fake ports: calls to stand-ins and messages between boxes, over links that can be cut.
 
 func (f *fleet) call(ctx context.Context, b *fakeBox, s *config.BackendServer, r port.CallRequest, emit func(int, []byte)) (port.CallResult, *port.CallError) {
-	f.step("dispatch "+r.Kind, b, s.Name(), r)
-	b.gate()
+	f.reached("dispatch "+r.Kind, b, s.Name(), r)
+	b.waitWhilePaused()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(b.ctx, cancel)()
@@ -26,13 +26,13 @@
 		time.Sleep(dialTimeout)
 		return port.CallResult{}, &port.CallError{Failure: core.NotSent, Message: "no route"}
 	}
-	if f.turnsAway != nil {
-		if err := f.turnsAway(b.name, s.Name()); err != nil {
+	if f.rejectCall != nil {
+		if err := f.rejectCall(b.name, s.Name()); err != nil {
 			return port.CallResult{}, err
 		}
 	}
-	if f.crashes != nil {
-		life := f.crashes.begin(s.Name(), r)
+	if f.crashing != nil {
+		life := f.crashing.begin(s.Name(), r)
 		if life == nil {
 			return port.CallResult{}, &port.CallError{Failure: core.NotSent, Message: "connection refused", Refused: true}
 		}
@@ -46,20 +46,20 @@
 	}
 	first := true
 	out := func(offset int, data []byte) {
-		b.gate()
-		if f.through(ctx, s.Name(), b.name) != nil {
+		b.waitWhilePaused()
+		if f.waitForLink(ctx, s.Name(), b.name) != nil {
 			return
 		}
 		emit(offset, data)
 		if first {
 			first = false
-			f.step("stream", b, s.Name(), r)
+			f.reached("stream", b, s.Name(), r)
 		}
 	}
-	res, err := f.serve(ctx, s, r, out)
-	f.step("answered "+r.Kind, b, s.Name(), r)
-	b.gate()
-	if f.through(ctx, s.Name(), b.name) != nil && err == nil {
+	res, err := f.runCall(ctx, s, r, out)
+	f.reached("answered "+r.Kind, b, s.Name(), r)
+	b.waitWhilePaused()
+	if f.waitForLink(ctx, s.Name(), b.name) != nil && err == nil {
 		return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "answer lost"}
 	}
 	if err != nil && errors.Is(ctx.Err(), context.DeadlineExceeded) && err.Failure == core.Broken {
@@ -69,7 +69,7 @@
 }
 
 // serve runs a call at its stand-in; like a real client it doesn't wait past the context.
-func (f *fleet) serve(ctx context.Context, s *config.BackendServer, r port.CallRequest, out func(int, []byte)) (port.CallResult, *port.CallError) {
+func (f *fleet) runCall(ctx context.Context, s *config.BackendServer, r port.CallRequest, out func(int, []byte)) (port.CallResult, *port.CallError) {
 	type ended struct {
 		res port.CallResult
 		err *port.CallError
@@ -92,10 +92,10 @@
 	}
 }
 
-func (f *fleet) load(b *fakeBox, s *config.BackendServer) (core.Report, error) {
-	b.gate()
-	if !f.joined(b, s.Name()) {
-		return core.Report{}, errLost
+func (f *fleet) report(b *fakeBox, s *config.BackendServer) (core.Report, error) {
+	b.waitWhilePaused()
+	if !f.connected(b, s.Name()) {
+		return core.Report{}, errConnectionLost
 	}
 	report := core.Report{}
 	if v := f.services[s.Name()]; v != nil {
@@ -103,10 +103,10 @@
 	} else {
 		report = f.engines[s.Name()].Report()
 	}
-	if f.crashes == nil {
+	if f.crashing == nil {
 		return report, nil
 	}
-	report, up := f.crashes.report(s.Name(), report)
+	report, up := f.crashing.report(s.Name(), report)
 	if !up {
 		return core.Report{}, syscall.ECONNREFUSED
 	}
@@ -114,9 +114,9 @@
 }
 
 func (f *fleet) order(b *fakeBox, s *config.BackendServer, o core.Order) error {
-	b.gate()
-	if o.Void(time.Now()) || !f.joined(b, s.Name()) || !f.engines[s.Name()].Take(o) {
-		return errLost
+	b.waitWhilePaused()
+	if o.Void(time.Now()) || !f.connected(b, s.Name()) || !f.engines[s.Name()].Take(o) {
+		return errConnectionLost
 	}
 	return nil
 }
@@ -124,68 +124,68 @@
 func (f *fleet) beat(b *fakeBox, to string, m core.Beat) {
 	go func() {
 		time.Sleep(linkDelay)
-		if t := f.target(to); t != nil && b.ctx.Err() == nil && !f.isCut(b.name, to) {
-			t.gate()
+		if t := f.liveBox(to); t != nil && b.ctx.Err() == nil && !f.isCut(b.name, to) {
+			t.waitWhilePaused()
 			t.TakeBeat(m)
 		}
 	}()
 }
 
 // reach connects to a box; the error says that no byte left.
-func (f *fleet) reach(b *fakeBox, to string) (*fakeBox, error) {
+func (f *fleet) dial(b *fakeBox, to string) (*fakeBox, error) {
 	time.Sleep(linkDelay)
-	t := f.target(to)
+	t := f.liveBox(to)
 	if t == nil || b.ctx.Err() != nil {
-		return nil, &port.NotConnected{Cause: errLost}
+		return nil, &port.NotConnected{Cause: errConnectionLost}
 	}
 	if f.isCut(b.name, to) || f.isCut(to, b.name) {
 		time.Sleep(dialTimeout)
-		return nil, &port.NotConnected{Cause: errLost}
+		return nil, &port.NotConnected{Cause: errConnectionLost}
 	}
 	return t, nil
 }
 
 func (f *fleet) ask(ctx context.Context, b *fakeBox, to string, q port.Question) (port.Answer, error) {
-	t, err := f.reach(b, to)
+	t, err := f.dial(b, to)
 	if err != nil {
 		return port.Answer{}, err
 	}
-	t.gate()
+	t.waitWhilePaused()
 	a := t.TakeQuestion(ctx, q)
-	if err := f.through(ctx, to, b.name); err != nil {
+	if err := f.waitForLink(ctx, to, b.name); err != nil {
 		return port.Answer{}, err
 	}
-	b.gate()
+	b.waitWhilePaused()
 	return a, nil
 }
 
 func (f *fleet) forward(ctx context.Context, b *fakeBox, to string, q port.Forward, emit func(port.ForwardEvent)) error {
-	t, err := f.reach(b, to)
+	t, err := f.dial(b, to)
 	if err != nil {
 		return err
 	}
-	f.step("forward", t, to, port.CallRequest{Attempt: q.Key.ID.String()})
+	f.reached("forward", t, to, port.CallRequest{Attempt: q.Key.ID.String()})
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(t.ctx, cancel)()
 	defer context.AfterFunc(b.ctx, cancel)()
-	if f.through(ctx, b.name, to) != nil {
-		return errLost
+	if f.waitForLink(ctx, b.name, to) != nil {
+		return errConnectionLost
 	}
-	t.gate()
+	t.waitWhilePaused()
 	ended := false
 	t.TakeForward(ctx, q, func(e port.ForwardEvent) error {
-		t.gate()
-		if f.through(ctx, to, b.name) != nil {
-			return errLost
+		t.waitWhilePaused()
+		if f.waitForLink(ctx, to, b.name) != nil {
+			return errConnectionLost
 		}
-		b.gate()
+		b.waitWhilePaused()
 		emit(e)
 		ended = ended || e.End != nil
 		return nil
 	})
 	if !ended {
-		return errLost
+		return errConnectionLost
 	}
 	return nil
 }
--- a/src/faults/pairs_test.go
+++ b/src/faults/pairs_test.go
@@ -8,8 +8,8 @@
 // TestPairs plays every pair of faults together, each at three steps in turn.
 func TestPairs(t *testing.T) {
 	n := 0
-	for i, x := range columns {
-		for _, y := range columns[i+1:] {
+	for i, x := range faultColumns {
+		for _, y := range faultColumns[i+1:] {
 			for range 3 {
 				st := steps[n%len(steps)]
 				n++
@@ -19,7 +19,7 @@
 				t.Run(st.name+"/"+x.name+" and "+y.name, func(t *testing.T) {
 					t.Parallel()
 					synctest.Test(t, func(t *testing.T) {
-						if wrong, _ := play(t, st, x, y); wrong != "" {
+						if wrong, _ := playCell(t, st, x, y); wrong != "" {
 							t.Error(wrong)
 						}
 					})
--- a/src/faults/pushback_test.go
+++ b/src/faults/pushback_test.go
@@ -20,13 +20,13 @@
 	for _, resting := range []int{2, 4} { // of 4
 		t.Run(fmt.Sprint(resting, " of 4"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFleetBefore(t, 4, documentOf(4))
-				defer f.end()
+				f := newFleetWithDocument(t, 4, documentWithServers(4))
+				defer f.shutdown()
 				var mu sync.Mutex
 				rests := map[string][]time.Time{}
 				over, sends := 0, 0
 				begin := time.Now()
-				f.turnsAway = func(box, server string) *port.CallError {
+				f.rejectCall = func(box, server string) *port.CallError {
 					mu.Lock()
 					defer mu.Unlock()
 					now, n := time.Now(), 0
--- a/src/faults/thin_test.go
+++ b/src/faults/smoke_test.go
@@ -10,14 +10,14 @@
 func TestQuietFleetAnswersWhole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4)
-		defer f.end()
+		defer f.shutdown()
 		for i, name := range []string{"b1", "b2", "b3", "b4"} {
 			for _, p := range []string{"draft", "review", "receipt"} {
 				a := f.send(name, p, f.newKey(), []byte{byte('a' + i), p[0]})
 				if a.code != code.OK || a.cut {
 					t.Errorf("%s on %s: %s, cut %t", p, name, a.code, a.cut)
 				}
-				if why := f.broken(a); why != "" {
+				if why := f.violation(a); why != "" {
 					t.Errorf("%s on %s: %s", p, name, why)
 				}
 			}
--- a/src/standin/engine.go
+++ b/src/standin/engine.go
@@ -18,40 +18,40 @@
 	Store        *WeightStore // nil loads at once
 	EventLag     time.Duration
 	EventGap     int // every so many events one is lost; 0 for none
-	Switches
-	Log Log
+	FaultInjector
+	Log ExecutionLog
 
-	mu      sync.Mutex
-	model   *Model
-	jobs    map[string]*job
-	wake    chan struct{}
-	reports reports
-	events  []lateEvent
-	seq     uint64
-	order   core.Order
-	ready   time.Time // when the ordered model serves
-	orders  []core.Order
+	mu         sync.Mutex
+	model      *EngineModel
+	jobs       map[string]*job
+	wake       chan struct{}
+	reports    reportCache
+	events     []delayedEvent
+	seq        uint64
+	order      core.Order
+	modelReady time.Time // when the ordered model serves
+	orders     []core.Order
 }
 
-type lateEvent struct {
-	event core.CacheEvent
-	at    time.Time
+type delayedEvent struct {
+	event     core.CacheEvent
+	visibleAt time.Time
 }
 
 // job is one sequence and what it has made.
 type job struct {
-	req     port.CallRequest
-	start   int // token number of its first token
-	text    []byte
-	done    bool
-	gone    bool
-	use     core.Use
-	changed chan struct{}
-	ended   time.Time
+	req        port.CallRequest
+	firstToken int // token number of its first token
+	text       []byte
+	done       bool
+	cancelled  bool
+	use        core.Use
+	changed    chan struct{}
+	endedAt    time.Time
 }
 
 // jobKept is how long an ended job can still be resumed.
-const jobKept = 20 * time.Second
+const jobRetention = 20 * time.Second
 
 // Init makes the engine ready to be called; Run calls it.
 func (e *Engine) Init() {
@@ -60,10 +60,10 @@
 	if e.model != nil {
 		return
 	}
-	e.model = NewModel(e.Cost)
+	e.model = NewEngineModel(e.Cost)
 	e.jobs = map[string]*job{}
 	e.wake = make(chan struct{}, 1)
-	e.reports.life = uint64(time.Now().UnixNano())
+	e.reports.incarnation = uint64(time.Now().UnixNano())
 }
 
 // SetSlots changes the size of the batch; call it while nothing runs.
@@ -77,9 +77,9 @@
 func (e *Engine) Run(ctx context.Context) {
 	e.Init()
 	for {
-		e.wait()
+		e.waitWhilePaused()
 		e.mu.Lock()
-		e.model.Slow = e.slowness()
+		e.model.SlowFactor = e.slowdown()
 		at, busy := e.model.Next()
 		e.mu.Unlock()
 		if !busy {
@@ -102,7 +102,7 @@
 }
 
 func (e *Engine) step() {
-	e.wait()
+	e.waitWhilePaused()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
@@ -112,24 +112,24 @@
 			continue
 		}
 		if o.Token {
-			j.text = append(j.text, Token(j.req.Input, j.start+len(j.text)/TokenBytes)...)
+			j.text = append(j.text, Token(j.req.Input, j.firstToken+len(j.text)/TokenBytes)...)
 		}
 		if o.Done {
-			j.done, j.use, j.ended = true, o.Use, now
+			j.done, j.use, j.endedAt = true, o.Use, now
 		}
 		close(j.changed)
 		j.changed = make(chan struct{})
 	}
-	e.publish(now)
+	e.publishCacheEvents(now)
 	for id, j := range e.jobs {
-		if j.done && now.Sub(j.ended) > jobKept {
+		if j.done && now.Sub(j.endedAt) > jobRetention {
 			delete(e.jobs, id)
 		}
 	}
 }
 
 // publish numbers the cache's changes; some are lost, all come late.
-func (e *Engine) publish(now time.Time) {
+func (e *Engine) publishCacheEvents(now time.Time) {
 	stored, removed := e.model.TakeEvents()
 	if len(stored)+len(removed) == 0 {
 		return
@@ -138,7 +138,7 @@
 	if e.EventGap > 0 && e.seq%uint64(e.EventGap) == 0 {
 		return
 	}
-	e.events = append(e.events, lateEvent{core.CacheEvent{Seq: e.seq, Stored: stored, Removed: removed}, now.Add(e.EventLag)})
+	e.events = append(e.events, delayedEvent{core.CacheEvent{Seq: e.seq, Stored: stored, Removed: removed}, now.Add(e.EventLag)})
 	if len(e.events) > 256 {
 		e.events = e.events[128:]
 	}
@@ -150,7 +150,7 @@
 	defer e.mu.Unlock()
 	var out []core.CacheEvent
 	for _, ev := range e.events {
-		if ev.event.Seq > after && !ev.at.After(time.Now()) {
+		if ev.event.Seq > after && !ev.visibleAt.After(time.Now()) {
 			out = append(out, ev.event)
 		}
 	}
@@ -159,45 +159,45 @@
 
 // Call generates, or goes on with, one sequence.
 func (e *Engine) Call(ctx context.Context, r port.CallRequest, emit func(int, []byte)) (port.CallResult, *port.CallError) {
-	e.wait()
-	f, delay := e.take()
-	if err := e.before(ctx, f); err != nil {
+	e.waitWhilePaused()
+	fault, delay := e.nextFault()
+	if err := e.failBeforeRun(ctx, fault); err != nil {
 		return port.CallResult{}, err
 	}
-	j, err := e.find(r)
+	j, err := e.findOrSubmit(r)
 	if err != nil {
 		return port.CallResult{}, err
 	}
-	return e.follow(ctx, j, r, f, delay, emit)
+	return e.streamOutput(ctx, j, r, fault, delay, emit)
 }
 
 // find takes the running job that a resume means, or submits a new one.
-func (e *Engine) find(r port.CallRequest) (*job, *port.CallError) {
+func (e *Engine) findOrSubmit(req port.CallRequest) (*job, *port.CallError) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if r.Resume {
-		j := e.jobs[r.Attempt]
-		if j == nil || j.gone {
+	if req.Resume {
+		j := e.jobs[req.Attempt]
+		if j == nil || j.cancelled {
 			return nil, &port.CallError{Failure: core.Broken, Message: "nothing to resume"}
 		}
 		return j, nil
 	}
 	now := time.Now()
-	if r.Model != "" && (e.order.Model != r.Model || now.Before(e.ready)) {
+	if req.Model != "" && (e.order.Model != req.Model || now.Before(e.modelReady)) {
 		return nil, &port.CallError{Failure: core.Busy, Message: "the model is not loaded"}
 	}
-	start := len(r.Continue) / TokenBytes
-	total := TokenCount(r.Input, r.MaxTokens+start)
-	j := &job{req: r, start: start, changed: make(chan struct{})}
-	e.jobs[r.Attempt] = j
-	e.Log.add(r)
+	start := len(req.Continue) / TokenBytes
+	total := TokenCount(req.Input, req.MaxTokens+start)
+	j := &job{req: req, firstToken: start, changed: make(chan struct{})}
+	e.jobs[req.Attempt] = j
+	e.Log.record(req)
 	if total <= start {
-		j.done, j.ended = true, now
+		j.done, j.endedAt = true, now
 		return j, nil
 	}
 	e.model.Submit(now, Job{
-		ID: r.Attempt, Prompt: (len(r.Input)+len(r.Continue))/TokenBytes + 1, Tokens: total - start,
-		Priority: r.Priority, Prefix: r.Prefix,
+		ID: req.Attempt, Prompt: (len(req.Input)+len(req.Continue))/TokenBytes + 1, Tokens: total - start,
+		Priority: req.Priority, Prefix: req.Prefix,
 	})
 	select {
 	case e.wake <- struct{}{}:
@@ -207,30 +207,30 @@
 }
 
 // follow hands on a job's text as it grows.
-func (e *Engine) follow(ctx context.Context, j *job, r port.CallRequest, f Fault, delay time.Duration, emit func(int, []byte)) (port.CallResult, *port.CallError) {
-	base := j.start * TokenBytes
-	at := max(0, r.Offset-base)
+func (e *Engine) streamOutput(ctx context.Context, j *job, r port.CallRequest, fault Fault, delay time.Duration, emit func(int, []byte)) (port.CallResult, *port.CallError) {
+	base := j.firstToken * TokenBytes
+	sent := max(0, r.Offset-base)
 	for {
 		e.mu.Lock()
-		text, done, gone, use, changed := j.text, j.done, j.gone, j.use, j.changed
+		text, done, gone, use, changed := j.text, j.done, j.cancelled, j.use, j.changed
 		e.mu.Unlock()
 		if gone {
 			return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "cancelled"}
 		}
-		if at < len(text) && f != LateReply {
-			emit(base+at, text[at:])
-			if f == TwiceReply {
-				emit(base+at, text[at:])
+		if sent < len(text) && fault != LateReply {
+			emit(base+sent, text[sent:])
+			if fault == TwiceReply {
+				emit(base+sent, text[sent:])
 			}
-			at = len(text)
+			sent = len(text)
 		}
-		if f == BreakMid && len(text) >= 3*TokenBytes || f == DropReply && done {
+		if fault == BreakMid && len(text) >= 3*TokenBytes || fault == DropReply && done {
 			return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "connection broke"}
 		}
 		if done {
-			if f == LateReply {
+			if fault == LateReply {
 				time.Sleep(delay)
-				emit(base+at, text[at:])
+				emit(base+sent, text[sent:])
 			}
 			return port.CallResult{Stream: true, Length: base + len(text), Use: use}, nil
 		}
@@ -251,7 +251,7 @@
 		return
 	}
 	e.model.Cancel(time.Now(), attempt)
-	j.gone = true
+	j.cancelled = true
 	close(j.changed)
 	j.changed = make(chan struct{})
 	delete(e.jobs, attempt)
@@ -259,14 +259,14 @@
 
 // Report gives the load as of the last renewal.
 func (e *Engine) Report() core.Report {
-	return e.reports.get(func() core.Report {
+	return e.reports.current(func() core.Report {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		running, waiting := e.model.Load()
 		return core.Report{
 			Running: running, Waiting: waiting, Slots: e.Cost.Slots, Leaving: e.isLeaving(),
 			Model: e.order.Model, Version: e.order.Version, Adapters: e.order.Adapters, Role: e.order.Role,
-			Loading: max(0, time.Until(e.ready)), Fence: e.order.Fence,
+			Loading: max(0, time.Until(e.modelReady)), Fence: e.order.Fence,
 		}
 	})
 }
@@ -284,9 +284,9 @@
 	if same {
 		return true
 	}
-	e.ready = time.Now()
+	e.modelReady = time.Now()
 	if e.Store != nil {
-		e.ready = e.Store.Fetch(time.Now(), o.LoadTime)
+		e.modelReady = e.Store.Fetch(time.Now(), o.LoadTime)
 	}
 	return true
 }
--- a/src/standin/fault.go
+++ b/src/standin/fault.go
@@ -23,47 +23,47 @@
 )
 
 // Switches hold what a stand-in does wrong. The zero value does nothing wrong.
-type Switches struct {
-	mu      sync.Mutex
-	fault   Fault
-	left    int // calls the fault still hits; negative for all
-	delay   time.Duration
-	slow    float64
-	paused  chan struct{}
-	leaving bool
-	refused int // calls turned away because it is leaving
+type FaultInjector struct {
+	mu           sync.Mutex
+	fault        Fault
+	remaining    int // calls the fault still hits; negative for all
+	delay        time.Duration
+	slowFactor   float64
+	paused       chan struct{}
+	leaving      bool
+	refusedCalls int // calls turned away because it is leaving
 }
 
 // Arm makes the next n calls go wrong; a negative n means all until Arm(None, 0).
-func (s *Switches) Arm(f Fault, n int) {
+func (s *FaultInjector) Arm(fault Fault, n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fault, s.left = f, n
+	s.fault, s.remaining = fault, n
 }
 
 // SetDelay says how late LateReply is.
-func (s *Switches) SetDelay(d time.Duration) {
+func (s *FaultInjector) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = d
 }
 
 // SetSlow multiplies the time of all work.
-func (s *Switches) SetSlow(factor float64) {
+func (s *FaultInjector) SetSlow(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow = factor
+	s.slowFactor = factor
 }
 
 // SetLeaving makes the server say that it is leaving and take no new work.
-func (s *Switches) SetLeaving(on bool) {
+func (s *FaultInjector) SetLeaving(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = on
 }
 
 // Pause stops all work until Resume, as a stopped process would.
-func (s *Switches) Pause() {
+func (s *FaultInjector) Pause() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.paused == nil {
@@ -72,7 +72,7 @@
 }
 
 // Resume ends a Pause.
-func (s *Switches) Resume() {
+func (s *FaultInjector) Resume() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.paused != nil {
@@ -82,52 +82,52 @@
 }
 
 // take gives the fault that the next call has.
-func (s *Switches) take() (Fault, time.Duration) {
+func (s *FaultInjector) nextFault() (Fault, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.fault == None || s.left == 0 {
+	if s.fault == None || s.remaining == 0 {
 		return None, 0
 	}
-	if s.left > 0 {
-		s.left--
+	if s.remaining > 0 {
+		s.remaining--
 	}
 	return s.fault, s.delay
 }
 
-func (s *Switches) slowness() float64 {
+func (s *FaultInjector) slowdown() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.slow <= 0 {
+	if s.slowFactor <= 0 {
 		return 1
 	}
-	return s.slow
+	return s.slowFactor
 }
 
-func (s *Switches) isLeaving() bool {
+func (s *FaultInjector) isLeaving() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.leaving
 }
 
 // Refused counts the calls that came although the server is leaving.
-func (s *Switches) Refused() int {
+func (s *FaultInjector) Refused() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.refused
+	return s.refusedCalls
 }
 
 // turnAway says whether the server is leaving, and counts the call if it is.
-func (s *Switches) turnAway() bool {
+func (s *FaultInjector) refuseIfLeaving() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leaving {
-		s.refused++
+		s.refusedCalls++
 	}
 	return s.leaving
 }
 
 // wait blocks while paused.
-func (s *Switches) wait() {
+func (s *FaultInjector) waitWhilePaused() {
 	s.mu.Lock()
 	p := s.paused
 	s.mu.Unlock()
--- a/src/standin/http.go
+++ b/src/standin/http.go
@@ -21,7 +21,7 @@
 // PathRan lists what a stand-in ran; it is no part of a real server's interface.
 const PathRan = "/ran"
 
-type caller func(context.Context, port.CallRequest, func(int, []byte)) (port.CallResult, *port.CallError)
+type callFunc func(context.Context, port.CallRequest, func(int, []byte)) (port.CallResult, *port.CallError)
 
 // Handler serves the service's published interface.
 func (s *Service) Handler() (http.Handler, error) {
@@ -99,29 +99,29 @@
 		return
 	}
 	wait, _ := strconv.Atoi(r.URL.Query().Get(configservice.WaitQuery))
-	raw = p.changed(r.Context(), raw, r.Header.Get("If-None-Match"), time.Duration(min(wait, maxWatch))*time.Millisecond)
-	writeTagged(w, r, raw)
+	raw = p.waitForChange(r.Context(), raw, r.Header.Get("If-None-Match"), time.Duration(min(wait, maxWatchMillis))*time.Millisecond)
+	writeWithETag(w, r, raw)
 }
 
 // maxWatch is the longest a read may wait for a change, in milliseconds.
-const maxWatch = 30_000
+const maxWatchMillis = 30_000
 
 // changed waits until the configuration is not the one that the reader has. It counts no call: the
 // waiting one was counted when it came.
-func (p *Platform) changed(ctx context.Context, raw []byte, tag string, wait time.Duration) []byte {
+func (p *Platform) waitForChange(ctx context.Context, raw []byte, tag string, wait time.Duration) []byte {
 	until := time.Now().Add(wait)
-	for tagOf(raw) == tag && time.Now().Before(until) && ctx.Err() == nil {
+	for etagOf(raw) == tag && time.Now().Before(until) && ctx.Err() == nil {
 		time.Sleep(10 * time.Millisecond)
-		raw = p.shown()
+		raw = p.currentConfig()
 	}
 	return raw
 }
 
-func tagOf(b []byte) string { return `"` + config.Digest(b) + `"` }
+func etagOf(b []byte) string { return `"` + config.Digest(b) + `"` }
 
 // writeTagged answers with an entity tag, or that nothing changed since the asker's.
-func writeTagged(w http.ResponseWriter, r *http.Request, b []byte) {
-	tag := tagOf(b)
+func writeWithETag(w http.ResponseWriter, r *http.Request, b []byte) {
+	tag := etagOf(b)
 	w.Header().Set("ETag", tag)
 	if r.Header.Get("If-None-Match") == tag {
 		w.WriteHeader(http.StatusNotModified)
@@ -140,7 +140,7 @@
 }
 
 // callHandler serves calls, as an event stream where the kind generates.
-func callHandler(call caller) http.HandlerFunc {
+func callHandler(call callFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var in port.CallRequest
 		if !readJSON(w, r, &in) {
--- a/src/standin/model.go
+++ b/src/standin/model.go
@@ -13,19 +13,19 @@
 
 // EngineCost says how fast an engine is.
 type EngineCost struct {
-	Step       time.Duration // one step of an empty batch
-	PerRunning time.Duration // added for each sequence in the batch
-	PerPrefill time.Duration // added for each prompt token computed in the step
-	Chunk      int           // prompt tokens computed in one step at most
-	Slots      int           // sequences in the batch at most
-	CacheBlock int           // prefix blocks that the cache holds
+	Step            time.Duration // one step of an empty batch
+	PerSequence     time.Duration // added for each sequence in the batch
+	PerPrefillToken time.Duration // added for each prompt token computed in the step
+	PrefillChunk    int           // prompt tokens computed in one step at most
+	Slots           int           // sequences in the batch at most
+	CacheBlocks     int           // prefix blocks that the cache holds
 }
 
 // DefaultEngineCost is a middling engine.
 func DefaultEngineCost(slots int) EngineCost {
 	return EngineCost{
-		Step: 8 * time.Millisecond, PerRunning: 500 * time.Microsecond,
-		PerPrefill: 40 * time.Microsecond, Chunk: 512, Slots: slots, CacheBlock: 2048,
+		Step: 8 * time.Millisecond, PerSequence: 500 * time.Microsecond,
+		PerPrefillToken: 40 * time.Microsecond, PrefillChunk: 512, Slots: slots, CacheBlocks: 2048,
 	}
 }
 
@@ -47,44 +47,44 @@
 }
 
 type sequence struct {
-	job     Job
-	order   int
-	left    int // prompt tokens still to compute
-	cached  int
-	made    int
-	started time.Time
+	job         Job
+	arrival     int
+	prefillLeft int // prompt tokens still to compute
+	cached      int
+	generated   int
+	submittedAt time.Time
 }
 
 // Model is an engine's continuous batching with a prefix cache. Not safe for concurrent use.
-type Model struct {
-	Cost EngineCost
-	Slow float64 // factor on every step; 0 means 1
+type EngineModel struct {
+	Cost       EngineCost
+	SlowFactor float64 // factor on every step; 0 means 1
 
-	waiting []*sequence
-	running []*sequence
-	stepEnd time.Time
-	busy    bool
-	arrived int
-	cache   map[uint64]*list.Element
-	recent  *list.List
-	stored  []uint64
-	removed []uint64
+	waiting  []*sequence
+	running  []*sequence
+	stepEnd  time.Time
+	stepping bool
+	arrivals int
+	cache    map[uint64]*list.Element
+	recency  *list.List
+	stored   []uint64
+	removed  []uint64
 }
 
 // NewModel makes an idle engine.
-func NewModel(cost EngineCost) *Model {
-	return &Model{Cost: cost, cache: map[uint64]*list.Element{}, recent: list.New()}
+func NewEngineModel(cost EngineCost) *EngineModel {
+	return &EngineModel{Cost: cost, cache: map[uint64]*list.Element{}, recency: list.New()}
 }
 
 // Submit adds a job; the caller then looks at Next.
-func (m *Model) Submit(now time.Time, j Job) {
-	m.arrived++
-	m.waiting = append(m.waiting, &sequence{job: j, order: m.arrived, started: now})
-	m.begin(now)
+func (m *EngineModel) Submit(now time.Time, j Job) {
+	m.arrivals++
+	m.waiting = append(m.waiting, &sequence{job: j, arrival: m.arrivals, submittedAt: now})
+	m.startStep(now)
 }
 
 // Cancel drops a job; it says what it had used.
-func (m *Model) Cancel(now time.Time, id string) (core.Use, bool) {
+func (m *EngineModel) Cancel(now time.Time, id string) (core.Use, bool) {
 	for i, s := range m.waiting {
 		if s.job.ID == id {
 			m.waiting = append(m.waiting[:i], m.waiting[i+1:]...)
@@ -102,20 +102,20 @@
 
 func (s *sequence) use(now time.Time) core.Use {
 	return core.Use{
-		ComputedTokens: s.job.Prompt - s.cached - s.left, CachedTokens: s.cached,
-		GeneratedTokens: s.made, Engine: now.Sub(s.started),
+		ComputedTokens: s.job.Prompt - s.cached - s.prefillLeft, CachedTokens: s.cached,
+		GeneratedTokens: s.generated, Engine: now.Sub(s.submittedAt),
 	}
 }
 
 // Load says how many jobs run and wait.
-func (m *Model) Load() (running, waiting int) { return len(m.running), len(m.waiting) }
+func (m *EngineModel) Load() (running, waiting int) { return len(m.running), len(m.waiting) }
 
 // Next is when the step under way ends; false when the engine is idle.
-func (m *Model) Next() (time.Time, bool) { return m.stepEnd, m.busy }
+func (m *EngineModel) Next() (time.Time, bool) { return m.stepEnd, m.stepping }
 
 // begin starts a step if none is under way and there is work.
-func (m *Model) begin(now time.Time) {
-	if m.busy {
+func (m *EngineModel) startStep(now time.Time) {
+	if m.stepping {
 		return
 	}
 	m.admit()
@@ -124,92 +124,92 @@
 	}
 	prefill := 0
 	for _, s := range m.running {
-		prefill += min(s.left, m.Cost.Chunk-prefill)
+		prefill += min(s.prefillLeft, m.Cost.PrefillChunk-prefill)
 	}
-	took := m.Cost.Step + time.Duration(len(m.running))*m.Cost.PerRunning + time.Duration(prefill)*m.Cost.PerPrefill
-	if m.Slow > 0 {
-		took = time.Duration(m.Slow * float64(took))
+	stepTime := m.Cost.Step + time.Duration(len(m.running))*m.Cost.PerSequence + time.Duration(prefill)*m.Cost.PerPrefillToken
+	if m.SlowFactor > 0 {
+		stepTime = time.Duration(m.SlowFactor * float64(stepTime))
 	}
-	m.busy = true
-	m.stepEnd = now.Add(took)
+	m.stepping = true
+	m.stepEnd = now.Add(stepTime)
 }
 
 // admit fills the batch from the waiting jobs by priority, then by arrival.
-func (m *Model) admit() {
+func (m *EngineModel) admit() {
 	if len(m.waiting) > 1 {
 		sort.SliceStable(m.waiting, func(i, j int) bool {
 			a, b := m.waiting[i], m.waiting[j]
 			if a.job.Priority != b.job.Priority {
 				return a.job.Priority < b.job.Priority
 			}
-			return a.order < b.order
+			return a.arrival < b.arrival
 		})
 	}
 	for len(m.waiting) > 0 && len(m.running) < m.Cost.Slots {
 		s := m.waiting[0]
 		m.waiting = m.waiting[1:]
-		held := 0
+		hits := 0
 		for _, h := range s.job.Prefix {
 			if m.cache[h] == nil {
 				break
 			}
-			m.recent.MoveToFront(m.cache[h])
-			held++
+			m.recency.MoveToFront(m.cache[h])
+			hits++
 		}
-		s.cached = min(held*core.BlockBytes/4, max(0, s.job.Prompt-1))
-		s.left = s.job.Prompt - s.cached
+		s.cached = min(hits*core.BlockBytes/4, max(0, s.job.Prompt-1))
+		s.prefillLeft = s.job.Prompt - s.cached
 		m.running = append(m.running, s)
 	}
 }
 
 // Step ends the step under way and begins the next. Call it at the time Next gave.
-func (m *Model) Step(now time.Time) []Output {
-	if !m.busy {
+func (m *EngineModel) Step(now time.Time) []Output {
+	if !m.stepping {
 		return nil
 	}
-	m.busy = false
-	budget := m.Cost.Chunk
+	m.stepping = false
+	budget := m.Cost.PrefillChunk
 	var out []Output
-	keep := m.running[:0]
+	remaining := m.running[:0]
 	for _, s := range m.running {
-		if s.left > 0 {
-			n := min(s.left, budget)
-			s.left -= n
+		if s.prefillLeft > 0 {
+			n := min(s.prefillLeft, budget)
+			s.prefillLeft -= n
 			budget -= n
-			if s.left > 0 {
-				keep = append(keep, s)
+			if s.prefillLeft > 0 {
+				remaining = append(remaining, s)
 				continue
 			}
-			m.store(s.job.Prefix)
+			m.insertBlocks(s.job.Prefix)
 		}
-		s.made++
+		s.generated++
 		o := Output{ID: s.job.ID, Token: true}
-		if s.made >= s.job.Tokens {
+		if s.generated >= s.job.Tokens {
 			o.Done = true
 			o.Use = s.use(now)
 		} else {
-			keep = append(keep, s)
+			remaining = append(remaining, s)
 		}
 		out = append(out, o)
 	}
-	m.running = keep
-	m.begin(now)
+	m.running = remaining
+	m.startStep(now)
 	return out
 }
 
 // store puts a prompt's blocks into the cache, oldest blocks go.
-func (m *Model) store(prefix []uint64) {
+func (m *EngineModel) insertBlocks(prefix []uint64) {
 	for _, h := range prefix {
 		if el := m.cache[h]; el != nil {
-			m.recent.MoveToFront(el)
+			m.recency.MoveToFront(el)
 			continue
 		}
-		m.cache[h] = m.recent.PushFront(h)
+		m.cache[h] = m.recency.PushFront(h)
 		m.stored = append(m.stored, h)
-		for m.recent.Len() > m.Cost.CacheBlock {
-			el := m.recent.Back()
+		for m.recency.Len() > m.Cost.CacheBlocks {
+			el := m.recency.Back()
 			old := el.Value.(uint64)
-			m.recent.Remove(el)
+			m.recency.Remove(el)
 			delete(m.cache, old)
 			m.removed = append(m.removed, old)
 		}
@@ -217,14 +217,14 @@
 }
 
 // TakeEvents gives the cache's changes since the last call.
-func (m *Model) TakeEvents() (stored, removed []uint64) {
+func (m *EngineModel) TakeEvents() (stored, removed []uint64) {
 	stored, removed = m.stored, m.removed
 	m.stored, m.removed = nil, nil
 	return stored, removed
 }
 
 // Export lists the blocks of a prefix that the cache holds, for another engine to Import.
-func (m *Model) Export(prefix []uint64) []uint64 {
+func (m *EngineModel) Export(prefix []uint64) []uint64 {
 	var out []uint64
 	for _, h := range prefix {
 		if m.cache[h] == nil {
@@ -236,4 +236,4 @@
 }
 
 // Import puts another engine's blocks into the cache.
-func (m *Model) Import(blocks []uint64) { m.store(blocks) }
+func (m *EngineModel) Import(blocks []uint64) { m.insertBlocks(blocks) }
--- a/src/standin/platform.go
+++ b/src/standin/platform.go
@@ -16,19 +16,19 @@
 type Platform struct {
 	ListLag time.Duration // age of the box list it shows
 
-	mu      sync.Mutex
-	config  []byte
-	stale   []byte // shown instead while not nil
-	down    bool
-	slow    time.Duration
-	lists   []datedList
-	calls   int
-	revised uint64
+	mu          sync.Mutex
+	config      []byte
+	staleConfig []byte // shown instead while not nil
+	down        bool
+	readDelay   time.Duration
+	lists       []timedBoxList
+	calls       int
+	revision    uint64
 }
 
-type datedList struct {
-	list port.BoxList
-	from time.Time
+type timedBoxList struct {
+	list        port.BoxList
+	publishedAt time.Time
 }
 
 var errDown = errors.New("the configuration service is down")
@@ -44,9 +44,9 @@
 func (p *Platform) SetBoxes(boxes []core.ListedBox) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.revised++
-	l := port.BoxList{Revision: p.revised, Boxes: append([]core.ListedBox(nil), boxes...)}
-	p.lists = append(p.lists, datedList{list: l, from: time.Now()})
+	p.revision++
+	l := port.BoxList{Revision: p.revision, Boxes: append([]core.ListedBox(nil), boxes...)}
+	p.lists = append(p.lists, timedBoxList{list: l, publishedAt: time.Now()})
 	if len(p.lists) > 100 {
 		p.lists = p.lists[1:]
 	}
@@ -73,14 +73,14 @@
 func (p *Platform) SetSlow(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.slow = d
+	p.readDelay = d
 }
 
 // SetStale shows an old configuration; nil ends that.
 func (p *Platform) SetStale(raw []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stale = raw
+	p.staleConfig = raw
 }
 
 // Calls counts the reads so far.
@@ -90,10 +90,10 @@
 	return p.calls
 }
 
-func (p *Platform) enter(ctx context.Context) error {
+func (p *Platform) beginRead(ctx context.Context) error {
 	p.mu.Lock()
 	p.calls++
-	slow, down := p.slow, p.down
+	slow, down := p.readDelay, p.down
 	p.mu.Unlock()
 	if slow > 0 {
 		select {
@@ -110,32 +110,32 @@
 
 // Config reads the published configuration.
 func (p *Platform) Config(ctx context.Context) ([]byte, error) {
-	if err := p.enter(ctx); err != nil {
+	if err := p.beginRead(ctx); err != nil {
 		return nil, err
 	}
-	return p.shown(), nil
+	return p.currentConfig(), nil
 }
 
 // shown is the configuration on show.
-func (p *Platform) shown() []byte {
+func (p *Platform) currentConfig() []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.stale != nil {
-		return p.stale
+	if p.staleConfig != nil {
+		return p.staleConfig
 	}
 	return p.config
 }
 
 // Boxes reads the box list as it was ListLag ago.
 func (p *Platform) Boxes(ctx context.Context) (port.BoxList, error) {
-	if err := p.enter(ctx); err != nil {
+	if err := p.beginRead(ctx); err != nil {
 		return port.BoxList{}, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out port.BoxList
 	for i, l := range p.lists {
-		if i == 0 || !l.from.After(time.Now().Add(-p.ListLag)) {
+		if i == 0 || !l.publishedAt.After(time.Now().Add(-p.ListLag)) {
 			out = l.list
 		}
 	}
--- a/src/standin/service.go
+++ b/src/standin/service.go
@@ -12,7 +12,7 @@
 )
 
 // reportEvery is how often a stand-in renews its load report, so a report lags by as much.
-const reportEvery = 250 * time.Millisecond
+const reportInterval = 250 * time.Millisecond
 
 // Ran is one call that a stand-in really ran.
 type Ran struct {
@@ -24,19 +24,19 @@
 }
 
 // Log is what a stand-in ran, so that a test can count. Safe for concurrent use.
-type Log struct {
+type ExecutionLog struct {
 	mu  sync.Mutex
 	ran []Ran
 }
 
-func (l *Log) add(r port.CallRequest) {
+func (l *ExecutionLog) record(r port.CallRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ran = append(l.ran, Ran{Attempt: r.Attempt, Kind: r.Kind, Once: r.Once, Input: xxhash.Sum64(r.Input), At: time.Now()})
 }
 
 // All copies the log.
-func (l *Log) All() []Ran {
+func (l *ExecutionLog) All() []Ran {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]Ran(nil), l.ran...)
@@ -47,12 +47,12 @@
 	Name  string
 	Slots int
 	Base  time.Duration // typical time of one call
-	Switches
-	Log Log
+	FaultInjector
+	Log ExecutionLog
 
 	once    sync.Once
 	slots   chan struct{}
-	reports reports
+	reports reportCache
 	mu      sync.Mutex
 	running int
 	waiting int
@@ -68,37 +68,37 @@
 func (s *Service) init() {
 	s.once.Do(func() {
 		s.slots = make(chan struct{}, s.Slots)
-		s.reports.life = uint64(time.Now().UnixNano())
+		s.reports.incarnation = uint64(time.Now().UnixNano())
 	})
 }
 
 // Call runs one call.
 func (s *Service) Call(ctx context.Context, r port.CallRequest, _ func(int, []byte)) (port.CallResult, *port.CallError) {
 	s.init()
-	s.wait()
-	f, delay := s.take()
-	if err := s.before(ctx, f); err != nil {
+	s.waitWhilePaused()
+	fault, delay := s.nextFault()
+	if err := s.failBeforeRun(ctx, fault); err != nil {
 		return port.CallResult{}, err
 	}
-	s.count(0, 1)
+	s.addLoad(0, 1)
 	select {
 	case s.slots <- struct{}{}:
 	case <-ctx.Done():
-		s.count(0, -1)
+		s.addLoad(0, -1)
 		return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "cancelled while waiting"}
 	}
-	s.count(1, -1)
+	s.addLoad(1, -1)
 	defer func() {
-		s.count(-1, 0)
+		s.addLoad(-1, 0)
 		<-s.slots
 	}()
-	s.Log.add(r)
-	took := time.Duration(s.slowness() * float64(s.Base) * spreadOf(r.Input))
-	time.Sleep(took)
-	s.wait()
-	res := port.CallResult{Output: Served(r.Kind, r.Input), Use: core.Use{Engine: took}}
+	s.Log.record(r)
+	duration := time.Duration(s.slowdown() * float64(s.Base) * timeFactor(r.Input))
+	time.Sleep(duration)
+	s.waitWhilePaused()
+	res := port.CallResult{Output: ServiceOutput(r.Kind, r.Input), Use: core.Use{Engine: duration}}
 	res.Length = len(res.Output)
-	switch f {
+	switch fault {
 	case DropReply, BreakMid:
 		return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "connection broke"}
 	case LateReply:
@@ -108,8 +108,8 @@
 }
 
 // before applies the faults that keep a call from running.
-func (s *Switches) before(ctx context.Context, f Fault) *port.CallError {
-	switch f {
+func (s *FaultInjector) failBeforeRun(ctx context.Context, fault Fault) *port.CallError {
+	switch fault {
 	case Fail:
 		return &port.CallError{Failure: core.Broken, Message: "stand-in was told to fail"}
 	case Busy:
@@ -122,16 +122,16 @@
 		<-ctx.Done()
 		return &port.CallError{Failure: core.Broken, Message: "hung until given up"}
 	}
-	if s.turnAway() {
+	if s.refuseIfLeaving() {
 		return &port.CallError{Failure: core.Leaving, Message: "leaving"}
 	}
 	return nil
 }
 
 // spreadOf varies a call's time by its input, from 0.75 to 1.25.
-func spreadOf(input []byte) float64 { return 0.75 + float64(xxhash.Sum64(input)%1000)/2000 }
+func timeFactor(input []byte) float64 { return 0.75 + float64(xxhash.Sum64(input)%1000)/2000 }
 
-func (s *Service) count(running, waiting int) {
+func (s *Service) addLoad(running, waiting int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running += running
@@ -141,7 +141,7 @@
 // Report gives the load as of the last renewal.
 func (s *Service) Report() core.Report {
 	s.init()
-	return s.reports.get(func() core.Report {
+	return s.reports.current(func() core.Report {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return core.Report{Running: s.running, Waiting: s.waiting, Slots: s.Slots, Leaving: s.isLeaving()}
@@ -149,23 +149,23 @@
 }
 
 // reports renews a report at most every reportEvery and numbers each.
-type reports struct {
-	mu   sync.Mutex
-	life uint64
-	seq  uint64
-	at   time.Time
-	last core.Report
+type reportCache struct {
+	mu          sync.Mutex
+	incarnation uint64
+	seq         uint64
+	renewedAt   time.Time
+	last        core.Report
 }
 
-func (r *reports) get(fresh func() core.Report) core.Report {
+func (r *reportCache) current(measure func() core.Report) core.Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	if r.seq == 0 || now.Sub(r.at) >= reportEvery {
-		r.last = fresh()
+	if r.seq == 0 || now.Sub(r.renewedAt) >= reportInterval {
+		r.last = measure()
 		r.seq++
-		r.at = now
-		r.last.Incarnation, r.last.Seq = r.life, r.seq
+		r.renewedAt = now
+		r.last.Incarnation, r.last.Seq = r.incarnation, r.seq
 	}
 	return r.last
 }
--- a/src/standin/text.go
+++ b/src/standin/text.go
@@ -27,7 +27,7 @@
 }
 
 // Generated is the whole answer of a generate stage.
-func Generated(input []byte, limit int) []byte {
+func GeneratedOutput(input []byte, limit int) []byte {
 	var b strings.Builder
 	for i := range TokenCount(input, limit) {
 		b.WriteString(Token(input, i))
@@ -36,7 +36,7 @@
 }
 
 // Served is the answer of any other stage: the input with a line that only this input and kind give.
-func Served(kind string, input []byte) []byte {
+func ServiceOutput(kind string, input []byte) []byte {
 	line := fmt.Sprintf("\n%s=%016x", kind, xxhash.Sum64(append([]byte(kind+":"), input...)))
 	return append(bytes.Clone(input), line...)
 }
@@ -45,14 +45,14 @@
 func Whole(p *config.Pipeline, input []byte, maxTokens int) []byte {
 	for _, s := range p.Stages() {
 		if s.Kind() != config.Generate {
-			input = Served(string(s.Kind()), input)
+			input = ServiceOutput(string(s.Kind()), input)
 			continue
 		}
 		limit := s.MaxTokens()
 		if maxTokens > 0 && maxTokens < limit {
 			limit = maxTokens
 		}
-		input = Generated(input, limit)
+		input = GeneratedOutput(input, limit)
 	}
 	return input
 }
