--- a/src/standin/engine.go
+++ b/src/standin/engine.go
@@ -9,15 +9,16 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// Engine stands in for a model engine: the cost model driven by the clock, with streams that can be
-// resumed and cancelled, late and gapped cache events, and orders. Set its fields before Run.
+// Engine is a fake model engine: an EngineModel driven by the wall clock. Its streams can be resumed and
+// cancelled, its cache events are delayed and can be lost, and it accepts orders to load models.
+// Set its fields before Run.
 type Engine struct {
 	Name         string
 	Cost         EngineCost
 	ChecksOrders bool
-	Store        *WeightStore // nil loads at once
+	Store        *WeightStore // nil makes loads instant
 	EventLag     time.Duration
-	EventGap     int // every so many events one is lost; 0 for none
+	EventGap     int // one event in every EventGap is lost; 0 for none
 	FaultInjector
 	Log ExecutionLog
 
@@ -29,19 +30,20 @@
 	events     []delayedEvent
 	seq        uint64
 	order      core.Order
-	modelReady time.Time // when the ordered model serves
+	modelReady time.Time // when the ordered model has loaded
 	orders     []core.Order
 }
 
+// delayedEvent is a cache event that Events returns from visibleAt on.
 type delayedEvent struct {
 	event     core.CacheEvent
 	visibleAt time.Time
 }
 
-// job is one sequence and what it has made.
+// job is one sequence and its output so far.
 type job struct {
 	req        port.CallRequest
-	firstToken int // token number of its first token
+	firstToken int // index in the answer of the first token it generates
 	text       []byte
 	done       bool
 	cancelled  bool
@@ -50,10 +52,10 @@
 	endedAt    time.Time
 }
 
-// jobKept is how long an ended job can still be resumed.
+// jobRetention is how long a finished job can still be resumed.
 const jobRetention = 20 * time.Second
 
-// Init makes the engine ready to be called; Run calls it.
+// Init prepares the engine for calls. Run calls it; further calls do nothing.
 func (e *Engine) Init() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -66,14 +68,14 @@
 	e.reports.incarnation = uint64(time.Now().UnixNano())
 }
 
-// SetSlots changes the size of the batch; call it while nothing runs.
+// SetSlots changes the maximum batch size. Call it only while nothing runs.
 func (e *Engine) SetSlots(n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.Cost.Slots, e.model.Cost.Slots = n, n
 }
 
-// Run steps the engine until the context ends.
+// Run steps the engine until ctx is done.
 func (e *Engine) Run(ctx context.Context) {
 	e.Init()
 	for {
@@ -101,6 +103,7 @@
 	}
 }
 
+// step ends the model's current step and appends its tokens to the jobs' output.
 func (e *Engine) step() {
 	e.waitWhilePaused()
 	e.mu.Lock()
@@ -128,7 +131,8 @@
 	}
 }
 
-// publish numbers the cache's changes; some are lost, all come late.
+// publishCacheEvents numbers the cache's changes and queues them to become visible after EventLag, except
+// for those that EventGap drops.
 func (e *Engine) publishCacheEvents(now time.Time) {
 	stored, removed := e.model.TakeEvents()
 	if len(stored)+len(removed) == 0 {
@@ -144,7 +148,7 @@
 	}
 }
 
-// Events gives the cache events after a sequence number that are published by now.
+// Events returns the visible cache events with a sequence number greater than after.
 func (e *Engine) Events(after uint64) []core.CacheEvent {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -157,7 +161,7 @@
 	return out
 }
 
-// Call generates, or goes on with, one sequence.
+// Call generates a sequence, or resumes one, and passes its output to emit as pairs of offset and data.
 func (e *Engine) Call(ctx context.Context, r port.CallRequest, emit func(int, []byte)) (port.CallResult, *port.CallError) {
 	e.waitWhilePaused()
 	fault, delay := e.nextFault()
@@ -171,20 +175,20 @@
 	return e.streamOutput(ctx, j, r, fault, delay, emit)
 }
 
-// find takes the running job that a resume means, or submits a new one.
+// findOrSubmit returns the job that the request resumes, or submits a new one.
 func (e *Engine) findOrSubmit(req port.CallRequest) (*job, *port.CallError) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if req.Resume {
 		j := e.jobs[req.Attempt]
 		if j == nil || j.cancelled {
-			return nil, &port.CallError{Failure: core.Broken, Message: "nothing to resume"}
+			return nil, &port.CallError{Failure: core.Broken, Message: "no such sequence to resume"}
 		}
 		return j, nil
 	}
 	now := time.Now()
 	if req.Model != "" && (e.order.Model != req.Model || now.Before(e.modelReady)) {
-		return nil, &port.CallError{Failure: core.Busy, Message: "the model is not loaded"}
+		return nil, &port.CallError{Failure: core.Busy, Message: "model is not loaded"}
 	}
 	start := len(req.Continue) / TokenBytes
 	total := TokenCount(req.Input, req.MaxTokens+start)
@@ -206,7 +210,7 @@
 	return j, nil
 }
 
-// follow hands on a job's text as it grows.
+// streamOutput emits a job's output as it grows, until the job or ctx ends.
 func (e *Engine) streamOutput(ctx context.Context, j *job, r port.CallRequest, fault Fault, delay time.Duration, emit func(int, []byte)) (port.CallResult, *port.CallError) {
 	base := j.firstToken * TokenBytes
 	sent := max(0, r.Offset-base)
@@ -225,7 +229,7 @@
 			sent = len(text)
 		}
 		if fault == BreakMid && len(text) >= 3*TokenBytes || fault == DropReply && done {
-			return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "connection broke"}
+			return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "connection lost"}
 		}
 		if done {
 			if fault == LateReply {
@@ -236,13 +240,13 @@
 		}
 		select {
 		case <-ctx.Done():
-			return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "given up"}
+			return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "context done"}
 		case <-changed:
 		}
 	}
 }
 
-// Stop cancels a sequence.
+// Stop cancels the unfinished sequence of an attempt, if there is one.
 func (e *Engine) Stop(attempt string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -257,7 +261,7 @@
 	delete(e.jobs, attempt)
 }
 
-// Report gives the load as of the last renewal.
+// Report returns a load report that is at most reportInterval old.
 func (e *Engine) Report() core.Report {
 	return e.reports.current(func() core.Report {
 		e.mu.Lock()
@@ -271,7 +275,8 @@
 	})
 }
 
-// Take accepts an order, unless the engine checks fences and this one is older than the last.
+// Take accepts an order. It returns false if the engine checks fences and the order's fence is lower than
+// that of the last order.
 func (e *Engine) Take(o core.Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -291,34 +296,34 @@
 	return true
 }
 
-// Orders lists the orders the engine took.
+// Orders returns the accepted orders, oldest first.
 func (e *Engine) Orders() []core.Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]core.Order(nil), e.orders...)
 }
 
-// Export lists the cached blocks of a prefix.
+// Export returns the leading blocks of a prefix that the cache holds.
 func (e *Engine) Export(prefix []uint64) []uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.model.Export(prefix)
 }
 
-// Import takes another engine's blocks.
+// Import adds another engine's exported blocks to the cache.
 func (e *Engine) Import(blocks []uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.model.Import(blocks)
 }
 
-// WeightStore hands out model weights one after another at a limited rate.
+// WeightStore simulates a shared store of model weights that serves one load at a time.
 type WeightStore struct {
 	mu   sync.Mutex
 	free time.Time
 }
 
-// Fetch books a load that takes the given time alone and says when it will be done.
+// Fetch queues a load that takes the duration alone if nothing else loads, and returns when it ends.
 func (w *WeightStore) Fetch(now time.Time, alone time.Duration) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/src/standin/fault.go
+++ b/src/standin/fault.go
@@ -5,64 +5,65 @@
 	"time"
 )
 
-// Fault is something a stand-in can be told to do wrong.
+// Fault is a way in which a fake backend server can be made to misbehave.
 type Fault uint8
 
 // The faults of backend servers.
 const (
 	None       Fault = iota
-	Fail             // answer with an error before running anything
-	Busy             // answer that no work is taken now
-	Hang             // take the call, run nothing, answer nothing
+	Fail             // reply with an error, without running the call
+	Busy             // reject the call as busy, without running it
+	Hang             // accept the call, but neither run nor answer it
 	DropReply        // run the call, then break the connection
-	LateReply        // run the call, answer after Delay
-	TwiceReply       // send every piece of a stream twice
-	BreakMid         // break a stream in its middle
-	Refuse           // take no connection
-	BadRequest       // answer that the call is wrong
+	LateReply        // run the call, reply after the delay of SetDelay
+	TwiceReply       // send every chunk of a stream twice
+	BreakMid         // break the connection in the middle of a stream
+	Refuse           // refuse connections
+	BadRequest       // reject the call as invalid
 )
 
-// Switches hold what a stand-in does wrong. The zero value does nothing wrong.
+// FaultInjector holds the faults injected into a fake backend server. The zero value injects none.
+// Safe for concurrent use.
 type FaultInjector struct {
 	mu           sync.Mutex
 	fault        Fault
-	remaining    int // calls the fault still hits; negative for all
+	remaining    int // calls that the fault still affects; negative for all
 	delay        time.Duration
 	slowFactor   float64
 	paused       chan struct{}
 	leaving      bool
-	refusedCalls int // calls turned away because it is leaving
+	refusedCalls int // calls rejected because the server is leaving
 }
 
-// Arm makes the next n calls go wrong; a negative n means all until Arm(None, 0).
+// Arm injects a fault into the next n calls, or with a negative n into all until Arm(None, 0).
 func (s *FaultInjector) Arm(fault Fault, n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault, s.remaining = fault, n
 }
 
-// SetDelay says how late LateReply is.
+// SetDelay sets the delay of LateReply.
 func (s *FaultInjector) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = d
 }
 
-// SetSlow multiplies the time of all work.
+// SetSlow multiplies the duration of all work by a factor; 0 or less means 1.
 func (s *FaultInjector) SetSlow(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slowFactor = factor
 }
 
-// SetLeaving makes the server say that it is leaving and take no new work.
+// SetLeaving makes the server report that it is leaving and reject new calls.
 func (s *FaultInjector) SetLeaving(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = on
 }
 
-// Pause stops all work until Resume, as a stopped process would.
+// Pause stops all work until Resume, like SIGSTOP on a process.
 func (s *FaultInjector) Pause() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,7 +82,7 @@
 	}
 }
 
-// take gives the fault that the next call has.
+// nextFault returns the fault for the next call and the delay of late replies.
 func (s *FaultInjector) nextFault() (Fault, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,14 +110,14 @@
 	return s.leaving
 }
 
-// Refused counts the calls that came although the server is leaving.
+// Refused returns how many calls were rejected because the server was leaving.
 func (s *FaultInjector) Refused() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.refusedCalls
 }
 
-// turnAway says whether the server is leaving, and counts the call if it is.
+// refuseIfLeaving reports whether the server is leaving, and counts the call as refused if it is.
 func (s *FaultInjector) refuseIfLeaving() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,7 +127,7 @@
 	return s.leaving
 }
 
-// wait blocks while paused.
+// waitWhilePaused blocks from Pause until Resume.
 func (s *FaultInjector) waitWhilePaused() {
 	s.mu.Lock()
 	p := s.paused
--- a/src/standin/http.go
+++ b/src/standin/http.go
@@ -18,12 +18,13 @@
 	"github.com/stilemast/stilemast/src/web"
 )
 
-// PathRan lists what a stand-in ran; it is no part of a real server's interface.
+// PathRan serves the list of calls that a fake backend server ran. Real servers do not have it.
 const PathRan = "/ran"
 
+// callFunc is the signature of Engine.Call and Service.Call.
 type callFunc func(context.Context, port.CallRequest, func(int, []byte)) (port.CallResult, *port.CallError)
 
-// Handler serves the service's published interface.
+// Handler returns the service's HTTP interface.
 func (s *Service) Handler() (http.Handler, error) {
 	return web.Handler([]rest.Route{
 		{Method: http.MethodPost, Path: backend.PathCall, Handler: callHandler(s.Call)},
@@ -33,7 +34,7 @@
 	})
 }
 
-// Handler serves the engine's published interface.
+// Handler returns the engine's HTTP interface.
 func (e *Engine) Handler() (http.Handler, error) {
 	return web.Handler([]rest.Route{
 		{Method: http.MethodPost, Path: backend.PathCall, Handler: callHandler(e.Call)},
@@ -66,7 +67,7 @@
 	}
 	o := core.Order{Fence: in.Fence, Model: in.Model, Version: in.Version, Adapters: in.Adapters, Role: in.Role, LoadTime: time.Duration(in.LoadTime)}
 	if !e.Take(o) {
-		http.Error(w, "fence is older than the last order's", http.StatusConflict)
+		http.Error(w, "fence is lower than that of the last order", http.StatusConflict)
 	}
 }
 
@@ -84,7 +85,7 @@
 	}
 }
 
-// Handler serves the platform's published interface.
+// Handler returns the HTTP interface of the configuration service.
 func (p *Platform) Handler() (http.Handler, error) {
 	return web.Handler([]rest.Route{
 		{Method: http.MethodGet, Path: configservice.PathConfig, Handler: p.serveConfig},
@@ -103,11 +104,11 @@
 	writeWithETag(w, r, raw)
 }
 
-// maxWatch is the longest a read may wait for a change, in milliseconds.
+// maxWatchMillis bounds the time that a read of the configuration may wait for a change.
 const maxWatchMillis = 30_000
 
-// changed waits until the configuration is not the one that the reader has. It counts no call: the
-// waiting one was counted when it came.
+// waitForChange returns the configuration once its entity tag differs from tag, or after wait. It does not
+// count in Calls: the read that waits was counted when it began.
 func (p *Platform) waitForChange(ctx context.Context, raw []byte, tag string, wait time.Duration) []byte {
 	until := time.Now().Add(wait)
 	for etagOf(raw) == tag && time.Now().Before(until) && ctx.Err() == nil {
@@ -119,7 +120,7 @@
 
 func etagOf(b []byte) string { return `"` + config.Digest(b) + `"` }
 
-// writeTagged answers with an entity tag, or that nothing changed since the asker's.
+// writeWithETag replies with the content and its entity tag, or with 304 if the request has the same tag.
 func writeWithETag(w http.ResponseWriter, r *http.Request, b []byte) {
 	tag := etagOf(b)
 	w.Header().Set("ETag", tag)
@@ -139,7 +140,7 @@
 	writeJSON(w, list)
 }
 
-// callHandler serves calls, as an event stream where the kind generates.
+// callHandler serves calls; the reply is an event stream if the call emits output, else JSON.
 func callHandler(call callFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var in port.CallRequest
@@ -157,7 +158,7 @@
 		res, err := call(r.Context(), in, emit)
 		switch {
 		case err != nil && (begun || err.Failure == core.Broken):
-			panic(http.ErrAbortHandler) // breaks the connection, as a dying server would
+			panic(http.ErrAbortHandler) // closes the connection, like a crashing server
 		case err != nil:
 			writeFailure(w, err)
 		case res.Stream:
--- a/src/standin/model.go
+++ b/src/standin/model.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins for what surrounds stilemast: model engines, plain
-// services, the platform's configuration service and box list, and the weight store. The cost model
-// of an engine is pure (time in, outputs out), so that real sockets and virtual time share it.
+// Package standin provides fakes of the systems around stilemast for tests, demos and simulations: model
+// engines, plain services, the platform's configuration service and box list, and a weight store. The
+// model of an engine takes the time as an argument, so that it runs on real sockets and in virtual time.
 package standin
 
 import (
@@ -11,17 +11,17 @@
 	"github.com/stilemast/stilemast/src/core"
 )
 
-// EngineCost says how fast an engine is.
+// EngineCost holds the speed and capacity of an engine.
 type EngineCost struct {
-	Step            time.Duration // one step of an empty batch
+	Step            time.Duration // duration of a step of an empty batch
 	PerSequence     time.Duration // added for each sequence in the batch
 	PerPrefillToken time.Duration // added for each prompt token computed in the step
-	PrefillChunk    int           // prompt tokens computed in one step at most
-	Slots           int           // sequences in the batch at most
-	CacheBlocks     int           // prefix blocks that the cache holds
+	PrefillChunk    int           // maximum number of prompt tokens computed in one step
+	Slots           int           // maximum number of sequences in the batch
+	CacheBlocks     int           // capacity of the prefix cache
 }
 
-// DefaultEngineCost is a middling engine.
+// DefaultEngineCost returns the costs of an engine of medium speed.
 func DefaultEngineCost(slots int) EngineCost {
 	return EngineCost{
 		Step: 8 * time.Millisecond, PerSequence: 500 * time.Microsecond,
@@ -29,36 +29,38 @@
 	}
 }
 
-// Job is one sequence to generate.
+// Job describes one sequence to generate.
 type Job struct {
 	ID       string
-	Prompt   int // prompt tokens
-	Tokens   int // tokens to generate
-	Priority int // lower goes first
-	Prefix   []uint64
+	Prompt   int      // prompt tokens
+	Tokens   int      // tokens to generate
+	Priority int      // lower values are admitted first
+	Prefix   []uint64 // hashes of the prompt's blocks
 }
 
-// Output is what a step gave one job.
+// Output is the result of one step for one job.
 type Output struct {
 	ID    string
-	Token bool // one more token
+	Token bool // one more token was generated
 	Done  bool
-	Use   core.Use
+	Use   core.Use // set when Done
 }
 
+// sequence is the state of a submitted job.
 type sequence struct {
 	job         Job
 	arrival     int
-	prefillLeft int // prompt tokens still to compute
+	prefillLeft int // prompt tokens yet to compute
 	cached      int
 	generated   int
 	submittedAt time.Time
 }
 
-// Model is an engine's continuous batching with a prefix cache. Not safe for concurrent use.
+// EngineModel simulates continuous batching with chunked prefill and an LRU prefix cache. Not safe for
+// concurrent use.
 type EngineModel struct {
 	Cost       EngineCost
-	SlowFactor float64 // factor on every step; 0 means 1
+	SlowFactor float64 // multiplies the duration of every step; 0 means 1
 
 	waiting  []*sequence
 	running  []*sequence
@@ -71,19 +73,19 @@
 	removed  []uint64
 }
 
-// NewModel makes an idle engine.
+// NewEngineModel returns an idle engine.
 func NewEngineModel(cost EngineCost) *EngineModel {
 	return &EngineModel{Cost: cost, cache: map[uint64]*list.Element{}, recency: list.New()}
 }
 
-// Submit adds a job; the caller then looks at Next.
+// Submit adds a job and starts a step if the engine was idle. The caller then calls Next.
 func (m *EngineModel) Submit(now time.Time, j Job) {
 	m.arrivals++
 	m.waiting = append(m.waiting, &sequence{job: j, arrival: m.arrivals, submittedAt: now})
 	m.startStep(now)
 }
 
-// Cancel drops a job; it says what it had used.
+// Cancel removes a job. It returns what the job used and whether it was found.
 func (m *EngineModel) Cancel(now time.Time, id string) (core.Use, bool) {
 	for i, s := range m.waiting {
 		if s.job.ID == id {
@@ -107,13 +109,13 @@
 	}
 }
 
-// Load says how many jobs run and wait.
+// Load returns how many jobs are in the batch and how many wait.
 func (m *EngineModel) Load() (running, waiting int) { return len(m.running), len(m.waiting) }
 
-// Next is when the step under way ends; false when the engine is idle.
+// Next returns when the current step ends, or false if the engine is idle.
 func (m *EngineModel) Next() (time.Time, bool) { return m.stepEnd, m.stepping }
 
-// begin starts a step if none is under way and there is work.
+// startStep starts a step if none is in progress and there is work.
 func (m *EngineModel) startStep(now time.Time) {
 	if m.stepping {
 		return
@@ -134,7 +136,7 @@
 	m.stepEnd = now.Add(stepTime)
 }
 
-// admit fills the batch from the waiting jobs by priority, then by arrival.
+// admit moves waiting jobs into the batch's free slots, by priority, then by arrival.
 func (m *EngineModel) admit() {
 	if len(m.waiting) > 1 {
 		sort.SliceStable(m.waiting, func(i, j int) bool {
@@ -162,7 +164,7 @@
 	}
 }
 
-// Step ends the step under way and begins the next. Call it at the time Next gave.
+// Step ends the current step, starts the next and returns the outputs. Call it at the time that Next returns.
 func (m *EngineModel) Step(now time.Time) []Output {
 	if !m.stepping {
 		return nil
@@ -197,7 +199,7 @@
 	return out
 }
 
-// store puts a prompt's blocks into the cache, oldest blocks go.
+// insertBlocks adds blocks to the cache and evicts the least recently used ones beyond its capacity.
 func (m *EngineModel) insertBlocks(prefix []uint64) {
 	for _, h := range prefix {
 		if el := m.cache[h]; el != nil {
@@ -216,14 +218,14 @@
 	}
 }
 
-// TakeEvents gives the cache's changes since the last call.
+// TakeEvents returns the blocks that entered and left the cache since the last call.
 func (m *EngineModel) TakeEvents() (stored, removed []uint64) {
 	stored, removed = m.stored, m.removed
 	m.stored, m.removed = nil, nil
 	return stored, removed
 }
 
-// Export lists the blocks of a prefix that the cache holds, for another engine to Import.
+// Export returns the leading blocks of a prefix that the cache holds, for Import at another engine.
 func (m *EngineModel) Export(prefix []uint64) []uint64 {
 	var out []uint64
 	for _, h := range prefix {
@@ -235,5 +237,5 @@
 	return out
 }
 
-// Import puts another engine's blocks into the cache.
+// Import adds another engine's exported blocks to the cache.
 func (m *EngineModel) Import(blocks []uint64) { m.insertBlocks(blocks) }
--- a/src/standin/platform.go
+++ b/src/standin/platform.go
@@ -11,14 +11,14 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// Platform stands in for the configuration service and the box list. It can only be read; tests and
-// operators publish through its own methods. Safe for concurrent use.
+// Platform is a fake of the platform's configuration service and box list. Boxes only read it; tests and
+// the command line publish through its other methods. Safe for concurrent use.
 type Platform struct {
-	ListLag time.Duration // age of the box list it shows
+	ListLag time.Duration // delay until readers see a new box list
 
 	mu          sync.Mutex
 	config      []byte
-	staleConfig []byte // shown instead while not nil
+	staleConfig []byte // served instead of config while not nil
 	down        bool
 	readDelay   time.Duration
 	lists       []timedBoxList
@@ -26,21 +26,22 @@
 	revision    uint64
 }
 
+// timedBoxList is a box list and the time it was published.
 type timedBoxList struct {
 	list        port.BoxList
 	publishedAt time.Time
 }
 
-var errDown = errors.New("the configuration service is down")
+var errDown = errors.New("configuration service is down")
 
-// Publish puts a configuration on show.
+// Publish replaces the configuration.
 func (p *Platform) Publish(raw []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.config = raw
 }
 
-// SetBoxes changes the box list; readers see it ListLag later.
+// SetBoxes publishes a box list under a new revision; readers see it ListLag later.
 func (p *Platform) SetBoxes(boxes []core.ListedBox) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,7 +53,7 @@
 	}
 }
 
-// SetBoxesIfChanged is SetBoxes, but the same list keeps its revision.
+// SetBoxesIfChanged calls SetBoxes unless the list equals the last one published.
 func (p *Platform) SetBoxesIfChanged(boxes []core.ListedBox) {
 	p.mu.Lock()
 	same := len(p.lists) > 0 && slices.Equal(p.lists[len(p.lists)-1].list.Boxes, boxes)
@@ -62,34 +63,35 @@
 	}
 }
 
-// SetDown makes every read fail.
+// SetDown makes every read fail while down is true.
 func (p *Platform) SetDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = down
 }
 
-// SetSlow delays every read.
+// SetSlow delays every read by d.
 func (p *Platform) SetSlow(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.readDelay = d
 }
 
-// SetStale shows an old configuration; nil ends that.
+// SetStale serves raw instead of the published configuration; nil ends this.
 func (p *Platform) SetStale(raw []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.staleConfig = raw
 }
 
-// Calls counts the reads so far.
+// Calls returns the number of reads so far.
 func (p *Platform) Calls() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
 }
 
+// beginRead counts a read and applies the injected delay and failure.
 func (p *Platform) beginRead(ctx context.Context) error {
 	p.mu.Lock()
 	p.calls++
@@ -108,7 +110,7 @@
 	return nil
 }
 
-// Config reads the published configuration.
+// Config returns the published configuration, or the stale one if set.
 func (p *Platform) Config(ctx context.Context) ([]byte, error) {
 	if err := p.beginRead(ctx); err != nil {
 		return nil, err
@@ -116,7 +118,7 @@
 	return p.currentConfig(), nil
 }
 
-// shown is the configuration on show.
+// currentConfig returns the configuration that readers get.
 func (p *Platform) currentConfig() []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,7 +128,7 @@
 	return p.config
 }
 
-// Boxes reads the box list as it was ListLag ago.
+// Boxes returns the box list as it was ListLag ago.
 func (p *Platform) Boxes(ctx context.Context) (port.BoxList, error) {
 	if err := p.beginRead(ctx); err != nil {
 		return port.BoxList{}, err
--- a/src/standin/service.go
+++ b/src/standin/service.go
@@ -11,19 +11,20 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// reportEvery is how often a stand-in renews its load report, so a report lags by as much.
+// reportInterval is how often load reports are renewed, so a report can be this old.
 const reportInterval = 250 * time.Millisecond
 
-// Ran is one call that a stand-in really ran.
+// Ran records one call that a fake backend server ran.
 type Ran struct {
-	Attempt string // key/stage/attempt
+	Attempt string // format: key/stage/attempt, then the calling box
 	Kind    string
 	Once    bool
 	Input   uint64 // hash of the input
 	At      time.Time
 }
 
-// Log is what a stand-in ran, so that a test can count. Safe for concurrent use.
+// ExecutionLog records the calls that a fake backend server ran, so that tests can count them.
+// Safe for concurrent use.
 type ExecutionLog struct {
 	mu  sync.Mutex
 	ran []Ran
@@ -35,18 +36,18 @@
 	l.ran = append(l.ran, Ran{Attempt: r.Attempt, Kind: r.Kind, Once: r.Once, Input: xxhash.Sum64(r.Input), At: time.Now()})
 }
 
-// All copies the log.
+// All returns a copy of the log.
 func (l *ExecutionLog) All() []Ran {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]Ran(nil), l.ran...)
 }
 
-// Service stands in for a plain service, an encoder, a retriever or a reranker.
+// Service is a fake backend server that does not generate: a plain service, encoder, retriever or reranker.
 type Service struct {
 	Name  string
 	Slots int
-	Base  time.Duration // typical time of one call
+	Base  time.Duration // mean duration of a call
 	FaultInjector
 	Log ExecutionLog
 
@@ -58,7 +59,7 @@
 	waiting int
 }
 
-// SetSlots changes how many calls run at once; call it while none runs.
+// SetSlots changes how many calls run at once. Call it only while none runs.
 func (s *Service) SetSlots(n int) {
 	s.init()
 	s.Slots = n
@@ -72,7 +73,7 @@
 	})
 }
 
-// Call runs one call.
+// Call waits for a free slot and runs one call.
 func (s *Service) Call(ctx context.Context, r port.CallRequest, _ func(int, []byte)) (port.CallResult, *port.CallError) {
 	s.init()
 	s.waitWhilePaused()
@@ -85,7 +86,7 @@
 	case s.slots <- struct{}{}:
 	case <-ctx.Done():
 		s.addLoad(0, -1)
-		return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "cancelled while waiting"}
+		return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "cancelled while queued"}
 	}
 	s.addLoad(1, -1)
 	defer func() {
@@ -100,35 +101,35 @@
 	res.Length = len(res.Output)
 	switch fault {
 	case DropReply, BreakMid:
-		return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "connection broke"}
+		return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "connection lost"}
 	case LateReply:
 		time.Sleep(delay)
 	}
 	return res, nil
 }
 
-// before applies the faults that keep a call from running.
+// failBeforeRun applies the faults that prevent a call from running. It returns nil if the call may run.
 func (s *FaultInjector) failBeforeRun(ctx context.Context, fault Fault) *port.CallError {
 	switch fault {
 	case Fail:
-		return &port.CallError{Failure: core.Broken, Message: "stand-in was told to fail"}
+		return &port.CallError{Failure: core.Broken, Message: "injected fault: error"}
 	case Busy:
-		return &port.CallError{Failure: core.Busy, Message: "stand-in was told to be busy"}
+		return &port.CallError{Failure: core.Busy, Message: "injected fault: busy"}
 	case Refuse:
-		return &port.CallError{Failure: core.NotSent, Message: "no connection"}
+		return &port.CallError{Failure: core.NotSent, Message: "injected fault: connection refused"}
 	case BadRequest:
-		return &port.CallError{Failure: core.Wrong, Message: "stand-in was told to refuse"}
+		return &port.CallError{Failure: core.Wrong, Message: "injected fault: invalid request"}
 	case Hang:
 		<-ctx.Done()
-		return &port.CallError{Failure: core.Broken, Message: "hung until given up"}
+		return &port.CallError{Failure: core.Broken, Message: "injected fault: hung until the caller's context ended"}
 	}
 	if s.refuseIfLeaving() {
-		return &port.CallError{Failure: core.Leaving, Message: "leaving"}
+		return &port.CallError{Failure: core.Leaving, Message: "server is leaving"}
 	}
 	return nil
 }
 
-// spreadOf varies a call's time by its input, from 0.75 to 1.25.
+// timeFactor derives the factor on a call's duration from its input, from 0.75 to 1.25.
 func timeFactor(input []byte) float64 { return 0.75 + float64(xxhash.Sum64(input)%1000)/2000 }
 
 func (s *Service) addLoad(running, waiting int) {
@@ -138,7 +139,7 @@
 	s.waiting += waiting
 }
 
-// Report gives the load as of the last renewal.
+// Report returns a load report that is at most reportInterval old.
 func (s *Service) Report() core.Report {
 	s.init()
 	return s.reports.current(func() core.Report {
@@ -148,7 +149,7 @@
 	})
 }
 
-// reports renews a report at most every reportEvery and numbers each.
+// reportCache renews a load report at most every reportInterval and numbers the renewals.
 type reportCache struct {
 	mu          sync.Mutex
 	incarnation uint64
