--- a/src/experiment/experiment.go
+++ b/src/experiment/experiment.go
@@ -13,15 +13,16 @@
 	"github.com/stilemast/stilemast/src/standin"
 )
 
-// Policy is one way to decide, compared with others over the same arrivals.
+// Policy is a set of placement and admission rules that is compared with others over the same arrivals.
 type Policy struct {
 	Name        string
 	Placement   core.Placer
 	NoAdmission bool
-	SingleBox   bool // a single decider with nothing stale: a baseline, no bound
+	SingleBox   bool // one box decides for all, without stale state
 }
 
-// Policies are the system's own, its baselines, and a single decider, which shares the policy's weaknesses and so bounds nothing.
+// Policies returns the system's own policy and its baselines. "single-decider" is the system's policy on one
+// box without stale state: it shares the policy's weaknesses, so it is no upper bound.
 func Policies() []Policy {
 	return []Policy{
 		{Name: "stilemast", Placement: core.ExpectedFinish},
@@ -33,16 +34,17 @@
 	}
 }
 
-// Fault is something that goes wrong in the middle of a run.
+// Fault is a fault that is injected in the middle of a run.
 type Fault struct {
 	Name   string
 	inject func(s *sim, start, end time.Duration)
 }
 
-// at has something done at a moment of the run.
+// scheduleAt runs do after d. Called before the run, d is the time since its start.
 func (s *sim) scheduleAt(d time.Duration, do func()) { s.schedule(d, do) }
 
-// Faults are what a run may suffer, from a third to two thirds of its time.
+// Faults returns the faults that can be injected; they last from a third to two thirds of the run.
+// "quiet" injects none, and "burst" multiplies the arrival rate instead.
 func Faults() []Fault {
 	return []Fault{
 		{Name: "quiet", inject: func(*sim, time.Duration, time.Duration) {}},
@@ -84,7 +86,7 @@
 	}
 }
 
-// first is the first engine or plain service by name.
+// firstServer returns the first engine, or the first plain service, by name.
 func (s *sim) firstServer(engine bool) *simServer {
 	for _, v := range s.sortedServers() {
 		if (v.model != nil) == engine {
@@ -94,6 +96,7 @@
 	return nil
 }
 
+// sortedServers returns the servers by name, so that a seed always gives the same run.
 func (s *sim) sortedServers() []*simServer {
 	out := make([]*simServer, 0, len(s.servers))
 	for _, v := range s.servers {
@@ -103,38 +106,38 @@
 	return out
 }
 
-// Case is one run to be made.
+// Case describes one run.
 type Case struct {
 	Workload string
 	Document *config.Document
 	Boxes    int
-	Load     float64 // of the capacity
+	Load     float64 // arrival rate as a multiple of Capacity
 	Length   time.Duration
 	Fault    Fault
 	Seed     uint64
 	Policy   Policy
 }
 
-// Figures are what a run showed.
+// Figures are the measurements of a run.
 type Figures struct {
 	Requests     int
-	Attainment   float64 // share that finished whole in time
-	Weighted     float64 // the same by the pipelines' weights
-	Prompt       float64 // attainment of prompt requests
-	MayWait      float64 // attainment of may-wait requests
-	Goodput      float64 // finished whole in time, a second
-	Accepted     float64 // share of must-finish requests that were accepted
-	MustFinished float64 // share of accepted must-finish requests that finished
-	MustInTime   float64 // share of accepted must-finish requests that finished in time
-	Wasted       float64 // share of engine and service time spent for nothing
-	Cached       float64 // share of prompt tokens that came from caches
-	First95      time.Duration
-	Refused      map[string]int
+	Attainment   float64            // share of requests that completed within their deadline
+	Weighted     float64            // attainment weighted by the pipelines' weights
+	Prompt       float64            // attainment of prompt requests
+	MayWait      float64            // attainment of may-wait requests
+	Goodput      float64            // requests completed within their deadline, per second
+	Accepted     float64            // share of must-finish requests that were accepted
+	MustFinished float64            // share of accepted must-finish requests that finished
+	MustInTime   float64            // share of accepted must-finish requests that completed within their deadline
+	Wasted       float64            // share of engine and service time whose result was not used
+	Cached       float64            // share of prompt tokens found in prefix caches
+	First95      time.Duration      // 95th percentile of the time to the first output of prompt requests
+	Refused      map[string]int     // failed requests by pipeline and error code
 	ByPipeline   map[string]float64 // attainment
-	SecondsEach  float64            // engine and service seconds for each request in time
+	SecondsEach  float64            // engine and service seconds per request completed within its deadline
 }
 
-// Capacity is the rate of a workload at which its engines are just busy, no cache helping.
+// Capacity returns the arrival rate, in requests per second, that fully uses the engines without cache hits.
 func Capacity(w load.Workload, c *config.Config) float64 {
 	cost := standin.DefaultEngineCost(1)
 	secondsPerRequest := 0.0
@@ -158,7 +161,7 @@
 	return float64(engines) / secondsPerRequest
 }
 
-// Play makes one run.
+// Play simulates one run.
 func Play(c Case) (Figures, error) {
 	conf, err := load.Config(c.Document)
 	if err != nil {
@@ -196,7 +199,7 @@
 	return s.summarize(c.Length), nil
 }
 
-// balance picks the box that the platform's balancer would, over those that live.
+// pickBox returns the box that the load balancer picks for an arrival, among those that run.
 func (s *sim) pickBox(a load.Arrival) *simBox {
 	if b := s.boxes[a.Box%len(s.boxes)]; !b.dead {
 		return b
@@ -209,7 +212,7 @@
 	return s.boxes[0]
 }
 
-// figures sums a run. A request that never got its final answer counts as not attained.
+// summarize computes the figures of a run. A request without a final answer counts as missed.
 func (s *sim) summarize(length time.Duration) Figures {
 	f := Figures{Requests: len(s.outcomes), Refused: map[string]int{}, ByPipeline: map[string]float64{}}
 	count := map[string]float64{}
@@ -263,6 +266,7 @@
 	return f
 }
 
+// addCosts sets the figures that depend on the servers' work.
 func (s *sim) addCosts(f *Figures, inTime float64) {
 	var total, wasted time.Duration
 	var cached, computed int
@@ -286,6 +290,7 @@
 	return 0
 }
 
+// ratio returns a/b, or 0 if b is 0.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 0
@@ -293,7 +298,7 @@
 	return a / b
 }
 
-// PlayAll makes many runs at once, on a bounded number of goroutines, in the order given.
+// PlayAll simulates the cases on a number of goroutines and returns their figures in the same order.
 func PlayAll(cases []Case, workers int) ([]Figures, error) {
 	out := make([]Figures, len(cases))
 	errs := make([]error, len(cases))
--- a/src/experiment/sim.go
+++ b/src/experiment/sim.go
@@ -1,6 +1,6 @@
-// Package experiment measures the policy in virtual time: the decision core of several boxes over
-// the stand-ins' cost models, driven by one list of events. It simulates no cluster; membership,
-// configuration and sockets are left out, since the policy does not depend on them.
+// Package experiment compares scheduling policies by discrete-event simulation: the decision core of several
+// boxes runs over the engine models of package standin in virtual time. Membership, configuration and sockets
+// are left out, since the policy does not depend on them.
 package experiment
 
 import (
@@ -16,22 +16,23 @@
 	"github.com/stilemast/stilemast/src/load"
 )
 
-// The paces and delays of the simulated surroundings.
+// Intervals and delays of the simulated environment.
 const (
-	reportInterval    = 250 * time.Millisecond // a box asks, and a server renews its report
+	reportInterval    = 250 * time.Millisecond // at which boxes poll reports and servers renew them
 	broadcastInterval = core.NewsEvery
-	sameDomainDelay   = 100 * time.Microsecond // one way inside a failure domain
-	crossDomainDelay  = 500 * time.Microsecond // one way between failure domains
-	drainTime         = 90 * time.Second       // time for what is running to end
+	sameDomainDelay   = 100 * time.Microsecond // one way, within a failure domain
+	crossDomainDelay  = 500 * time.Microsecond // one way, between failure domains
+	drainTime         = 90 * time.Second       // simulated after the last arrival, for running requests to end
 )
 
-// timed is something that happens at a moment; moments are ordered, then by when they were set.
+// scheduledEvent runs at a time. Events of the same time run in the order in which they were scheduled.
 type scheduledEvent struct {
 	at  time.Time
 	seq int
 	run func()
 }
 
+// eventQueue is a heap of scheduled events.
 type eventQueue []scheduledEvent
 
 func (t eventQueue) Len() int { return len(t) }
@@ -54,7 +55,7 @@
 	return x
 }
 
-// sim is one run of one policy.
+// sim simulates one run of one policy.
 type sim struct {
 	now      time.Time
 	seq      int
@@ -68,7 +69,7 @@
 	end      time.Time
 }
 
-// outcome is what became of one arrival.
+// outcome is the result of one arrival.
 type outcome struct {
 	arrival     load.Arrival
 	arrivedAt   time.Time
@@ -78,12 +79,13 @@
 	done        bool
 }
 
+// schedule runs do after d of virtual time.
 func (s *sim) schedule(d time.Duration, do func()) {
 	s.seq++
 	heap.Push(&s.events, scheduledEvent{at: s.now.Add(d), seq: s.seq, run: do})
 }
 
-// run plays the timeline to its end.
+// run runs the events in order, until none is left or the simulation's end is reached.
 func (s *sim) run() {
 	for len(s.events) > 0 {
 		e := heap.Pop(&s.events).(scheduledEvent)
@@ -95,14 +97,14 @@
 	}
 }
 
-// simBox is one box: the core's parts and the requests that run on it.
+// simBox is one box: its decision core and the requests that run on it.
 type simBox struct {
 	s         *sim
 	name      string
 	domain    int
 	dead      bool
 	pools     map[string]*core.Pool
-	poolNames []string // of the pools, so that a seed always gives the same run
+	poolNames []string // sorted, so that a seed always gives the same run
 	estimates *core.Estimates
 	admission *core.Admission
 	cost      *core.Cost
@@ -117,7 +119,7 @@
 	startedAt time.Time
 	outcome   *outcome
 	sentAt    map[core.Attempt]time.Time
-	servers   map[core.Attempt]string // servers of the calls under way
+	servers   map[core.Attempt]string // servers of the calls in progress
 }
 
 func (s *sim) newBox(i, boxes int) *simBox {
@@ -145,10 +147,10 @@
 	return b
 }
 
-// noticed is how long the boxes take to know that one of them is gone.
+// failureDetectionTime is how long the other boxes take to detect that a box has crashed.
 const failureDetectionTime = 5 * time.Second
 
-// forget has a box count on one box fewer at every server.
+// removePeer drops a crashed peer's load and sets how many boxes share each server.
 func (b *simBox) removePeer(peer string, users int) {
 	for _, p := range b.pools {
 		p.ForgetPeer(peer)
@@ -158,11 +160,11 @@
 	}
 }
 
-// reconnect is how long callers take to notice that their box is gone and reach another.
+// reconnectDelay is how long callers take to detect that their box has crashed and to connect to another.
 const reconnectDelay = 200 * time.Millisecond
 
-// die loses the box. Its callers come back with the same key at another box, with the time they have
-// left; a request that may not be repeated has no other home.
+// crash stops the box. Its callers retry with the same key at another box and keep their deadline; the
+// outcome of a request that may not be repeated stays unknown.
 func (b *simBox) crash() {
 	b.dead = true
 	s := b.s
@@ -180,14 +182,14 @@
 			s.servers[server].cancel(id) // its connections close
 		}
 		if r.req.Pipeline().Once() {
-			r.outcome.err, r.outcome.done = code.New(code.OutcomeUnknown, "", "the box is gone"), true
+			r.outcome.err, r.outcome.done = code.New(code.OutcomeUnknown, "", "the box crashed"), true
 			continue
 		}
 		s.schedule(reconnectDelay, func() { s.pickBox(r.outcome.arrival).arrive(r.outcome.arrival, r.outcome, r.req.Deadline()) })
 	}
 }
 
-// arrive takes a request from the balancer.
+// arrive accepts a request from the load balancer.
 func (b *simBox) arrive(a load.Arrival, out *outcome, deadline time.Time) {
 	s := b.s
 	key := core.Key{ID: core.MintID(s.now, s.random())}
@@ -219,6 +221,7 @@
 	return r
 }
 
+// handle steps the request's state machine with an event and performs the resulting actions.
 func (r *simRequest) handle(ev core.Event) {
 	if r.box.dead {
 		return
@@ -275,11 +278,12 @@
 	b.schedulePlacement(c.Stage.Pool())
 }
 
-// pumpSoon places calls after the event under way, as the shell does on another goroutine.
+// schedulePlacement places calls after the current event, as a real box does on another goroutine.
 func (b *simBox) schedulePlacement(pool string) {
 	b.s.schedule(0, func() { b.placeCalls(pool) })
 }
 
+// placeCalls sends a pool's waiting calls to servers and fails those that the pool drops.
 func (b *simBox) placeCalls(pool string) {
 	if b.dead {
 		return
@@ -297,7 +301,7 @@
 	}
 }
 
-// send carries a call to its server and its end back.
+// send delivers a call to its server and the server's events back to the request.
 func (r *simRequest) send(a core.Send) {
 	b, s := r.box, r.box.s
 	server := s.servers[a.Server]
@@ -327,6 +331,7 @@
 	s.schedule(delay, func() { server.accept(c) })
 }
 
+// linkDelay returns the one-way delay between a box and a server.
 func (s *sim) linkDelay(b *simBox, v *simServer) time.Duration {
 	if v.cfg.Domain() == b.domain {
 		return sameDomainDelay
@@ -334,7 +339,7 @@
 	return crossDomainDelay
 }
 
-// watch has every box ask for reports and hear the others' notes, at their paces.
+// startPolling makes every box poll its servers' reports and exchange loads with its peers periodically.
 func (s *sim) startPolling() {
 	for _, v := range s.sortedServers() {
 		v.renewReport()
@@ -356,6 +361,7 @@
 	s.schedule(broadcastInterval, beat)
 }
 
+// collectReports reads the reports and cache events of all servers.
 func (b *simBox) collectReports() {
 	if b.dead {
 		return
@@ -375,7 +381,7 @@
 	}
 }
 
-// tell gives the other boxes this box's in-flight counts.
+// sendLoads sends this box's in-flight counts to the other boxes.
 func (b *simBox) sendLoads() {
 	if b.dead {
 		return
--- a/src/experiment/table.go
+++ b/src/experiment/table.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Row is one policy in one situation over several seeds.
+// Row holds the runs of one policy under one workload, load and fault, one run per seed.
 type Row struct {
 	Workload string    `json:"workload"`
 	Load     float64   `json:"load"`
@@ -16,7 +16,7 @@
 	Runs     []Figures `json:"runs"`
 }
 
-// Spread gives the mean of a figure and half the distance between its least and greatest.
+// Spread returns the mean of a figure and half the difference between its maximum and minimum.
 func (r Row) Spread(get func(Figures) float64) (mean, halfRange float64) {
 	lo, hi := math.Inf(1), math.Inf(-1)
 	for _, f := range r.Runs {
@@ -27,13 +27,13 @@
 	return mean, (hi - lo) / 2
 }
 
-// Mean gives the mean of a figure.
+// Mean returns the mean of a figure.
 func (r Row) Mean(get func(Figures) float64) float64 {
 	m, _ := r.Spread(get)
 	return m
 }
 
-// Weighted is the figure that Pageworks weighs most.
+// Weighted returns the weighted attainment, the main figure of the example workload.
 func Weighted(f Figures) float64 { return f.Weighted }
 
 // Write prints rows as a Markdown table.
