--- a/src/experiment/experiment.go
+++ b/src/experiment/experiment.go
@@ -44,7 +44,7 @@
 func (s *sim) scheduleAt(d time.Duration, do func()) { s.schedule(d, do) }
 
 // Faults returns the faults that can be injected; they last from a third to two thirds of the run.
-// "quiet" injects none, and "burst" multiplies the arrival rate instead.
+// "quiet" injects none, and "burst" instead triples the arrival rate in the first quarter.
 func Faults() []Fault {
 	return []Fault{
 		{Name: "quiet", inject: func(*sim, time.Duration, time.Duration) {}},
@@ -175,11 +175,11 @@
 	if c.Policy.SingleBox {
 		boxes = 1
 	}
-	var spaces []string
+	var workspaces []string
 	for _, d := range c.Document.Workspaces {
-		spaces = append(spaces, d.Name)
+		workspaces = append(workspaces, d.Name)
 	}
-	plan := load.Plan(w, conf, spaces, c.Load*Capacity(w, conf), c.Length, c.Boxes, c.Seed)
+	plan := load.Plan(w, conf, workspaces, c.Load*Capacity(w, conf), c.Length, c.Boxes, c.Seed)
 	s := &sim{now: time.Unix(1_000_000, 0), config: conf, policy: c.Policy, servers: map[string]*simServer{}, rand: rand.New(rand.NewPCG(c.Seed, 3))}
 	s.end = s.now.Add(c.Length + drainTime)
 	for _, b := range conf.BackendServers() {
--- a/src/faults/caller_test.go
+++ b/src/faults/caller_test.go
@@ -14,7 +14,7 @@
 	"github.com/stilemast/stilemast/src/standin"
 )
 
-// answer is what a caller got.
+// answer is what a caller received for one request.
 type answer struct {
 	key       string
 	input     []byte
@@ -24,10 +24,11 @@
 	data      []byte
 	token     string
 	box       core.BoxID
-	cut       bool // the connection to the box broke before the end
-	misplaced bool // a piece was out of place
+	cut       bool // the connection to the box broke before the answer's end
+	misplaced bool // a chunk did not start where the one before ended
 }
 
+// newKey returns a new request key from the fleet's seeded random source.
 func (f *fleet) newKey() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -36,14 +37,14 @@
 	return core.MintID(time.Now(), random).String()
 }
 
-// send is a caller: it connects to a box and reads to the end, or until the box dies.
+// send sends a request to a box and reads the answer to its end, or until the box is killed.
 func (f *fleet) send(name, pipeline, key string, input []byte) answer {
 	return f.receive(name, answer{key: key, input: input, pipeline: pipeline}, func(ctx context.Context, b *fakeBox, emit box.Emit) error {
 		return b.Serve(ctx, box.Request{Workspace: "ws", Pipeline: pipeline, Key: key, Input: input}, emit)
 	})
 }
 
-// attach is a caller that comes back with a token.
+// attach resumes an answer at a box with its attach token, from an offset.
 func (f *fleet) attach(name string, a answer, from int) answer {
 	a.data = a.data[:from]
 	return f.receive(name, a, func(ctx context.Context, b *fakeBox, emit box.Emit) error {
@@ -51,6 +52,7 @@
 	})
 }
 
+// receive reads the events of one request at a box into an answer. A box that is not running gives a cut answer.
 func (f *fleet) receive(name string, a answer, do func(context.Context, *fakeBox, box.Emit) error) answer {
 	a.code, a.ran, a.cut = code.OK, 0, false
 	t := f.liveBox(name)
@@ -91,7 +93,8 @@
 	return a
 }
 
-// runs counts what the stand-ins ran under a key: for one box if by is set, else for all.
+// runs counts the calls that the backend servers ran for a key, and those of them that may not be repeated:
+// for one box if by is set, else for all.
 func (f *fleet) runs(key string, by core.BoxID) (all, once int) {
 	id := key
 	if k, err := core.ParseKey(key); err == nil {
@@ -116,34 +119,34 @@
 	return all, once
 }
 
-// broken says which promise an answer broke, or "".
+// violation describes the guarantee that an answer violates, or returns "".
 func (f *fleet) violation(a answer) string {
 	by := core.BoxID{}
 	if a.pipeline != "receipt" {
-		by = a.box // a repeatable request's answer speaks of its own copy
+		by = a.box // each copy of a repeatable request answers for its own calls only
 	}
 	all, once := f.runs(a.key, by)
 	want := standin.Whole(f.config.Pipeline(a.pipeline), a.input, 0)
 	switch {
 	case a.misplaced:
-		return "a piece of the answer was out of place"
+		return "a chunk of the answer has a wrong offset"
 	case once > 1:
 		return fmt.Sprintf("a call that may not be repeated ran %d times", once)
 	case a.cut:
 		return ""
 	case a.code == code.OK && !bytes.Equal(a.data, want):
-		return fmt.Sprintf("the answer is not the request's own: %d bytes, want %d", len(a.data), len(want))
+		return fmt.Sprintf("the answer differs from the correct one: %d bytes, want %d", len(a.data), len(want))
 	case a.code == code.OK && a.pipeline == "receipt" && once != 1:
-		return "answered whole, but the call did not run"
+		return "answered in full, but the call did not run"
 	case a.code != code.OK && a.ran == code.RanNo && all > 0:
-		return fmt.Sprintf("%s said \"not run\" and %d calls ran", a.code, all)
+		return fmt.Sprintf("%s says \"not run\", but %d calls ran", a.code, all)
 	case a.code != code.OK && a.ran == code.RanYes && all == 0:
-		return fmt.Sprintf("%s said \"ran\" and nothing ran", a.code)
+		return fmt.Sprintf("%s says \"ran\", but no call ran", a.code)
 	case len(a.data) > 0 && !bytes.HasPrefix(want, a.data):
-		return "pieces of another answer"
+		return "the partial answer is no prefix of the correct one"
 	}
 	return ""
 }
 
-// noBox asks runs for the calls of all boxes.
+// allBoxes makes runs count the calls of all boxes.
 var allBoxes core.BoxID
--- a/src/faults/crashing_test.go
+++ b/src/faults/crashing_test.go
@@ -13,23 +13,24 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// The story of the gateway's crashing_test.go, on the product's own path: a request ends each server that begins to run it, and
-// is sent to further ones, by the request itself (work that must finish up to fifty times) and under new keys at other boxes.
+// A request can crash every server that starts to run it. Retries of the request (up to 50 if it must finish)
+// and copies under new keys at other boxes then spread the crash to further servers. The gateway's
+// crashing_test.go covers the same failure for requests through the gateway.
 
-// crashes are servers that end when they get an input that holds "crash". For a time they refuse connections and give no
-// report, then they begin a new life.
+// crashingServers makes servers crash when they get an input that contains "crash". A crashed server refuses
+// connections and reports for downTime, then restarts with a new incarnation.
 type crashingServers struct {
 	mu         sync.Mutex
-	downUntil  map[string]time.Time // until when
+	downUntil  map[string]time.Time
 	restarts   map[string]uint64
-	exited     map[string]chan struct{} // closed at the end of the life
+	exited     map[string]chan struct{} // closed when the server's current process exits
 	crashCount int
 	thirdCrash time.Time
-	lateSends  int
+	lateSends  int // crashing inputs sent later than lateSendAfter after the third crash
 }
 
 const (
-	crashDelay    = 4 * time.Millisecond // less than any stage takes
+	crashDelay    = 4 * time.Millisecond // shorter than any stage
 	downTime      = 3 * time.Second
 	lateSendAfter = 3 * time.Second
 	maxLateSends  = 3
@@ -39,7 +40,7 @@
 	return &crashingServers{downUntil: map[string]time.Time{}, restarts: map[string]uint64{}, exited: map[string]chan struct{}{}}
 }
 
-// begin lets a call in: it gives the life's end, nil when the server is down.
+// begin starts a call. It returns the channel that is closed when the server crashes, or nil if it is down.
 func (c *crashingServers) begin(server string, r port.CallRequest) chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,23 +50,24 @@
 	if c.exited[server] == nil {
 		c.exited[server] = make(chan struct{})
 	}
-	life := c.exited[server]
+	exited := c.exited[server]
 	if bytes.Contains(r.Input, []byte("crash")) {
 		if !c.thirdCrash.IsZero() && time.Since(c.thirdCrash) > lateSendAfter {
 			c.lateSends++
 		}
-		time.AfterFunc(crashDelay, func() { c.crash(server, life) })
+		time.AfterFunc(crashDelay, func() { c.crash(server, exited) })
 	}
-	return life
+	return exited
 }
 
-func (c *crashingServers) crash(server string, life chan struct{}) {
+// crash ends a server's process, unless it has exited since.
+func (c *crashingServers) crash(server string, exited chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.exited[server] != life {
+	if c.exited[server] != exited {
 		return
 	}
-	close(life)
+	close(exited)
 	c.exited[server] = nil
 	c.downUntil[server] = time.Now().Add(downTime)
 	c.restarts[server]++
@@ -74,7 +76,7 @@
 	}
 }
 
-// report gives a report the incarnation of the server's life; false while it is down.
+// report sets a report's incarnation by the server's restarts. It returns false while the server is down.
 func (c *crashingServers) report(server string, r core.Report) (core.Report, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,42 +84,43 @@
 	return r, !time.Now().Before(c.downUntil[server])
 }
 
+// A request that crashes servers must be refused everywhere after a few crashes, and other requests served.
 func TestWorkThatCrashesServersIsNotSentOn(t *testing.T) {
 	for _, c := range []struct {
 		pipe    string
 		servers int // of each pool
 	}{{"draft", 2}, {"review", 2}, {"receipt", 2}, {"draft", 24}, {"review", 24}, {"receipt", 24}} {
-		pipe := c.pipe
-		t.Run(fmt.Sprint(pipe, " before ", c.servers, " servers"), func(t *testing.T) {
+		pipeline := c.pipe
+		t.Run(fmt.Sprint(pipeline, " before ", c.servers, " servers"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleetWithDocument(t, 4, documentWithServers(c.servers))
 				defer f.shutdown()
 				f.crashing = newCrashingServers()
-				var all sync.WaitGroup
+				var senders sync.WaitGroup
 				var last answer
 				for i := range 40 {
-					all.Go(func() {
-						a := f.send(fmt.Sprintf("b%d", i%4+1), pipe, f.newKey(), []byte("a crash"))
+					senders.Go(func() {
+						a := f.send(fmt.Sprintf("b%d", i%4+1), pipeline, f.newKey(), []byte("a crash"))
 						if i == 39 {
 							last = a
 						}
 					})
 					time.Sleep(500 * time.Millisecond)
 				}
-				all.Wait()
+				senders.Wait()
 				c := f.crashing
-				t.Logf("%d servers ended, %d sends late, the last try: %s %s", c.crashCount, c.lateSends, last.code, last.ran)
+				t.Logf("%d servers crashed, %d late sends, the last request: %s %s", c.crashCount, c.lateSends, last.code, last.ran)
 				if c.lateSends > maxLateSends {
-					t.Errorf("sent %d times later than %s after the third server's end, want %d at most", c.lateSends, lateSendAfter, maxLateSends)
+					t.Errorf("sent %d times later than %s after the third crash, want at most %d", c.lateSends, lateSendAfter, maxLateSends)
 				}
 				if c.crashCount > 4 {
-					t.Errorf("%d servers ended, want 4 at most", c.crashCount)
+					t.Errorf("%d servers crashed, want at most 4", c.crashCount)
 				}
 				if last.ran != code.RanNo {
-					t.Errorf("the last try ended with %s, ran %s", last.code, last.ran)
+					t.Errorf("the last request ended with %s, ran %s", last.code, last.ran)
 				}
-				if a := f.send("b1", pipe, f.newKey(), []byte("good")); a.code != code.OK {
-					t.Errorf("good work ended with %s", a.code)
+				if a := f.send("b1", pipeline, f.newKey(), []byte("good")); a.code != code.OK {
+					t.Errorf("a request that crashes nothing ended with %s", a.code)
 				}
 			})
 		})
--- a/src/faults/fleet_test.go
+++ b/src/faults/fleet_test.go
@@ -17,9 +17,8 @@
 	"github.com/stilemast/stilemast/src/standin"
 )
 
-// fleet is a few boxes over fake ports in virtual time: function calls in place of sockets, with
-// links that can be cut in either direction and boxes that can be killed, paused and given wrong
-// clocks.
+// fleet runs several boxes in virtual time over fake ports: function calls in place of sockets. Links can be
+// cut in either direction; boxes can be killed, paused and given wrong clocks.
 type fleet struct {
 	t        testing.TB
 	doc      *config.Document
@@ -35,12 +34,13 @@
 	cut        map[[2]string]bool
 	record     func(step string, who *fakeBox, server string, r port.CallRequest)
 	tokens     map[string]string
-	crashing   *crashingServers                         // servers that a request may end; nil for none
-	rejectCall func(box, server string) *port.CallError // nil, or its nil, lets a call in
+	crashing   *crashingServers                         // servers that a request can crash; nil for none
+	rejectCall func(box, server string) *port.CallError // rejects a call if it returns an error; may be nil
 	entropy    *rand.ChaCha8
 	hook       func(step string, who *fakeBox, server string, r port.CallRequest)
 }
 
+// fakeBox is a box of a fleet; ctx ends when it is killed.
 type fakeBox struct {
 	*box.Box
 	name      string
@@ -60,10 +60,11 @@
 
 var errConnectionLost = errors.New("connection lost")
 
-// smallDocument is enough for every step: four pools, a record service, two engines.
+// smallDocument returns a configuration with two servers in each pool, enough for every step.
 func smallDocument() *config.Document { return documentWithServers(2) }
 
-// documentOf has so many servers in each pool, in both failure domains by turns.
+// documentWithServers returns a configuration with a number of servers in each pool, which alternate between
+// the two failure domains.
 func documentWithServers(servers int) *config.Document {
 	d := &config.Document{Version: 1, Models: []config.ModelDoc{{Name: "m", Version: "1"}}}
 	for _, n := range []string{"d1", "d2"} {
@@ -99,10 +100,11 @@
 	return d
 }
 
-// newFleet starts n boxes and waits until they are ready and settled as homes.
+// newFleet starts n boxes and waits until they are ready and accept requests that may not be repeated.
 func newFleet(t testing.TB, n int) *fleet { return newFleetWithDocument(t, n, smallDocument()) }
 
-// newFleetBefore starts n boxes before the servers of a document.
+// newFleetWithDocument is newFleet with the configuration given. The random source of its keys is seeded with
+// the test's name.
 func newFleetWithDocument(t testing.TB, n int, doc *config.Document) *fleet {
 	var seed [32]byte
 	copy(seed[:], t.Name())
@@ -131,7 +133,7 @@
 	return f
 }
 
-// settings are short windows, so that a cell takes little virtual time.
+// testSettings returns settings with short windows, so that a cell takes little virtual time.
 func testSettings(name, domain string) *config.Settings {
 	s := config.DefaultSettings()
 	s.Box, s.FailureDomain = name, domain
@@ -143,6 +145,7 @@
 	return &s
 }
 
+// publishConfig publishes the document, which must be valid.
 func (f *fleet) publishConfig() {
 	raw, err := config.Marshal(f.doc)
 	if err != nil {
@@ -156,7 +159,7 @@
 	f.platform.Publish(raw)
 }
 
-// start begins a box; a name used before is a new incarnation.
+// startBox starts a box. A name used before gets a new incarnation.
 func (f *fleet) startBox(name, domain string) *fakeBox {
 	b := &fakeBox{name: name, domain: domain}
 	b.ctx, b.kill = context.WithCancel(f.ctx)
@@ -194,7 +197,7 @@
 			},
 		},
 	}
-	b.Init() // before a message can reach it
+	b.Init() // before a message can arrive
 	f.mu.Lock()
 	f.boxes[name] = b
 	f.mu.Unlock()
@@ -202,7 +205,7 @@
 	return b
 }
 
-// list shows the living boxes on the platform's list.
+// publishBoxes publishes the running boxes as the platform's box list.
 func (f *fleet) publishBoxes() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -215,7 +218,7 @@
 	f.platform.SetBoxes(l)
 }
 
-// names lists every box that ever was; the lock is held.
+// boxNames returns the names of all boxes ever started, sorted. f.mu must be held.
 func (f *fleet) boxNames() []string {
 	var out []string
 	for n := range f.boxes {
@@ -225,7 +228,7 @@
 	return out
 }
 
-// end stops everything, so that the bubble can close.
+// shutdown stops everything, so that the synctest bubble can end.
 func (f *fleet) shutdown() {
 	f.mu.Lock()
 	boxes := f.boxes
@@ -246,6 +249,7 @@
 	time.Sleep(2 * time.Minute)
 }
 
+// waitWhilePaused blocks from pause until resume.
 func (b *fakeBox) waitWhilePaused() {
 	b.mu.Lock()
 	p := b.paused
@@ -272,14 +276,14 @@
 	}
 }
 
-// cutLink stops what goes from one to the other.
+// cutLink drops messages from one box or server to another.
 func (f *fleet) cutLink(from, to string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cut[[2]string{from, to}] = true
 }
 
-// isolate cuts a box from every other box, both ways or only what it sends.
+// isolate cuts the links from a box to all other boxes, and with both also the links to it.
 func (f *fleet) isolate(name string, both bool) {
 	f.mu.Lock()
 	all := f.boxNames()
@@ -307,7 +311,7 @@
 	delete(f.cut, [2]string{b, a})
 }
 
-// switchesOf gives the switches of a stand-in by name.
+// injectorOf returns the fault injector of a backend server.
 func (f *fleet) injectorOf(server string) *standin.FaultInjector {
 	if v := f.services[server]; v != nil {
 		return &v.FaultInjector
@@ -321,11 +325,12 @@
 	return f.cut[[2]string{from, to}]
 }
 
+// connected reports whether a box runs and its link to a server works both ways.
 func (f *fleet) connected(b *fakeBox, to string) bool {
 	return b.ctx.Err() == nil && !f.isCut(b.name, to) && !f.isCut(to, b.name)
 }
 
-// through waits while a link is cut, as TCP would, until the context ends.
+// waitForLink blocks while a link is cut, as TCP would, until ctx is done.
 func (f *fleet) waitForLink(ctx context.Context, from, to string) error {
 	for f.isCut(from, to) {
 		select {
@@ -337,13 +342,14 @@
 	return ctx.Err()
 }
 
-// any gives a box by name, dead or alive.
+// boxNamed returns a box by name, also if it was killed.
 func (f *fleet) boxNamed(name string) *fakeBox {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.boxes[name]
 }
 
+// liveBox returns a box by name, or nil if it does not run.
 func (f *fleet) liveBox(name string) *fakeBox {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -354,6 +360,7 @@
 	return b
 }
 
+// reached calls the recorder and the hook when a request reaches a step.
 func (f *fleet) reached(step string, b *fakeBox, server string, r port.CallRequest) {
 	f.mu.Lock()
 	h, record := f.hook, f.record
--- a/src/faults/golden_test.go
+++ b/src/faults/golden_test.go
@@ -15,7 +15,7 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// story is a session that is kept whole in a golden file.
+// goldenSession is a session whose transcript is kept in a golden file.
 type goldenSession struct {
 	name  string
 	step  string
@@ -42,28 +42,28 @@
 	{name: "receipt_planned_stop", step: "planned stop, once"},
 }
 
-// session records what passes between caller, boxes and servers for one key.
+// transcript records the messages between caller, boxes and servers for one key.
 type transcript struct {
 	mu        sync.Mutex
 	startedAt time.Time
 	lines     []string
 }
 
-func (x *transcript) add(format string, args ...any) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	at := time.Since(x.startedAt).Round(time.Millisecond)
-	x.lines = append(x.lines, fmt.Sprintf("%9.3fs  ", at.Seconds())+fmt.Sprintf(format, args...))
+func (tr *transcript) add(format string, args ...any) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	at := time.Since(tr.startedAt).Round(time.Millisecond)
+	tr.lines = append(tr.lines, fmt.Sprintf("%9.3fs  ", at.Seconds())+fmt.Sprintf(format, args...))
 }
 
-// text gives the lines by time; what happens at one moment stands in the order of its words, since
-// that order is nobody's promise.
-func (x *transcript) text() []byte {
-	sort.Strings(x.lines)
-	return []byte(strings.Join(x.lines, "\n") + "\n")
+// text returns the sorted lines: by time, then alphabetically, since the order of events of the same time is
+// not guaranteed.
+func (tr *transcript) text() []byte {
+	sort.Strings(tr.lines)
+	return []byte(strings.Join(tr.lines, "\n") + "\n")
 }
 
-// TestGoldenSessions holds whole sessions against their golden files; go test -update writes them.
+// TestGoldenSessions compares the transcripts of sessions with their golden files; go test -update writes them.
 func TestGoldenSessions(t *testing.T) {
 	for _, st := range goldenSessions {
 		t.Run(st.name, func(t *testing.T) {
@@ -85,7 +85,7 @@
 	f := newFleet(t, 4)
 	defer f.shutdown()
 	c := &cell{f: f, key: f.newKey()}
-	x := &transcript{startedAt: time.Now()}
+	tr := &transcript{startedAt: time.Now()}
 	f.record = func(step string, b *fakeBox, server string, r port.CallRequest) {
 		if !strings.HasPrefix(r.Attempt, c.key) || b == nil {
 			return
@@ -93,15 +93,15 @@
 		switch {
 		case strings.HasPrefix(step, "dispatch"):
 			parts := strings.Split(r.Attempt, "/")
-			x.add("%s -> %s: %s, stage %s attempt %s, %d bytes in, offset %d, resume %t, once %t", b.name, server, r.Kind, parts[1], parts[2], len(r.Input), r.Offset, r.Resume, r.Once)
+			tr.add("%s -> %s: %s, stage %s attempt %s, %d bytes in, offset %d, resume %t, once %t", b.name, server, r.Kind, parts[1], parts[2], len(r.Input), r.Offset, r.Resume, r.Once)
 		case strings.HasPrefix(step, "answered"):
-			x.add("%s <- %s: %s ended", b.name, server, r.Kind)
+			tr.add("%s <- %s: %s ended", b.name, server, r.Kind)
 		case step == "stream":
-			x.add("%s <- %s: first piece", b.name, server)
+			tr.add("%s <- %s: first piece", b.name, server)
 		case step == "forward":
-			x.add("forwarded home to %s", b.name)
+			tr.add("forwarded home to %s", b.name)
 		case step == "accepted":
-			x.add("caller <- accepted by %s", b.name)
+			tr.add("caller <- accepted by %s", b.name)
 		}
 	}
 	var faults []fault
@@ -122,10 +122,10 @@
 	}
 	for _, a := range c.answers {
 		if a.key == c.key {
-			x.lines = append(x.lines, fmt.Sprintf("answer from %s: %s, ran %s, cut %t, %d bytes", a.box.Name, a.code, a.ran, a.cut, len(a.data)))
+			tr.lines = append(tr.lines, fmt.Sprintf("answer from %s: %s, ran %s, cut %t, %d bytes", a.box.Name, a.code, a.ran, a.cut, len(a.data)))
 		}
 	}
 	all, once := f.runs(c.key, allBoxes)
-	x.lines = append(x.lines, fmt.Sprintf("final answer: %s, ran %s, %d bytes; the servers ran %d calls, %d of them that may not be repeated", final.code, final.ran, len(final.data), all, once))
-	return bytes.ReplaceAll(x.text(), []byte(c.key), []byte("KEY"))
+	tr.lines = append(tr.lines, fmt.Sprintf("final answer: %s, ran %s, %d bytes; the servers ran %d calls, %d of them that may not be repeated", final.code, final.ran, len(final.data), all, once))
+	return bytes.ReplaceAll(tr.text(), []byte(c.key), []byte("KEY"))
 }
--- a/src/faults/guarantees_test.go
+++ b/src/faults/guarantees_test.go
@@ -45,10 +45,10 @@
 		time.Sleep(300 * time.Millisecond)
 		running := f.boxes["b1"].Status().Running
 		if running < 450 {
-			t.Fatalf("only %d streams run when the stop begins", running)
+			t.Fatalf("only %d streams run when the drain starts", running)
 		}
 		if cut := f.boxes["b1"].Drain(context.Background()); cut != 0 {
-			t.Errorf("the stop cut %d requests", cut)
+			t.Errorf("the drain cut %d requests", cut)
 		}
 		wg.Wait()
 		for i, a := range got {
@@ -60,7 +60,7 @@
 		time.Sleep(time.Second)
 		a := got[0]
 		if again := f.attach("b3", a, 0); again.code != code.OK || !bytes.Equal(again.data, a.data) {
-			t.Errorf("a finished answer of the stopped box: %s, %d of %d bytes", again.code, len(again.data), len(a.data))
+			t.Errorf("a finished answer of the drained box: %s, %d of %d bytes", again.code, len(again.data), len(a.data))
 		}
 	})
 }
@@ -78,11 +78,11 @@
 		f.boxes["b1"].kill()
 		time.Sleep(time.Second)
 		if again := f.send("b3", "receipt", tickets[0], []byte("used")); again.code != code.OK || !bytes.Equal(again.data, used.data) {
-			t.Errorf("a used ticket after the stop: %s", again.code)
+			t.Errorf("a used ticket after the drain: %s", again.code)
 		}
 		a := f.send("b3", "receipt", tickets[1], []byte("unused"))
 		if a.code != code.TicketHolderGone || a.ran != code.RanNo {
-			t.Errorf("an unused ticket after the stop: %s, ran %s", a.code, a.ran)
+			t.Errorf("an unused ticket after the drain: %s, ran %s", a.code, a.ran)
 		}
 	})
 }
@@ -101,19 +101,20 @@
 			for !f.allAt(f.doc.Version) {
 				time.Sleep(20 * time.Millisecond)
 				if time.Since(published) > 10*time.Second {
-					t.Fatal("not in force everywhere after 10 s")
+					t.Fatal("not applied on all boxes after 10 s")
 				}
 			}
 			worst = max(worst, time.Since(published))
 			time.Sleep(time.Second)
 		}
-		t.Logf("in force on 7 boxes after %s at worst", worst)
+		t.Logf("applied on 7 boxes after at most %s", worst)
 		if worst > 2*time.Second {
-			t.Errorf("in force on all of 7 boxes only after %s", worst)
+			t.Errorf("applied on all of 7 boxes only after %s", worst)
 		}
 	})
 }
 
+// allAt reports whether all running boxes use a version of the configuration.
 func (f *fleet) allAt(version uint64) bool {
 	for _, b := range f.boxes {
 		if b.ctx.Err() == nil && (b.Config() == nil || b.Config().Version() != version) {
@@ -136,17 +137,17 @@
 		f.publishBoxes()
 		for !b.Ready() {
 			if c := b.Config(); c != nil && c.Version() < f.doc.Version && b.Ready() {
-				t.Fatal("serves on the stale version")
+				t.Fatal("serves with the stale version")
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 		if v := b.Config().Version(); v != f.doc.Version {
-			t.Errorf("ready on version %d, peers hold %d", v, f.doc.Version)
+			t.Errorf("ready with version %d, peers have %d", v, f.doc.Version)
 		}
-		for range 250 { // a box that goes back may come forward again before anybody looks once
+		for range 250 { // polls often: a box that reverts may recover between two checks
 			time.Sleep(20 * time.Millisecond)
 			if !f.allAt(f.doc.Version) {
-				t.Fatal("a box went back to the stale version")
+				t.Fatal("a box reverted to the stale version")
 			}
 		}
 	})
@@ -163,7 +164,7 @@
 		conflicts := 0
 		for _, b := range f.boxes {
 			if b.Config().Digest() != before {
-				t.Errorf("%s took other content for version %d", b.name, b.Config().Version())
+				t.Errorf("%s accepted different content for version %d", b.name, b.Config().Version())
 			}
 			if b.Status().Conflict == f.doc.Version {
 				conflicts++
@@ -182,7 +183,7 @@
 		f.platform.Publish([]byte("version = 9\nbogus = 1\n"))
 		time.Sleep(4 * time.Second)
 		if !f.allAt(1) {
-			t.Error("a box left version 1")
+			t.Error("a box does not use version 1 any more")
 		}
 		refusals := 0
 		for _, b := range f.boxes {
@@ -191,7 +192,7 @@
 			}
 		}
 		if refusals == 0 {
-			t.Error("no box reports the refusal")
+			t.Error("no box reports that it rejected the configuration")
 		}
 	})
 }
@@ -229,20 +230,21 @@
 		time.Sleep(5 * time.Second)
 		for n, e := range f.engines {
 			if r := e.Report(); r.Version != "2" || r.Fence != f.doc.Version {
-				t.Errorf("%s holds version %q under fence %d", n, r.Version, r.Fence)
+				t.Errorf("%s has version %q with fence %d", n, r.Version, r.Fence)
 			}
 		}
-		// A late order from a paused box: the engine that checks refuses it, the other is put right.
+		// A late order of a paused box: the engine that checks fences rejects it, the other one accepts it
+		// and must get the current order again.
 		old := f.engines["engines-1"].Orders()[0]
 		if f.engines["engines-1"].Take(old) {
-			t.Error("the engine that checks took an old order")
+			t.Error("the engine that checks fences accepted an old order")
 		}
 		if !f.engines["engines-2"].Take(old) {
-			t.Error("the engine that checks nothing should have taken it")
+			t.Error("the engine that checks no fences rejected an old order")
 		}
 		time.Sleep(5 * time.Second)
 		if r := f.engines["engines-2"].Report(); r.Version != "2" {
-			t.Errorf("the engine that checks nothing was left on version %q", r.Version)
+			t.Errorf("the engine that checks no fences still has version %q", r.Version)
 		}
 	})
 }
@@ -263,33 +265,33 @@
 			if len(at) > 8 && at[:8] == "dispatch" && r.Salt == "fenced" {
 				sent++
 				if !inside[server] || b.domain != "d1" {
-					t.Errorf("a call of the fenced workspace went from %s in %s to %s", b.name, b.domain, server)
+					t.Errorf("a call of the restricted workspace went from %s in %s to %s", b.name, b.domain, server)
 				}
 			}
 			if at == "forward" && b.domain != "d1" {
 				t.Errorf("a request was forwarded to %s in %s", b.name, b.domain)
 			}
 		}
-		f.services["encoders-1"].Arm(standin.Fail, 3) // drives retries, which must stay inside as well
+		f.services["encoders-1"].Arm(standin.Fail, 3) // causes retries, which must stay inside the boundary as well
 		for i := range 20 {
 			name := []string{"b1", "b3"}[i%2]
 			key := f.newKey()
-			pipe := []string{"draft", "receipt"}[i%2]
-			a := f.receive(name, answer{key: key, input: inputOf(key), pipeline: pipe}, func(ctx context.Context, b *fakeBox, emit box.Emit) error {
-				return b.Serve(ctx, box.Request{Workspace: "fenced", Pipeline: pipe, Key: key, Input: inputOf(key)}, emit)
+			pipeline := []string{"draft", "receipt"}[i%2]
+			a := f.receive(name, answer{key: key, input: inputOf(key), pipeline: pipeline}, func(ctx context.Context, b *fakeBox, emit box.Emit) error {
+				return b.Serve(ctx, box.Request{Workspace: "fenced", Pipeline: pipeline, Key: key, Input: inputOf(key)}, emit)
 			})
 			if a.code != code.OK {
-				t.Errorf("%s on %s: %s", pipe, name, a.code)
+				t.Errorf("%s on %s: %s", pipeline, name, a.code)
 			}
 		}
 		out := f.receive("b2", answer{key: f.newKey(), pipeline: "draft"}, func(ctx context.Context, b *fakeBox, emit box.Emit) error {
 			return b.Serve(ctx, box.Request{Workspace: "fenced", Pipeline: "draft", Input: []byte("x")}, emit)
 		})
 		if out.code != code.BoxOutsideBoundary || out.ran != code.RanNo {
-			t.Errorf("a box outside answered %s, ran %s", out.code, out.ran)
+			t.Errorf("a box outside the boundary answered %s, ran %s", out.code, out.ran)
 		}
 		if sent == 0 {
-			t.Error("nothing was sent")
+			t.Error("no call was sent")
 		}
 	})
 }
@@ -298,7 +300,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4)
 		defer f.shutdown()
-		f.services["encoders-1"].SetSlow(200) // 2 s in the first stage
+		f.services["encoders-1"].SetSlow(200) // the first stage takes 2 s
 		f.services["encoders-2"].SetSlow(200)
 		done := make(chan answer)
 		go func() { done <- f.send("b1", "draft", f.newKey(), []byte("x")) }()
@@ -320,23 +322,24 @@
 	})
 }
 
-// The share and time that calls which may not be repeated are refused while a home is replaced.
+// Requests that may not be repeated are refused for a bounded time after a home box is lost; requests with
+// tickets are not refused at all.
 func TestOnceCallsDuringAHomesReplacement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 7)
 		defer f.shutdown()
 		f.boxes["b3"].kill()
-		lost := time.Now()
+		killedAt := time.Now()
 		time.AfterFunc(time.Second, f.publishBoxes)
-		var last time.Duration
-		refused, tickets, all := 0, 0, 0
-		for time.Since(lost) < 30*time.Second {
+		var lastRefusal time.Duration
+		refused, ticketsOK, total := 0, 0, 0
+		for time.Since(killedAt) < 30*time.Second {
 			key := f.newKey()
-			all++
+			total++
 			a := f.send("b1", "receipt", key, inputOf(key))
 			if a.code != code.OK {
 				refused++
-				last = time.Since(lost)
+				lastRefusal = time.Since(killedAt)
 			}
 			if why := f.violation(a); why != "" {
 				t.Error(why)
@@ -346,17 +349,17 @@
 				t.Fatal(err)
 			}
 			if a := f.send("b1", "receipt", ticket[0], inputOf(key)); a.code == code.OK {
-				tickets++
+				ticketsOK++
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		t.Logf("keys: %d of %d refused, the last after %s; tickets: %d of %d answered", refused, all, last, tickets, all)
+		t.Logf("keys: %d of %d refused, the last after %s; tickets: %d of %d answered", refused, total, lastRefusal, ticketsOK, total)
 		window := testSettings("", "").AtMostOnce.Window()
-		if last > window+4*time.Second {
-			t.Errorf("keys are still refused after %s", last)
+		if lastRefusal > window+4*time.Second {
+			t.Errorf("keys are still refused after %s", lastRefusal)
 		}
-		if tickets != all {
-			t.Errorf("%d of %d tickets were refused", all-tickets, all)
+		if ticketsOK != total {
+			t.Errorf("%d of %d tickets were refused", total-ticketsOK, total)
 		}
 	})
 }
@@ -370,7 +373,7 @@
 			t.Fatal(a.code)
 		}
 		if a := f.send("b2", "receipt", key, []byte("two")); a.code != code.KeyReusedOtherway {
-			t.Errorf("a key with another input: %s", a.code)
+			t.Errorf("a key reused with another input: %s", a.code)
 		}
 		if a := f.send("b2", "receipt", "", []byte("x")); a.code != code.BadKey || a.ran != code.RanNo {
 			t.Errorf("no key: %s", a.code)
@@ -380,12 +383,13 @@
 			t.Errorf("an old key: %s", a.code)
 		}
 		if _, once := f.runs(key, f.boxes["b1"].ID); once > 1 {
-			t.Error("ran again")
+			t.Error("the call ran again")
 		}
 	})
 }
 
-// A box that only promised never to run a key is no witness for the others: the key's home ran it.
+// A box that promised not to run a key knows nothing about other boxes: it must not answer "not run" for a key
+// that its home ran.
 func TestRenouncedEntryIsNoAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4)
@@ -402,7 +406,7 @@
 			}
 		}
 		if promised != 3 {
-			t.Errorf("%d boxes promised never to run a key that one of them ran", promised)
+			t.Errorf("%d boxes promised not to run a key that one of them ran, want 3", promised)
 		}
 		for _, n := range boxNames {
 			a := f.send(n, "receipt", key, inputOf(key))
--- a/src/faults/history_test.go
+++ b/src/faults/history_test.go
@@ -19,7 +19,7 @@
 	firstSeed = flag.Uint64("seed", 1, "seed of the first history")
 )
 
-// history is a minute or so of random requests and faults.
+// history is about a minute of random requests and faults.
 type history struct {
 	f       *fleet
 	rand    *rand.Rand
@@ -30,7 +30,7 @@
 
 var boxNames = []string{"b1", "b2", "b3", "b4"}
 
-// playHistory runs one history and gives every broken promise and how many answers there were.
+// runHistory runs one history. It returns the violations and the number of answers by pipeline and code.
 func runHistory(t *testing.T, seed uint64) (violations []string, codes map[string]int) {
 	codes = map[string]int{}
 	f := newFleet(t, 4)
@@ -50,11 +50,11 @@
 	h.wg.Wait()
 	time.Sleep(20 * time.Second)
 	for _, a := range h.answers {
-		what := a.pipeline + " " + a.code.String()
+		outcome := a.pipeline + " " + a.code.String()
 		if a.cut {
-			what = a.pipeline + " CUT"
+			outcome = a.pipeline + " CUT"
 		}
-		codes[what]++
+		codes[outcome]++
 		if why := f.violation(a); why != "" {
 			violations = append(violations, fmt.Sprintf("%s %s: %s", a.pipeline, a.key, why))
 		}
@@ -62,7 +62,7 @@
 	return violations, codes
 }
 
-// event is one random thing that happens.
+// randomEvent sends a random request or injects a random fault.
 func (h *history) randomEvent() {
 	defer h.wg.Done()
 	switch x := h.rand.IntN(100); {
@@ -96,11 +96,11 @@
 	return time.Duration(h.rand.Int64N(int64(d)))
 }
 
-// request sends a request, often in copies to several boxes at slightly different times; callers
-// come back with the same key after a broken connection.
+// sendRequest sends a request, often in copies to several boxes at slightly different times. Callers retry
+// with the same key after a broken connection, or if the code says that this helps.
 func (h *history) sendRequest() {
-	key, pipe, to := h.f.newKey(), []string{"draft", "receipt", "receipt"}[h.rand.IntN(3)], h.randomBox()
-	if pipe == "receipt" && h.rand.IntN(3) == 0 {
+	key, pipeline, to := h.f.newKey(), []string{"draft", "receipt", "receipt"}[h.rand.IntN(3)], h.randomBox()
+	if pipeline == "receipt" && h.rand.IntN(3) == 0 {
 		if b := h.f.liveBox(h.randomBox()); b != nil {
 			if tickets, err := b.IssueTickets("ws", 1); err == nil {
 				key = tickets[0]
@@ -109,15 +109,15 @@
 	}
 	for range 1 + h.rand.IntN(3) {
 		delay, retry := h.randomDuration(500*time.Millisecond), h.randomDuration(4*time.Second)
-		again := h.randomBox()
+		retryAt := h.randomBox()
 		h.wg.Add(1)
 		go func(to string) {
 			defer h.wg.Done()
 			time.Sleep(delay)
-			a := h.add(h.f.send(to, pipe, key, inputOf(key)))
+			a := h.add(h.f.send(to, pipeline, key, inputOf(key)))
 			if a.cut || a.code.Entry().SameKey {
 				time.Sleep(retry)
-				h.add(h.f.send(again, pipe, key, inputOf(key)))
+				h.add(h.f.send(retryAt, pipeline, key, inputOf(key)))
 			}
 		}(to)
 		to = h.randomBox()
@@ -131,7 +131,7 @@
 	return a
 }
 
-// replace loses a box and starts another life under its name; the list follows late.
+// replace kills a box and later starts a new incarnation; the box list is updated late.
 func (h *history) replace(name string) {
 	b := h.f.boxNamed(name)
 	b.kill()
@@ -150,7 +150,7 @@
 	}()
 }
 
-// drain stops a box as planned and starts another life under its name.
+// drain stops a box gracefully and starts a new incarnation.
 func (h *history) drain(name string) {
 	b := h.f.liveBox(name)
 	if b == nil {
@@ -170,7 +170,7 @@
 	}()
 }
 
-// serverFault has a server do something wrong, leave for a while, or lose a box.
+// serverFault makes a server misbehave, leave or pause for a while, or cuts its link to a box.
 func (h *history) serverFault() {
 	pool := []string{"encoders", "retrievers", "rerankers", "records", "engines"}[h.rand.IntN(5)]
 	server := fmt.Sprintf("%s-%d", pool, 1+h.rand.IntN(2))
@@ -198,9 +198,11 @@
 	w.Arm(fault, 1+h.rand.IntN(3))
 }
 
+// Plays random histories and checks that no answer violates a guarantee. Enough answers must be complete for
+// the check to mean something.
 func TestHistories(t *testing.T) {
 	var mu sync.Mutex
-	sums, whole, all := map[string]int{}, 0, 0
+	counts, complete, all := map[string]int{}, 0, 0
 	t.Run("seeds", func(t *testing.T) {
 		for i := range *histories {
 			seed := *firstSeed + uint64(i)
@@ -213,10 +215,10 @@
 					}
 					mu.Lock()
 					for what, n := range codes {
-						sums[what] += n
+						counts[what] += n
 						all += n
 						if strings.HasSuffix(what, " "+code.OK.String()) {
-							whole += n
+							complete += n
 						}
 					}
 					mu.Unlock()
@@ -224,9 +226,9 @@
 			})
 		}
 	})
-	t.Logf("%d histories, %d answers, %.1f%% of them whole", *histories, all, 100*float64(whole)/float64(max(1, all)))
-	t.Log(sums)
-	if whole*5 < all*2 {
-		t.Errorf("only %d of %d answers were whole: the histories prove little", whole, all)
+	t.Logf("%d histories, %d answers, %.1f%% of them complete", *histories, all, 100*float64(complete)/float64(max(1, all)))
+	t.Log(counts)
+	if complete*5 < all*2 {
+		t.Errorf("only %d of %d answers were complete: too few for the histories to be a useful check", complete, all)
 	}
 }
--- a/src/faults/links_test.go
+++ b/src/faults/links_test.go
@@ -11,8 +11,10 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// The fake ports: calls to stand-ins and messages between boxes, over links that can be cut.
+// This file holds the fake ports: calls to backend servers and messages between boxes, over links that can be
+// cut.
 
+// call sends a call from a box to a backend server and returns the server's reply.
 func (f *fleet) call(ctx context.Context, b *fakeBox, s *config.BackendServer, r port.CallRequest, emit func(int, []byte)) (port.CallResult, *port.CallError) {
 	f.reached("dispatch "+r.Kind, b, s.Name(), r)
 	b.waitWhilePaused()
@@ -20,11 +22,11 @@
 	defer cancel()
 	defer context.AfterFunc(b.ctx, cancel)()
 	if b.ctx.Err() != nil {
-		return port.CallResult{}, &port.CallError{Failure: core.NotSent, Message: "killed"}
+		return port.CallResult{}, &port.CallError{Failure: core.NotSent, Message: "box was killed"}
 	}
 	if f.isCut(b.name, s.Name()) {
 		time.Sleep(dialTimeout)
-		return port.CallResult{}, &port.CallError{Failure: core.NotSent, Message: "no route"}
+		return port.CallResult{}, &port.CallError{Failure: core.NotSent, Message: "no route to host"}
 	}
 	if f.rejectCall != nil {
 		if err := f.rejectCall(b.name, s.Name()); err != nil {
@@ -32,13 +34,13 @@
 		}
 	}
 	if f.crashing != nil {
-		life := f.crashing.begin(s.Name(), r)
-		if life == nil {
+		exited := f.crashing.begin(s.Name(), r)
+		if exited == nil {
 			return port.CallResult{}, &port.CallError{Failure: core.NotSent, Message: "connection refused", Refused: true}
 		}
 		go func() {
 			select {
-			case <-life:
+			case <-exited:
 				cancel()
 			case <-ctx.Done():
 			}
@@ -60,7 +62,7 @@
 	f.reached("answered "+r.Kind, b, s.Name(), r)
 	b.waitWhilePaused()
 	if f.waitForLink(ctx, s.Name(), b.name) != nil && err == nil {
-		return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "answer lost"}
+		return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "reply lost"}
 	}
 	if err != nil && errors.Is(ctx.Err(), context.DeadlineExceeded) && err.Failure == core.Broken {
 		err = &port.CallError{Failure: core.TimedOut, Message: err.Message}
@@ -68,7 +70,7 @@
 	return res, err
 }
 
-// serve runs a call at its stand-in; like a real client it doesn't wait past the context.
+// runCall runs a call at its backend server. Like a real client, it does not wait after ctx is done.
 func (f *fleet) runCall(ctx context.Context, s *config.BackendServer, r port.CallRequest, out func(int, []byte)) (port.CallResult, *port.CallError) {
 	type ended struct {
 		res port.CallResult
@@ -88,10 +90,11 @@
 	case e := <-done:
 		return e.res, e.err
 	case <-ctx.Done():
-		return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "given up"}
+		return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "context done"}
 	}
 }
 
+// report reads a server's load report.
 func (f *fleet) report(b *fakeBox, s *config.BackendServer) (core.Report, error) {
 	b.waitWhilePaused()
 	if !f.connected(b, s.Name()) {
@@ -113,6 +116,7 @@
 	return report, nil
 }
 
+// order sends an order to an engine.
 func (f *fleet) order(b *fakeBox, s *config.BackendServer, o core.Order) error {
 	b.waitWhilePaused()
 	if o.Void(time.Now()) || !f.connected(b, s.Name()) || !f.engines[s.Name()].Take(o) {
@@ -121,6 +125,7 @@
 	return nil
 }
 
+// beat sends a heartbeat to another box without waiting; it is lost if the link is cut.
 func (f *fleet) beat(b *fakeBox, to string, m core.Beat) {
 	go func() {
 		time.Sleep(linkDelay)
@@ -131,7 +136,7 @@
 	}()
 }
 
-// reach connects to a box; the error says that no byte left.
+// dial connects to a box. Its errors are port.NotConnected: nothing was sent.
 func (f *fleet) dial(b *fakeBox, to string) (*fakeBox, error) {
 	time.Sleep(linkDelay)
 	t := f.liveBox(to)
@@ -145,6 +150,7 @@
 	return t, nil
 }
 
+// ask sends a question to another box and returns its answer.
 func (f *fleet) ask(ctx context.Context, b *fakeBox, to string, q port.Question) (port.Answer, error) {
 	t, err := f.dial(b, to)
 	if err != nil {
@@ -159,6 +165,7 @@
 	return a, nil
 }
 
+// forward forwards a request to another box and emits its events until the last one.
 func (f *fleet) forward(ctx context.Context, b *fakeBox, to string, q port.Forward, emit func(port.ForwardEvent)) error {
 	t, err := f.dial(b, to)
 	if err != nil {
--- a/src/faults/matrix_test.go
+++ b/src/faults/matrix_test.go
@@ -16,34 +16,35 @@
 	"github.com/stilemast/stilemast/src/standin"
 )
 
-// updating says whether -update, a flag that goldie brings, asks for pages and golden files anew.
+// updateRequested reports whether the test runs with -update, a flag that goldie defines: it rewrites the
+// golden files and docs/FAULTS.md.
 func updateRequested() bool { return flag.Lookup("update").Value.String() == "true" }
 
 const pagePath = "../../docs/FAULTS.md"
 
-// step is a row: the moment of a request at which a fault comes.
+// step is a row of the matrix: the point in a request's processing at which a fault is injected.
 type step struct {
 	name        string
-	trigger     string // the hook that marks the moment
+	trigger     string // step name passed to fleet.reached; "" for before the request is sent
 	pipeline    string
 	prepare     func(c *cell) // before the request is sent
-	beforeFault func(c *cell) // at the moment, before the fault
+	beforeFault func(c *cell) // when the step is reached
 }
 
-// fault is a column.
+// fault is a column of the matrix.
 type fault struct {
 	name     string
 	duration time.Duration
 	begin    func(c *cell)
 	end      func(c *cell)
-	// skip says why the fault can't happen at a step, or "".
+	// skip returns why the fault can't happen at a step, or "".
 	skip func(st step) string
 }
 
-// scene is one cell while it plays.
+// cell is the state of one run of a step with its faults.
 type cell struct {
 	f       *fleet
-	box     *fakeBox // where the request was when the fault came
+	box     *fakeBox // where the request was when the fault was injected
 	server  string   // the backend server concerned, "" for any
 	key     string
 	wg      sync.WaitGroup
@@ -51,7 +52,7 @@
 	mu      sync.Mutex
 }
 
-// switches lists the stand-ins that a fault of a server hits.
+// injectors returns the fault injectors of the servers that a server fault affects.
 func (c *cell) injectors() []*standin.FaultInjector {
 	var out []*standin.FaultInjector
 	for n, v := range c.f.services {
@@ -67,6 +68,7 @@
 	return out
 }
 
+// arm injects a fault into the next call of each affected server.
 func (c *cell) arm(f standin.Fault) {
 	for _, w := range c.injectors() {
 		w.SetDelay(3 * time.Second)
@@ -80,11 +82,12 @@
 	}
 }
 
-func (c *cell) sendAsync(name, pipe, key string) {
+// sendAsync sends a request in the background and keeps its answer.
+func (c *cell) sendAsync(name, pipeline, key string) {
 	c.wg.Add(1)
 	go func() {
 		defer c.wg.Done()
-		a := c.f.send(name, pipe, key, inputOf(key))
+		a := c.f.send(name, pipeline, key, inputOf(key))
 		c.mu.Lock()
 		c.answers = append(c.answers, a)
 		c.mu.Unlock()
@@ -116,7 +119,7 @@
 	{name: "configuration change", trigger: "stream", pipeline: "draft", beforeFault: changeConfig},
 }
 
-// fillQueues makes every first-stage server busy, so that the request has to wait in its pool.
+// fillQueues occupies every first-stage server, so that the request has to wait in its pool.
 func fillQueues(c *cell) {
 	for i := range 40 {
 		c.sendAsync([]string{"b1", "b2", "b3", "b4"}[i%4], "draft", c.f.newKey())
@@ -142,7 +145,7 @@
 	c.f.publishConfig()
 }
 
-// afterSend leaves the call time to leave before a fault of the connection comes.
+// afterSend delays a connection fault until the call has been sent.
 func afterSend(fn func(c *cell)) func(c *cell) {
 	return func(c *cell) {
 		time.AfterFunc(2*time.Millisecond, func() { fn(c) })
@@ -200,7 +203,7 @@
 	}
 }
 
-// another names a box that the request is not on and that no caller here uses.
+// otherBox returns the name of a box that does not run the request and that no caller here uses.
 func (c *cell) otherBox() string {
 	if c.box.name == "b3" {
 		return "b4"
@@ -208,7 +211,7 @@
 	return "b3"
 }
 
-// leave makes one server leave, never a whole pool.
+// setLeaving makes one server leave, never a whole pool.
 func (c *cell) setLeaving(on bool) {
 	name := c.server
 	if name == "" {
@@ -226,6 +229,7 @@
 	}
 }
 
+// cutServer cuts the link between the cell's box and one server both ways.
 func (c *cell) cutServer() {
 	name := c.server
 	if name == "" {
@@ -241,14 +245,15 @@
 	return f.tokens[key]
 }
 
-// play runs one cell and gives what went wrong, or "", and the first copy's final code.
+// playCell runs one cell on a new fleet. It returns the violations, or "", and the final answer of the first
+// copy.
 func playCell(t *testing.T, st step, faults ...fault) (wrong string, final answer) {
 	f := newFleet(t, 4)
 	defer f.shutdown()
 	return f.playCell(&cell{f: f, key: f.newKey()}, st, faults...)
 }
 
-// play runs a cell on a fleet that is ready.
+// playCell runs a cell on a fleet that is ready.
 func (f *fleet) playCell(c *cell, st step, faults ...fault) (wrong string, final answer) {
 	if st.prepare != nil {
 		st.prepare(c)
@@ -278,29 +283,29 @@
 		begin(f.boxes[first], "")
 	}
 	if st.pipeline == "receipt" {
-		c.sendAsync(second, st.pipeline, c.key) // the balancer brings a second copy
+		c.sendAsync(second, st.pipeline, c.key) // the load balancer delivers a second copy
 	}
 	final = f.sendWithRetries(c, first, st.pipeline)
-	begin(f.boxes[first], "") // a moment that never came: the fault comes after the answer
+	begin(f.boxes[first], "") // if the step was never reached, the fault is injected after the answer
 	c.wg.Wait()
 	time.Sleep(15 * time.Second)
 	wrong = f.violations(c, final)
 	return wrong, final
 }
 
-// sendUntilHeard is a caller that comes back with the same key when its connection breaks or the
-// answer says that coming back with it helps.
-func (f *fleet) sendWithRetries(c *cell, name, pipe string) answer {
+// sendWithRetries sends a request and retries with the same key when the connection breaks or when the answer
+// says that a retry helps.
+func (f *fleet) sendWithRetries(c *cell, name, pipeline string) answer {
 	var a answer
 	for try, n := range []string{name, "b2", "b4", "b1", "b2", "b4"} {
 		if try > 0 {
 			time.Sleep(time.Second)
 		}
-		a = f.send(n, pipe, c.key, inputOf(c.key))
+		a = f.send(n, pipeline, c.key, inputOf(c.key))
 		c.mu.Lock()
 		c.answers = append(c.answers, a)
 		c.mu.Unlock()
-		repeatable := pipe != "receipt"
+		repeatable := pipeline != "receipt"
 		if !a.cut && (a.code == code.OK || !repeatable && !a.code.Entry().SameKey || repeatable && a.ran == code.RanYes) {
 			return a
 		}
@@ -308,32 +313,32 @@
 	return a
 }
 
-// verdict checks every answer of the cell, and that the fleet serves on.
+// violations checks every answer of the cell, and that the fleet serves new requests afterwards.
 func (f *fleet) violations(c *cell, final answer) string {
-	var bad []string
+	var problems []string
 	for _, a := range append(c.answers, final) {
 		if why := f.violation(a); why != "" {
-			bad = append(bad, why)
+			problems = append(problems, why)
 		}
 	}
 	for _, n := range f.readyBoxes() {
 		key := f.newKey()
 		if a := f.send(n, "draft", key, inputOf(key)); a.code != code.OK || f.violation(a) != "" {
-			bad = append(bad, fmt.Sprintf("afterwards %s answers a draft with %s %s", n, a.code, f.violation(a)))
+			problems = append(problems, fmt.Sprintf("afterwards %s answers a draft with %s %s", n, a.code, f.violation(a)))
 		}
 		tickets, err := f.boxes[n].IssueTickets("ws", 1)
 		if err != nil {
-			bad = append(bad, "afterwards no tickets: "+err.Error())
+			problems = append(problems, "afterwards no tickets: "+err.Error())
 			continue
 		}
 		if a := f.send(n, "receipt", tickets[0], inputOf(key)); a.code != code.OK || f.violation(a) != "" {
-			bad = append(bad, fmt.Sprintf("afterwards %s answers a ticket with %s %s", n, a.code, f.violation(a)))
+			problems = append(problems, fmt.Sprintf("afterwards %s answers a ticket with %s %s", n, a.code, f.violation(a)))
 		}
 	}
-	return strings.Join(bad, "; ")
+	return strings.Join(problems, "; ")
 }
 
-// serving lists two boxes that live and are not stopping.
+// readyBoxes returns up to two boxes that run and do not drain.
 func (f *fleet) readyBoxes() []string {
 	var out []string
 	for _, n := range []string{"b1", "b2", "b3", "b4"} {
@@ -344,20 +349,20 @@
 	return out
 }
 
-// mustBeWhole says whether the caller must get its whole answer in a cell: always, but for a call
-// that may not be repeated whose outcome the fault hides, and for load that is refused honestly.
+// mustAnswerWhole reports whether the caller must get its full answer in a cell: always, except for a call that
+// may not be repeated and whose outcome the fault hides, and for overload that is refused.
 func mustAnswerWhole(st step, x fault) bool {
 	if st.pipeline != "receipt" {
 		return x.name != "burst"
 	}
 	if st.name == "answer delivered, once" {
-		return x.name != "list lags" // the box that is lost may hold the answer
+		return x.name != "list lags" // the killed box may hold the answer
 	}
 	switch x.name {
 	case "slow", "reply late", "service down", "service stale", "lost before send", "server leaving", "burst", "reply twice":
 		return x.name != "server leaving" || st.trigger != "dispatch service"
 	case "list lags":
-		return st.trigger != "" // the box that is lost may be the key's home
+		return st.trigger != "" // the killed box may be the key's home
 	case "error":
 		return st.trigger != "dispatch service" && st.trigger != ""
 	case "link cut after send", "hang":
@@ -366,6 +371,7 @@
 	return false
 }
 
+// TestMatrix injects every fault at every step and checks every answer.
 func TestMatrix(t *testing.T) {
 	verdicts := make([][]string, len(steps))
 	t.Run("cells", func(t *testing.T) {
@@ -390,7 +396,7 @@
 							t.Error(wrong)
 						}
 						if mustAnswerWhole(st, x) && (final.code != code.OK || final.cut) {
-							t.Errorf("the caller did not get its answer: %s, ran %s, cut %t", final.code, final.ran, final.cut)
+							t.Errorf("the caller did not get its full answer: %s, ran %s, cut %t", final.code, final.ran, final.cut)
 						}
 					})
 				})
@@ -400,7 +406,7 @@
 	checkPage(t, verdicts)
 }
 
-// checkPage holds docs/FAULTS.md against the table that was played, or writes it.
+// checkPage checks that docs/FAULTS.md shows the cells that were run, or writes it with -update.
 func checkPage(t *testing.T, verdicts [][]string) {
 	var b bytes.Buffer
 	b.WriteString(pageHead)
@@ -418,21 +424,21 @@
 	}
 	have, err := os.ReadFile(pagePath)
 	if err != nil || !bytes.Equal(have, b.Bytes()) {
-		t.Errorf("docs/FAULTS.md is not current (%v); run: make faults", err)
+		t.Errorf("docs/FAULTS.md is out of date (%v); run: make faults", err)
 	}
 }
 
 const pageHead = `# Faults
 
-Every fault at every step of a request, as played by ` + "`go test ./src/faults`" + ` on four boxes in virtual time.
-This page is written by ` + "`make faults`" + ` and the test fails when it is not current.
+Every fault at every step of a request, as run by ` + "`go test ./src/faults`" + ` on four boxes in virtual time.
+This page is generated by ` + "`make faults`" + `; the test fails when it is out of date.
 
-In every cell each answer is held against the stand-ins' own logs: no piece of an answer lost, doubled
-or another request's, no call that may not be repeated run twice, no "not run" of something that ran,
-and afterwards the fleet answers new work of every sort. A request that may not be repeated also
-reaches a second box in every cell. Beyond that:
+In every cell each answer is checked against the logs of the fake backend servers: no part of an answer is
+lost, duplicated or from another request, no call that may not be repeated runs twice, no answer says "not run"
+if something ran, and afterwards the boxes serve new requests of every pipeline. A request that may not be
+repeated is also sent to a second box in every cell. Beyond that:
 
-- **whole**: the caller gets its whole answer, coming back with the same key where its box was lost;
-- **honest**: the caller gets the whole answer or a code that says truthfully whether anything ran;
+- **whole**: the caller gets its full answer, after a retry with the same key if its box was lost;
+- **honest**: the caller gets the full answer or a code that says correctly whether anything ran;
 - **—**: the cell can't happen, for the reason given.
 `
--- a/src/faults/pairs_test.go
+++ b/src/faults/pairs_test.go
@@ -5,7 +5,7 @@
 	"testing/synctest"
 )
 
-// TestPairs plays every pair of faults together, each at three steps in turn.
+// TestPairs injects every pair of faults together, each pair at three steps.
 func TestPairs(t *testing.T) {
 	n := 0
 	for i, x := range faultColumns {
--- a/src/faults/pushback_test.go
+++ b/src/faults/pushback_test.go
@@ -13,18 +13,19 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// The story of the gateway's pushback_test.go, on the product's own path: servers that turn calls away and say for how long they
-// want none are asked again by the same box, for it knows only its own guess of 0.2 s and more after failures.
+// A server that rejects a call can ask for a rest: it says for how long it wants no calls. A box that applies
+// only its own backoff (from 0.2 s after a failure) sends calls during the rest. The gateway's pushback_test.go
+// covers the same failure for requests through the gateway.
 func TestAServerThatAsksForRestHasItOnTheProductsPath(t *testing.T) {
-	const asked, sheds = 3 * time.Second, 7 * time.Second
+	const restAsked, rejectPeriod = 3 * time.Second, 7 * time.Second
 	for _, resting := range []int{2, 4} { // of 4
 		t.Run(fmt.Sprint(resting, " of 4"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleetWithDocument(t, 4, documentWithServers(4))
 				defer f.shutdown()
 				var mu sync.Mutex
-				rests := map[string][]time.Time{}
-				over, sends := 0, 0
+				rejectedAt := map[string][]time.Time{}
+				sentInRest, sends := 0, 0
 				begin := time.Now()
 				f.rejectCall = func(box, server string) *port.CallError {
 					mu.Lock()
@@ -34,22 +35,22 @@
 						return nil
 					}
 					sends++
-					list := rests[box+server]
+					list := rejectedAt[box+server]
 					for _, at := range list {
-						if d := now.Sub(at); d > asked/6 && d < asked {
-							over++
+						if d := now.Sub(at); d > restAsked/6 && d < restAsked {
+							sentInRest++
 						}
 					}
-					if now.Sub(begin) > sheds {
+					if now.Sub(begin) > rejectPeriod {
 						return nil
 					}
-					rests[box+server] = append(list, now)
-					return &port.CallError{Failure: core.Busy, Message: "full", Rest: asked}
+					rejectedAt[box+server] = append(list, now)
+					return &port.CallError{Failure: core.Busy, Message: "full", Rest: restAsked}
 				}
-				var all sync.WaitGroup
+				var senders sync.WaitGroup
 				answered := map[string]int{}
 				for i := range 400 {
-					all.Go(func() {
+					senders.Go(func() {
 						a := f.send(fmt.Sprintf("b%d", i%4+1), "draft", f.newKey(), []byte(strings.Repeat("x", i)))
 						mu.Lock()
 						defer mu.Unlock()
@@ -59,13 +60,13 @@
 					})
 					time.Sleep(25 * time.Millisecond)
 				}
-				all.Wait()
-				t.Logf("%d sends to servers that rest or rested, %d of them in rests; answers %v", sends, over, answered)
-				if over > 0 {
-					t.Errorf("%d calls reached servers in the rests that they had asked for", over)
+				senders.Wait()
+				t.Logf("%d calls to servers that ask for rest, %d of them during a rest; answers %v", sends, sentInRest, answered)
+				if sentInRest > 0 {
+					t.Errorf("%d calls reached servers during the rests that they had asked for", sentInRest)
 				}
 				if resting == 2 && answered["OK"] < 396 {
-					t.Errorf("%v, where two servers were free", answered)
+					t.Errorf("answers %v, though two servers were free", answered)
 				}
 			})
 		})
--- a/src/faults/smoke_test.go
+++ b/src/faults/smoke_test.go
@@ -7,6 +7,7 @@
 	"github.com/stilemast/stilemast/src/code"
 )
 
+// Without faults, every box must answer every pipeline in full.
 func TestQuietFleetAnswersWhole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4)
--- a/src/standin/service.go
+++ b/src/standin/service.go
@@ -27,20 +27,20 @@
 // Safe for concurrent use.
 type ExecutionLog struct {
 	mu  sync.Mutex
-	ran []Ran
+	executions []Ran
 }
 
 func (l *ExecutionLog) record(r port.CallRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ran = append(l.ran, Ran{Attempt: r.Attempt, Kind: r.Kind, Once: r.Once, Input: xxhash.Sum64(r.Input), At: time.Now()})
+	l.executions = append(l.executions, Ran{Attempt: r.Attempt, Kind: r.Kind, Once: r.Once, Input: xxhash.Sum64(r.Input), At: time.Now()})
 }
 
 // All returns a copy of the log.
 func (l *ExecutionLog) All() []Ran {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]Ran(nil), l.ran...)
+	return append([]Ran(nil), l.executions...)
 }
 
 // Service is a fake backend server that does not generate: a plain service, encoder, retriever or reranker.
