--- a/src/faults/caller_test.go
+++ b/src/faults/caller_test.go
@@ -126,7 +126,7 @@
 		by = a.box // each copy of a repeatable request answers for its own calls only
 	}
 	all, once := f.runs(a.key, by)
-	want := standin.Whole(f.config.Pipeline(a.pipeline), a.input, 0)
+	want := standin.ExpectedOutput(f.config.Pipeline(a.pipeline), a.input, 0)
 	switch {
 	case a.misplaced:
 		return "a chunk of the answer has a wrong offset"
--- a/src/load/run.go
+++ b/src/load/run.go
@@ -185,7 +185,7 @@
 		return res
 	}
 	res.Stages = answer.Stages
-	res.Wrong = !bytes.Equal(answer.Data, standin.Whole(a.Pipeline, a.Input, 0))
+	res.Wrong = !bytes.Equal(answer.Data, standin.ExpectedOutput(a.Pipeline, a.Input, 0))
 	return res
 }
 
--- a/src/standin/text.go
+++ b/src/standin/text.go
@@ -41,8 +41,8 @@
 	return append(bytes.Clone(input), line...)
 }
 
-// Whole returns the correct answer of a pipeline for an input, computed without running the system.
-func Whole(p *config.Pipeline, input []byte, maxTokens int) []byte {
+// ExpectedOutput returns the correct answer of a pipeline for an input, computed without running the system.
+func ExpectedOutput(p *config.Pipeline, input []byte, maxTokens int) []byte {
 	for _, s := range p.Stages() {
 		if s.Kind() != config.Generate {
 			input = ServiceOutput(string(s.Kind()), input)
