--- a/src/cli/demo.go
+++ b/src/cli/demo.go
@@ -101,7 +101,7 @@
 }
 
 // writeRan prints the stand-ins' own count of what they ran and gives it by kind.
-func writeRan(w io.Writer, ran []standin.Ran) map[string]int {
+func writeRan(w io.Writer, ran []standin.Execution) map[string]int {
 	kinds := map[string]int{}
 	for _, r := range ran {
 		kinds[r.Kind]++
--- a/src/faults/caller_test.go
+++ b/src/faults/caller_test.go
@@ -100,7 +100,7 @@
 	if k, err := core.ParseKey(key); err == nil {
 		id = k.ID.String()
 	}
-	count := func(l []standin.Ran) {
+	count := func(l []standin.Execution) {
 		for _, r := range l {
 			if strings.HasPrefix(r.Attempt, id+"/") && (by.Name == "" || strings.HasSuffix(r.Attempt, by.String())) {
 				all++
--- a/src/load/report.go
+++ b/src/load/report.go
@@ -61,7 +61,7 @@
 // Judge sums results and holds them against what the stand-ins ran: an answer that is not the
 // request's own is misplaced, a call that may not be repeated and ran twice is doubled, an accepted
 // request without a final answer is lost, and a "not run" of something that ran is false.
-func Judge(results []Result, ran []standin.Ran) Report {
+func Judge(results []Result, ran []standin.Execution) Report {
 	r := Report{Refusals: map[string]int{}}
 	onceRuns, anyRuns := countRuns(ran)
 	kinds := map[string]*kindSums{}
@@ -110,7 +110,7 @@
 }
 
 // countRuns counts, for each key, the calls that may not be repeated and all calls.
-func countRuns(ran []standin.Ran) (once, all map[string]int) {
+func countRuns(ran []standin.Execution) (once, all map[string]int) {
 	once, all = map[string]int{}, map[string]int{}
 	for _, x := range ran {
 		key, _, _ := strings.Cut(x.Attempt, "/")
--- a/src/load/run.go
+++ b/src/load/run.go
@@ -255,14 +255,14 @@
 }
 
 // FetchRan asks every stand-in of a configuration what it ran.
-func FetchRan(ctx context.Context, c *config.Config) ([]standin.Ran, error) {
-	var all []standin.Ran
+func FetchRan(ctx context.Context, c *config.Config) ([]standin.Execution, error) {
+	var all []standin.Execution
 	for _, b := range c.BackendServers() {
 		resp, err := httpc.Do(ctx, http.MethodGet, "http://"+b.Address()+standin.PathRan, nil)
 		if err != nil {
 			return nil, eris.Wrapf(err, "what %s ran", b.Name())
 		}
-		var one []standin.Ran
+		var one []standin.Execution
 		err = json.NewDecoder(resp.Body).Decode(&one)
 		_ = resp.Body.Close()
 		if err != nil {
--- a/src/local/local.go
+++ b/src/local/local.go
@@ -206,8 +206,8 @@
 }
 
 // Ran lists every call that any stand-in ran.
-func (s *Set) Ran() []standin.Ran {
-	var out []standin.Ran
+func (s *Set) Ran() []standin.Execution {
+	var out []standin.Execution
 	for _, e := range s.Engines {
 		out = append(out, e.Log.All()...)
 	}
--- a/src/standin/service.go
+++ b/src/standin/service.go
@@ -14,8 +14,8 @@
 // reportInterval is how often load reports are renewed, so a report can be this old.
 const reportInterval = 250 * time.Millisecond
 
-// Ran records one call that a fake backend server ran.
-type Ran struct {
+// Execution records one call that a fake backend server ran.
+type Execution struct {
 	Attempt string // format: key/stage/attempt, then the calling box
 	Kind    string
 	Once    bool
@@ -27,20 +27,20 @@
 // Safe for concurrent use.
 type ExecutionLog struct {
 	mu  sync.Mutex
-	executions []Ran
+	executions []Execution
 }
 
 func (l *ExecutionLog) record(r port.CallRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.executions = append(l.executions, Ran{Attempt: r.Attempt, Kind: r.Kind, Once: r.Once, Input: xxhash.Sum64(r.Input), At: time.Now()})
+	l.executions = append(l.executions, Execution{Attempt: r.Attempt, Kind: r.Kind, Once: r.Once, Input: xxhash.Sum64(r.Input), At: time.Now()})
 }
 
 // All returns a copy of the log.
-func (l *ExecutionLog) All() []Ran {
+func (l *ExecutionLog) All() []Execution {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]Ran(nil), l.executions...)
+	return append([]Execution(nil), l.executions...)
 }
 
 // Service is a fake backend server that does not generate: a plain service, encoder, retriever or reranker.
