--- a/src/load/run.go
+++ b/src/load/run.go
@@ -258,7 +258,7 @@
 func FetchRan(ctx context.Context, c *config.Config) ([]standin.Execution, error) {
 	var all []standin.Execution
 	for _, b := range c.BackendServers() {
-		resp, err := httpc.Do(ctx, http.MethodGet, "http://"+b.Address()+standin.PathRan, nil)
+		resp, err := httpc.Do(ctx, http.MethodGet, "http://"+b.Address()+standin.PathExecutions, nil)
 		if err != nil {
 			return nil, eris.Wrapf(err, "what %s ran", b.Name())
 		}
--- a/src/standin/http.go
+++ b/src/standin/http.go
@@ -18,8 +18,8 @@
 	"github.com/stilemast/stilemast/src/web"
 )
 
-// PathRan serves the list of calls that a fake backend server ran. Real servers do not have it.
-const PathRan = "/ran"
+// PathExecutions serves the list of calls that a fake backend server ran. Real servers do not have it.
+const PathExecutions = "/ran"
 
 // callFunc is the signature of Engine.Call and Service.Call.
 type callFunc func(context.Context, port.CallRequest, func(int, []byte)) (port.CallResult, *port.CallError)
@@ -30,7 +30,7 @@
 		{Method: http.MethodPost, Path: backend.PathCall, Handler: callHandler(s.Call)},
 		{Method: http.MethodPost, Path: backend.PathStop, Handler: func(http.ResponseWriter, *http.Request) {}},
 		{Method: http.MethodGet, Path: backend.PathLoad, Handler: func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Report()) }},
-		{Method: http.MethodGet, Path: PathRan, Handler: func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Log.All()) }},
+		{Method: http.MethodGet, Path: PathExecutions, Handler: func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Log.All()) }},
 	})
 }
 
@@ -40,7 +40,7 @@
 		{Method: http.MethodPost, Path: backend.PathCall, Handler: callHandler(e.Call)},
 		{Method: http.MethodPost, Path: backend.PathStop, Handler: e.serveStop},
 		{Method: http.MethodGet, Path: backend.PathLoad, Handler: func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Report()) }},
-		{Method: http.MethodGet, Path: PathRan, Handler: func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Log.All()) }},
+		{Method: http.MethodGet, Path: PathExecutions, Handler: func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Log.All()) }},
 		{Method: http.MethodGet, Path: backend.PathEvents, Handler: e.serveEvents},
 		{Method: http.MethodPost, Path: backend.PathOrders, Handler: e.serveOrder},
 		{Method: http.MethodPost, Path: backend.PathExport, Handler: e.serveExport},
