--- a/src/cli/serve.go
+++ b/src/cli/serve.go
@@ -97,7 +97,7 @@
 				Name: "service", Usage: "a plain service, encoder, retriever or reranker; GET /ran lists what it ran",
 				Flags: []cli.Flag{listen, slots, &cli.DurationFlag{Name: "time", Value: 10 * time.Millisecond, Usage: "typical `DURATION` of one call"}},
 				Action: func(ctx context.Context, c *cli.Command) error {
-					s := &standin.Service{Name: "service", Slots: c.Int("slots"), Base: c.Duration("time")}
+					s := &standin.Service{Name: "service", Slots: c.Int("slots"), CallTime: c.Duration("time")}
 					h, err := s.Handler()
 					return serveStandin(ctx, c.String("listen"), h, err)
 				},
--- a/src/faults/fleet_test.go
+++ b/src/faults/fleet_test.go
@@ -116,7 +116,7 @@
 	f.ctx, f.cancel = context.WithCancel(context.Background())
 	for _, s := range f.doc.BackendServers {
 		if s.Model == "" {
-			f.services[s.Name] = &standin.Service{Name: s.Name, Slots: s.Slots, Base: 10 * time.Millisecond}
+			f.services[s.Name] = &standin.Service{Name: s.Name, Slots: s.Slots, CallTime: 10 * time.Millisecond}
 			continue
 		}
 		e := &standin.Engine{Name: s.Name, Cost: standin.DefaultEngineCost(s.Slots), ChecksOrders: s.ChecksOrders, EventLag: 200 * time.Millisecond, EventGap: 5}
--- a/src/local/bench_test.go
+++ b/src/local/bench_test.go
@@ -25,7 +25,7 @@
 		b.Fatal(err)
 	}
 	for _, v := range s.Services {
-		v.Base = 2 * time.Millisecond
+		v.CallTime = 2 * time.Millisecond
 	}
 	conf := s.Nodes[0].Box().Config()
 	client := backend.NewClient(nil)
--- a/src/local/local.go
+++ b/src/local/local.go
@@ -82,7 +82,7 @@
 
 func (s *Set) startBackend(ctx context.Context, d *config.BackendServerDoc, store *standin.WeightStore) (http.Handler, error) {
 	if d.Model == "" {
-		v := &standin.Service{Name: d.Name, Slots: d.Slots, Base: 10 * time.Millisecond}
+		v := &standin.Service{Name: d.Name, Slots: d.Slots, CallTime: 10 * time.Millisecond}
 		s.Services[d.Name] = v
 		return v.Handler()
 	}
--- a/src/standin/service.go
+++ b/src/standin/service.go
@@ -47,7 +47,7 @@
 type Service struct {
 	Name  string
 	Slots int
-	Base  time.Duration // mean duration of a call
+	CallTime  time.Duration // mean duration of a call
 	FaultInjector
 	Log ExecutionLog
 
@@ -94,7 +94,7 @@
 		<-s.slots
 	}()
 	s.Log.record(r)
-	duration := time.Duration(s.slowdown() * float64(s.Base) * timeFactor(r.Input))
+	duration := time.Duration(s.slowdown() * float64(s.CallTime) * timeFactor(r.Input))
 	time.Sleep(duration)
 	s.waitWhilePaused()
 	res := port.CallResult{Output: ServiceOutput(r.Kind, r.Input), Use: core.Use{Engine: duration}}
