--- a/src/faults/guarantees_test.go
+++ b/src/faults/guarantees_test.go
@@ -236,10 +236,10 @@
 		// A late order of a paused box: the engine that checks fences rejects it, the other one accepts it
 		// and must get the current order again.
 		old := f.engines["engines-1"].Orders()[0]
-		if f.engines["engines-1"].Take(old) {
+		if f.engines["engines-1"].AcceptOrder(old) {
 			t.Error("the engine that checks fences accepted an old order")
 		}
-		if !f.engines["engines-2"].Take(old) {
+		if !f.engines["engines-2"].AcceptOrder(old) {
 			t.Error("the engine that checks no fences rejected an old order")
 		}
 		time.Sleep(5 * time.Second)
--- a/src/faults/links_test.go
+++ b/src/faults/links_test.go
@@ -119,7 +119,7 @@
 // order sends an order to an engine.
 func (f *fleet) order(b *fakeBox, s *config.BackendServer, o core.Order) error {
 	b.waitWhilePaused()
-	if o.Void(time.Now()) || !f.connected(b, s.Name()) || !f.engines[s.Name()].Take(o) {
+	if o.Void(time.Now()) || !f.connected(b, s.Name()) || !f.engines[s.Name()].AcceptOrder(o) {
 		return errConnectionLost
 	}
 	return nil
--- a/src/standin/engine.go
+++ b/src/standin/engine.go
@@ -275,9 +275,9 @@
 	})
 }
 
-// Take accepts an order. It returns false if the engine checks fences and the order's fence is lower than
+// AcceptOrder accepts an order. It returns false if the engine checks fences and the order's fence is lower than
 // that of the last order.
-func (e *Engine) Take(o core.Order) bool {
+func (e *Engine) AcceptOrder(o core.Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.ChecksOrders && o.Fence < e.order.Fence {
--- a/src/standin/http.go
+++ b/src/standin/http.go
@@ -66,7 +66,7 @@
 		return
 	}
 	o := core.Order{Fence: in.Fence, Model: in.Model, Version: in.Version, Adapters: in.Adapters, Role: in.Role, LoadTime: time.Duration(in.LoadTime)}
-	if !e.Take(o) {
+	if !e.AcceptOrder(o) {
 		http.Error(w, "fence is lower than that of the last order", http.StatusConflict)
 	}
 }
