--- a/src/faults/matrix_test.go
+++ b/src/faults/matrix_test.go
@@ -175,7 +175,7 @@
 	{name: "link cut after send", duration: 4 * time.Second, begin: afterSend(func(c *cell) { c.cutServer() }), end: func(c *cell) { c.f.healAll() }},
 	{name: "reply lost", duration: 9 * time.Second, begin: func(c *cell) { c.arm(standin.DropReply) }, end: disarm},
 	{name: "reply late", duration: 9 * time.Second, begin: func(c *cell) { c.arm(standin.LateReply) }, end: disarm},
-	{name: "reply twice", duration: 9 * time.Second, begin: func(c *cell) { c.arm(standin.TwiceReply) }, end: disarm, skip: streamsOnly},
+	{name: "reply twice", duration: 9 * time.Second, begin: func(c *cell) { c.arm(standin.DuplicateChunks) }, end: disarm, skip: streamsOnly},
 	{name: "box killed", begin: func(c *cell) { c.box.kill() }},
 	{name: "box paused", duration: 6 * time.Second, begin: func(c *cell) { c.box.pause() }, end: func(c *cell) { c.box.resume() }},
 	{name: "partition", duration: 6 * time.Second, begin: func(c *cell) { c.f.isolate(c.box.name, true) }, end: func(c *cell) { c.f.healAll() }},
--- a/src/standin/engine.go
+++ b/src/standin/engine.go
@@ -223,7 +223,7 @@
 		}
 		if sent < len(text) && fault != LateReply {
 			emit(base+sent, text[sent:])
-			if fault == TwiceReply {
+			if fault == DuplicateChunks {
 				emit(base+sent, text[sent:])
 			}
 			sent = len(text)
--- a/src/standin/fault.go
+++ b/src/standin/fault.go
@@ -16,7 +16,7 @@
 	Hang             // accept the call, but neither run nor answer it
 	DropReply        // run the call, then break the connection
 	LateReply        // run the call, reply after the delay of SetDelay
-	TwiceReply       // send every chunk of a stream twice
+	DuplicateChunks       // send every chunk of a stream twice
 	BreakMid         // break the connection in the middle of a stream
 	Refuse           // refuse connections
 	BadRequest       // reject the call as invalid
