--- a/src/faults/history_test.go
+++ b/src/faults/history_test.go
@@ -192,7 +192,7 @@
 		time.AfterFunc(h.randomDuration(4*time.Second), w.Resume)
 		return
 	}
-	fault := []standin.Fault{standin.Fail, standin.Busy, standin.DropReply, standin.LateReply, standin.DuplicateChunks, standin.BreakMid, standin.Refuse}[h.rand.IntN(7)]
+	fault := []standin.Fault{standin.Fail, standin.Busy, standin.DropReply, standin.LateReply, standin.DuplicateChunks, standin.BreakStream, standin.Refuse}[h.rand.IntN(7)]
 	w := h.f.injectorOf(server)
 	w.SetDelay(2 * time.Second)
 	w.Arm(fault, 1+h.rand.IntN(3))
--- a/src/standin/engine.go
+++ b/src/standin/engine.go
@@ -228,7 +228,7 @@
 			}
 			sent = len(text)
 		}
-		if fault == BreakMid && len(text) >= 3*TokenBytes || fault == DropReply && done {
+		if fault == BreakStream && len(text) >= 3*TokenBytes || fault == DropReply && done {
 			return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "connection lost"}
 		}
 		if done {
--- a/src/standin/fault.go
+++ b/src/standin/fault.go
@@ -17,7 +17,7 @@
 	DropReply        // run the call, then break the connection
 	LateReply        // run the call, reply after the delay of SetDelay
 	DuplicateChunks       // send every chunk of a stream twice
-	BreakMid         // break the connection in the middle of a stream
+	BreakStream         // break the connection in the middle of a stream
 	Refuse           // refuse connections
 	BadRequest       // reject the call as invalid
 )
--- a/src/standin/service.go
+++ b/src/standin/service.go
@@ -100,7 +100,7 @@
 	res := port.CallResult{Output: ServiceOutput(r.Kind, r.Input), Use: core.Use{Engine: duration}}
 	res.Length = len(res.Output)
 	switch fault {
-	case DropReply, BreakMid:
+	case DropReply, BreakStream:
 		return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "connection lost"}
 	case LateReply:
 		time.Sleep(delay)
