--- a/src/faults/guarantees_test.go
+++ b/src/faults/guarantees_test.go
@@ -91,7 +91,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 7)
 		defer f.shutdown()
-		f.platform.SetSlow(300 * time.Millisecond)
+		f.platform.SetReadDelay(300 * time.Millisecond)
 		time.Sleep(2 * time.Second)
 		worst := time.Duration(0)
 		for range 10 {
--- a/src/standin/platform.go
+++ b/src/standin/platform.go
@@ -70,8 +70,8 @@
 	p.down = down
 }
 
-// SetSlow delays every read by d.
-func (p *Platform) SetSlow(d time.Duration) {
+// SetReadDelay delays every read by d.
+func (p *Platform) SetReadDelay(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.readDelay = d
