--- a/src/faults/guarantees_test.go
+++ b/src/faults/guarantees_test.go
@@ -300,8 +300,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4)
 		defer f.shutdown()
-		f.services["encoders-1"].SetSlow(200) // the first stage takes 2 s
-		f.services["encoders-2"].SetSlow(200)
+		f.services["encoders-1"].SetSlowdown(200) // the first stage takes 2 s
+		f.services["encoders-2"].SetSlowdown(200)
 		done := make(chan answer)
 		go func() { done <- f.send("b1", "draft", f.newKey(), []byte("x")) }()
 		time.Sleep(200 * time.Millisecond)
--- a/src/faults/matrix_test.go
+++ b/src/faults/matrix_test.go
@@ -199,7 +199,7 @@
 
 func (c *cell) setSlow(factor float64) {
 	for _, w := range c.injectors() {
-		w.SetSlow(factor)
+		w.SetSlowdown(factor)
 	}
 }
 
--- a/src/standin/fault.go
+++ b/src/standin/fault.go
@@ -49,8 +49,8 @@
 	s.delay = d
 }
 
-// SetSlow multiplies the duration of all work by a factor; 0 or less means 1.
-func (s *FaultInjector) SetSlow(factor float64) {
+// SetSlowdown multiplies the duration of all work by a factor; 0 or less means 1.
+func (s *FaultInjector) SetSlowdown(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slowFactor = factor
