--- a/src/experiment/experiment.go
+++ b/src/experiment/experiment.go
@@ -161,8 +161,8 @@
 	return float64(engines) / secondsPerRequest
 }
 
-// Play simulates one run.
-func Play(c Case) (Figures, error) {
+// Run simulates one run.
+func Run(c Case) (Figures, error) {
 	conf, err := load.Config(c.Document)
 	if err != nil {
 		return Figures{}, err
@@ -309,7 +309,7 @@
 		go func() {
 			defer wg.Done()
 			for i := range next {
-				out[i], errs[i] = Play(cases[i])
+				out[i], errs[i] = Run(cases[i])
 			}
 		}()
 	}
--- a/src/experiment/experiment_test.go
+++ b/src/experiment/experiment_test.go
@@ -10,7 +10,7 @@
 // runCase simulates 20 s of the example workload on 6 boxes.
 func runCase(t testing.TB, p Policy, load float64, fault Fault, seed uint64) Figures {
 	t.Helper()
-	f, err := Play(Case{
+	f, err := Run(Case{
 		Workload: "pageworks", Document: config.ExamplePageworks(), Boxes: 6, Load: load,
 		Length: 20 * time.Second, Fault: fault, Seed: seed, Policy: p,
 	})
