--- a/src/cli/experiment.go
+++ b/src/cli/experiment.go
@@ -35,7 +35,7 @@
 			if err != nil {
 				return err
 			}
-			figures, err := experiment.PlayAll(cases, runtime.GOMAXPROCS(0))
+			figures, err := experiment.RunAll(cases, runtime.GOMAXPROCS(0))
 			if err != nil {
 				return err
 			}
--- a/src/experiment/experiment.go
+++ b/src/experiment/experiment.go
@@ -298,8 +298,8 @@
 	return a / b
 }
 
-// PlayAll simulates the cases on a number of goroutines and returns their figures in the same order.
-func PlayAll(cases []Case, workers int) ([]Figures, error) {
+// RunAll simulates the cases on a number of goroutines and returns their figures in the same order.
+func RunAll(cases []Case, workers int) ([]Figures, error) {
 	out := make([]Figures, len(cases))
 	errs := make([]error, len(cases))
 	next := make(chan int)
