--- a/src/cli/experiment.go
+++ b/src/cli/experiment.go
@@ -77,7 +77,7 @@
 							boxes = n
 						}
 						cases = append(cases, experiment.Case{
-							Workload: w, Document: doc, Boxes: boxes, Load: percent / 100, Length: c.Duration("time"),
+							Workload: w, Document: doc, Boxes: boxes, Load: percent / 100, Duration: c.Duration("time"),
 							Fault: f, Seed: c.Uint64("first-seed") + uint64(i), Policy: p,
 						})
 					}
--- a/src/experiment/experiment.go
+++ b/src/experiment/experiment.go
@@ -112,7 +112,7 @@
 	Document *config.Document
 	Boxes    int
 	Load     float64 // arrival rate as a multiple of Capacity
-	Length   time.Duration
+	Duration   time.Duration
 	Fault    Fault
 	Seed     uint64
 	Policy   Policy
@@ -169,7 +169,7 @@
 	}
 	w := load.Workloads[c.Workload]
 	if c.Fault.Name == "burst" {
-		w.Burst, w.BurstEvery = 3, c.Length
+		w.Burst, w.BurstEvery = 3, c.Duration
 	}
 	boxes := c.Boxes
 	if c.Policy.SingleBox {
@@ -179,9 +179,9 @@
 	for _, d := range c.Document.Workspaces {
 		workspaces = append(workspaces, d.Name)
 	}
-	plan := load.Plan(w, conf, workspaces, c.Load*Capacity(w, conf), c.Length, c.Boxes, c.Seed)
+	plan := load.Plan(w, conf, workspaces, c.Load*Capacity(w, conf), c.Duration, c.Boxes, c.Seed)
 	s := &sim{now: time.Unix(1_000_000, 0), config: conf, policy: c.Policy, servers: map[string]*simServer{}, rand: rand.New(rand.NewPCG(c.Seed, 3))}
-	s.end = s.now.Add(c.Length + drainTime)
+	s.end = s.now.Add(c.Duration + drainTime)
 	for _, b := range conf.BackendServers() {
 		s.servers[b.Name()] = s.newServer(b)
 	}
@@ -189,14 +189,14 @@
 		s.boxes = append(s.boxes, s.newBox(i, boxes))
 	}
 	s.startPolling()
-	c.Fault.inject(s, c.Length/3, 2*c.Length/3)
+	c.Fault.inject(s, c.Duration/3, 2*c.Duration/3)
 	s.outcomes = make([]outcome, len(plan))
 	for i, a := range plan {
 		s.outcomes[i].arrival = a
 		s.scheduleAt(a.At, func() { s.pickBox(a).arrive(a, &s.outcomes[i], s.now.Add(a.Pipeline.Deadline())) })
 	}
 	s.run()
-	return s.summarize(c.Length), nil
+	return s.summarize(c.Duration), nil
 }
 
 // pickBox returns the box that the load balancer picks for an arrival, among those that run.
--- a/src/experiment/experiment_test.go
+++ b/src/experiment/experiment_test.go
@@ -12,7 +12,7 @@
 	t.Helper()
 	f, err := Run(Case{
 		Workload: "pageworks", Document: config.ExamplePageworks(), Boxes: 6, Load: load,
-		Length: 20 * time.Second, Fault: fault, Seed: seed, Policy: p,
+		Duration: 20 * time.Second, Fault: fault, Seed: seed, Policy: p,
 	})
 	if err != nil {
 		t.Fatal(err)
