--- a/src/cli/experiment.go
+++ b/src/cli/experiment.go
@@ -46,7 +46,7 @@
 			if c.Bool("json") {
 				return eris.Wrap(json.NewEncoder(os.Stdout).Encode(rows), "rows")
 			}
-			experiment.Write(os.Stdout, rows)
+			experiment.WriteTable(os.Stdout, rows)
 			return nil
 		},
 	}
--- a/src/experiment/table.go
+++ b/src/experiment/table.go
@@ -36,8 +36,8 @@
 // Weighted returns the weighted attainment, the main figure of the example workload.
 func Weighted(f Figures) float64 { return f.Weighted }
 
-// Write prints rows as a Markdown table.
-func Write(w io.Writer, rows []Row) {
+// WriteTable prints rows as a Markdown table.
+func WriteTable(w io.Writer, rows []Row) {
 	fmt.Fprintln(w, "| workload | load | fault | policy | weighted attainment | prompt | may wait | accepted must-finish done | goodput/s | wasted | cached | s/request | first token p95 |")
 	fmt.Fprintln(w, "|---|---|---|---|---|---|---|---|---|---|---|---|---|")
 	for _, r := range rows {
