--- a/src/experiment/experiment.go
+++ b/src/experiment/experiment.go
@@ -112,7 +112,7 @@
 	Document *config.Document
 	Boxes    int
 	Load     float64 // arrival rate as a multiple of Capacity
-	Duration   time.Duration
+	Duration time.Duration
 	Fault    Fault
 	Seed     uint64
 	Policy   Policy
--- a/src/standin/fault.go
+++ b/src/standin/fault.go
@@ -10,16 +10,16 @@
 
 // The faults of backend servers.
 const (
-	None       Fault = iota
-	Fail             // reply with an error, without running the call
-	Busy             // reject the call as busy, without running it
-	Hang             // accept the call, but neither run nor answer it
-	DropReply        // run the call, then break the connection
-	LateReply        // run the call, reply after the delay of SetDelay
+	None            Fault = iota
+	Fail                  // reply with an error, without running the call
+	Busy                  // reject the call as busy, without running it
+	Hang                  // accept the call, but neither run nor answer it
+	DropReply             // run the call, then break the connection
+	LateReply             // run the call, reply after the delay of SetDelay
 	DuplicateChunks       // send every chunk of a stream twice
-	BreakStream         // break the connection in the middle of a stream
-	Refuse           // refuse connections
-	BadRequest       // reject the call as invalid
+	BreakStream           // break the connection in the middle of a stream
+	Refuse                // refuse connections
+	BadRequest            // reject the call as invalid
 )
 
 // FaultInjector holds the faults injected into a fake backend server. The zero value injects none.
--- a/src/standin/service.go
+++ b/src/standin/service.go
@@ -26,7 +26,7 @@
 // ExecutionLog records the calls that a fake backend server ran, so that tests can count them.
 // Safe for concurrent use.
 type ExecutionLog struct {
-	mu  sync.Mutex
+	mu         sync.Mutex
 	executions []Execution
 }
 
@@ -45,9 +45,9 @@
 
 // Service is a fake backend server that does not generate: a plain service, encoder, retriever or reranker.
 type Service struct {
-	Name  string
-	Slots int
-	CallTime  time.Duration // mean duration of a call
+	Name     string
+	Slots    int
+	CallTime time.Duration // mean duration of a call
 	FaultInjector
 	Log ExecutionLog
 
