--- a/src/experiment/sim.go
+++ b/src/experiment/sim.go
@@ -112,7 +112,7 @@
 	requests  map[int]*simRequest // running, by arrival
 }
 
-// simFlight is one request on a box.
+// simRequest is one request on a box.
 type simRequest struct {
 	box       *simBox
 	req       *core.Request
--- a/src/faults/crashing_test.go
+++ b/src/faults/crashing_test.go
@@ -30,7 +30,7 @@
 }
 
 const (
-	crashDelay    = 4 * time.Millisecond // shorter than any stage
+	crashDelay    = 4 * time.Millisecond // from the start of the call; shorter than any stage
 	downTime      = 3 * time.Second
 	lateSendAfter = 3 * time.Second
 	maxLateSends  = 3
@@ -60,7 +60,7 @@
 	return exited
 }
 
-// crash ends a server's process, unless it has exited since.
+// crash ends the server process that the channel belongs to, if it still runs.
 func (c *crashingServers) crash(server string, exited chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/src/faults/fleet_test.go
+++ b/src/faults/fleet_test.go
@@ -47,7 +47,7 @@
 	domain    string
 	ctx       context.Context
 	kill      context.CancelFunc
-	clockSkew time.Duration
+	clockSkew time.Duration // of the wall clock that the box sees
 
 	mu     sync.Mutex
 	paused chan struct{}
@@ -276,7 +276,7 @@
 	}
 }
 
-// cutLink drops messages from one box or server to another.
+// cutLink cuts the link from one box or server to another, in this direction only.
 func (f *fleet) cutLink(from, to string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/src/faults/matrix_test.go
+++ b/src/faults/matrix_test.go
@@ -34,7 +34,7 @@
 // fault is a column of the matrix.
 type fault struct {
 	name     string
-	duration time.Duration
+	duration time.Duration // from begin to end
 	begin    func(c *cell)
 	end      func(c *cell)
 	// skip returns why the fault can't happen at a step, or "".
@@ -48,7 +48,7 @@
 	server  string   // the backend server concerned, "" for any
 	key     string
 	wg      sync.WaitGroup
-	answers []answer
+	answers []answer // of all copies and other requests
 	mu      sync.Mutex
 }
 
