--- a/src/cli/experiment.go
+++ b/src/cli/experiment.go
@@ -35,7 +35,7 @@
 			if err != nil {
 				return err
 			}
-			figures, err := experiment.PlayAll(cases, runtime.GOMAXPROCS(0))
+			figures, err := experiment.RunAll(cases, runtime.GOMAXPROCS(0))
 			if err != nil {
 				return err
 			}
@@ -46,7 +46,7 @@
 			if c.Bool("json") {
 				return eris.Wrap(json.NewEncoder(os.Stdout).Encode(rows), "rows")
 			}
-			experiment.Write(os.Stdout, rows)
+			experiment.WriteTable(os.Stdout, rows)
 			return nil
 		},
 	}
@@ -77,7 +77,7 @@
 							boxes = n
 						}
 						cases = append(cases, experiment.Case{
-							Workload: w, Document: doc, Boxes: boxes, Load: percent / 100, Length: c.Duration("time"),
+							Workload: w, Document: doc, Boxes: boxes, Load: percent / 100, Duration: c.Duration("time"),
 							Fault: f, Seed: c.Uint64("first-seed") + uint64(i), Policy: p,
 						})
 					}
--- a/src/experiment/experiment.go
+++ b/src/experiment/experiment.go
@@ -13,15 +13,16 @@
 	"github.com/stilemast/stilemast/src/standin"
 )
 
-// Policy is one way to decide, compared with others over the same arrivals.
+// Policy is a set of placement and admission rules that is compared with others over the same arrivals.
 type Policy struct {
 	Name        string
 	Placement   core.Placer
 	NoAdmission bool
-	One         bool // a single decider with nothing stale: a baseline, no bound
+	SingleBox   bool // one box decides for all, without stale state
 }
 
-// Policies are the system's own, its baselines, and a single decider, which shares the policy's weaknesses and so bounds nothing.
+// Policies returns the system's own policy and its baselines. "single-decider" is the system's policy on one
+// box without stale state: it shares the policy's weaknesses, so it is no upper bound.
 func Policies() []Policy {
 	return []Policy{
 		{Name: "stilemast", Placement: core.ExpectedFinish},
@@ -29,64 +30,65 @@
 		{Name: "least-in-flight", Placement: core.LeastInFlight, NoAdmission: true},
 		{Name: "two-choices", Placement: core.TwoChoices, NoAdmission: true},
 		{Name: "first-come", Placement: core.ExpectedFinish, NoAdmission: true},
-		{Name: "single-decider", Placement: core.ExpectedFinish, One: true},
+		{Name: "single-decider", Placement: core.ExpectedFinish, SingleBox: true},
 	}
 }
 
-// Fault is something that goes wrong in the middle of a run.
+// Fault is a fault that is injected in the middle of a run.
 type Fault struct {
-	Name string
-	hurt func(s *sim, start, end time.Duration)
+	Name   string
+	inject func(s *sim, start, end time.Duration)
 }
 
-// at has something done at a moment of the run.
-func (s *sim) at(d time.Duration, do func()) { s.after(d, do) }
+// scheduleAt runs do after d. Called before the run, d is the time since its start.
+func (s *sim) scheduleAt(d time.Duration, do func()) { s.schedule(d, do) }
 
-// Faults are what a run may suffer, from a third to two thirds of its time.
+// Faults returns the faults that can be injected; they last from a third to two thirds of the run.
+// "quiet" injects none, and "burst" instead triples the arrival rate in the first quarter.
 func Faults() []Fault {
 	return []Fault{
-		{Name: "quiet", hurt: func(*sim, time.Duration, time.Duration) {}},
-		{Name: "slow engine", hurt: func(s *sim, a, b time.Duration) {
-			v := s.first(true)
-			s.at(a, func() { v.slow = 6 })
-			s.at(b, func() { v.slow = 1 })
+		{Name: "quiet", inject: func(*sim, time.Duration, time.Duration) {}},
+		{Name: "slow engine", inject: func(s *sim, a, b time.Duration) {
+			v := s.firstServer(true)
+			s.scheduleAt(a, func() { v.slowFactor = 6 })
+			s.scheduleAt(b, func() { v.slowFactor = 1 })
 		}},
-		{Name: "failing server", hurt: func(s *sim, a, b time.Duration) {
-			v := s.first(false)
-			s.at(a, func() { v.fails = true })
-			s.at(b, func() { v.fails = false })
+		{Name: "failing server", inject: func(s *sim, a, b time.Duration) {
+			v := s.firstServer(false)
+			s.scheduleAt(a, func() { v.failing = true })
+			s.scheduleAt(b, func() { v.failing = false })
 		}},
-		{Name: "failing engine", hurt: func(s *sim, a, b time.Duration) {
-			v := s.first(true)
-			s.at(a, func() { v.fails = true })
-			s.at(b, func() { v.fails = false })
+		{Name: "failing engine", inject: func(s *sim, a, b time.Duration) {
+			v := s.firstServer(true)
+			s.scheduleAt(a, func() { v.failing = true })
+			s.scheduleAt(b, func() { v.failing = false })
 		}},
-		{Name: "lost domain", hurt: func(s *sim, a, b time.Duration) {
-			s.at(a, func() {
-				for _, v := range s.sorted() {
+		{Name: "lost domain", inject: func(s *sim, a, b time.Duration) {
+			s.scheduleAt(a, func() {
+				for _, v := range s.sortedServers() {
 					if v.cfg.Domain() == 1 {
-						v.fall()
+						v.crash()
 					}
 				}
 			})
-			s.at(b, func() {
+			s.scheduleAt(b, func() {
 				for _, v := range s.servers {
 					v.down = false
 				}
 			})
 		}},
-		{Name: "killed box", hurt: func(s *sim, a, _ time.Duration) {
+		{Name: "killed box", inject: func(s *sim, a, _ time.Duration) {
 			if len(s.boxes) > 1 {
-				s.at(a, s.boxes[0].die)
+				s.scheduleAt(a, s.boxes[0].crash)
 			}
 		}},
-		{Name: "burst", hurt: func(*sim, time.Duration, time.Duration) {}},
+		{Name: "burst", inject: func(*sim, time.Duration, time.Duration) {}},
 	}
 }
 
-// first is the first engine or plain service by name.
-func (s *sim) first(engine bool) *simServer {
-	for _, v := range s.sorted() {
+// firstServer returns the first engine, or the first plain service, by name.
+func (s *sim) firstServer(engine bool) *simServer {
+	for _, v := range s.sortedServers() {
 		if (v.model != nil) == engine {
 			return v
 		}
@@ -94,7 +96,8 @@
 	return nil
 }
 
-func (s *sim) sorted() []*simServer {
+// sortedServers returns the servers by name, so that a seed always gives the same run.
+func (s *sim) sortedServers() []*simServer {
 	out := make([]*simServer, 0, len(s.servers))
 	for _, v := range s.servers {
 		out = append(out, v)
@@ -103,41 +106,41 @@
 	return out
 }
 
-// Case is one run to be made.
+// Case describes one run.
 type Case struct {
 	Workload string
 	Document *config.Document
 	Boxes    int
-	Load     float64 // of the capacity
-	Length   time.Duration
+	Load     float64 // arrival rate as a multiple of Capacity
+	Duration time.Duration
 	Fault    Fault
 	Seed     uint64
 	Policy   Policy
 }
 
-// Figures are what a run showed.
+// Figures are the measurements of a run.
 type Figures struct {
 	Requests     int
-	Attainment   float64 // share that finished whole in time
-	Weighted     float64 // the same by the pipelines' weights
-	Prompt       float64 // attainment of prompt requests
-	MayWait      float64 // attainment of may-wait requests
-	Goodput      float64 // finished whole in time, a second
-	Accepted     float64 // share of must-finish requests that were accepted
-	MustFinished float64 // share of accepted must-finish requests that finished
-	MustInTime   float64 // share of accepted must-finish requests that finished in time
-	Wasted       float64 // share of engine and service time spent for nothing
-	Cached       float64 // share of prompt tokens that came from caches
-	First95      time.Duration
-	Refused      map[string]int
+	Attainment   float64            // share of requests that completed within their deadline
+	Weighted     float64            // attainment weighted by the pipelines' weights
+	Prompt       float64            // attainment of prompt requests
+	MayWait      float64            // attainment of may-wait requests
+	Goodput      float64            // requests completed within their deadline, per second
+	Accepted     float64            // share of must-finish requests that were accepted
+	MustFinished float64            // share of accepted must-finish requests that finished
+	MustInTime   float64            // share of accepted must-finish requests that completed within their deadline
+	Wasted       float64            // share of engine and service time whose result was not used
+	Cached       float64            // share of prompt tokens found in prefix caches
+	First95      time.Duration      // 95th percentile of the time to the first output of prompt requests
+	Refused      map[string]int     // failed requests by pipeline and error code
 	ByPipeline   map[string]float64 // attainment
-	SecondsEach  float64            // engine and service seconds for each request in time
+	SecondsEach  float64            // engine and service seconds per request completed within its deadline
 }
 
-// Capacity is the rate of a workload at which its engines are just busy, no cache helping.
+// Capacity returns the arrival rate, in requests per second, that fully uses the engines without cache hits.
 func Capacity(w load.Workload, c *config.Config) float64 {
 	cost := standin.DefaultEngineCost(1)
-	each := 0.0
+	secondsPerRequest := 0.0
 	for _, k := range w.Kinds {
 		p := c.Pipeline(k.Pipeline)
 		last := p.Stages()[len(p.Stages())-1]
@@ -145,9 +148,9 @@
 			continue
 		}
 		slots := float64(c.Pool(last.Pool())[0].Slots())
-		step := cost.Step.Seconds()/slots + cost.PerRunning.Seconds()
+		step := cost.Step.Seconds()/slots + cost.PerSequence.Seconds()
 		prompt := float64(k.Prefix+k.Own) / standin.TokenBytes
-		each += k.Share * (0.75*float64(last.MaxTokens())*step + prompt*cost.PerPrefill.Seconds())
+		secondsPerRequest += k.Share * (0.75*float64(last.MaxTokens())*step + prompt*cost.PerPrefillToken.Seconds())
 	}
 	engines := 0
 	for _, b := range c.BackendServers() {
@@ -155,49 +158,49 @@
 			engines++
 		}
 	}
-	return float64(engines) / each
+	return float64(engines) / secondsPerRequest
 }
 
-// Play makes one run.
-func Play(x Case) (Figures, error) {
-	c, err := load.Config(x.Document)
+// Run simulates one run.
+func Run(c Case) (Figures, error) {
+	conf, err := load.Config(c.Document)
 	if err != nil {
 		return Figures{}, err
 	}
-	w := load.Workloads[x.Workload]
-	if x.Fault.Name == "burst" {
-		w.Burst, w.BurstEvery = 3, x.Length
+	w := load.Workloads[c.Workload]
+	if c.Fault.Name == "burst" {
+		w.Burst, w.BurstEvery = 3, c.Duration
 	}
-	boxes := x.Boxes
-	if x.Policy.One {
+	boxes := c.Boxes
+	if c.Policy.SingleBox {
 		boxes = 1
 	}
-	var spaces []string
-	for _, d := range x.Document.Workspaces {
-		spaces = append(spaces, d.Name)
+	var workspaces []string
+	for _, d := range c.Document.Workspaces {
+		workspaces = append(workspaces, d.Name)
 	}
-	plan := load.Plan(w, c, spaces, x.Load*Capacity(w, c), x.Length, x.Boxes, x.Seed)
-	s := &sim{now: time.Unix(1_000_000, 0), conf: c, policy: x.Policy, servers: map[string]*simServer{}, rand: rand.New(rand.NewPCG(x.Seed, 3))}
-	s.end = s.now.Add(x.Length + afterwards)
-	for _, b := range c.BackendServers() {
+	plan := load.Plan(w, conf, workspaces, c.Load*Capacity(w, conf), c.Duration, c.Boxes, c.Seed)
+	s := &sim{now: time.Unix(1_000_000, 0), config: conf, policy: c.Policy, servers: map[string]*simServer{}, rand: rand.New(rand.NewPCG(c.Seed, 3))}
+	s.end = s.now.Add(c.Duration + drainTime)
+	for _, b := range conf.BackendServers() {
 		s.servers[b.Name()] = s.newServer(b)
 	}
 	for i := range boxes {
 		s.boxes = append(s.boxes, s.newBox(i, boxes))
 	}
-	s.watch()
-	x.Fault.hurt(s, x.Length/3, 2*x.Length/3)
-	s.out = make([]outcome, len(plan))
+	s.startPolling()
+	c.Fault.inject(s, c.Duration/3, 2*c.Duration/3)
+	s.outcomes = make([]outcome, len(plan))
 	for i, a := range plan {
-		s.out[i].arrival = a
-		s.at(a.At, func() { s.balance(a).arrive(a, &s.out[i], s.now.Add(a.Pipeline.Deadline())) })
+		s.outcomes[i].arrival = a
+		s.scheduleAt(a.At, func() { s.pickBox(a).arrive(a, &s.outcomes[i], s.now.Add(a.Pipeline.Deadline())) })
 	}
 	s.run()
-	return s.figures(x.Length), nil
+	return s.summarize(c.Duration), nil
 }
 
-// balance picks the box that the platform's balancer would, over those that live.
-func (s *sim) balance(a load.Arrival) *simBox {
+// pickBox returns the box that the load balancer picks for an arrival, among those that run.
+func (s *sim) pickBox(a load.Arrival) *simBox {
 	if b := s.boxes[a.Box%len(s.boxes)]; !b.dead {
 		return b
 	}
@@ -209,61 +212,62 @@
 	return s.boxes[0]
 }
 
-// figures sums a run. A request that never got its final answer counts as not attained.
-func (s *sim) figures(length time.Duration) Figures {
-	f := Figures{Requests: len(s.out), Refused: map[string]int{}, ByPipeline: map[string]float64{}}
+// summarize computes the figures of a run. A request without a final answer counts as missed.
+func (s *sim) summarize(length time.Duration) Figures {
+	f := Figures{Requests: len(s.outcomes), Refused: map[string]int{}, ByPipeline: map[string]float64{}}
 	count := map[string]float64{}
-	var weight, got, prompts, promptsIn, may, mayIn, must, mustOK, mustDone, mustIn, inTime float64
-	var firsts []time.Duration
-	for i := range s.out {
-		o := &s.out[i]
+	var weight, weightIn, prompts, promptIn, mayWait, mayWaitIn, mustFinish, mustAccepted, mustDone, mustIn, inTime float64
+	var firstOutputs []time.Duration
+	for i := range s.outcomes {
+		o := &s.outcomes[i]
 		p := o.arrival.Pipeline
 		whole := o.done && o.err == nil
-		in := whole && o.took <= p.Deadline()
+		inDeadline := whole && o.latency <= p.Deadline()
 		weight += p.Weight()
-		if in {
+		if inDeadline {
 			inTime++
-			got += p.Weight()
+			weightIn += p.Weight()
 		}
 		if p.Class() == config.Prompt {
 			prompts++
-			promptsIn += one(in)
-			if o.first > 0 {
-				firsts = append(firsts, o.first)
+			promptIn += boolToFloat(inDeadline)
+			if o.firstOutput > 0 {
+				firstOutputs = append(firstOutputs, o.firstOutput)
 			}
 		} else {
-			may++
-			mayIn += one(in)
+			mayWait++
+			mayWaitIn += boolToFloat(inDeadline)
 		}
 		count[p.Name()]++
-		f.ByPipeline[p.Name()] += one(in)
+		f.ByPipeline[p.Name()] += boolToFloat(inDeadline)
 		if o.err != nil {
 			f.Refused[p.Name()+" "+o.err.Code.String()]++
 		}
 		if p.MustFinish() {
-			must++
+			mustFinish++
 			accepted := o.err == nil || o.err.DidRun() != code.RanNo
-			mustOK += one(accepted)
-			mustDone += one(whole)
-			mustIn += one(in)
+			mustAccepted += boolToFloat(accepted)
+			mustDone += boolToFloat(whole)
+			mustIn += boolToFloat(inDeadline)
 		}
 	}
 	for name, n := range count {
 		f.ByPipeline[name] /= n
 	}
-	f.Attainment, f.Weighted = ratio(inTime, float64(len(s.out))), ratio(got, weight)
-	f.Prompt, f.MayWait = ratio(promptsIn, prompts), ratio(mayIn, may)
+	f.Attainment, f.Weighted = ratio(inTime, float64(len(s.outcomes))), ratio(weightIn, weight)
+	f.Prompt, f.MayWait = ratio(promptIn, prompts), ratio(mayWaitIn, mayWait)
 	f.Goodput = inTime / length.Seconds()
-	f.Accepted, f.MustFinished, f.MustInTime = ratio(mustOK, must), ratio(mustDone, mustOK), ratio(mustIn, mustOK)
-	s.costs(&f, inTime)
-	if len(firsts) > 0 {
-		sort.Slice(firsts, func(i, j int) bool { return firsts[i] < firsts[j] })
-		f.First95 = firsts[len(firsts)*95/100]
+	f.Accepted, f.MustFinished, f.MustInTime = ratio(mustAccepted, mustFinish), ratio(mustDone, mustAccepted), ratio(mustIn, mustAccepted)
+	s.addCosts(&f, inTime)
+	if len(firstOutputs) > 0 {
+		sort.Slice(firstOutputs, func(i, j int) bool { return firstOutputs[i] < firstOutputs[j] })
+		f.First95 = firstOutputs[len(firstOutputs)*95/100]
 	}
 	return f
 }
 
-func (s *sim) costs(f *Figures, inTime float64) {
+// addCosts sets the figures that depend on the servers' work.
+func (s *sim) addCosts(f *Figures, inTime float64) {
 	var total, wasted time.Duration
 	var cached, computed int
 	for _, b := range s.boxes {
@@ -279,13 +283,14 @@
 	f.SecondsEach = ratio(total.Seconds(), inTime)
 }
 
-func one(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
+// ratio returns a/b, or 0 if b is 0.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 0
@@ -293,8 +298,8 @@
 	return a / b
 }
 
-// PlayAll makes many runs at once, on a bounded number of goroutines, in the order given.
-func PlayAll(cases []Case, workers int) ([]Figures, error) {
+// RunAll simulates the cases on a number of goroutines and returns their figures in the same order.
+func RunAll(cases []Case, workers int) ([]Figures, error) {
 	out := make([]Figures, len(cases))
 	errs := make([]error, len(cases))
 	next := make(chan int)
@@ -304,7 +309,7 @@
 		go func() {
 			defer wg.Done()
 			for i := range next {
-				out[i], errs[i] = Play(cases[i])
+				out[i], errs[i] = Run(cases[i])
 			}
 		}()
 	}
--- a/src/experiment/table.go
+++ b/src/experiment/table.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Row is one policy in one situation over several seeds.
+// Row holds the runs of one policy under one workload, load and fault, one run per seed.
 type Row struct {
 	Workload string    `json:"workload"`
 	Load     float64   `json:"load"`
@@ -16,8 +16,8 @@
 	Runs     []Figures `json:"runs"`
 }
 
-// Spread gives the mean of a figure and half the distance between its least and greatest.
-func (r Row) Spread(get func(Figures) float64) (mean, half float64) {
+// Spread returns the mean of a figure and half the difference between its maximum and minimum.
+func (r Row) Spread(get func(Figures) float64) (mean, halfRange float64) {
 	lo, hi := math.Inf(1), math.Inf(-1)
 	for _, f := range r.Runs {
 		v := get(f)
@@ -27,17 +27,17 @@
 	return mean, (hi - lo) / 2
 }
 
-// Mean gives the mean of a figure.
+// Mean returns the mean of a figure.
 func (r Row) Mean(get func(Figures) float64) float64 {
 	m, _ := r.Spread(get)
 	return m
 }
 
-// Weighted is the figure that Pageworks weighs most.
+// Weighted returns the weighted attainment, the main figure of the example workload.
 func Weighted(f Figures) float64 { return f.Weighted }
 
-// Write prints rows as a Markdown table.
-func Write(w io.Writer, rows []Row) {
+// WriteTable prints rows as a Markdown table.
+func WriteTable(w io.Writer, rows []Row) {
 	fmt.Fprintln(w, "| workload | load | fault | policy | weighted attainment | prompt | may wait | accepted must-finish done | goodput/s | wasted | cached | s/request | first token p95 |")
 	fmt.Fprintln(w, "|---|---|---|---|---|---|---|---|---|---|---|---|---|")
 	for _, r := range rows {
--- a/src/faults/links_test.go
+++ b/src/faults/links_test.go
@@ -11,34 +11,36 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// The fake ports: calls to stand-ins and messages between boxes, over links that can be cut.
+// This file holds the fake ports: calls to backend servers and messages between boxes, over links that can be
+// cut.
 
+// call sends a call from a box to a backend server and returns the server's reply.
 func (f *fleet) call(ctx context.Context, b *fakeBox, s *config.BackendServer, r port.CallRequest, emit func(int, []byte)) (port.CallResult, *port.CallError) {
-	f.step("dispatch "+r.Kind, b, s.Name(), r)
-	b.gate()
+	f.reached("dispatch "+r.Kind, b, s.Name(), r)
+	b.waitWhilePaused()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(b.ctx, cancel)()
 	if b.ctx.Err() != nil {
-		return port.CallResult{}, &port.CallError{Failure: core.NotSent, Message: "killed"}
+		return port.CallResult{}, &port.CallError{Failure: core.NotSent, Message: "box was killed"}
 	}
 	if f.isCut(b.name, s.Name()) {
 		time.Sleep(dialTimeout)
-		return port.CallResult{}, &port.CallError{Failure: core.NotSent, Message: "no route"}
+		return port.CallResult{}, &port.CallError{Failure: core.NotSent, Message: "no route to host"}
 	}
-	if f.turnsAway != nil {
-		if err := f.turnsAway(b.name, s.Name()); err != nil {
+	if f.rejectCall != nil {
+		if err := f.rejectCall(b.name, s.Name()); err != nil {
 			return port.CallResult{}, err
 		}
 	}
-	if f.crashes != nil {
-		life := f.crashes.begin(s.Name(), r)
-		if life == nil {
+	if f.crashing != nil {
+		exited := f.crashing.begin(s.Name(), r)
+		if exited == nil {
 			return port.CallResult{}, &port.CallError{Failure: core.NotSent, Message: "connection refused", Refused: true}
 		}
 		go func() {
 			select {
-			case <-life:
+			case <-exited:
 				cancel()
 			case <-ctx.Done():
 			}
@@ -46,21 +48,21 @@
 	}
 	first := true
 	out := func(offset int, data []byte) {
-		b.gate()
-		if f.through(ctx, s.Name(), b.name) != nil {
+		b.waitWhilePaused()
+		if f.waitForLink(ctx, s.Name(), b.name) != nil {
 			return
 		}
 		emit(offset, data)
 		if first {
 			first = false
-			f.step("stream", b, s.Name(), r)
+			f.reached("stream", b, s.Name(), r)
 		}
 	}
-	res, err := f.serve(ctx, s, r, out)
-	f.step("answered "+r.Kind, b, s.Name(), r)
-	b.gate()
-	if f.through(ctx, s.Name(), b.name) != nil && err == nil {
-		return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "answer lost"}
+	res, err := f.runCall(ctx, s, r, out)
+	f.reached("answered "+r.Kind, b, s.Name(), r)
+	b.waitWhilePaused()
+	if f.waitForLink(ctx, s.Name(), b.name) != nil && err == nil {
+		return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "reply lost"}
 	}
 	if err != nil && errors.Is(ctx.Err(), context.DeadlineExceeded) && err.Failure == core.Broken {
 		err = &port.CallError{Failure: core.TimedOut, Message: err.Message}
@@ -68,8 +70,8 @@
 	return res, err
 }
 
-// serve runs a call at its stand-in; like a real client it doesn't wait past the context.
-func (f *fleet) serve(ctx context.Context, s *config.BackendServer, r port.CallRequest, out func(int, []byte)) (port.CallResult, *port.CallError) {
+// runCall runs a call at its backend server. Like a real client, it does not wait after ctx is done.
+func (f *fleet) runCall(ctx context.Context, s *config.BackendServer, r port.CallRequest, out func(int, []byte)) (port.CallResult, *port.CallError) {
 	type ended struct {
 		res port.CallResult
 		err *port.CallError
@@ -88,14 +90,15 @@
 	case e := <-done:
 		return e.res, e.err
 	case <-ctx.Done():
-		return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "given up"}
+		return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "context done"}
 	}
 }
 
-func (f *fleet) load(b *fakeBox, s *config.BackendServer) (core.Report, error) {
-	b.gate()
-	if !f.joined(b, s.Name()) {
-		return core.Report{}, errLost
+// report reads a server's load report.
+func (f *fleet) report(b *fakeBox, s *config.BackendServer) (core.Report, error) {
+	b.waitWhilePaused()
+	if !f.connected(b, s.Name()) {
+		return core.Report{}, errConnectionLost
 	}
 	report := core.Report{}
 	if v := f.services[s.Name()]; v != nil {
@@ -103,89 +106,93 @@
 	} else {
 		report = f.engines[s.Name()].Report()
 	}
-	if f.crashes == nil {
+	if f.crashing == nil {
 		return report, nil
 	}
-	report, up := f.crashes.report(s.Name(), report)
+	report, up := f.crashing.report(s.Name(), report)
 	if !up {
 		return core.Report{}, syscall.ECONNREFUSED
 	}
 	return report, nil
 }
 
+// order sends an order to an engine.
 func (f *fleet) order(b *fakeBox, s *config.BackendServer, o core.Order) error {
-	b.gate()
-	if o.Expired(time.Now()) || !f.joined(b, s.Name()) || !f.engines[s.Name()].Take(o) {
-		return errLost
+	b.waitWhilePaused()
+	if o.Expired(time.Now()) || !f.connected(b, s.Name()) || !f.engines[s.Name()].AcceptOrder(o) {
+		return errConnectionLost
 	}
 	return nil
 }
 
+// beat sends a heartbeat to another box without waiting; it is lost if the link is cut.
 func (f *fleet) beat(b *fakeBox, to string, m core.Beat) {
 	go func() {
 		time.Sleep(linkDelay)
-		if t := f.target(to); t != nil && b.ctx.Err() == nil && !f.isCut(b.name, to) {
-			t.gate()
+		if t := f.liveBox(to); t != nil && b.ctx.Err() == nil && !f.isCut(b.name, to) {
+			t.waitWhilePaused()
 			t.HandleBeat(m)
 		}
 	}()
 }
 
-// reach connects to a box; the error says that no byte left.
-func (f *fleet) reach(b *fakeBox, to string) (*fakeBox, error) {
+// dial connects to a box. Its errors are port.NotConnected: nothing was sent.
+func (f *fleet) dial(b *fakeBox, to string) (*fakeBox, error) {
 	time.Sleep(linkDelay)
-	t := f.target(to)
+	t := f.liveBox(to)
 	if t == nil || b.ctx.Err() != nil {
-		return nil, &port.NotConnected{Cause: errLost}
+		return nil, &port.NotConnected{Cause: errConnectionLost}
 	}
 	if f.isCut(b.name, to) || f.isCut(to, b.name) {
 		time.Sleep(dialTimeout)
-		return nil, &port.NotConnected{Cause: errLost}
+		return nil, &port.NotConnected{Cause: errConnectionLost}
 	}
 	return t, nil
 }
 
+// ask sends a question to another box and returns its answer.
 func (f *fleet) ask(ctx context.Context, b *fakeBox, to string, q port.Question) (port.Answer, error) {
-	t, err := f.reach(b, to)
+	t, err := f.dial(b, to)
 	if err != nil {
 		return port.Answer{}, err
 	}
-	t.gate()
+	t.waitWhilePaused()
 	a := t.HandleQuestion(ctx, q)
-	if err := f.through(ctx, to, b.name); err != nil {
+	if err := f.waitForLink(ctx, to, b.name); err != nil {
 		return port.Answer{}, err
 	}
-	b.gate()
+	b.waitWhilePaused()
 	return a, nil
 }
 
+// forward forwards a request to another box and emits its events until the last one.
 func (f *fleet) forward(ctx context.Context, b *fakeBox, to string, q port.Forward, emit func(port.ForwardEvent)) error {
-	t, err := f.reach(b, to)
+	t, err := f.dial(b, to)
 	if err != nil {
 		return err
 	}
-	f.step("forward", t, to, port.CallRequest{Attempt: q.Key.ID.String()})
+	f.reached("forward", t, to, port.CallRequest{Attempt: q.Key.ID.String()})
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(t.ctx, cancel)()
 	defer context.AfterFunc(b.ctx, cancel)()
-	if f.through(ctx, b.name, to) != nil {
-		return errLost
+	if f.waitForLink(ctx, b.name, to) != nil {
+		return errConnectionLost
 	}
-	t.gate()
+	t.waitWhilePaused()
 	ended := false
 	t.HandleForward(ctx, q, func(e port.ForwardEvent) error {
-		t.gate()
-		if f.through(ctx, to, b.name) != nil {
-			return errLost
+		t.waitWhilePaused()
+		if f.waitForLink(ctx, to, b.name) != nil {
+			return errConnectionLost
 		}
-		b.gate()
+		b.waitWhilePaused()
 		emit(e)
 		ended = ended || e.End != nil
 		return nil
 	})
 	if !ended {
-		return errLost
+		return errConnectionLost
 	}
 	return nil
 }
--- a/src/standin/fault.go
+++ b/src/standin/fault.go
@@ -5,65 +5,66 @@
 	"time"
 )
 
-// Fault is something a stand-in can be told to do wrong.
+// Fault is a way in which a fake backend server can be made to misbehave.
 type Fault uint8
 
 // The faults of backend servers.
 const (
-	None       Fault = iota
-	Fail             // answer with an error before running anything
-	Busy             // answer that no work is taken now
-	Hang             // take the call, run nothing, answer nothing
-	DropReply        // run the call, then break the connection
-	LateReply        // run the call, answer after Delay
-	TwiceReply       // send every piece of a stream twice
-	BreakMid         // break a stream in its middle
-	Refuse           // take no connection
-	BadRequest       // answer that the call is wrong
+	None            Fault = iota
+	Fail                  // reply with an error, without running the call
+	Busy                  // reject the call as busy, without running it
+	Hang                  // accept the call, but neither run nor answer it
+	DropReply             // run the call, then break the connection
+	LateReply             // run the call, reply after the delay of SetDelay
+	DuplicateChunks       // send every chunk of a stream twice
+	BreakStream           // break the connection in the middle of a stream
+	Refuse                // refuse connections
+	BadRequest            // reject the call as invalid
 )
 
-// Switches hold what a stand-in does wrong. The zero value does nothing wrong.
-type Switches struct {
-	mu      sync.Mutex
-	fault   Fault
-	left    int // calls the fault still hits; negative for all
-	delay   time.Duration
-	slow    float64
-	paused  chan struct{}
-	leaving bool
-	refused int // calls turned away because it is leaving
+// FaultInjector holds the faults injected into a fake backend server. The zero value injects none.
+// Safe for concurrent use.
+type FaultInjector struct {
+	mu           sync.Mutex
+	fault        Fault
+	remaining    int // calls that the fault still affects; negative for all
+	delay        time.Duration
+	slowFactor   float64
+	paused       chan struct{}
+	leaving      bool
+	refusedCalls int // calls rejected because the server is leaving
 }
 
-// Arm makes the next n calls go wrong; a negative n means all until Arm(None, 0).
-func (s *Switches) Arm(f Fault, n int) {
+// Arm injects a fault into the next n calls, or with a negative n into all until Arm(None, 0).
+func (s *FaultInjector) Arm(fault Fault, n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fault, s.left = f, n
+	s.fault, s.remaining = fault, n
 }
 
-// SetDelay says how late LateReply is.
-func (s *Switches) SetDelay(d time.Duration) {
+// SetDelay sets the delay of LateReply.
+func (s *FaultInjector) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = d
 }
 
-// SetSlow multiplies the time of all work.
-func (s *Switches) SetSlow(factor float64) {
+// SetSlowdown multiplies the duration of all work by a factor; 0 or less means 1.
+func (s *FaultInjector) SetSlowdown(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow = factor
+	s.slowFactor = factor
 }
 
-// SetLeaving makes the server say that it is leaving and take no new work.
-func (s *Switches) SetLeaving(on bool) {
+// SetLeaving makes the server report that it is leaving and reject new calls.
+func (s *FaultInjector) SetLeaving(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = on
 }
 
-// Pause stops all work until Resume, as a stopped process would.
-func (s *Switches) Pause() {
+// Pause stops all work until Resume, like SIGSTOP on a process.
+func (s *FaultInjector) Pause() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.paused == nil {
@@ -72,7 +73,7 @@
 }
 
 // Resume ends a Pause.
-func (s *Switches) Resume() {
+func (s *FaultInjector) Resume() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.paused != nil {
@@ -81,53 +82,53 @@
 	}
 }
 
-// take gives the fault that the next call has.
-func (s *Switches) take() (Fault, time.Duration) {
+// nextFault returns the fault for the next call and the delay of late replies.
+func (s *FaultInjector) nextFault() (Fault, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.fault == None || s.left == 0 {
+	if s.fault == None || s.remaining == 0 {
 		return None, 0
 	}
-	if s.left > 0 {
-		s.left--
+	if s.remaining > 0 {
+		s.remaining--
 	}
 	return s.fault, s.delay
 }
 
-func (s *Switches) slowness() float64 {
+func (s *FaultInjector) slowdown() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.slow <= 0 {
+	if s.slowFactor <= 0 {
 		return 1
 	}
-	return s.slow
+	return s.slowFactor
 }
 
-func (s *Switches) isLeaving() bool {
+func (s *FaultInjector) isLeaving() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.leaving
 }
 
-// Refused counts the calls that came although the server is leaving.
-func (s *Switches) Refused() int {
+// Refused returns how many calls were rejected because the server was leaving.
+func (s *FaultInjector) Refused() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.refused
+	return s.refusedCalls
 }
 
-// turnAway says whether the server is leaving, and counts the call if it is.
-func (s *Switches) turnAway() bool {
+// refuseIfLeaving reports whether the server is leaving, and counts the call as refused if it is.
+func (s *FaultInjector) refuseIfLeaving() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leaving {
-		s.refused++
+		s.refusedCalls++
 	}
 	return s.leaving
 }
 
-// wait blocks while paused.
-func (s *Switches) wait() {
+// waitWhilePaused blocks from Pause until Resume.
+func (s *FaultInjector) waitWhilePaused() {
 	s.mu.Lock()
 	p := s.paused
 	s.mu.Unlock()
--- a/src/standin/platform.go
+++ b/src/standin/platform.go
@@ -11,48 +11,49 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// Platform stands in for the configuration service and the box list. It can only be read; tests and
-// operators publish through its own methods. Safe for concurrent use.
+// Platform is a fake of the platform's configuration service and box list. Boxes only read it; tests and
+// the command line publish through its other methods. Safe for concurrent use.
 type Platform struct {
-	ListLag time.Duration // age of the box list it shows
-
-	mu      sync.Mutex
-	config  []byte
-	stale   []byte // shown instead while not nil
-	down    bool
-	slow    time.Duration
-	lists   []datedList
-	calls   int
-	revised uint64
+	ListLag time.Duration // delay until readers see a new box list
+
+	mu          sync.Mutex
+	config      []byte
+	staleConfig []byte // served instead of config while not nil
+	down        bool
+	readDelay   time.Duration
+	lists       []timedBoxList
+	calls       int
+	revision    uint64
 }
 
-type datedList struct {
-	list port.BoxList
-	from time.Time
+// timedBoxList is a box list and the time it was published.
+type timedBoxList struct {
+	list        port.BoxList
+	publishedAt time.Time
 }
 
-var errDown = errors.New("the configuration service is down")
+var errDown = errors.New("configuration service is down")
 
-// Publish puts a configuration on show.
+// Publish replaces the configuration.
 func (p *Platform) Publish(raw []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.config = raw
 }
 
-// SetBoxes changes the box list; readers see it ListLag later.
+// SetBoxes publishes a box list under a new revision; readers see it ListLag later.
 func (p *Platform) SetBoxes(boxes []core.ListedBox) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.revised++
-	l := port.BoxList{Revision: p.revised, Boxes: append([]core.ListedBox(nil), boxes...)}
-	p.lists = append(p.lists, datedList{list: l, from: time.Now()})
+	p.revision++
+	l := port.BoxList{Revision: p.revision, Boxes: append([]core.ListedBox(nil), boxes...)}
+	p.lists = append(p.lists, timedBoxList{list: l, publishedAt: time.Now()})
 	if len(p.lists) > 100 {
 		p.lists = p.lists[1:]
 	}
 }
 
-// SetBoxesIfChanged is SetBoxes, but the same list keeps its revision.
+// SetBoxesIfChanged calls SetBoxes unless the list equals the last one published.
 func (p *Platform) SetBoxesIfChanged(boxes []core.ListedBox) {
 	p.mu.Lock()
 	same := len(p.lists) > 0 && slices.Equal(p.lists[len(p.lists)-1].list.Boxes, boxes)
@@ -62,38 +63,39 @@
 	}
 }
 
-// SetDown makes every read fail.
+// SetDown makes every read fail while down is true.
 func (p *Platform) SetDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = down
 }
 
-// SetSlow delays every read.
-func (p *Platform) SetSlow(d time.Duration) {
+// SetReadDelay delays every read by d.
+func (p *Platform) SetReadDelay(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.slow = d
+	p.readDelay = d
 }
 
-// SetStale shows an old configuration; nil ends that.
+// SetStale serves raw instead of the published configuration; nil ends this.
 func (p *Platform) SetStale(raw []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stale = raw
+	p.staleConfig = raw
 }
 
-// Calls counts the reads so far.
+// Calls returns the number of reads so far.
 func (p *Platform) Calls() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
 }
 
-func (p *Platform) enter(ctx context.Context) error {
+// beginRead counts a read and applies the injected delay and failure.
+func (p *Platform) beginRead(ctx context.Context) error {
 	p.mu.Lock()
 	p.calls++
-	slow, down := p.slow, p.down
+	slow, down := p.readDelay, p.down
 	p.mu.Unlock()
 	if slow > 0 {
 		select {
@@ -108,34 +110,34 @@
 	return nil
 }
 
-// Config reads the published configuration.
+// Config returns the published configuration, or the stale one if set.
 func (p *Platform) Config(ctx context.Context) ([]byte, error) {
-	if err := p.enter(ctx); err != nil {
+	if err := p.beginRead(ctx); err != nil {
 		return nil, err
 	}
-	return p.shown(), nil
+	return p.currentConfig(), nil
 }
 
-// shown is the configuration on show.
-func (p *Platform) shown() []byte {
+// currentConfig returns the configuration that readers get.
+func (p *Platform) currentConfig() []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.stale != nil {
-		return p.stale
+	if p.staleConfig != nil {
+		return p.staleConfig
 	}
 	return p.config
 }
 
-// Boxes reads the box list as it was ListLag ago.
+// Boxes returns the box list as it was ListLag ago.
 func (p *Platform) Boxes(ctx context.Context) (port.BoxList, error) {
-	if err := p.enter(ctx); err != nil {
+	if err := p.beginRead(ctx); err != nil {
 		return port.BoxList{}, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out port.BoxList
 	for i, l := range p.lists {
-		if i == 0 || !l.from.After(time.Now().Add(-p.ListLag)) {
+		if i == 0 || !l.publishedAt.After(time.Now().Add(-p.ListLag)) {
 			out = l.list
 		}
 	}
--- a/src/standin/service.go
+++ b/src/standin/service.go
@@ -11,54 +11,55 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// reportEvery is how often a stand-in renews its load report, so a report lags by as much.
-const reportEvery = 250 * time.Millisecond
+// reportInterval is how often load reports are renewed, so a report can be this old.
+const reportInterval = 250 * time.Millisecond
 
-// Ran is one call that a stand-in really ran.
-type Ran struct {
-	Attempt string // key/stage/attempt
+// Execution records one call that a fake backend server ran.
+type Execution struct {
+	Attempt string // format: key/stage/attempt, then the calling box
 	Kind    string
 	Once    bool
 	Input   uint64 // hash of the input
 	At      time.Time
 }
 
-// Log is what a stand-in ran, so that a test can count. Safe for concurrent use.
-type Log struct {
-	mu  sync.Mutex
-	ran []Ran
+// ExecutionLog records the calls that a fake backend server ran, so that tests can count them.
+// Safe for concurrent use.
+type ExecutionLog struct {
+	mu         sync.Mutex
+	executions []Execution
 }
 
-func (l *Log) add(r port.CallRequest) {
+func (l *ExecutionLog) record(r port.CallRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ran = append(l.ran, Ran{Attempt: r.Attempt, Kind: r.Kind, Once: r.Once, Input: xxhash.Sum64(r.Input), At: time.Now()})
+	l.executions = append(l.executions, Execution{Attempt: r.Attempt, Kind: r.Kind, Once: r.Once, Input: xxhash.Sum64(r.Input), At: time.Now()})
 }
 
-// All copies the log.
-func (l *Log) All() []Ran {
+// All returns a copy of the log.
+func (l *ExecutionLog) All() []Execution {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]Ran(nil), l.ran...)
+	return append([]Execution(nil), l.executions...)
 }
 
-// Service stands in for a plain service, an encoder, a retriever or a reranker.
+// Service is a fake backend server that does not generate: a plain service, encoder, retriever or reranker.
 type Service struct {
-	Name  string
-	Slots int
-	Base  time.Duration // typical time of one call
-	Switches
-	Log Log
+	Name     string
+	Slots    int
+	CallTime time.Duration // mean duration of a call
+	FaultInjector
+	Log ExecutionLog
 
 	once    sync.Once
 	slots   chan struct{}
-	reports reports
+	reports reportCache
 	mu      sync.Mutex
 	running int
 	waiting int
 }
 
-// SetSlots changes how many calls run at once; call it while none runs.
+// SetSlots changes how many calls run at once. Call it only while none runs.
 func (s *Service) SetSlots(n int) {
 	s.init()
 	s.Slots = n
@@ -68,104 +69,104 @@
 func (s *Service) init() {
 	s.once.Do(func() {
 		s.slots = make(chan struct{}, s.Slots)
-		s.reports.life = uint64(time.Now().UnixNano())
+		s.reports.incarnation = uint64(time.Now().UnixNano())
 	})
 }
 
-// Call runs one call.
+// Call waits for a free slot and runs one call.
 func (s *Service) Call(ctx context.Context, r port.CallRequest, _ func(int, []byte)) (port.CallResult, *port.CallError) {
 	s.init()
-	s.wait()
-	f, delay := s.take()
-	if err := s.before(ctx, f); err != nil {
+	s.waitWhilePaused()
+	fault, delay := s.nextFault()
+	if err := s.failBeforeRun(ctx, fault); err != nil {
 		return port.CallResult{}, err
 	}
-	s.count(0, 1)
+	s.addLoad(0, 1)
 	select {
 	case s.slots <- struct{}{}:
 	case <-ctx.Done():
-		s.count(0, -1)
-		return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "cancelled while waiting"}
+		s.addLoad(0, -1)
+		return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "cancelled while queued"}
 	}
-	s.count(1, -1)
+	s.addLoad(1, -1)
 	defer func() {
-		s.count(-1, 0)
+		s.addLoad(-1, 0)
 		<-s.slots
 	}()
-	s.Log.add(r)
-	took := time.Duration(s.slowness() * float64(s.Base) * spreadOf(r.Input))
-	time.Sleep(took)
-	s.wait()
-	res := port.CallResult{Output: Served(r.Kind, r.Input), Use: core.Use{Engine: took}}
+	s.Log.record(r)
+	duration := time.Duration(s.slowdown() * float64(s.CallTime) * timeFactor(r.Input))
+	time.Sleep(duration)
+	s.waitWhilePaused()
+	res := port.CallResult{Output: ServiceOutput(r.Kind, r.Input), Use: core.Use{Engine: duration}}
 	res.Length = len(res.Output)
-	switch f {
-	case DropReply, BreakMid:
-		return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "connection broke"}
+	switch fault {
+	case DropReply, BreakStream:
+		return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "connection lost"}
 	case LateReply:
 		time.Sleep(delay)
 	}
 	return res, nil
 }
 
-// before applies the faults that keep a call from running.
-func (s *Switches) before(ctx context.Context, f Fault) *port.CallError {
-	switch f {
+// failBeforeRun applies the faults that prevent a call from running. It returns nil if the call may run.
+func (s *FaultInjector) failBeforeRun(ctx context.Context, fault Fault) *port.CallError {
+	switch fault {
 	case Fail:
-		return &port.CallError{Failure: core.Broken, Message: "stand-in was told to fail"}
+		return &port.CallError{Failure: core.Broken, Message: "injected fault: error"}
 	case Busy:
-		return &port.CallError{Failure: core.Busy, Message: "stand-in was told to be busy"}
+		return &port.CallError{Failure: core.Busy, Message: "injected fault: busy"}
 	case Refuse:
-		return &port.CallError{Failure: core.NotSent, Message: "no connection"}
+		return &port.CallError{Failure: core.NotSent, Message: "injected fault: connection refused"}
 	case BadRequest:
-		return &port.CallError{Failure: core.Wrong, Message: "stand-in was told to refuse"}
+		return &port.CallError{Failure: core.Wrong, Message: "injected fault: invalid request"}
 	case Hang:
 		<-ctx.Done()
-		return &port.CallError{Failure: core.Broken, Message: "hung until given up"}
+		return &port.CallError{Failure: core.Broken, Message: "injected fault: hung until the caller's context ended"}
 	}
-	if s.turnAway() {
-		return &port.CallError{Failure: core.Leaving, Message: "leaving"}
+	if s.refuseIfLeaving() {
+		return &port.CallError{Failure: core.Leaving, Message: "server is leaving"}
 	}
 	return nil
 }
 
-// spreadOf varies a call's time by its input, from 0.75 to 1.25.
-func spreadOf(input []byte) float64 { return 0.75 + float64(xxhash.Sum64(input)%1000)/2000 }
+// timeFactor derives the factor on a call's duration from its input, from 0.75 to 1.25.
+func timeFactor(input []byte) float64 { return 0.75 + float64(xxhash.Sum64(input)%1000)/2000 }
 
-func (s *Service) count(running, waiting int) {
+func (s *Service) addLoad(running, waiting int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running += running
 	s.waiting += waiting
 }
 
-// Report gives the load as of the last renewal.
+// Report returns a load report that is at most reportInterval old.
 func (s *Service) Report() core.Report {
 	s.init()
-	return s.reports.get(func() core.Report {
+	return s.reports.current(func() core.Report {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return core.Report{Running: s.running, Waiting: s.waiting, Slots: s.Slots, Leaving: s.isLeaving()}
 	})
 }
 
-// reports renews a report at most every reportEvery and numbers each.
-type reports struct {
-	mu   sync.Mutex
-	life uint64
-	seq  uint64
-	at   time.Time
-	last core.Report
+// reportCache renews a load report at most every reportInterval and numbers the renewals.
+type reportCache struct {
+	mu          sync.Mutex
+	incarnation uint64
+	seq         uint64
+	renewedAt   time.Time
+	last        core.Report
 }
 
-func (r *reports) get(fresh func() core.Report) core.Report {
+func (r *reportCache) current(measure func() core.Report) core.Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	if r.seq == 0 || now.Sub(r.at) >= reportEvery {
-		r.last = fresh()
+	if r.seq == 0 || now.Sub(r.renewedAt) >= reportInterval {
+		r.last = measure()
 		r.seq++
-		r.at = now
-		r.last.Incarnation, r.last.Seq = r.life, r.seq
+		r.renewedAt = now
+		r.last.Incarnation, r.last.Seq = r.incarnation, r.seq
 	}
 	return r.last
 }
