--- a/src/cli/account.go
+++ b/src/cli/account.go
@@ -14,7 +14,7 @@
 	"github.com/stilemast/stilemast/src/code"
 )
 
-// writeAccount is the command why with --account.
+// writeAccount runs `why --account`: it reports how much of the requests' total value was lost, by cause.
 func writeAccount(c *cli.Command) error {
 	worths, err := parseWorths(c.StringSlice("worth"))
 	if err != nil {
@@ -30,10 +30,10 @@
 	return nil
 }
 
-// worth is what an answer of one pipeline counts, in time and late.
+// worth is the value of one answer of a pipeline when it is in time and when it is late.
 type worth struct{ inTime, late float64 }
 
-// parseWorths reads PIPELINE=IN_TIME or PIPELINE=IN_TIME:LATE.
+// parseWorths parses values of the form PIPELINE=IN_TIME or PIPELINE=IN_TIME:LATE, keyed by pipeline.
 func parseWorths(list []string) (map[string]worth, error) {
 	out := map[string]worth{}
 	for _, text := range list {
@@ -53,7 +53,7 @@
 	return out, nil
 }
 
-// outcome is how one request ended, and where the time of a late one went.
+// outcome says how one request ended and, if it was late, which part took longest.
 type outcome struct {
 	pipeline string
 	cause    string
@@ -61,8 +61,8 @@
 	late     bool
 }
 
-// outcomes reads how requests ended from the lines of all boxes. A late answer is put to the part of its way that took
-// longest: a stage, with its wait, or what was left of it until the first output.
+// outcomes extracts the outcomes of requests from the log lines of all boxes. A late answer is attributed to the
+// part that took longest: a stage including its queueing time, or the remaining time until the first output.
 func outcomes(lines []*logLine) []outcome {
 	longest, part, stages := map[string]float64{}, map[string]string{}, map[string]float64{}
 	note := func(id, name string, ms float64) {
@@ -80,7 +80,7 @@
 			note(id, "stage in "+l.text("pool"), took)
 		case "request ended":
 			if l.text("pipeline") == "" || l.text("result") == "UNAUTHENTICATED" {
-				continue // nothing was owed
+				continue // rejected before it became a request of a pipeline
 			}
 			f := outcome{pipeline: l.text("pipeline")}
 			switch {
@@ -100,14 +100,14 @@
 	return out
 }
 
-// figure reads a number of a line, 0 when it has none.
+// figure returns the number stored under key, or 0 if there is none.
 func (l *logLine) figure(key string) float64 {
 	v, _ := l.fields[key].(float64)
 	return v
 }
 
-// account writes what was lost of all that requests were worth, by pipeline and cause. Its shares, what was earned
-// included, sum to the whole.
+// account writes the share of the requests' total value that was lost, by pipeline and cause. The earned share and
+// the lost shares sum to 100 %.
 func account(w io.Writer, all []outcome, worths map[string]worth) {
 	type row struct {
 		outcome
--- a/src/cli/account_test.go
+++ b/src/cli/account_test.go
@@ -15,7 +15,7 @@
 {"time":"2026-12-02T10:00:03Z","msg":"request ended","request":"r5","pipeline":"tag","result":"UNAUTHENTICATED","cause":"the token is not known"}
 `
 
-// What was earned and what was lost sum to what the requests were worth.
+// Earned and lost shares must sum to the total value of the requests; rejected callers do not count.
 func TestAnAccountSumsToTheWhole(t *testing.T) {
 	lines, err := readLog(strings.NewReader(logOfOutcomes), func(*logLine) bool { return true })
 	if err != nil {
--- a/src/cli/call.go
+++ b/src/cli/call.go
@@ -24,7 +24,7 @@
 	"github.com/stilemast/stilemast/src/local"
 )
 
-// clientTLS reads the certificate flags; nil means plain TCP.
+// clientTLS builds the TLS configuration from the certificate flags; nil means plain TCP.
 func clientTLS(c *cli.Command) (*tls.Config, error) {
 	if c.String("ca") == "" {
 		return nil, nil
@@ -35,7 +35,7 @@
 	}
 	cfg := &tls.Config{RootCAs: x509.NewCertPool(), MinVersion: tls.VersionTLS13}
 	if !cfg.RootCAs.AppendCertsFromPEM(pem) {
-		return nil, eris.New("ca: holds no certificate")
+		return nil, eris.New("ca: no certificate found in the file")
 	}
 	if c.String("cert") != "" {
 		pair, err := tls.LoadX509KeyPair(c.String("cert"), c.String("key"))
@@ -49,15 +49,15 @@
 
 func runCommand() *cli.Command {
 	return &cli.Command{
-		Name: "run", Usage: "call a pipeline: input from standard input, the answer streamed to standard output",
-		Description: "Exit codes: 0 whole answer, 1 failed, 2 refused and nothing ran, 3 outcome unknown, 4 refused after something ran.",
+		Name: "run", Usage: "call a pipeline with standard input and stream the answer to standard output",
+		Description: "Exit codes: 0 complete answer, 1 failed, 2 refused before anything ran, 3 outcome unknown, 4 refused after something ran.",
 		Flags: append(boxFlags(),
 			&cli.StringFlag{Name: "workspace", Required: true, Usage: "`NAME` of the workspace"},
 			&cli.StringFlag{Name: "pipeline", Usage: "`NAME` of the pipeline"},
 			&cli.StringFlag{Name: "request-key", Usage: "UUID version 7 or ticket"},
-			&cli.DurationFlag{Name: "deadline", Usage: "`DURATION` until the answer has to be whole"},
-			&cli.StringFlag{Name: "attach", Usage: "attach `TOKEN` of a request to read again instead"},
-			&cli.Uint64Flag{Name: "offset", Usage: "where to attach, in bytes"}),
+			&cli.DurationFlag{Name: "deadline", Usage: "`DURATION` within which the answer must be complete"},
+			&cli.StringFlag{Name: "attach", Usage: "reattach to the request with this `TOKEN` instead of sending one"},
+			&cli.Uint64Flag{Name: "offset", Usage: "with --attach: byte offset in the answer to start from"}),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			cfg, err := clientTLS(c)
 			if err != nil {
@@ -73,7 +73,7 @@
 	}
 }
 
-// stream prints an answer as it comes; the attach token goes to standard error.
+// stream writes the answer to standard output as it arrives, and its key and attach token to standard error.
 func stream(ctx context.Context, client pb.PipelinesClient, c *cli.Command) error {
 	s, err := openStream(ctx, client, c)
 	if err != nil {
@@ -96,6 +96,7 @@
 	}
 }
 
+// openStream starts a request, or reattaches to one if --attach is set.
 func openStream(ctx context.Context, client pb.PipelinesClient, c *cli.Command) (grpc.ServerStreamingClient[pb.RunEvent], error) {
 	if t := c.String("attach"); t != "" {
 		return client.Attach(ctx, &pb.AttachRequest{Workspace: c.String("workspace"), AttachToken: t, Offset: c.Uint64("offset")})
@@ -113,24 +114,24 @@
 
 func loadCommand() *cli.Command {
 	return &cli.Command{
-		Name: "load", Usage: "drive boxes with a named workload, open-loop and bounded, and judge every answer",
+		Name: "load", Usage: "drive boxes with a named open-loop workload and check every answer",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "workload", Value: "pageworks", Usage: "pageworks or giftenregister"},
 			&cli.FloatFlag{Name: "rate", Value: 50, Usage: "requests a second"},
 			&cli.DurationFlag{Name: "time", Value: 10 * time.Second, Usage: "`DURATION` of the load, at most 10 minutes"},
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "of the arrivals"},
-			&cli.FloatFlag{Name: "duplicates", Usage: "share of requests that reach two boxes"},
-			&cli.StringFlag{Name: "policy", Value: "expected_finish", Usage: "placement of the embedded boxes"},
-			&cli.StringFlag{Name: "boxes", Usage: "drive these boxes, a comma-separated `LIST` of callers' addresses, and not embedded ones"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of the arrivals"},
+			&cli.FloatFlag{Name: "duplicates", Usage: "share of requests sent to two boxes"},
+			&cli.StringFlag{Name: "policy", Value: "expected_finish", Usage: "placement policy of the embedded boxes"},
+			&cli.StringFlag{Name: "boxes", Usage: "comma-separated `LIST` of callers' addresses of boxes to drive instead of embedded ones"},
 			&cli.StringFlag{Name: "config", Usage: "with --boxes: the published configuration, a TOML `FILE`"},
 			&cli.BoolFlag{Name: "json", Usage: "print JSON"},
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if _, ok := load.Workloads[c.String("workload")]; !ok {
-				return eris.Errorf("no workload %q", c.String("workload"))
+				return eris.Errorf("unknown workload %q", c.String("workload"))
 			}
 			if c.Duration("time") > 10*time.Minute || c.Float("rate") <= 0 {
-				return eris.New("time is at most 10m and rate above 0")
+				return eris.New("time must be at most 10m and rate above 0")
 			}
 			if c.String("boxes") != "" {
 				return externalLoad(ctx, c)
@@ -140,7 +141,7 @@
 	}
 }
 
-// embeddedLoad drives a deployment that lives in this process.
+// embeddedLoad drives a deployment that runs inside this process.
 func embeddedLoad(ctx context.Context, c *cli.Command) error {
 	name := c.String("workload")
 	doc, boxes := exampleOf(name)
@@ -164,7 +165,8 @@
 	return writeReport(c, load.Judge(results, set.Ran()))
 }
 
-// externalLoad drives boxes that run elsewhere, before stand-ins that tell what they ran.
+// externalLoad drives boxes of other processes. Their backend servers must be stand-ins, which report the calls
+// that they ran.
 func externalLoad(ctx context.Context, c *cli.Command) error {
 	raw, err := os.ReadFile(c.String("config"))
 	if err != nil {
@@ -193,7 +195,7 @@
 	return writeReport(c, load.Judge(results, ran))
 }
 
-// writeReport prints a report and fails the command when a promise was broken.
+// writeReport prints a report and returns an error if it is not clean.
 func writeReport(c *cli.Command, report load.Report) error {
 	if c.Bool("json") {
 		if err := json.NewEncoder(os.Stdout).Encode(report); err != nil {
@@ -208,7 +210,7 @@
 	return nil
 }
 
-// progress prints a line that renews itself, on a terminal only.
+// progress returns a function that updates a progress line on standard error, or nil if that is not a terminal.
 func progress() func(done, total int) {
 	info, err := os.Stderr.Stat()
 	if err != nil || info.Mode()&os.ModeCharDevice == 0 {
--- a/src/cli/cli.go
+++ b/src/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line: every part of stilemast is a command of one binary.
+// Package cli implements the command line; every part of stilemast is a subcommand of one binary.
 package cli
 
 import (
@@ -18,22 +18,22 @@
 	"github.com/stilemast/stilemast/src/signals"
 )
 
-// serveName is the command of processes that a planned stop ends.
+// serveName is the command whose process handles stop signals by a graceful shutdown.
 const serveName = "serve"
 
-// Release is the version of the program.
+// Release is the version of the program, as shown by --version and reported to operators.
 const Release = "0.1.0"
 
-// Exit codes.
+// Exit codes of the program; scripts use them to decide whether a request may be sent again.
 const (
 	exitOK      = 0
-	exitFailed  = 1 // the command failed
-	exitRefused = 2 // refused: nothing ran
-	exitUnknown = 3 // the outcome is not known
+	exitFailed  = 1 // the command failed, or its result says nothing about execution
+	exitRefused = 2 // refused before anything ran
+	exitUnknown = 3 // the outcome is unknown
 	exitRan     = 4 // refused after something ran
 )
 
-// Main runs the command line and gives the exit code. The adapter connects gateways to a platform.
+// Main runs the command line and returns the exit code. The adapter connects gateways to a platform.
 func Main(args []string, adapter node.Adapter) int {
 	if len(args) < 2 || args[1] != serveName {
 		signals.Release()
@@ -63,10 +63,10 @@
 	return exitCode(err)
 }
 
-// errSilent ends a command that has already said what was wrong.
+// errSilent makes a command fail without printing an error, because it has already printed what was wrong.
 var errSilent = errors.New("failed")
 
-// exitCode tells scripts whether anything ran.
+// exitCode maps an error to the exit code that says whether anything ran.
 func exitCode(err error) int {
 	if r := rpc.ResultOf(err); r != nil {
 		switch code.Ran(r.GetRan()) {
@@ -81,5 +81,5 @@
 	return exitFailed
 }
 
-// logger writes JSON lines to standard error.
+// logger returns a logger that writes JSON lines of at least the given level to standard error.
 func logger(level string) *slog.Logger { return logging.New(os.Stderr, level) }
--- a/src/cli/demo.go
+++ b/src/cli/demo.go
@@ -21,7 +21,7 @@
 func demoCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "demo",
-		Usage: "run both users' workloads for some seconds on an embedded deployment and account for every call",
+		Usage: "run both example workloads for some seconds on an embedded deployment and verify every call",
 		Flags: []cli.Flag{
 			&cli.DurationFlag{Name: "time", Value: 6 * time.Second, Usage: "`DURATION` of each workload"},
 			&cli.FloatFlag{Name: "rate", Value: 40, Usage: "requests a second"},
@@ -44,7 +44,7 @@
 	}
 }
 
-// exampleOf gives a user's example document and how many boxes the user has.
+// exampleOf returns the example configuration of a workload and the number of its boxes.
 func exampleOf(name string) (*config.Document, int) {
 	if name == "giftenregister" {
 		return config.ExampleGiftenregister(), 7
@@ -52,6 +52,7 @@
 	return config.ExamplePageworks(), 6
 }
 
+// demo runs one workload on an embedded deployment, writes a report and returns whether all checks passed.
 func demo(ctx context.Context, w io.Writer, name string, rate float64, length time.Duration, verbose bool) (bool, error) {
 	doc, boxes := exampleOf(name)
 	log := slog.New(slog.DiscardHandler)
@@ -65,7 +66,7 @@
 		return false, err
 	}
 	settle := set.BoxSettings("", 0).AtMostOnce.Window() + time.Second
-	fmt.Fprintf(w, "up; waiting %s until each box can prove which keys it is home to\n", settle)
+	fmt.Fprintf(w, "up; waiting %s until each box can be sure which keys it owns\n", settle)
 	time.Sleep(settle)
 	conf, err := load.Config(doc)
 	if err != nil {
@@ -81,7 +82,7 @@
 	report.Write(w)
 	kinds := writeRan(w, set.Ran())
 	ok := report.Clean() && report.Whole > 0 && kinds["encode"] > 0 && kinds["retrieve"] > 0 && kinds["rerank"] > 0 && kinds["generate"] > 0
-	verdict := "nothing lost, doubled or misplaced"
+	verdict := "no request lost, run twice or answered with another's result"
 	if !ok {
 		verdict = "FAILED: see the counts above"
 	}
@@ -89,7 +90,7 @@
 	return ok, nil
 }
 
-// spacesFor lists the workspaces that every box may hold, so that any box can be picked.
+// spacesFor lists the workspaces that may enter in every failure domain, so that any box can take their requests.
 func spacesFor(d *config.Document) []string {
 	var out []string
 	for _, w := range d.Workspaces {
@@ -100,7 +101,7 @@
 	return out
 }
 
-// writeRan prints the stand-ins' own count of what they ran and gives it by kind.
+// writeRan prints and returns the number of calls that the stand-ins recorded, by kind.
 func writeRan(w io.Writer, ran []standin.Ran) map[string]int {
 	kinds := map[string]int{}
 	for _, r := range ran {
@@ -111,6 +112,6 @@
 		parts = append(parts, fmt.Sprintf("%s %d", k, n))
 	}
 	sort.Strings(parts)
-	fmt.Fprintf(w, "\nthe stand-ins' own count of calls: %s\n", strings.Join(parts, ", "))
+	fmt.Fprintf(w, "\ncalls recorded by the stand-ins: %s\n", strings.Join(parts, ", "))
 	return kinds
 }
--- a/src/cli/experiment.go
+++ b/src/cli/experiment.go
@@ -18,14 +18,14 @@
 
 func experimentCommand() *cli.Command {
 	return &cli.Command{
-		Name: "experiment", Usage: "compare policies in virtual time: same arrivals, same seeds, same faults",
+		Name: "experiment", Usage: "compare policies in virtual time with the same arrivals, seeds and faults",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "workloads", Value: "pageworks,giftenregister", Usage: "comma-separated `LIST`"},
-			&cli.StringFlag{Name: "loads", Value: "50,80,100,130,200", Usage: "per cent of capacity, comma-separated `LIST`"},
+			&cli.StringFlag{Name: "loads", Value: "50,80,100,130,200", Usage: "comma-separated `LIST` of loads in percent of capacity"},
 			&cli.StringFlag{Name: "faults", Value: "quiet", Usage: "comma-separated `LIST`, or all"},
 			&cli.StringFlag{Name: "policies", Value: "all", Usage: "comma-separated `LIST`, or all"},
-			&cli.IntFlag{Name: "seeds", Value: 5, Usage: "seeds of each run"},
-			&cli.IntFlag{Name: "boxes", Usage: "boxes instead of the users' own number"},
+			&cli.IntFlag{Name: "seeds", Value: 5, Usage: "number of seeds for each combination"},
+			&cli.IntFlag{Name: "boxes", Usage: "number of boxes instead of the workload's own"},
 			&cli.Uint64Flag{Name: "first-seed", Value: 1, Usage: "the first seed"},
 			&cli.DurationFlag{Name: "time", Value: 30 * time.Second, Usage: "virtual `DURATION` of the arrivals"},
 			&cli.BoolFlag{Name: "json", Usage: "print JSON"},
@@ -52,7 +52,7 @@
 	}
 }
 
-// experimentCases lays out the rows and, for each, a case a seed.
+// experimentCases returns the result rows and the cases to run: for each row one case per seed, in the same order.
 func experimentCases(c *cli.Command) ([]experiment.Row, []experiment.Case, error) {
 	var rows []experiment.Row
 	var cases []experiment.Case
@@ -88,6 +88,7 @@
 	return rows, cases, nil
 }
 
+// wanted reports whether name is in the comma-separated list, or the list is "all".
 func wanted(list, name string) bool {
 	return list == "all" || slices.Contains(strings.Split(list, ","), name)
 }
--- a/src/cli/gateway.go
+++ b/src/cli/gateway.go
@@ -16,10 +16,10 @@
 	"github.com/stilemast/stilemast/src/signals"
 )
 
-// logPatience bounds how long a stopping process waits for its last lines to be read.
+// logPatience bounds how long an exiting process waits for its last log lines to be written.
 const logPatience = 200 * time.Millisecond
 
-// serveGateway runs a process that serves opaque requests until it is told to stop.
+// serveGateway runs a process that serves opaque requests until a signal stops it.
 func serveGateway(path string, adapter node.Adapter) error {
 	s, err := config.ReadGatewaySettings(path)
 	if err != nil {
@@ -38,7 +38,7 @@
 		log.Error("not started", "cause", err.Error())
 		return err
 	}
-	// go-zero, which other parts of the program use, would send a second SIGTERM 5.5 s after the first.
+	// Without this go-zero would send the process a second SIGTERM 5.5 s after the first.
 	proc.SetTimeToForceQuit(neverForced)
 	log.Info("serving")
 	for {
@@ -51,12 +51,12 @@
 	}
 }
 
-// reload takes what may change while a process runs: the level of the log. The rest needs a restart,
-// and a file that can't be taken leaves everything as it is.
+// reload applies the settings that can change at run time, which is only the log level; it logs whether others
+// changed that need a restart. An invalid file changes nothing.
 func reload(path string, old *config.GatewaySettings, level *slog.LevelVar, log *slog.Logger) {
 	s, err := config.ReadGatewaySettings(path)
 	if err != nil {
-		log.Error("settings not reloaded; the old ones stay", "cause", err.Error())
+		log.Error("settings not reloaded, keeping the old ones", "cause", err.Error())
 		return
 	}
 	setLevel(level, s.LogLevel)
@@ -64,6 +64,7 @@
 	log.Info("settings reloaded", "log_level", s.LogLevel, "needs_restart", restart)
 }
 
+// setLevel sets the level by name; an unknown name is ignored.
 func setLevel(level *slog.LevelVar, word string) {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(word)); err == nil {
@@ -71,6 +72,7 @@
 	}
 }
 
+// stopGateway shuts the gateway down gracefully; a second signal aborts the shutdown.
 func stopGateway(n *node.GatewayNode, stops <-chan os.Signal, log *slog.Logger) error {
 	ended := make(chan int, 1)
 	go func() { ended <- n.Stop() }()
@@ -78,11 +80,11 @@
 	case cut := <-ended:
 		log.Info("stopped", "cut", cut)
 		if cut > 0 {
-			return eris.Errorf("the planned stop ran out of time with %d requests running", cut)
+			return eris.Errorf("graceful shutdown timed out with %d requests running", cut)
 		}
 		return nil
 	case <-stops:
-		log.Warn("stopped at once by a second signal")
-		return eris.New("stopped at once by a second signal; running requests were cut")
+		log.Warn("stopped immediately by a second signal")
+		return eris.New("stopped immediately by a second signal; running requests were aborted")
 	}
 }
--- a/src/cli/operate.go
+++ b/src/cli/operate.go
@@ -17,19 +17,19 @@
 	"github.com/stilemast/stilemast/src/load"
 )
 
-// boxFlags say which box a command talks to, and as whom.
+// boxFlags returns the flags that select the box a command talks to and the credentials to present.
 func boxFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: "box", Usage: "callers' `ADDRESS` of a box", Value: "127.0.0.1:7000"},
-		&cli.StringFlag{Name: "token", Usage: "`TOKEN` to show", Sources: cli.EnvVars("STILEMAST_TOKEN")},
-		&cli.StringFlag{Name: "ca", Usage: "PEM `FILE` of the authority that signs the boxes' certificates"},
-		&cli.StringFlag{Name: "cert", Usage: "PEM `FILE` of the own certificate"},
-		&cli.StringFlag{Name: "key", Usage: "PEM `FILE` of the own key"},
+		&cli.StringFlag{Name: "token", Usage: "bearer `TOKEN` to authenticate with", Sources: cli.EnvVars("STILEMAST_TOKEN")},
+		&cli.StringFlag{Name: "ca", Usage: "PEM `FILE` of the certificate authority of the boxes"},
+		&cli.StringFlag{Name: "cert", Usage: "PEM `FILE` of the client certificate"},
+		&cli.StringFlag{Name: "key", Usage: "PEM `FILE` of the client key"},
 		&cli.BoolFlag{Name: "json", Usage: "print JSON"},
 	}
 }
 
-// operate makes the action of a command that talks to a box's operators' interface.
+// operate wraps do in a command action that connects to the operations API of a box.
 func operate(do func(context.Context, pb.OperationsClient, *cli.Command) error) cli.ActionFunc {
 	return func(ctx context.Context, c *cli.Command) error {
 		cfg, err := clientTLS(c)
@@ -48,7 +48,7 @@
 func printJSON(m proto.Message) error {
 	b, err := protojson.MarshalOptions{Multiline: true}.Marshal(m)
 	if err != nil {
-		return eris.Wrap(err, "answer can't be printed")
+		return eris.Wrap(err, "marshal reply")
 	}
 	fmt.Println(string(b))
 	return nil
@@ -58,8 +58,8 @@
 
 func validateCommand() *cli.Command {
 	return &cli.Command{
-		Name: "validate", Usage: "check a configuration, or settings, as a box would; no box is needed", ArgsUsage: "FILE",
-		Flags: []cli.Flag{&cli.BoolFlag{Name: "settings", Usage: "the file holds a box's settings"}},
+		Name: "validate", Usage: "check a configuration or settings file as a box would, without contacting one", ArgsUsage: "FILE",
+		Flags: []cli.Flag{&cli.BoolFlag{Name: "settings", Usage: "the file contains the settings of a box"}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Bool("settings") {
 				return validateSettings(c.Args().First())
@@ -82,7 +82,7 @@
 	}
 }
 
-// validateSettings checks the settings of a box or of a gateway, whichever the file holds.
+// validateSettings checks a settings file of a box or a gateway, depending on its mode.
 func validateSettings(path string) error {
 	mode, err := config.ReadMode(path)
 	if err != nil {
@@ -98,7 +98,7 @@
 
 func planCommand() *cli.Command {
 	return &cli.Command{
-		Name: "plan", Usage: "tell what a configuration would change against the one in force at a box", ArgsUsage: "FILE",
+		Name: "plan", Usage: "show what a configuration would change compared with the one active at a box", ArgsUsage: "FILE",
 		Flags: boxFlags(),
 		Action: operate(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
 			raw, err := os.ReadFile(c.Args().First())
@@ -133,7 +133,7 @@
 
 func statusCommand() *cli.Command {
 	return &cli.Command{
-		Name: "status", Usage: "tell what a box knows, with the age of each fact", Flags: boxFlags(),
+		Name: "status", Usage: "show the state that a box knows, with the age of each item", Flags: boxFlags(),
 		Action: operate(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
 			r, err := ops.Status(ctx, &pb.StatusRequest{})
 			if err != nil {
@@ -170,6 +170,7 @@
 	return w.Flush()
 }
 
+// brief formats a duration in milliseconds precision; negative ones mean that the event has not happened yet.
 func brief(d time.Duration) string {
 	if d < 0 {
 		return "never"
@@ -179,13 +180,13 @@
 
 func drainCommand() *cli.Command {
 	return &cli.Command{
-		Name: "drain", Usage: "begin the planned stop of a box", Flags: boxFlags(),
+		Name: "drain", Usage: "start the graceful shutdown of a box", Flags: boxFlags(),
 		Action: operate(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
 			r, err := ops.Drain(ctx, &pb.DrainRequest{})
 			if err != nil {
 				return err
 			}
-			fmt.Printf("stopping; %d requests run and will end first\n", r.GetRunning())
+			fmt.Printf("stopping; %d running requests will finish first\n", r.GetRunning())
 			return nil
 		}),
 	}
@@ -193,7 +194,7 @@
 
 func explainCommand() *cli.Command {
 	return &cli.Command{
-		Name: "explain", Usage: "tell how each stage of a recent request was placed", ArgsUsage: "KEY", Flags: boxFlags(),
+		Name: "explain", Usage: "show how each stage of a recent request was placed", ArgsUsage: "KEY", Flags: boxFlags(),
 		Action: operate(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
 			r, err := ops.Explain(ctx, &pb.ExplainRequest{Key: c.Args().First()})
 			if err != nil {
@@ -219,7 +220,7 @@
 
 func costCommand() *cli.Command {
 	return &cli.Command{
-		Name: "cost", Usage: "sum what each stage consumed at a box", Flags: boxFlags(),
+		Name: "cost", Usage: "show the resources that each stage consumed at a box", Flags: boxFlags(),
 		Action: operate(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
 			r, err := ops.CostByStage(ctx, &pb.CostByStageRequest{})
 			if err != nil {
--- a/src/cli/plot.go
+++ b/src/cli/plot.go
@@ -11,14 +11,15 @@
 	pb "github.com/stilemast/stilemast/src/api/stilemast/v1"
 )
 
-// The size of a plot.
+// Dimensions of a plot.
 const (
 	plotWidth  = 20 * vg.Centimeter
 	plotHeight = 10 * vg.Centimeter
 	barWidth   = 12 // points
 )
 
-// plotBurn draws a bar for each level and window; the line at 1 spends exactly the budget.
+// plotBurn writes a PNG with one bar for each service level and window. A burn rate of 1 spends exactly the error
+// budget.
 func plotBurn(r *pb.BurnReply, file string) error {
 	p := plot.New()
 	p.Title.Text = "service-level burn"
@@ -48,5 +49,5 @@
 	}
 	p.Legend.Top = true
 	p.NominalX(levels...)
-	return eris.Wrap(p.Save(plotWidth, plotHeight, file), "plot can't be written")
+	return eris.Wrap(p.Save(plotWidth, plotHeight, file), "write plot")
 }
--- a/src/cli/report.go
+++ b/src/cli/report.go
@@ -14,8 +14,8 @@
 
 func burnCommand() *cli.Command {
 	return &cli.Command{
-		Name: "burn", Usage: "report how fast the service levels' budgets are being spent at a box",
-		Flags: append(boxFlags(), &cli.StringFlag{Name: "plot", Usage: "write a PNG `FILE` too"}),
+		Name: "burn", Usage: "show the burn rate of the service levels' error budgets at a box",
+		Flags: append(boxFlags(), &cli.StringFlag{Name: "plot", Usage: "also write a plot to a PNG `FILE`"}),
 		Action: operate(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
 			r, err := ops.Burn(ctx, &pb.BurnRequest{})
 			if err != nil {
@@ -41,14 +41,14 @@
 
 func exampleCommand() *cli.Command {
 	return &cli.Command{
-		Name: "example", Usage: "print an example configuration: pageworks, giftenregister, or target (the size aimed for)", ArgsUsage: "NAME",
+		Name: "example", Usage: "print an example configuration: pageworks, giftenregister, or target (the largest supported size)", ArgsUsage: "NAME",
 		Action: func(_ context.Context, c *cli.Command) error {
 			makers := map[string]func() *config.Document{
 				"pageworks": config.ExamplePageworks, "giftenregister": config.ExampleGiftenregister, "target": config.ExampleTarget,
 			}
 			maker := makers[c.Args().First()]
 			if maker == nil {
-				return eris.Errorf("no example %q", c.Args().First())
+				return eris.Errorf("unknown example %q", c.Args().First())
 			}
 			raw, err := config.Marshal(maker())
 			if err != nil {
--- a/src/cli/serve.go
+++ b/src/cli/serve.go
@@ -24,7 +24,7 @@
 func serveCommand(adapter node.Adapter) *cli.Command {
 	return &cli.Command{
 		Name:  serveName,
-		Usage: "run one box until it is told to stop; SIGTERM is a planned stop, a second one cuts",
+		Usage: "run one box; SIGTERM shuts it down gracefully, a second one immediately",
 		Flags: []cli.Flag{&cli.StringFlag{Name: "settings", Aliases: []string{"s"}, Usage: "TOML `FILE` with the box's settings", Sources: cli.EnvVars("STILEMAST_CONFIG"), Required: true}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			mode, err := config.ReadMode(c.String("settings"))
@@ -43,9 +43,10 @@
 	}
 }
 
-// neverForced is longer than any planned stop may take.
+// neverForced is set as go-zero's delay before it forces an exit; it exceeds any graceful shutdown.
 const neverForced = 24 * time.Hour
 
+// serve runs a box until a signal or an operator's drain request has stopped it.
 func serve(s *config.Settings) error {
 	log := logger(s.LogLevel).With("box", s.Box)
 	n := &node.Node{Settings: s, Log: log, Release: Release}
@@ -53,8 +54,8 @@
 	if err := n.Start(); err != nil {
 		return err
 	}
-	// go-zero answers SIGTERM by a second one 5.5 s later, which would cut running requests. Its
-	// listeners may have set that time when they started, so it is set after them.
+	// go-zero sends a second SIGTERM 5.5 s after the first, which would abort running requests. Its listeners may
+	// set that delay when they start, so it is overridden afterwards.
 	proc.SetTimeToForceQuit(neverForced)
 	log.Info("serving", "callers", n.CallersAddress(), "peers", n.PeersAddress(), "release", Release)
 	select {
@@ -67,24 +68,24 @@
 	select {
 	case left := <-cut:
 		if left > 0 {
-			return eris.Errorf("the planned stop ran out of time with %d requests running", left)
+			return eris.Errorf("graceful shutdown timed out with %d requests running", left)
 		}
 		return nil
 	case <-stops:
-		return eris.New("stopped at once by a second signal; running requests were cut")
+		return eris.New("stopped immediately by a second signal; running requests were aborted")
 	}
 }
 
 func standinCommand() *cli.Command {
 	listen := &cli.StringFlag{Name: "listen", Usage: "`ADDRESS` to serve on", Value: "127.0.0.1:0"}
-	slots := &cli.IntFlag{Name: "slots", Usage: "calls at once", Value: 8}
+	slots := &cli.IntFlag{Name: "slots", Usage: "concurrent calls", Value: 8}
 	return &cli.Command{
 		Name:  "standin",
-		Usage: "run one stand-in as a process of its own, for trials",
+		Usage: "run a stand-in for a backend server or the platform, for tests",
 		Commands: []*cli.Command{
 			{
-				Name: "engine", Usage: "a model engine",
-				Flags: []cli.Flag{listen, slots, &cli.BoolFlag{Name: "checks-orders", Value: true, Usage: "refuse orders with an old fence"}},
+				Name: "engine", Usage: "stand-in for a model engine",
+				Flags: []cli.Flag{listen, slots, &cli.BoolFlag{Name: "checks-orders", Value: true, Usage: "refuse orders with an outdated fencing token"}},
 				Action: func(ctx context.Context, c *cli.Command) error {
 					e := &standin.Engine{Name: "engine", Cost: standin.DefaultEngineCost(c.Int("slots")), ChecksOrders: c.Bool("checks-orders"), Store: &standin.WeightStore{}, EventLag: 300 * time.Millisecond, EventGap: 17}
 					e.Init()
@@ -94,7 +95,7 @@
 				},
 			},
 			{
-				Name: "service", Usage: "a plain service, encoder, retriever or reranker; GET /ran lists what it ran",
+				Name: "service", Usage: "stand-in for an encoder, retriever, reranker or other service; GET /ran lists the calls that it ran",
 				Flags: []cli.Flag{listen, slots, &cli.DurationFlag{Name: "time", Value: 10 * time.Millisecond, Usage: "typical `DURATION` of one call"}},
 				Action: func(ctx context.Context, c *cli.Command) error {
 					s := &standin.Service{Name: "service", Slots: c.Int("slots"), Base: c.Duration("time")}
@@ -103,7 +104,7 @@
 				},
 			},
 			{
-				Name: "platform", Usage: "the configuration service and box list, read from files again and again",
+				Name: "platform", Usage: "stand-in for the configuration service and the box list, reread from files periodically",
 				Flags: []cli.Flag{listen,
 					&cli.StringFlag{Name: "config", Required: true, Usage: "published configuration, a TOML `FILE`"},
 					&cli.StringFlag{Name: "boxes", Required: true, Usage: "box list, a JSON `FILE`"}},
@@ -126,6 +127,7 @@
 	}
 }
 
+// loadPlatform publishes a configuration file and a box list file.
 func loadPlatform(p *standin.Platform, conf, boxes string) error {
 	raw, err := os.ReadFile(conf)
 	if err != nil {
@@ -144,6 +146,8 @@
 	return nil
 }
 
+// serveStandin serves h until ctx ends and prints the address that it listens on. A non-nil err, from building h,
+// is returned at once.
 func serveStandin(ctx context.Context, address string, h http.Handler, err error) error {
 	if err != nil {
 		return err
--- a/src/cli/serve_test.go
+++ b/src/cli/serve_test.go
@@ -10,8 +10,8 @@
 	"github.com/zeromicro/go-zero/core/proc"
 )
 
-// go-zero sends a process that got SIGTERM a second one after 5.5 s unless told otherwise; the second
-// one cut every planned stop that took longer.
+// Unless configured otherwise, go-zero sends a second SIGTERM 5.5 s after the first; it aborted every graceful shutdown
+// that took longer.
 func TestNoSecondSignalComesByItself(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes seven seconds")
--- a/src/cli/trace.go
+++ b/src/cli/trace.go
@@ -19,15 +19,16 @@
 	"github.com/stilemast/stilemast/src/code"
 )
 
-// maxLogLine is the longest line of a log that is read.
+// maxLogLine is the maximum length of a log line in bytes; a longer one is an error.
 const maxLogLine = 1 << 20
 
-// logLine is one line of a process's log.
+// logLine is one parsed line of a JSON log.
 type logLine struct {
 	at     time.Time
 	fields map[string]any
 }
 
+// text returns the value stored under key as text, or "" if there is none.
 func (l *logLine) text(key string) string {
 	if v, ok := l.fields[key]; ok {
 		return fmt.Sprint(v)
@@ -35,8 +36,8 @@
 	return ""
 }
 
-// readLog reads the JSON lines of logs; what stands before the first brace of a line is passed over,
-// as are lines that are no JSON. keep says which lines are wanted.
+// readLog parses a log of JSON lines and returns those that keep accepts. Text before the first brace of a line
+// (prefixes of log collectors) and lines that are not JSON are ignored.
 func readLog(r io.Reader, keep func(*logLine) bool) ([]*logLine, error) {
 	var out []*logLine
 	sc := bufio.NewScanner(r)
@@ -59,10 +60,10 @@
 			out = append(out, l)
 		}
 	}
-	return out, eris.Wrap(sc.Err(), "log can't be read")
+	return out, eris.Wrap(sc.Err(), "read log")
 }
 
-// readLogs reads several files, in the order of time.
+// readLogs reads several log files and returns their lines sorted by time.
 func readLogs(paths []string, keep func(*logLine) bool) ([]*logLine, error) {
 	var out []*logLine
 	for _, p := range paths {
@@ -81,12 +82,12 @@
 	return out, nil
 }
 
-// about says whether a line tells of a request.
+// about reports whether a line concerns the request with this ID.
 func about(l *logLine, id string) bool {
 	return l.text("request") == id || strings.Contains(l.text("requests"), id)
 }
 
-// story writes lines for a reader: the time since the first, the box, what happened and the rest.
+// story writes lines as a timeline: the time since the first line, the box, the message and the remaining fields.
 func story(w io.Writer, lines []*logLine) {
 	known := []string{"time", "level", "msg", "box", "request"}
 	for _, l := range lines {
@@ -108,9 +109,9 @@
 func traceCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "trace",
-		Usage:     "tell one request's story from the logs of any number of boxes",
+		Usage:     "show the timeline of one request from the logs of any number of boxes",
 		ArgsUsage: "ID",
-		Flags:     []cli.Flag{&cli.StringSliceFlag{Name: "log", Usage: "log `FILE`; may be given again", Required: true}},
+		Flags:     []cli.Flag{&cli.StringSliceFlag{Name: "log", Usage: "log `FILE`; may be repeated", Required: true}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			id := c.Args().First()
 			if id == "" {
@@ -121,7 +122,7 @@
 				return err
 			}
 			if len(lines) == 0 {
-				return code.New(code.NotFound, "ID", "no line tells of %s", id)
+				return code.New(code.NotFound, "ID", "no log line mentions %s", id)
 			}
 			story(os.Stdout, lines)
 			return nil
@@ -132,11 +133,11 @@
 func whyCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "why",
-		Usage: "count the requests that were not answered by result, pipeline and cause, from logs",
+		Usage: "count failed requests in logs by result, pipeline and cause",
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: "log", Usage: "log `FILE`; may be given again", Required: true},
-			&cli.BoolFlag{Name: "account", Usage: "write what was lost of all that requests were worth, late answers too"},
-			&cli.StringSliceFlag{Name: "worth", Usage: "with --account: `PIPELINE=FIGURE[:FIGURE]` of an answer in time and late; 1 and 0 where none is given"},
+			&cli.StringSliceFlag{Name: "log", Usage: "log `FILE`; may be repeated", Required: true},
+			&cli.BoolFlag{Name: "account", Usage: "show the share of the requests' value that was lost, including late answers"},
+			&cli.StringSliceFlag{Name: "worth", Usage: "with --account: `PIPELINE=FIGURE[:FIGURE]`, the value of an answer in time and late; 1 and 0 by default"},
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Bool("account") {
@@ -154,7 +155,8 @@
 	}
 }
 
-// causes counts lines by result, pipeline and cause, most first, with the first request of each.
+// causes writes the number of lines for each result, pipeline and cause, most frequent first, with the first request
+// of each.
 func causes(w io.Writer, lines []*logLine) {
 	count, first := map[string]int{}, map[string]string{}
 	for _, l := range lines {
@@ -178,8 +180,8 @@
 	}
 }
 
-// withoutNumbers makes causes alike that differ in names and figures only: each word with a digit
-// becomes a mark.
+// withoutNumbers replaces every word that contains a digit by "#", so that causes which differ only in names and
+// numbers are counted together.
 func withoutNumbers(text string) string {
 	words := strings.Fields(text)
 	for i, word := range words {
--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -19,39 +19,39 @@
 	"github.com/stilemast/stilemast/src/peer"
 )
 
-// Tunables of a gateway's process.
+// Timeouts and limits of a gateway process.
 const (
-	callerHeaderTime = 10 * time.Second // a caller may take over its header
-	callerIdleTime   = 2 * time.Minute  // a caller's connection may be unused
+	callerHeaderTime = 10 * time.Second // for reading a request's header
+	callerIdleTime   = 2 * time.Minute  // before an idle keep-alive connection is closed
 	maxCallerHeader  = 64 << 10
-	leastStop        = 3200 * time.Millisecond // for the balancer to notice that this box is not ready
-	lastAnswers      = 2500 * time.Millisecond // kept for answers that have begun; stages are not waited for
-	quietStop        = 400 * time.Millisecond  // without a request before a stopping process ends
-	stopMargin       = 500 * time.Millisecond  // kept from the time that a planned stop may take
+	leastStop        = 3200 * time.Millisecond // minimum duration of a graceful shutdown, so that the load balancer notices that this box is not ready
+	lastAnswers      = 2500 * time.Millisecond // end of the shutdown reserved for answers that have begun; pending stages are failed before it
+	quietStop        = 400 * time.Millisecond  // without a request before a shutdown completes
+	stopMargin       = 500 * time.Millisecond  // subtracted from the configured shutdown timeout
 	stopLook         = 50 * time.Millisecond
 	sweepConnections = time.Second
-	memoryPart       = 0.7 // of the limit that the runtime's heap aims to stay within
+	memoryPart       = 0.7 // of the configured memory that is set as Go's soft memory limit
 	collectPercent   = 60
 	milliCores       = 1000 // in a core
 )
 
-// Adapter connects the product to a platform.
+// Adapter connects gateways to a platform.
 type Adapter struct {
 	Open    func(*config.GatewaySettings) Ports
-	Callers func(*gateway.Gateway) http.Handler // takes callers' requests
-	Ready   func(*gateway.Gateway) http.Handler // answers whether callers may come
+	Callers func(*gateway.Gateway) http.Handler // serves callers' requests
+	Ready   func(*gateway.Gateway) http.Handler // serves the readiness check
 }
 
-// Ports are what an adapter gives one process.
+// Ports are the platform-specific parts of one process that an adapter provides.
 type Ports struct {
 	Backends gateway.Backends
 	Store    gateway.Store
-	Sweep    func()       // drops connections whose time is over
-	Dials    func() int64 // connections opened to servers so far
-	Close    func()
+	Sweep    func()       // closes expired idle connections; called periodically
+	Dials    func() int64 // number of connections opened to servers so far
+	Close    func()       // releases all connections
 }
 
-// GatewayNode is one process that serves opaque requests. Set the exported fields before Start.
+// GatewayNode is one gateway process, which serves opaque requests. Set the exported fields before Start.
 type GatewayNode struct {
 	Settings *config.GatewaySettings
 	Adapter  Adapter
@@ -68,14 +68,14 @@
 	killed  sync.Once
 }
 
-// activity counts the callers' connections on which a request is being read or answered.
+// activity tracks the callers' connections on which a request is being read or answered.
 type activity struct {
 	mu     sync.Mutex
 	active map[net.Conn]bool
-	since  time.Time // when the last of them fell idle
+	since  time.Time // when a connection last became idle
 }
 
-// note follows a connection's state; it is the ConnState hook of net/http.
+// note records a connection's state; it is a ConnState hook of net/http.
 func (a *activity) note(c net.Conn, state http.ConnState) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -89,7 +89,7 @@
 	}
 }
 
-// quietFor is how long no request has been read or answered, 0 when one is.
+// quietFor returns for how long no request has been read or answered, 0 while one is.
 func (a *activity) quietFor() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -99,10 +99,10 @@
 	return time.Since(a.since)
 }
 
-// Gateway is the gateway inside, after Start.
+// Gateway returns the gateway that this process runs. Call it after Start.
 func (n *GatewayNode) Gateway() *gateway.Gateway { return n.gateway }
 
-// Start opens the listeners and begins to serve.
+// Start opens the listeners and starts serving. Errors name the setting that they concern.
 func (n *GatewayNode) Start() error {
 	s := n.Settings
 	if s.MemoryMB > 0 {
@@ -163,8 +163,8 @@
 	return nil
 }
 
-// serve opens a listener for a handler. net/http is used directly: go-zero's router can't pass every
-// path and method on untouched.
+// serve listens on an address and serves h there; states may be nil. It uses net/http directly because go-zero's
+// router cannot pass every path and method on unchanged.
 func (n *GatewayNode) serve(address string, h http.Handler, states func(net.Conn, http.ConnState)) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -180,6 +180,7 @@
 	return nil
 }
 
+// sweep closes expired idle connections periodically.
 func (n *GatewayNode) sweep(ctx context.Context) {
 	t := time.NewTicker(sweepConnections)
 	defer t.Stop()
@@ -193,9 +194,9 @@
 	}
 }
 
-// Stop is the planned stop: not ready at once, then every request runs to its end within the time
-// that the settings allow. It gives the requests that were cut. Idle connections of callers are not
-// closed before the end: a request may be arriving on one, and net/http would cut it under its handler.
+// Stop shuts the process down gracefully: it becomes not ready immediately, and running requests may finish within
+// the configured time. It returns the number of requests that were aborted. Idle connections of callers stay open
+// until the end, because net/http would abort a request that is just arriving on one.
 func (n *GatewayNode) Stop() int {
 	began := time.Now()
 	limit := time.Duration(n.Settings.StopWithin) - stopMargin
@@ -214,7 +215,7 @@
 	return cut
 }
 
-// Kill ends the process's work at once.
+// Kill closes all connections immediately; running requests are aborted.
 func (n *GatewayNode) Kill() { n.killed.Do(n.kill) }
 
 func (n *GatewayNode) kill() {
--- a/src/node/node.go
+++ b/src/node/node.go
@@ -1,4 +1,4 @@
-// Package node assembles one process: a box, its listeners and its adapters.
+// Package node assembles the parts of one process: a box or gateway, its listeners and its adapters.
 package node
 
 import (
@@ -33,20 +33,20 @@
 	"github.com/stilemast/stilemast/src/web"
 )
 
-// Limits of the callers' listener.
+// Limits of the callers' gRPC server.
 const (
-	maxMessage   = 2 << 20
-	maxStreams   = 4096
+	maxMessage   = 2 << 20 // bytes
+	maxStreams   = 4096    // concurrent streams of one connection
 	healthEvery  = 200 * time.Millisecond
-	callersGrace = 2 * time.Second // for open answers to reach callers at the end of a planned stop
+	callersGrace = 2 * time.Second // for open answers to reach callers at the end of a graceful shutdown
 )
 
-// Node is one process of stilemast. Set the exported fields before Start.
+// Node is one process that runs a box. Set the exported fields before Start.
 type Node struct {
 	Settings *config.Settings
 	Log      *slog.Logger
 	Release  string
-	Adjust   func(*box.Box) // changes the box before it starts; may be nil
+	Adjust   func(*box.Box) // modifies the box before it starts; may be nil
 
 	box     *box.Box
 	peers   *peer.Client
@@ -62,22 +62,22 @@
 	once    sync.Once
 }
 
-// Box is the box inside, after Start.
+// Box returns the box that this node runs. Call it after Start.
 func (n *Node) Box() *box.Box { return n.box }
 
-// CallersAddress is where callers and operators reach the node, after Start.
+// CallersAddress returns the address for callers and operators. Call it after Start.
 func (n *Node) CallersAddress() string { return n.callers.Addr().String() }
 
-// PeersAddress is where other boxes reach the node, after Start.
+// PeersAddress returns the address for other boxes. Call it after Start.
 func (n *Node) PeersAddress() string { return n.beats.Addr().String() }
 
-// Stopped closes when a planned stop has ended.
+// Stopped returns a channel that is closed when a graceful shutdown has completed.
 func (n *Node) Stopped() <-chan struct{} { return n.stopped }
 
-// PeerBytes counts the bytes sent to other boxes.
+// PeerBytes returns the number of bytes sent to other boxes.
 func (n *Node) PeerBytes() int64 { return n.peers.Sent.Load() }
 
-// Start opens the listeners and begins to serve.
+// Start opens the listeners and starts serving. Errors name the setting that they concern.
 func (n *Node) Start() error {
 	n.stopped = make(chan struct{})
 	serverTLS, clientTLS, err := loadTLS(n.Settings.TLS)
@@ -182,7 +182,7 @@
 	}()
 }
 
-// watchHealth keeps the standard health service in step with the box.
+// watchHealth publishes the readiness of the box in the gRPC health service.
 func (n *Node) watchHealth(ctx context.Context) {
 	defer n.done.Done()
 	t := time.NewTicker(healthEvery)
@@ -201,15 +201,15 @@
 	}
 }
 
-// beginStop starts the planned stop and gives the requests that run.
+// beginStop starts a graceful shutdown and returns the number of running requests.
 func (n *Node) beginStop() int {
 	running := n.box.Status().Running
 	go n.Stop()
 	return running
 }
 
-// Stop is the planned stop; it gives the requests that were cut, 0 after a clean one. A second call
-// waits for the first.
+// Stop shuts the node down gracefully and returns the number of requests that were aborted. Further calls wait for the
+// first and return 0.
 func (n *Node) Stop() int {
 	cut := 0
 	n.once.Do(func() {
@@ -224,7 +224,7 @@
 	return cut
 }
 
-// endCallers lets open answers reach their callers, for a bounded time.
+// endCallers waits up to callersGrace for open answers to reach their callers.
 func (n *Node) endCallers() {
 	ended := make(chan struct{})
 	go func() {
@@ -237,7 +237,7 @@
 	}
 }
 
-// Kill ends the node at once, as a lost process would, but for the memory it leaves behind.
+// Kill stops the node immediately, as a crash of the process would, except that its memory is not freed.
 func (n *Node) Kill() {
 	n.cancel()
 	n.grpc.Stop()
@@ -249,7 +249,8 @@
 	n.done.Wait()
 }
 
-// loadTLS reads the PEM files that the settings name; nil configurations mean plain TCP.
+// loadTLS reads the PEM files named by the settings. Without a certificate both configurations are nil, which means
+// plain TCP.
 func loadTLS(s config.TLSSettings) (server, client *tls.Config, err error) {
 	if s.Certificate == "" {
 		return nil, nil, nil
@@ -269,7 +270,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, nil, eris.New("tls.authority: holds no certificate")
+		return nil, nil, eris.New("tls.authority: no certificate found in the file")
 	}
 	server.ClientCAs, client.RootCAs = pool, pool
 	server.ClientAuth = tls.VerifyClientCertIfGiven
@@ -279,7 +280,7 @@
 	return server, client, nil
 }
 
-// peersTLS narrows a server's configuration to certificates of boxes.
+// peersTLS restricts a server's configuration to clients whose common name is listed in PeerNames, if there are any.
 func peersTLS(s config.TLSSettings, server *tls.Config) *tls.Config {
 	if server == nil || len(s.PeerNames) == 0 {
 		return server
@@ -289,12 +290,12 @@
 		if len(c.VerifiedChains) > 0 && slices.Contains(s.PeerNames, c.VerifiedChains[0][0].Subject.CommonName) {
 			return nil
 		}
-		return eris.New("not a box's certificate")
+		return eris.New("the certificate's common name is not in tls.peer_names")
 	}
 	return cfg
 }
 
-// backendTLS is how backend servers are called.
+// backendTLS returns the configuration for calls to backend servers, nil for plain TCP.
 func backendTLS(s config.TLSSettings, client *tls.Config) *tls.Config {
 	if !s.Backends {
 		return nil
@@ -302,10 +303,10 @@
 	return client
 }
 
-// logClock says at the start when sleeps of the machine can't be seen.
+// logClock warns if the clock cannot detect that the machine was suspended.
 func logClock(log *slog.Logger) {
 	clock.Now()
 	if err := clock.Err(); err != nil {
-		log.Warn("sleeps of the machine can't be seen", "cause", err.Error())
+		log.Warn("suspension of the machine cannot be detected", "cause", err.Error())
 	}
 }
