--- a/Makefile
+++ b/Makefile
@@ -6,7 +6,7 @@
 build:
 	$(GO) build -o stilemast .
 
-# Tests that fail for a known fault (KNOWN-RED.txt: "TestName: cause, issue") are printed and passed over.
+# Tests with a known failure (KNOWN-RED.txt: "TestName: cause, issue") are printed and skipped.
 KNOWN_RED = $(shell test -f KNOWN-RED.txt && sed -n 's/^\(Test[A-Za-z0-9_]*\):.*/\1/p' KNOWN-RED.txt | paste -sd '|' -)
 
 test:
@@ -30,11 +30,11 @@
 faults:
 	$(GO) test ./src/faults -run TestMatrix -update
 
-# More random histories than CI plays.
+# Runs more random histories than CI does.
 histories:
 	$(GO) test ./src/faults -run TestHistories -v -histories 2000 -timeout 30m | grep -v '^ *---\|^=== '
 
-# Each mechanism deleted in turn must make its test fail.
+# Mutation tests: disables each mechanism in turn and checks that its test fails.
 mutants:
 	scripts/mutants
 
@@ -49,13 +49,13 @@
 codes:
 	$(GO) test ./src/code -run TestPageIsCurrent -update
 
-# Processes on real sockets, one box killed, one paused, one stopped as planned; its verdict may vary
-# with the machine, so CI leaves it out.
+# Runs boxes as processes under load; one is killed, one paused, one shut down gracefully. Not part of CI because the
+# result depends on the machine.
 sockets:
 	scripts/sockets
 
-# Real processes before the stand-in of the platform, with signals, a store that goes away and engines
-# that fail; each seed takes about 15 s. CI plays one.
+# Soak test: real processes with a stand-in for the platform, signals, an unavailable store and failing engines. Each
+# seed takes about 15 s; CI runs one.
 SEEDS ?= 20
 FIRST ?= 1
 soak:
--- a/main.go
+++ b/main.go
@@ -1,4 +1,4 @@
-// Stilemast serves multi-stage model pipelines; see README.md.
+// Stilemast is a serving system for multi-stage model pipelines; see README.md.
 package main
 
 import (
--- a/src/cli/report.go
+++ b/src/cli/report.go
@@ -41,7 +41,7 @@
 
 func exampleCommand() *cli.Command {
 	return &cli.Command{
-		Name: "example", Usage: "print an example configuration: pageworks, giftenregister, or target (the largest supported size)", ArgsUsage: "NAME",
+		Name: "example", Usage: "print an example configuration: pageworks, giftenregister, or target (the intended deployment size)", ArgsUsage: "NAME",
 		Action: func(_ context.Context, c *cli.Command) error {
 			makers := map[string]func() *config.Document{
 				"pageworks": config.ExamplePageworks, "giftenregister": config.ExampleGiftenregister, "target": config.ExampleTarget,
--- a/src/configservice/client.go
+++ b/src/configservice/client.go
@@ -1,5 +1,5 @@
-// Package configservice reads the platform's configuration service and box list over HTTP. It never
-// writes: the platform's service takes no writes from the system.
+// Package configservice reads the configuration and the box list from the platform's service over HTTP. The service is
+// read-only for boxes.
 package configservice
 
 import (
@@ -23,39 +23,39 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// The paths that the platform serves.
+// Paths of the platform's service.
 const (
 	PathConfig = "/v1/config"
 	PathBoxes  = "/v1/boxes"
 )
 
-// WaitQuery names the milliseconds that a read may wait for a change.
+// WaitQuery is the query parameter for how many milliseconds a read may wait for a change.
 const WaitQuery = "wait_ms"
 
-// serviceName names the breaker that httpc looks up, which is switched off.
+// serviceName is the name of httpc's circuit breaker, which is disabled.
 const serviceName = "stilemast-platform"
 
-// Client reads from the platform's addresses, the next one after a failure.
+// Client reads from one of the platform's addresses and switches to the next one after a failure.
 type Client struct {
 	Addresses []string
-	Timeout   time.Duration
-	// Watch has the service hold a read of the configuration up to this long until it changes; 0 reads
-	// at once. The service counts a waiting read as one call.
+	Timeout   time.Duration // of one read, without the time that it waits for a change
+	// Watch is how long a read of the configuration may wait at the service for a change (long polling); 0 reads
+	// immediately. The service counts a waiting read as one call.
 	Watch time.Duration
 
 	http httpc.Service
-	turn atomic.Uint32
+	turn atomic.Uint32 // index of the current address, modulo their number
 	mu   sync.Mutex
-	seen map[string]seen // by path, without its query
+	seen map[string]seen // last responses by path, without the query
 }
 
-// seen is the last answer of a path, so that an unchanged one need not travel again.
+// seen is a cached response with its entity tag, so that an unchanged document is not transferred again.
 type seen struct {
 	tag  string
 	body []byte
 }
 
-// NewClient makes a client.
+// NewClient returns a client with the given timeout for each read.
 func NewClient(addresses []string, timeout time.Duration) *Client {
 	breaker.NoBreakerFor(serviceName)
 	t := &http.Transport{DialContext: (&net.Dialer{Timeout: timeout}).DialContext, MaxIdleConnsPerHost: 2}
@@ -65,10 +65,10 @@
 	}
 }
 
-// Ports gives the client's reads as the box wants them.
+// Ports returns the client's reads as the interface used by boxes.
 func (c *Client) Ports() port.Platform { return port.Platform{Config: c.Config, Boxes: c.Boxes} }
 
-// Config reads the published configuration.
+// Config reads the published configuration. If Watch is set, the read may wait for a change.
 func (c *Client) Config(ctx context.Context) ([]byte, error) {
 	if c.Watch == 0 {
 		return c.read(ctx, PathConfig, 0)
@@ -84,11 +84,12 @@
 		return l, err
 	}
 	if err := json.Unmarshal(b, &l); err != nil {
-		return l, code.New(code.PlatformFailed, "boxes", "not a box list: %v", err)
+		return l, code.New(code.PlatformFailed, "boxes", "invalid box list: %v", err)
 	}
 	return l, nil
 }
 
+// read fetches a path from the current address; wait is how long the service may hold the read.
 func (c *Client) read(ctx context.Context, path string, wait time.Duration) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout+wait)
 	defer cancel()
@@ -101,11 +102,11 @@
 	return b, nil
 }
 
-// get reads one path; an entity tag lets the service answer that nothing changed.
+// get fetches a path, conditionally if there is a cached response.
 func (c *Client) get(ctx context.Context, address, path string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
-		return nil, eris.Wrap(err, "request can't be made")
+		return nil, eris.Wrap(err, "create request")
 	}
 	document, _, _ := strings.Cut(path, "?")
 	c.mu.Lock()
@@ -116,18 +117,18 @@
 	}
 	resp, err := c.http.DoRequest(req)
 	if err != nil {
-		return nil, eris.Wrap(err, "no answer")
+		return nil, eris.Wrap(err, "send request")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusNotModified && last.tag != "" {
 		return last.body, nil
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, eris.Errorf("status %d", resp.StatusCode)
+		return nil, eris.Errorf("unexpected HTTP status %d", resp.StatusCode)
 	}
 	b, err := io.ReadAll(io.LimitReader(resp.Body, config.MaxBytes+1))
 	if err != nil {
-		return nil, eris.Wrap(err, "answer broke off")
+		return nil, eris.Wrap(err, "read response")
 	}
 	c.mu.Lock()
 	c.seen[document] = seen{tag: resp.Header.Get("ETag"), body: b}
--- a/src/load/report.go
+++ b/src/load/report.go
@@ -13,22 +13,22 @@
 	"github.com/stilemast/stilemast/src/standin"
 )
 
-// Report sums a run.
+// Report summarizes a run.
 type Report struct {
 	Requests  int            `json:"requests"`
-	Whole     int            `json:"whole"`
-	InTime    int            `json:"in_time"`
-	Weighted  float64        `json:"attainment_weighted"`
-	Lost      int            `json:"lost"`
-	Doubled   int            `json:"doubled"`
-	Misplaced int            `json:"misplaced"`
-	FalseNo   int            `json:"ran_after_not_run"`
+	Whole     int            `json:"whole"`               // complete and correct answers
+	InTime    int            `json:"in_time"`             // of them, within the deadline
+	Weighted  float64        `json:"attainment_weighted"` // share of requests in time, weighted by pipeline
+	Lost      int            `json:"lost"`                // accepted requests without a final answer, or answered without having run
+	Doubled   int            `json:"doubled"`             // non-repeatable calls that ran more than once
+	Misplaced int            `json:"misplaced"`           // answers that belong to another request
+	FalseNo   int            `json:"ran_after_not_run"`   // reported as not run, although something ran
 	ByKind    []KindReport   `json:"by_pipeline"`
 	ByStage   []StageReport  `json:"by_stage"`
 	Refusals  map[string]int `json:"refusals"`
 }
 
-// KindReport sums one pipeline.
+// KindReport summarizes one pipeline. Latencies are those of complete answers.
 type KindReport struct {
 	Pipeline string  `json:"pipeline"`
 	Requests int     `json:"requests"`
@@ -39,7 +39,7 @@
 	First95  float64 `json:"first_token_p95_ms"`
 }
 
-// StageReport sums one stage over all pipelines: what it consumed and how long calls waited.
+// StageReport summarizes one stage over all pipelines: the resources it consumed and how long its calls waited.
 type StageReport struct {
 	Stage     string  `json:"stage"`
 	Calls     int     `json:"calls"`
@@ -50,6 +50,7 @@
 	WaitP95   float64 `json:"wait_p95_ms"`
 }
 
+// histogram covers 1 µs to 1 h with three significant digits.
 func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 3_600_000_000, 3) }
 
 func milliseconds(h *hdrhistogram.Histogram, q float64) float64 {
@@ -58,9 +59,8 @@
 
 func record(h *hdrhistogram.Histogram, d time.Duration) { _ = h.RecordValue(max(1, d.Microseconds())) }
 
-// Judge sums results and holds them against what the stand-ins ran: an answer that is not the
-// request's own is misplaced, a call that may not be repeated and ran twice is doubled, an accepted
-// request without a final answer is lost, and a "not run" of something that ran is false.
+// Judge summarizes results and checks them against the calls that the stand-ins ran; Report lists the violations that
+// it counts.
 func Judge(results []Result, ran []standin.Ran) Report {
 	r := Report{Refusals: map[string]int{}}
 	onceRuns, anyRuns := countRuns(ran)
@@ -109,7 +109,7 @@
 	return r
 }
 
-// countRuns counts, for each key, the calls that may not be repeated and all calls.
+// countRuns counts the non-repeatable calls and all calls of each request key.
 func countRuns(ran []standin.Ran) (once, all map[string]int) {
 	once, all = map[string]int{}, map[string]int{}
 	for _, x := range ran {
@@ -191,7 +191,7 @@
 	return out
 }
 
-// Clean says whether nothing was lost, doubled, misplaced or falsely refused.
+// Clean reports whether no violation was found: nothing lost, doubled, misplaced or falsely reported as not run.
 func (r Report) Clean() bool { return r.Lost+r.Doubled+r.Misplaced+r.FalseNo == 0 }
 
 // Write prints the report as text.
--- a/src/load/run.go
+++ b/src/load/run.go
@@ -42,34 +42,34 @@
 		}))
 	}
 	conn, err := grpc.NewClient(address, opts...)
-	return conn, eris.Wrap(err, "box can't be dialled")
+	return conn, eris.Wrap(err, "dial box")
 }
 
 func withToken(ctx context.Context, token string) context.Context {
 	return metadata.AppendToOutgoingContext(ctx, "authorization", "Bearer "+token)
 }
 
-// Run drives boxes with a plan. Set its fields, then call Do.
+// Run sends the requests of a plan to boxes. Set its fields, then call Do.
 type Run struct {
 	Boxes      []string // callers' addresses
 	TLS        *tls.Config
 	Token      string
 	Plan       []Arrival
-	Duplicates float64 // share of requests that the balancer brings to a second box too
-	Progress   func(done, total int)
-	ComeBack   bool // callers whose box is lost come back with the same key at the next box
+	Duplicates float64               // share of requests that are also sent to a second box, as a load balancer may do
+	Progress   func(done, total int) // called after each answer; may be nil
+	ComeBack   bool                  // retry failed requests with the same key at the next box
 
 	mu      sync.Mutex
 	results []Result
 }
 
-// Result is what became of one request.
+// Result is the outcome of one request.
 type Result struct {
 	Arrival    Arrival
 	Key        string
 	Code       code.Code
 	Ran        code.Ran
-	Wrong      bool // a whole answer that is not this request's answer
+	Wrong      bool // complete, but not the answer to this request
 	Late       bool
 	Took       time.Duration
 	FirstToken time.Duration
@@ -77,10 +77,10 @@
 	Twin       bool // the second copy of a duplicated request
 }
 
-// patience is how long after its deadline a request may still be answered.
+// patience is how long the load tool waits for an answer after the request's maximum deadline.
 const patience = 30 * time.Second
 
-// Do sends every arrival at its time and waits for all answers.
+// Do sends each request at its arrival time and waits for all answers.
 func (r *Run) Do(ctx context.Context) ([]Result, error) {
 	clients := make([]pb.PipelinesClient, len(r.Boxes))
 	for i, a := range r.Boxes {
@@ -124,7 +124,7 @@
 func newKey() string {
 	id, err := uuid.NewV7()
 	if err != nil {
-		panic(err) // the system has no randomness left
+		panic(err) // the random number generator failed
 	}
 	return id.String()
 }
@@ -138,16 +138,16 @@
 	}
 }
 
-// The callers' patience with lost boxes.
+// Limits of the retries with ComeBack.
 const (
-	comeBackTries = 6
-	comeBackPause = 500 * time.Millisecond
+	comeBackTries = 6                      // retries after the first attempt
+	comeBackPause = 500 * time.Millisecond // between attempts
 )
 
-// persist sends a request, and where callers come back does so with the same key while that can help.
+// persist sends a request and, with ComeBack, retries it with the same key at other boxes while that may succeed.
 func (r *Run) persist(ctx context.Context, clients []pb.PipelinesClient, box int, a Arrival, key string) Result {
 	begun := time.Now()
-	var told Result // the last answer with a number, which tells more than a connection that broke
+	var told Result // the last answer with a result code, which says more than a broken connection
 	for try := 0; ; try++ {
 		res := r.send(ctx, clients[(box+try)%len(clients)], a, key)
 		again := res.Code == code.AnswerInterrupted || res.Code == code.Draining || res.Code == code.NotReady || res.Code.Entry().SameKey
@@ -166,7 +166,7 @@
 	}
 }
 
-// send makes one request and judges its answer.
+// send sends one request and checks its answer.
 func (r *Run) send(ctx context.Context, c pb.PipelinesClient, a Arrival, key string) Result {
 	res := Result{Arrival: a, Key: key}
 	deadline := a.Pipeline.Deadline()
@@ -189,6 +189,7 @@
 	return res
 }
 
+// outcomeOf returns the result code of an error and whether anything ran. An error without one is an interruption.
 func outcomeOf(err error) (code.Code, code.Ran) {
 	if d := rpc.ResultOf(err); d != nil {
 		return code.Code(d.GetCode()), code.Ran(d.GetRan())
@@ -196,16 +197,16 @@
 	return code.AnswerInterrupted, code.RanUnknown
 }
 
-// Answer is a whole answer.
+// Answer is a complete answer.
 type Answer struct {
 	Data   []byte
 	Stages []*pb.StageUse
-	Token  string
+	Token  string // attach token
 }
 
-var errCut = errors.New("the stream ended before the answer was whole")
+var errCut = errors.New("the stream ended before the answer was complete")
 
-// Collect reads a stream to its end; first is called when output begins.
+// Collect reads a stream until the answer is complete. first, if not nil, is called when output begins.
 func Collect(open func() (grpc.ServerStreamingClient[pb.RunEvent], error), first func()) (Answer, error) {
 	var a Answer
 	s, err := open()
@@ -228,7 +229,7 @@
 				first()
 			}
 			if int(e.Chunk.GetOffset()) != len(a.Data) {
-				return a, errors.New("a piece of the answer is out of place")
+				return a, errors.New("a chunk of the answer has an unexpected offset")
 			}
 			a.Data = append(a.Data, e.Chunk.GetData()...)
 		case *pb.RunEvent_Finished:
@@ -241,11 +242,11 @@
 	}
 }
 
-// Config builds the checked form of an example document, for planning a load.
+// Config validates a configuration document and returns the parsed configuration.
 func Config(d *config.Document) (*config.Config, error) {
 	raw, err := config.Marshal(d)
 	if err != nil {
-		return nil, eris.Wrap(err, "document can't be written")
+		return nil, eris.Wrap(err, "marshal document")
 	}
 	c, faults := config.Parse(raw)
 	if len(faults) > 0 {
@@ -254,19 +255,19 @@
 	return c, nil
 }
 
-// FetchRan asks every stand-in of a configuration what it ran.
+// FetchRan fetches the calls that the stand-ins of all backend servers ran.
 func FetchRan(ctx context.Context, c *config.Config) ([]standin.Ran, error) {
 	var all []standin.Ran
 	for _, b := range c.BackendServers() {
 		resp, err := httpc.Do(ctx, http.MethodGet, "http://"+b.Address()+standin.PathRan, nil)
 		if err != nil {
-			return nil, eris.Wrapf(err, "what %s ran", b.Name())
+			return nil, eris.Wrapf(err, "fetch calls that %s ran", b.Name())
 		}
 		var one []standin.Ran
 		err = json.NewDecoder(resp.Body).Decode(&one)
 		_ = resp.Body.Close()
 		if err != nil {
-			return nil, eris.Wrapf(err, "what %s ran", b.Name())
+			return nil, eris.Wrapf(err, "fetch calls that %s ran", b.Name())
 		}
 		all = append(all, one...)
 	}
--- a/src/load/workload.go
+++ b/src/load/workload.go
@@ -1,5 +1,4 @@
-// Package load drives boxes with the users' workloads, open-loop and bounded, and judges every
-// answer against what it must be.
+// Package load generates open-loop load on boxes from named workloads and checks every answer.
 package load
 
 import (
@@ -12,27 +11,27 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// Kind is one sort of request in a workload.
+// Kind is one type of request in a workload.
 type Kind struct {
 	Pipeline string
-	Share    float64 // of all requests
-	Prefix   int     // bytes of the input that come from a shared template
-	Own      int     // bytes of its own
-	Shared   int     // how many templates there are
+	Share    float64 // of all requests, 0 to 1
+	Prefix   int     // bytes of the input taken from a shared template
+	Own      int     // bytes of the input unique to the request
+	Shared   int     // number of templates in each workspace
 }
 
-// Workload is a mix of requests and how they come.
+// Workload is a mix of requests and their arrival pattern.
 type Workload struct {
 	Name  string
 	Kinds []Kind
 	// Crowd is the share of requests that come from the first two workspaces.
 	Crowd float64
-	// Burst multiplies the rate during the first quarter of every BurstEvery; 0 for none.
+	// Burst multiplies the rate during the first quarter of every BurstEvery; 0 means no bursts.
 	Burst      float64
 	BurstEvery time.Duration
 }
 
-// Workloads are the mixes the users describe.
+// Workloads are the available workloads by name.
 var Workloads = map[string]Workload{
 	"pageworks": {
 		Name: "pageworks", Crowd: 0.7, Burst: 2, BurstEvery: 8 * time.Second,
@@ -58,15 +57,16 @@
 
 // Arrival is one request of a plan.
 type Arrival struct {
-	N         int
+	N         int           // sequence number, from 0
 	At        time.Duration // since the start
 	Workspace string
 	Pipeline  *config.Pipeline
 	Input     []byte
-	Box       int // number of the box that the balancer picks
+	Box       int // index of the box that the load balancer picks
 }
 
-// Plan lays out the arrivals of a run: the same for the same seed, whatever serves them.
+// Plan generates the arrivals of a run with the given mean rate per second. They depend only on the arguments,
+// including the seed, and not on the boxes' behavior.
 func Plan(w Workload, c *config.Config, spaces []string, rate float64, length time.Duration, boxes int, seed uint64) []Arrival {
 	r := rand.New(rand.NewPCG(seed, 7))
 	var out []Arrival
@@ -85,7 +85,7 @@
 	}
 }
 
-// factor is the rate at a moment over the mean rate.
+// factor returns the rate at a point in time relative to the mean rate.
 func (w Workload) factor(at time.Duration) float64 {
 	if w.Burst == 0 {
 		return 1
@@ -97,6 +97,7 @@
 	return calm
 }
 
+// pick selects a kind by its share; x is uniform in [0, 1).
 func pick(kinds []Kind, x float64) Kind {
 	for _, k := range kinds {
 		if x < k.Share {
@@ -107,6 +108,7 @@
 	return kinds[len(kinds)-1]
 }
 
+// workspace returns the index of a random workspace of n.
 func workspace(r *rand.Rand, n int, crowd float64) int {
 	if n <= 2 || r.Float64() < crowd {
 		return r.IntN(min(n, 2))
@@ -114,7 +116,7 @@
 	return 2 + r.IntN(n-2)
 }
 
-// input makes a request's text: a shared template first, which caches can hold, then its own part.
+// input generates a request's input: a shared template, which prefix caches can reuse, followed by unique text.
 func input(k Kind, space string, r *rand.Rand) []byte {
 	var b strings.Builder
 	if k.Prefix > 0 {
@@ -124,6 +126,7 @@
 	return []byte(b.String())
 }
 
+// fill appends n bytes of repeated text.
 func fill(b *strings.Builder, text string, n int) {
 	for n > 0 {
 		part := text[:min(n, len(text))]
--- a/src/local/bench_test.go
+++ b/src/local/bench_test.go
@@ -16,8 +16,8 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// BenchmarkAddedTime compares three stage calls made at the stand-ins directly with the same three
-// through a box: the difference a stage is what the box adds.
+// BenchmarkAddedTime measures the latency that a box adds to each stage, by comparing calls of the stages directly at
+// the stand-ins with the same pipeline run through a box.
 func BenchmarkAddedTime(b *testing.B) {
 	s := &Set{Document: config.ExamplePageworks(), Boxes: 1, Log: slog.New(slog.DiscardHandler), Release: "bench"}
 	defer s.Close()
--- a/src/local/local.go
+++ b/src/local/local.go
@@ -1,5 +1,5 @@
-// Package local runs a whole deployment inside one process on loopback: the platform, engines,
-// services and boxes, each on sockets of its own. The demo, the load tool and socket tests use it.
+// Package local runs a complete deployment inside one process for demos, load tests and integration tests: the
+// platform, engines, services and boxes, connected by loopback sockets.
 package local
 
 import (
@@ -20,18 +20,19 @@
 	"github.com/stilemast/stilemast/src/web"
 )
 
+// anyPort is a loopback address with a free port.
 const anyPort = "127.0.0.1:0"
 
-// readyWait bounds how long the boxes of a set may take to become ready.
+// readyWait is the timeout for a deployment to become ready.
 const readyWait = 15 * time.Second
 
-// Set is one deployment. Set the exported fields before Start.
+// Set is one deployment. Fill in Document, Boxes, Log, Release and Adjust before Start.
 type Set struct {
-	Document *config.Document
-	Boxes    int
+	Document *config.Document // Start fills in the addresses of the backend servers
+	Boxes    int              // number of boxes to start
 	Log      *slog.Logger
 	Release  string
-	Adjust   func(*config.Settings) // changes a box's settings; may be nil
+	Adjust   func(*config.Settings) // modifies the settings of each box; may be nil
 
 	Platform *standin.Platform
 	Engines  map[string]*standin.Engine
@@ -43,7 +44,7 @@
 	servers []*http.Server
 }
 
-// Start brings everything up and waits until each box is ready.
+// Start starts the deployment and waits until all boxes and engines are ready.
 func (s *Set) Start() error {
 	logging.Adopt(s.Log)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -63,7 +64,7 @@
 	return s.waitReady()
 }
 
-// startBackends starts a stand-in for each server of the document and writes its address there.
+// startBackends starts a stand-in for each backend server of the document and stores its address there.
 func (s *Set) startBackends(ctx context.Context) error {
 	s.Engines, s.Services = map[string]*standin.Engine{}, map[string]*standin.Service{}
 	store := &standin.WeightStore{}
@@ -80,6 +81,7 @@
 	return nil
 }
 
+// startBackend creates the stand-in for a backend server: an engine if it has a model, else a service.
 func (s *Set) startBackend(ctx context.Context, d *config.BackendServerDoc, store *standin.WeightStore) (http.Handler, error) {
 	if d.Model == "" {
 		v := &standin.Service{Name: d.Name, Slots: d.Slots, Base: 10 * time.Millisecond}
@@ -96,11 +98,11 @@
 	return e.Handler()
 }
 
-// serve opens a loopback port for a handler and gives its address.
+// serve serves a handler on a loopback port and returns its address.
 func (s *Set) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", anyPort)
 	if err != nil {
-		return "", eris.Wrap(err, "stand-in can't listen")
+		return "", eris.Wrap(err, "listen for stand-in")
 	}
 	s.servers = append(s.servers, web.Start(l, h, nil))
 	return l.Addr().String(), nil
@@ -119,20 +121,20 @@
 	return err
 }
 
-// Publish shows the document as it stands now.
+// Publish publishes the current content of Document.
 func (s *Set) Publish() error {
 	raw, err := config.Marshal(s.Document)
 	if err != nil {
-		return eris.Wrap(err, "document can't be written")
+		return eris.Wrap(err, "marshal document")
 	}
 	s.Platform.Publish(raw)
 	return nil
 }
 
-// PlatformAddress is where the platform is served.
+// PlatformAddress returns the address of the platform's stand-in.
 func (s *Set) PlatformAddress() string { return s.address }
 
-// BoxSettings makes the settings of the i-th box.
+// BoxSettings returns the settings of the i-th box. Boxes are spread over the failure domains in turn.
 func (s *Set) BoxSettings(name string, i int) *config.Settings {
 	set := config.DefaultSettings()
 	set.Box = name
@@ -150,7 +152,7 @@
 	return &set
 }
 
-// StartBox starts one more box.
+// StartBox starts another box. Others do not know of it before ListBoxes.
 func (s *Set) StartBox(name string, i int) (*node.Node, error) {
 	n := &node.Node{Settings: s.BoxSettings(name, i), Log: s.Log, Release: s.Release}
 	if err := n.Start(); err != nil {
@@ -160,7 +162,7 @@
 	return n, nil
 }
 
-// ListBoxes shows the boxes as they are now on the platform's list.
+// ListBoxes publishes the box list with all boxes started so far.
 func (s *Set) ListBoxes() {
 	boxes := make([]core.ListedBox, len(s.Nodes))
 	for i, n := range s.Nodes {
@@ -169,19 +171,19 @@
 	s.Platform.SetBoxes(boxes)
 }
 
-// waitReady waits for the boxes, for the engines to hold their models, and for the window after
-// which the boxes can be homes of keys.
+// waitReady waits until the boxes are ready and the engines have loaded their models.
 func (s *Set) waitReady() error {
 	until := time.Now().Add(readyWait)
 	for !s.ready() {
 		if time.Now().After(until) {
-			return eris.New("the set did not become ready")
+			return eris.New("the deployment did not become ready in time")
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	return nil
 }
 
+// ready reports whether the boxes are ready and the engines have loaded their models.
 func (s *Set) ready() bool {
 	for _, n := range s.Nodes {
 		if !n.Box().Ready() {
@@ -196,7 +198,7 @@
 	return true
 }
 
-// Addresses lists where callers reach the boxes.
+// Addresses returns the boxes' addresses for callers.
 func (s *Set) Addresses() []string {
 	out := make([]string, len(s.Nodes))
 	for i, n := range s.Nodes {
@@ -205,7 +207,7 @@
 	return out
 }
 
-// Ran lists every call that any stand-in ran.
+// Ran returns all calls that the stand-ins ran.
 func (s *Set) Ran() []standin.Ran {
 	var out []standin.Ran
 	for _, e := range s.Engines {
@@ -217,7 +219,7 @@
 	return out
 }
 
-// Close ends everything at once.
+// Close stops all boxes and stand-ins immediately.
 func (s *Set) Close() {
 	for _, n := range s.Nodes {
 		n.Kill()
--- a/src/local/local_test.go
+++ b/src/local/local_test.go
@@ -36,7 +36,7 @@
 
 const goodToken = "lakeside-token"
 
-// startSet brings up two boxes on real sockets, with tokens for two workspaces.
+// startSet starts a deployment of two boxes. The token of a workspace is its name with the suffix "-token".
 func startSet(t *testing.T, adjust func(*config.Settings)) *Set {
 	t.Helper()
 	d := config.ExamplePageworks()
@@ -47,10 +47,10 @@
 	for i := range d.Workspaces {
 		d.Workspaces[i].TokensSHA256 = hash(d.Workspaces[i].Name + "-token")
 	}
-	for i := range d.Pipelines { // a busy machine must not fail the tests
+	for i := range d.Pipelines { // so that a busy machine does not fail the tests
 		d.Pipelines[i].Deadline *= 10
 	}
-	d.Workspaces[0].EntryIn = []string{"nw-3"} // no box stands there
+	d.Workspaces[0].EntryIn = []string{"nw-3"} // a failure domain without a box
 	s := &Set{Document: d, Boxes: 2, Log: slog.New(slog.DiscardHandler), Release: "test"}
 	s.Adjust = func(b *config.Settings) {
 		b.Callers.Anyone, b.Operators.Anyone = false, false
@@ -80,7 +80,8 @@
 	return load.Collect(func() (grpc.ServerStreamingClient[pb.RunEvent], error) { return c.Run(ctx, r) }, nil)
 }
 
-// Bad input gets its own number, says that nothing ran, and leaves everything else running.
+// Each kind of invalid request must get its own error code, report that nothing ran, run no call and not affect later
+// requests.
 func TestBadInputOverTheWire(t *testing.T) {
 	s := startSet(t, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -122,7 +123,7 @@
 			t.Errorf("%s: %d calls ran", c.name, n)
 		}
 		if strings.Contains(err.Error(), "a photo") {
-			t.Errorf("%s: the error shows the request's content", c.name)
+			t.Errorf("%s: the error contains the request's input", c.name)
 		}
 	}
 	if _, err := runOnce(ctx, pb.NewPipelinesClient(dial(t, address, nil, goodToken)), good()); err != nil {
@@ -177,7 +178,7 @@
 	}
 }
 
-// certificates writes an authority and a pair for the box and for a caller.
+// certificates writes a certificate authority and key pairs signed by it for a box and a caller.
 func certificates(t *testing.T, dir string) {
 	t.Helper()
 	authorityKey := newKey(t)
@@ -226,6 +227,7 @@
 	}
 }
 
+// heardAll reports whether every box has received a heartbeat from every other one.
 func heardAll(s *Set) bool {
 	for _, n := range s.Nodes {
 		for _, m := range n.Box().Status().Members {
@@ -248,14 +250,14 @@
 	})
 	for until := time.Now().Add(10 * time.Second); !heardAll(s); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("the boxes don't hear each other over TLS")
+			t.Fatal("the boxes receive no heartbeats over TLS")
 		}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	r := &pb.RunRequest{Workspace: "lakeside", Pipeline: "caption", Input: []byte("x")}
 	if _, err := runOnce(ctx, pb.NewPipelinesClient(dial(t, s.Addresses()[0], nil, goodToken)), r); err == nil {
-		t.Error("plain TCP was taken")
+		t.Error("a caller on plain TCP was accepted")
 	}
 	roots := x509.NewCertPool()
 	b, err := os.ReadFile(filepath.Join(dir, "ca.pem"))
@@ -263,7 +265,7 @@
 		t.Fatal(err)
 	}
 	if _, err := runOnce(ctx, pb.NewPipelinesClient(dial(t, s.Addresses()[0], &tls.Config{RootCAs: roots}, goodToken)), r); err == nil {
-		t.Error("a caller without a certificate was taken")
+		t.Error("a caller without a certificate was accepted")
 	}
 	pair, err := tls.LoadX509KeyPair(filepath.Join(dir, "caller.pem"), filepath.Join(dir, "caller.key"))
 	if err != nil {
@@ -276,15 +278,15 @@
 	client := peer.NewClient(cfg)
 	defer client.Close()
 	if _, err := client.Ask(ctx, s.Nodes[0].PeersAddress(), port.Question{Renounce: &port.Renounce{}}); err == nil {
-		t.Error("a caller's certificate was taken on the peers' listener")
+		t.Error("a caller's certificate was accepted on the peers' listener")
 	}
 	if _, err := runOnce(ctx, pb.NewPipelinesClient(dial(t, s.Addresses()[0], cfg, "")), r); rpc.ResultOf(err) == nil {
-		t.Errorf("a certificate that no workspace lists: %v", err)
+		t.Errorf("a certificate that no workspace lists was accepted: %v", err)
 	}
 }
 
-// A watching reader waits at the service, which counts one call for it, and hears of a change at once;
-// an unchanged document does not travel again.
+// A client with Watch set must get a change by the single call that waits at the service. An unchanged document must
+// not be transferred again.
 func TestWatchOfTheConfiguration(t *testing.T) {
 	d := config.ExamplePageworks()
 	s := &Set{Document: d, Boxes: 0, Log: slog.New(slog.DiscardHandler)}
@@ -300,7 +302,7 @@
 	}
 	again, err := c.Config(ctx)
 	if err != nil || &again[0] != &first[0] {
-		t.Errorf("an unchanged document travelled again: %v", err)
+		t.Errorf("an unchanged document was transferred again: %v", err)
 	}
 	c.Watch = 20 * time.Second
 	before := s.Platform.Calls()
@@ -309,7 +311,7 @@
 		b, _ := c.Config(ctx)
 		got <- b
 	}()
-	for s.Platform.Calls() == before { // until the watch has come
+	for s.Platform.Calls() == before { // until the service has got the watch
 		time.Sleep(time.Millisecond)
 	}
 	d.Version++
@@ -318,7 +320,7 @@
 	}
 	conf, faults := config.Parse(<-got)
 	if len(faults) > 0 || conf.Version() != 2 {
-		t.Errorf("the watch gave %v", faults)
+		t.Errorf("faults of the watched configuration: %v", faults)
 	}
 	if n := s.Platform.Calls() - before; n != 1 {
 		t.Errorf("the watch counted as %d calls", n)
--- a/src/logging/logging.go
+++ b/src/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging writes JSON lines through log/slog, go-zero's own messages among them.
+// Package logging writes the process's log as JSON lines with log/slog, including go-zero's messages.
 package logging
 
 import (
@@ -8,8 +8,8 @@
 	"github.com/zeromicro/go-zero/core/logx"
 )
 
-// New makes a logger of JSON lines at a level ("debug", "info", "warn", "error"); an unknown level
-// means info.
+// New returns a logger that writes JSON lines of at least the given level ("debug", "info", "warn", "error"). An unknown
+// level means info.
 func New(w io.Writer, level string) *slog.Logger {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(level)); err != nil {
@@ -18,18 +18,18 @@
 	return slog.New(slog.NewJSONHandler(w, &slog.HandlerOptions{Level: l}))
 }
 
-// Adopt sends go-zero's own messages, errors and worse, through a logger. Its line for every HTTP
-// exchange and its periodic statistics stay off: metrics tell them better. go-zero sets its log up
-// once only, so that doing it here keeps its components from doing it later.
+// Adopt redirects go-zero's messages of severity error and above to a logger. Its access log and periodic statistics
+// stay off because metrics cover them. go-zero sets up its log only once, so its components cannot undo this later.
 func Adopt(l *slog.Logger) {
 	_ = logx.SetUp(logx.LogConf{Mode: "console", Encoding: "json", Level: "severe"})
 	logx.DisableStat()
 	logx.SetWriter(&adopted{log: l.With("from", "go-zero")})
 }
 
-// adopted is go-zero's writer over a slog logger.
+// adopted implements logx.Writer, go-zero's log output, with a slog logger.
 type adopted struct{ log *slog.Logger }
 
+// attrs converts go-zero's log fields to slog arguments.
 func attrs(fields []logx.LogField) []any {
 	out := make([]any, 0, 2*len(fields))
 	for _, f := range fields {
--- a/src/logging/stream.go
+++ b/src/logging/stream.go
@@ -7,15 +7,14 @@
 	"time"
 )
 
-// Tunables of the stream.
+// Limits of a Stream.
 const (
-	streamBytes = 256 << 10 // held until they are written; what comes beyond is left out and counted
-	streamPace  = 100 * time.Millisecond
+	streamBytes = 256 << 10              // buffer size; lines that do not fit are dropped and counted
+	streamPace  = 100 * time.Millisecond // delay that collects lines for one write
 )
 
-// Stream is a writer that never blocks: lines are held and written in larger pieces by a goroutine
-// of its own. Lines that come while too many bytes are held, because nobody reads, are left out; a
-// line says how many.
+// Stream is a buffered writer that never blocks: a goroutine writes the buffered lines in larger pieces. Lines that
+// arrive while the buffer is full, because the reader of Out is stalled, are dropped; a log line reports how many.
 type Stream struct {
 	Out io.Writer
 
@@ -27,14 +26,14 @@
 	closed  bool
 }
 
-// NewStream begins to write to out.
+// NewStream returns a Stream that writes to out.
 func NewStream(out io.Writer) *Stream {
 	s := &Stream{Out: out, wake: make(chan struct{}, 1), ended: make(chan struct{})}
 	go s.run()
 	return s
 }
 
-// Write holds one line.
+// Write buffers or drops one line. It never returns an error.
 func (s *Stream) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,13 +49,14 @@
 	return len(line), nil
 }
 
-// Dropped counts the lines left out since they were last told of.
+// Dropped returns the number of lines dropped since the last report of dropped lines.
 func (s *Stream) Dropped() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.dropped
 }
 
+// run writes the buffered lines until wake is closed.
 func (s *Stream) run() {
 	defer close(s.ended)
 	var out []byte
@@ -65,7 +65,7 @@
 		s.mu.Lock()
 		out, s.held = s.held, out[:0]
 		if s.dropped > 0 {
-			out = fmt.Appendf(out, `{"time":%q,"level":"WARN","msg":"log lines left out","count":%d}`+"\n", time.Now().Format(time.RFC3339Nano), s.dropped)
+			out = fmt.Appendf(out, `{"time":%q,"level":"WARN","msg":"log lines dropped","count":%d}`+"\n", time.Now().Format(time.RFC3339Nano), s.dropped)
 			s.dropped = 0
 		}
 		s.mu.Unlock()
@@ -73,7 +73,7 @@
 	}
 }
 
-// Close writes what is held, for a bounded time.
+// Close writes the buffered lines; it gives up if the pending writes do not complete within the given time.
 func (s *Stream) Close(within time.Duration) {
 	s.mu.Lock()
 	if s.closed {
--- a/src/logging/stream_test.go
+++ b/src/logging/stream_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// stalled is a reader of the log that does not read until it is let go.
+// stalled is a writer that blocks until it is released.
 type stalled struct {
 	mu     sync.Mutex
 	got    bytes.Buffer
@@ -27,7 +27,7 @@
 	return s.got.Write(b)
 }
 
-// A reader that stops reading holds nobody up; what is left out is counted and told of.
+// If nobody reads the log, writes must not block and memory must stay bounded; dropped lines are counted and reported.
 func TestAStalledReaderHoldsNobodyUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &stalled{letGo: make(chan struct{}), called: make(chan struct{})}
@@ -42,21 +42,21 @@
 			}
 		}
 		if took := time.Since(began); took > 0 {
-			t.Errorf("writing beside a stalled reader took %s", took)
+			t.Errorf("writes blocked for %s", took)
 		}
 		dropped := s.Dropped()
 		if dropped < 700 {
-			t.Errorf("%d lines were left out, so that memory is not bounded", dropped)
+			t.Errorf("only %d lines were dropped: memory is not bounded", dropped)
 		}
 		close(out.letGo)
 		time.Sleep(time.Second)
 		s.Close(time.Second)
 		text := out.got.String()
-		if want := fmt.Sprintf(`"msg":"log lines left out","count":%d`, dropped); !strings.Contains(text, want) {
-			t.Errorf("%d lines were left out and not told of", dropped)
+		if want := fmt.Sprintf(`"msg":"log lines dropped","count":%d`, dropped); !strings.Contains(text, want) {
+			t.Errorf("%d lines were dropped but not reported", dropped)
 		}
 		if n := strings.Count(text, "xx\n"); n+dropped != 1001 {
-			t.Errorf("%d lines written and %d left out of 1001", n, dropped)
+			t.Errorf("%d lines written and %d dropped of 1001", n, dropped)
 		}
 	})
 }
--- a/src/metrics/gateway.go
+++ b/src/metrics/gateway.go
@@ -12,7 +12,7 @@
 	"github.com/stilemast/stilemast/src/gateway"
 )
 
-// GatewaySet is the metrics of one gateway. Labels are pipelines, pools, results and outcomes.
+// GatewaySet holds the metrics of one gateway. Labels are pipelines, pools, results and outcomes.
 type GatewaySet struct {
 	registry  *prometheus.Registry
 	ended     *prometheus.CounterVec
@@ -35,7 +35,7 @@
 	restored  prometheus.Counter
 }
 
-// NewGateway makes an empty set.
+// NewGateway returns an empty set.
 func NewGateway() *GatewaySet {
 	s := &GatewaySet{
 		registry:  prometheus.NewRegistry(),
@@ -66,7 +66,7 @@
 	return s
 }
 
-// Watcher gives the hooks through which a gateway fills the set.
+// Watcher returns the hooks by which a gateway updates the set.
 func (s *GatewaySet) Watcher() gateway.Watcher {
 	return gateway.Watcher{
 		Ended: func(pipeline, result string, took, first time.Duration) {
@@ -100,7 +100,8 @@
 	}
 }
 
-// Handler serves the metrics with gauges of what a gateway holds, read when scraped.
+// Handler serves the metrics. It adds gauges of the gateway's state, which are read at each scrape, so it must be
+// called only once. dials returns the number of connections opened to servers.
 func (s *GatewaySet) Handler(g *gateway.Gateway, dials func() int64) http.Handler {
 	gauge := func(name, help string, read func() float64) {
 		s.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "stilemast_gateway_" + name, Help: help}, read))
--- a/src/metrics/metrics.go
+++ b/src/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics keeps the box's Prometheus metrics. Labels are pipelines, classes, pools, codes
-// and failures: their number is the configuration's and never grows with requests or workspaces.
+// Package metrics provides the Prometheus metrics of boxes and gateways. Labels are pipelines, classes, pools, codes
+// and failures, so that their number depends on the configuration but not on requests or workspaces.
 package metrics
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/stilemast/stilemast/src/web"
 )
 
-// Set is one box's metrics.
+// Set holds the metrics of one box.
 type Set struct {
 	registry *prometheus.Registry
 	ended    *prometheus.CounterVec
@@ -31,9 +31,10 @@
 	reads    *prometheus.CounterVec
 }
 
+// buckets are the upper bounds of the histograms, 1 ms to 33 s.
 var buckets = prometheus.ExponentialBuckets(0.001, 2, 16)
 
-// New makes an empty set.
+// New returns an empty set.
 func New() *Set {
 	s := &Set{
 		registry: prometheus.NewRegistry(),
@@ -59,7 +60,7 @@
 	return prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "stilemast_" + name, Help: help, Buckets: buckets}, labels)
 }
 
-// Watcher gives the hooks through which a box fills the set.
+// Watcher returns the hooks by which a box updates the set.
 func (s *Set) Watcher() box.Watcher {
 	return box.Watcher{
 		Ended: func(p *config.Pipeline, err *code.Error, took, firstOut time.Duration) {
@@ -89,7 +90,7 @@
 	}
 }
 
-// WatchBox adds gauges of what a box holds, read when scraped.
+// WatchBox adds gauges of the box's state, which are read at each scrape. Call it only once.
 func (s *Set) WatchBox(b *box.Box) {
 	gauge := func(name, help string, read func(box.Status) float64) {
 		s.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "stilemast_" + name, Help: help},
@@ -103,7 +104,7 @@
 	gauge("config_confirmed_age_seconds", "Age of the last confirmation.", func(st box.Status) float64 { return st.Config.Age.Seconds() })
 }
 
-// Handler serves the metrics and the box's health.
+// Handler serves the metrics, and the box's liveness and readiness checks.
 func (s *Set) Handler(b *box.Box) (http.Handler, error) {
 	return web.Handler([]rest.Route{
 		{Method: http.MethodGet, Path: "/metrics", Handler: promhttp.HandlerFor(s.registry, promhttp.HandlerOpts{}).ServeHTTP},
--- a/src/pack/pack.go
+++ b/src/pack/pack.go
@@ -1,5 +1,5 @@
-// Package pack compresses the documents that boxes hand one another, as the difference to an earlier
-// version where the other side has that.
+// Package pack compresses the documents that boxes send each other, as the difference to an earlier version if the
+// receiver has one.
 package pack
 
 import (
@@ -9,11 +9,11 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// dictionary is the id under which the earlier version serves as zstd's dictionary.
+// dictionary is the ID of the zstd dictionary, for which the earlier version is used.
 const dictionary = 1
 
-// Pack compresses a document; base, if given, is an earlier version that the other side has, so that
-// only the difference travels. The same arguments give the same bytes.
+// Pack compresses a document. base, if not nil, is an earlier version that the receiver has; then the result contains
+// only the difference to it. The result is deterministic.
 func Pack(raw, base []byte) []byte {
 	opts := []zstd.EOption{zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(2 * config.MaxBytes), zstd.WithEncoderLevel(zstd.SpeedBetterCompression)}
 	if base != nil {
@@ -27,8 +27,8 @@
 	return enc.EncodeAll(raw, nil)
 }
 
-// Unpack undoes Pack within bounded memory; base is nil when the whole document was packed. With a base
-// other than the one that Pack was given it gives the right document or an error: the packed one carries a checksum.
+// Unpack reverses Pack with bounded memory. base is nil if the document was packed without one. With a base other than
+// the one given to Pack, it returns the correct document or an error, because the packed form contains a checksum.
 func Unpack(packed, base []byte) ([]byte, error) {
 	opts := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(8 * config.MaxBytes)}
 	if base != nil {
@@ -36,9 +36,9 @@
 	}
 	dec, err := zstd.NewReader(nil, opts...)
 	if err != nil {
-		return nil, eris.Wrap(err, "can't unpack")
+		return nil, eris.Wrap(err, "unpack")
 	}
 	defer dec.Close()
 	raw, err := dec.DecodeAll(packed, nil)
-	return raw, eris.Wrap(err, "can't unpack")
+	return raw, eris.Wrap(err, "unpack")
 }
--- a/src/port/port.go
+++ b/src/port/port.go
@@ -1,5 +1,5 @@
-// Package port holds the messages that cross the box's boundary: calls to backend servers, reads of
-// the platform, questions between boxes. Adapters and stand-ins share them; the box sees only them.
+// Package port defines the interfaces and messages between a box and the outside: calls to backend servers, reads of
+// the platform and messages between boxes. Adapters and stand-ins implement them.
 package port
 
 import (
@@ -15,17 +15,17 @@
 	"github.com/stilemast/stilemast/src/crasher"
 )
 
-// CallRequest is one attempt as a backend server sees it. It is the published form of the
-// engines' and services' HTTP interface.
+// CallRequest is one attempt of a stage, as sent to a backend server. It is the public HTTP interface of engines and
+// services.
 type CallRequest struct {
 	Attempt   string   `json:"attempt"`
 	Kind      string   `json:"kind"`
 	Input     []byte   `json:"input"`
-	Continue  []byte   `json:"continue,omitempty"` // output the caller already holds
+	Continue  []byte   `json:"continue,omitempty"` // output that the caller already has
 	Offset    int      `json:"offset,omitempty"`
 	MaxTokens int      `json:"max_tokens,omitempty"`
-	Priority  int      `json:"priority,omitempty"` // lower goes first
-	Salt      string   `json:"salt,omitempty"`     // separates caches between workspaces
+	Priority  int      `json:"priority,omitempty"` // lower values are more urgent
+	Salt      string   `json:"salt,omitempty"`     // isolates the caches of workspaces from each other
 	Prefix    []uint64 `json:"prefix,omitempty"`
 	Model     string   `json:"model,omitempty"`
 	Adapter   string   `json:"adapter,omitempty"`
@@ -33,7 +33,7 @@
 	Resume    bool     `json:"resume,omitempty"`
 }
 
-// CallResult is the end of a call that succeeded.
+// CallResult is the result of a successful call.
 type CallResult struct {
 	Output []byte   `json:"output,omitempty"`
 	Length int      `json:"length"`
@@ -41,35 +41,36 @@
 	Use    core.Use `json:"use"`
 }
 
-// CallError is a call that went wrong.
+// CallError describes a failed call.
 type CallError struct {
 	Failure core.Failure
 	Message string
-	Refused bool // no process listens at the server's address
-	// Rest is for how long the server wants nothing from this box, as it said with a failure Busy; 0 for no word.
+	Refused bool // the connection was refused: no process listens at the server's address
+	// Rest is for how long the server wants no calls from this box (Retry-After), 0 if it named no time. It comes with
+	// the failure Busy only.
 	Rest time.Duration
 }
 
 // Error implements error.
 func (e *CallError) Error() string { return e.Failure.String() + ": " + e.Message }
 
-// BoxList is the platform's list of boxes. Revision rises with each change.
+// BoxList is the platform's list of boxes. Revision increases with each change.
 type BoxList struct {
 	Revision uint64           `json:"revision" msgpack:"r"`
 	Boxes    []core.ListedBox `json:"boxes" msgpack:"b"`
 }
 
-// Backends are the calls to backend servers.
+// Backends are the calls that a box makes to backend servers.
 type Backends struct {
-	// Call runs one attempt; emit gets each piece of a streamed output, in order.
+	// Call runs one attempt; emit receives the pieces of a streamed output in order.
 	Call func(ctx context.Context, b *config.BackendServer, r CallRequest, emit func(offset int, data []byte)) (CallResult, *CallError)
-	// Stop cancels an attempt; it may have ended already.
+	// Stop cancels an attempt, which may have ended already.
 	Stop func(ctx context.Context, b *config.BackendServer, attempt string)
-	// Load fetches a load report.
+	// Load fetches the server's load report.
 	Load func(ctx context.Context, b *config.BackendServer) (core.Report, error)
-	// Events fetches cache events after a sequence number.
+	// Events fetches the cache events after a sequence number.
 	Events func(ctx context.Context, b *config.BackendServer, after uint64) ([]core.CacheEvent, error)
-	// Order sends a fenced order.
+	// Order sends an order with a fencing token, for example to load a model.
 	Order func(ctx context.Context, b *config.BackendServer, o core.Order) error
 }
 
@@ -81,33 +82,34 @@
 	Boxes func(ctx context.Context) (BoxList, error)
 }
 
-// Peers are the messages between boxes.
+// Peers are the messages that a box sends to other boxes.
 type Peers struct {
-	// Beat sends a heartbeat and does not wait.
+	// Beat sends a heartbeat without waiting; it may be lost.
 	Beat func(address string, b core.Beat)
-	// Batch sends a message on jobs of pieces and does not wait; it may be lost.
+	// Batch sends a message about batched work without waiting; it may be lost.
 	Batch func(address string, m batch.Message)
-	// Ask sends a question and waits for its answer. The error is ErrNotConnected when no byte left.
+	// Ask sends a question and waits for its answer. The error is a NotConnected if no byte was sent.
 	Ask func(ctx context.Context, address string, q Question) (Answer, error)
-	// Forward sends a request to the box that must run it and gives each event of its answer.
+	// Forward sends a request to the box that must run it; emit receives the events of its answer.
 	Forward func(ctx context.Context, address string, f Forward, emit func(ForwardEvent)) error
 }
 
-// NotConnected is the error of a message of which no byte left this box.
+// NotConnected is the error of a message of which no byte was sent, so that the other box cannot have acted on it.
 type NotConnected struct{ Cause error }
 
 // Error implements error.
 func (e *NotConnected) Error() string { return "not connected: " + e.Cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *NotConnected) Unwrap() error { return e.Cause }
 
-// Forward is a request, or an attach when Attach is set, for the box that holds or must run it.
+// Forward passes a request on to the box that must run it or, if Attach is set, reattaches to the answer of a request
+// at the box that holds it.
 type Forward struct {
 	From      core.BoxID    `msgpack:"f"`
 	Attach    bool          `msgpack:"t"`
 	Key       core.Key      `msgpack:"k"`
-	Holder    core.BoxID    `msgpack:"h"` // the incarnation meant; zero for a caller's own key
+	Holder    core.BoxID    `msgpack:"h"` // the intended incarnation; zero for a key made by the caller
 	Workspace string        `msgpack:"w"`
 	Pipeline  string        `msgpack:"p"`
 	Input     []byte        `msgpack:"i"`
@@ -116,26 +118,26 @@
 	MaxTokens int           `msgpack:"m"`
 }
 
-// ForwardEvent is one message of a forwarded answer; exactly one field is set.
+// ForwardEvent is one event in the answer to a Forward; exactly one field is set.
 type ForwardEvent struct {
 	Accepted *Accepted `msgpack:"a"`
 	Chunk    *Chunk    `msgpack:"c"`
 	End      *End      `msgpack:"e"`
 }
 
-// Accepted tells where a request runs.
+// Accepted reports that a request runs, how to reattach to it, and the version of the configuration it runs under.
 type Accepted struct {
 	Token         core.AttachToken `msgpack:"t"`
 	ConfigVersion uint64           `msgpack:"v"`
 }
 
-// Chunk is a piece of the answer.
+// Chunk is a piece of the answer at a byte offset.
 type Chunk struct {
 	Offset int    `msgpack:"o"`
 	Data   []byte `msgpack:"d"`
 }
 
-// End is the final answer: Err nil means that the answer is whole.
+// End completes the answer. If Err is nil, the answer is complete and has Length bytes.
 type End struct {
 	Err       *code.Error     `msgpack:"e"`
 	MayRepeat bool            `msgpack:"m"`
@@ -143,21 +145,21 @@
 	Uses      []core.StageUse `msgpack:"u"`
 }
 
-// Interrupted is an answer of another box that broke off on its way.
+// Interrupted is the error of an answer from another box that was only received in part.
 type Interrupted struct {
-	Got, Want int // bytes of it
+	Got, Want int // in bytes
 	Cause     error
 }
 
 // Error implements error.
 func (e *Interrupted) Error() string {
-	return fmt.Sprintf("%d of %d bytes came: %v", e.Got, e.Want, e.Cause)
+	return fmt.Sprintf("received %d of %d bytes: %v", e.Got, e.Want, e.Cause)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *Interrupted) Unwrap() error { return e.Cause }
 
-// Question is what boxes ask one another; exactly one field is set.
+// Question is a request from one box to another; exactly one field is set.
 type Question struct {
 	Pull     *Pull          `msgpack:"p"`
 	Renounce *Renounce      `msgpack:"r"`
@@ -169,7 +171,7 @@
 	Permits  *AskPermits    `msgpack:"l,omitempty"`
 }
 
-// Answer answers a Question; the field of the same name is set, or Err.
+// Answer is the response to a Question: the field that belongs to the question's is set, or Err.
 type Answer struct {
 	Pull      *Pulled     `msgpack:"p"`
 	Renounced bool        `msgpack:"r"`
@@ -182,13 +184,14 @@
 	Err       *code.Error `msgpack:"e"`
 }
 
-// Documents that boxes pull from one another.
+// Names of the documents that boxes pull from each other.
 const (
 	DocumentConfig = "config"
 	DocumentList   = "list"
 )
 
-// Pull asks for a document. Have names the version the asker holds, so that a difference may do.
+// Pull asks for a version of a document. HaveDigest is the digest of the version that the asker has, to which the
+// answer may be a difference.
 type Pull struct {
 	Document   string `msgpack:"o"`
 	Version    uint64 `msgpack:"v"`
@@ -196,7 +199,8 @@
 	HaveDigest string `msgpack:"h"`
 }
 
-// Pulled is a packed document; Base is the digest it is a difference to, or "".
+// Pulled is a compressed document (package pack). If Base is not "", it is the difference to the document with that
+// digest.
 type Pulled struct {
 	Version uint64 `msgpack:"v"`
 	Digest  string `msgpack:"d"`
@@ -204,97 +208,99 @@
 	Packed  []byte `msgpack:"p"`
 }
 
-// Renounce asks a box to promise that a key never ran and never will run there.
+// Renounce asks a box to confirm that a request key never ran there and never will.
 type Renounce struct {
 	Key core.Key `msgpack:"k"`
-	// For names a closed incarnation whose successor is asked on its behalf.
+	// For is the stopped incarnation on whose behalf its successor is asked.
 	For core.BoxID `msgpack:"f"`
 }
 
-// Cancel asks the holder to stop a request.
+// Cancel asks the box that runs a request to stop it.
 type Cancel struct {
 	Key       core.Key   `msgpack:"k"`
 	Holder    core.BoxID `msgpack:"h"`
 	Workspace string     `msgpack:"w"`
 }
 
-// Handover gives ended entries of a stopping box to its successor; Last closes it.
+// Handover transfers the records of completed requests from a stopping box to its successor. Last marks the final
+// message.
 type Handover struct {
 	From    core.BoxID    `msgpack:"f"`
 	Records []core.Record `msgpack:"r"`
 	Last    bool          `msgpack:"l"`
 }
 
-// Suspects tells a box of contents under which servers ended, whose ends it adds up; the answer has what it knows of them.
+// Suspects reports request contents during which servers ended to the box that counts them. The answer contains what
+// that box knows of these contents.
 type Suspects struct {
 	From  string         `msgpack:"f"`
 	Notes []crasher.Note `msgpack:"n"`
 }
 
-// AskPermits asks the coordinator of a server with a limit for permits there (package quota).
+// AskPermits asks the coordinator of a rate-limited server for permits to send requests to it (package quota).
 type AskPermits struct {
 	From     string         `msgpack:"f"`
 	Pool     string         `msgpack:"p"`
-	Limit    core.LimitNote `msgpack:"l"`           // as the asker knows it
-	Known    time.Duration  `msgpack:"k"`           // for how long
-	Patience time.Duration  `msgpack:"w"`           // within which the first permit must begin
-	Wants    int            `msgpack:"n"`           // permits
-	Passed   []string       `msgpack:"o,omitempty"` // boxes before the coordinator that know no limits
-	Silent   string         `msgpack:"s,omitempty"` // the coordinator, which did not answer
+	Limit    core.LimitNote `msgpack:"l"`           // as known to the asker
+	Known    time.Duration  `msgpack:"k"`           // for how long the asker has known the limit
+	Patience time.Duration  `msgpack:"w"`           // within which the first permit must become valid
+	Wants    int            `msgpack:"n"`           // number of permits
+	Passed   []string       `msgpack:"o,omitempty"` // boxes that come before the coordinator but do not support limits
+	Silent   string         `msgpack:"s,omitempty"` // the regular coordinator, if it did not answer
 }
 
-// Permits are the permits that a coordinator grants.
+// Permits are the permits granted by a coordinator.
 type Permits struct {
-	Coordinator string         `msgpack:"k,omitempty"` // the box that coordinates the server, where it is another
+	Coordinator string         `msgpack:"k,omitempty"` // the box that coordinates the server, if it is another one
 	N           int            `msgpack:"n"`
-	Begin       time.Duration  `msgpack:"b"` // until they begin
-	Next        time.Duration  `msgpack:"x"` // until the asker need ask again
-	Limit       core.LimitNote `msgpack:"l"` // as the coordinator knows it
+	Begin       time.Duration  `msgpack:"b"` // until they become valid
+	Next        time.Duration  `msgpack:"x"` // until the asker has to ask again
+	Limit       core.LimitNote `msgpack:"l"` // as known to the coordinator
 }
 
-// Versions asks what a box holds, or tells it.
+// Versions states which versions of the configuration and the box list a box has, and asks the other one for its own.
 type Versions struct {
 	Config core.Statement `msgpack:"c"`
 	List   core.Statement `msgpack:"l"`
 }
 
-// PullPublished asks for what the platform publishes for opaque requests: DocumentConfig for the
-// catalog, DocumentServers for the backend servers.
+// PullPublished asks for a document that the platform publishes for gateways: DocumentConfig for the catalog,
+// DocumentServers for the list of backend servers.
 type PullPublished struct {
 	Document string   `msgpack:"o"`
 	From     string   `msgpack:"f,omitempty"` // the asker, for logs
-	Held     []string `msgpack:"h,omitempty"` // digests that the asker holds or held, the newest first
-	// Offset is how much of the packed document with the sum Sum the asker has; 0 begins.
+	Held     []string `msgpack:"h,omitempty"` // digests of versions that the asker has or had, newest first
+	// Offset is how many bytes of the compressed document with checksum Sum the asker already has.
 	Offset int    `msgpack:"n,omitempty"`
 	Sum    uint64 `msgpack:"u,omitempty"`
 }
 
-// DocumentServers names the list of backend servers.
+// DocumentServers is the name of the list of backend servers.
 const DocumentServers = "servers"
 
-// Published is a document as of a revision of the platform's store.
+// Published answers a PullPublished: a document as of a revision of the platform's store, a part of it, or Busy.
 type Published struct {
 	AsOf    uint64           `msgpack:"a"`
 	Digest  string           `msgpack:"d"`
 	Servers []catalog.Server `msgpack:"s"`
-	// Since is set when only the difference to a list that the asker holds or held is given.
+	// Since is set if the answer is only the difference to a list that the asker has or had.
 	Since *catalog.Difference `msgpack:"i"`
-	Base  string              `msgpack:"b"` // digest of what a difference is to, "" for a whole document
+	Base  string              `msgpack:"b"` // digest that a difference applies to, "" for a complete document
 	Part  *Part               `msgpack:"p,omitempty"`
 	Busy  *Busy               `msgpack:"y,omitempty"`
-	Era   uint64              `msgpack:"e,omitempty"` // from which AsOf and the revisions of servers count, 0 where the sender knows none
+	Era   uint64              `msgpack:"e,omitempty"` // era of the store that AsOf and the servers' revisions belong to, 0 if unknown to the sender
 }
 
-// Part is some bytes of a packed catalog (package pack).
+// Part is a range of a compressed catalog (package pack).
 type Part struct {
 	Bytes  []byte `msgpack:"b"`
 	Offset int    `msgpack:"n"`
-	Size   int    `msgpack:"z"` // of the whole packed document
-	Sum    uint64 `msgpack:"u"` // hash of the whole packed document
+	Size   int    `msgpack:"z"` // of the complete compressed document, in bytes
+	Sum    uint64 `msgpack:"u"` // checksum of the complete compressed document
 }
 
-// Busy says that a box has promised others as much as its link carries for now.
+// Busy says that a box cannot send a document now because other transfers use up its link.
 type Busy struct {
-	For     time.Duration `msgpack:"f"` // until it takes more
-	Holders []string      `msgpack:"h"` // boxes that it gave the same document lately
+	For     time.Duration `msgpack:"f"` // until it accepts further requests
+	Holders []string      `msgpack:"h"` // boxes that recently got the same document from it
 }
--- a/src/signals/signals.go
+++ b/src/signals/signals.go
@@ -1,9 +1,9 @@
-// Package signals holds the signals that ask this process to stop, from before any other code of it runs.
+// Package signals catches the signals that ask this process to stop, from before any other package is initialized.
 //
-// A library that the program uses takes SIGTERM over while packages are initialized and does nothing with it; one that
-// came between that and a later Notify of ours was lost, and the process ran on. Packages are initialized in the order of
-// their import paths, those without imports of their own first, so this one imports nothing but the standard library:
-// before its turn SIGTERM ends the process, and after it the signal waits in the channel.
+// A library that the program uses subscribes to SIGTERM while packages are initialized, but does not act on it. A signal
+// that arrived between that and our own signal.Notify would be lost and the process would keep running. Packages are
+// initialized in the order of their import paths, those whose imports are initialized first, so this package imports only
+// the standard library: before its initialization SIGTERM ends the process, afterwards the signal is queued.
 package signals
 
 import (
@@ -12,15 +12,15 @@
 	"syscall"
 )
 
-// waiting is how many signals may come before somebody looks: a planned stop and the second signal that cuts it.
+// waiting is the number of signals that can be queued: one for a graceful shutdown and a second one to abort it.
 const waiting = 2
 
 var stops = make(chan os.Signal, waiting)
 
 func init() { signal.Notify(stops, syscall.SIGTERM, os.Interrupt) }
 
-// Release leaves SIGTERM and SIGINT to whoever else takes them, for commands that know no planned stop. One that came
-// before ends the process as if it had come later.
+// Release stops catching SIGTERM and SIGINT, for commands without a graceful shutdown. A signal that is already queued
+// is sent to the process again.
 func Release() {
 	signal.Stop(stops)
 	select {
@@ -32,5 +32,5 @@
 	}
 }
 
-// Stops gives the signals that ask for a stop, those that came since the process started among them.
+// Stops returns the channel of signals that ask for a shutdown, including those queued since the process started.
 func Stops() <-chan os.Signal { return stops }
--- a/src/web/web.go
+++ b/src/web/web.go
@@ -1,6 +1,5 @@
-// Package web serves HTTP through go-zero's router on a listener of the caller's choice. Everything
-// in go-zero's rest that would decide in the system's place (shedding, breakers, time-outs, limits
-// on connections) is off.
+// Package web serves HTTP with go-zero's router on a given listener. go-zero's own overload protection (load shedding,
+// circuit breakers, timeouts, connection limits) is off, because boxes make these decisions themselves.
 package web
 
 import (
@@ -13,24 +12,24 @@
 	"github.com/zeromicro/go-zero/rest"
 )
 
-// headerWait bounds how long a client may take over its headers.
+// headerWait is the timeout for reading request headers.
 const headerWait = 5 * time.Second
 
-// Handler makes one handler of routes.
+// Handler returns a handler that dispatches requests to routes.
 func Handler(routes []rest.Route) (http.Handler, error) {
 	s, err := rest.NewServer(rest.RestConf{Host: "127.0.0.1"})
 	if err != nil {
-		return nil, eris.Wrap(err, "router can't be made")
+		return nil, eris.Wrap(err, "create router")
 	}
 	s.AddRoutes(routes)
 	inner, err := rest.NewServerless(s)
 	if err != nil {
-		return nil, eris.Wrap(err, "routes can't be bound")
+		return nil, eris.Wrap(err, "bind routes")
 	}
 	return http.HandlerFunc(inner.Serve), nil
 }
 
-// Start serves a handler until the server is closed; cfg may be nil.
+// Start serves a handler on l in the background until the returned server is closed. cfg is nil for plain HTTP.
 func Start(l net.Listener, h http.Handler, cfg *tls.Config) *http.Server {
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: headerWait, TLSConfig: cfg}
 	go func() {
