--- a/src/cli/cli.go
+++ b/src/cli/cli.go
@@ -18,8 +18,8 @@
 	"github.com/stilemast/stilemast/src/signals"
 )
 
-// serveName is the command whose process handles stop signals by a graceful shutdown.
-const serveName = "serve"
+// serveCommandName is the command whose process handles stop signals by a graceful shutdown.
+const serveCommandName = "serve"
 
 // Release is the version of the program, as shown by --version and reported to operators.
 const Release = "0.1.0"
@@ -35,7 +35,7 @@
 
 // Main runs the command line and returns the exit code. The adapter connects gateways to a platform.
 func Main(args []string, adapter node.Adapter) int {
-	if len(args) < 2 || args[1] != serveName {
+	if len(args) < 2 || args[1] != serveCommandName {
 		signals.Release()
 	}
 	logging.Adopt(logger("warn"))
--- a/src/cli/serve.go
+++ b/src/cli/serve.go
@@ -23,7 +23,7 @@
 
 func serveCommand(adapter node.Adapter) *cli.Command {
 	return &cli.Command{
-		Name:  serveName,
+		Name:  serveCommandName,
 		Usage: "run one box; SIGTERM shuts it down gracefully, a second one immediately",
 		Flags: []cli.Flag{&cli.StringFlag{Name: "settings", Aliases: []string{"s"}, Usage: "TOML `FILE` with the box's settings", Sources: cli.EnvVars("STILEMAST_CONFIG"), Required: true}},
 		Action: func(_ context.Context, c *cli.Command) error {
