--- a/src/port/port.go
+++ b/src/port/port.go
@@ -258,7 +258,7 @@
 	Limit       core.LimitNote `msgpack:"l"` // as known to the coordinator
 }
 
-// Versions states which versions of the configuration and the box list a box has, and asks the other one for its own.
+// Versions are the versions of the configuration and the box list that a box has.
 type Versions struct {
 	Config core.Statement `msgpack:"c"`
 	List   core.Statement `msgpack:"l"`
