--- a/src/cli/account.go
+++ b/src/cli/account.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		return err
 	}
-	account(os.Stdout, outcomes(lines), worths)
+	writeLossReport(os.Stdout, outcomes(lines), worths)
 	return nil
 }
 
@@ -106,9 +106,9 @@
 	return v
 }
 
-// account writes the share of the requests' total value that was lost, by pipeline and cause. The earned share and
+// writeLossReport writes the share of the requests' total value that was lost, by pipeline and cause. The earned share and
 // the lost shares sum to 100 %.
-func account(w io.Writer, all []outcome, worths map[string]worth) {
+func writeLossReport(w io.Writer, all []outcome, worths map[string]worth) {
 	type row struct {
 		outcome
 		count  int
--- a/src/cli/account_test.go
+++ b/src/cli/account_test.go
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	account(&out, outcomes(lines), worths)
+	writeLossReport(&out, outcomes(lines), worths)
 	want := `requests 3  earned 50.00% of what they were worth
    lost   count  pipeline      cause
  30.00%       1  draft         late, longest: stage in encode
