--- a/src/cli/account.go
+++ b/src/cli/account.go
@@ -14,8 +14,8 @@
 	"github.com/stilemast/stilemast/src/code"
 )
 
-// writeAccount runs `why --account`: it reports how much of the requests' total value was lost, by cause.
-func writeAccount(c *cli.Command) error {
+// runAccount runs `why --account`: it reports how much of the requests' total value was lost, by cause.
+func runAccount(c *cli.Command) error {
 	worths, err := parseWorths(c.StringSlice("worth"))
 	if err != nil {
 		return err
--- a/src/cli/trace.go
+++ b/src/cli/trace.go
@@ -141,7 +141,7 @@
 		},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Bool("account") {
-				return writeAccount(c)
+				return runAccount(c)
 			}
 			lines, err := readLogs(c.StringSlice("log"), func(l *logLine) bool {
 				return l.text("msg") == "request ended" && l.text("result") != "answered"
