--- a/src/cli/account.go
+++ b/src/cli/account.go
@@ -16,7 +16,7 @@
 
 // runAccount runs `why --account`: it reports how much of the requests' total value was lost, by cause.
 func runAccount(c *cli.Command) error {
-	worths, err := parseWorths(c.StringSlice("worth"))
+	worths, err := parseAnswerValues(c.StringSlice("worth"))
 	if err != nil {
 		return err
 	}
@@ -33,8 +33,8 @@
 // worth is the value of one answer of a pipeline when it is in time and when it is late.
 type worth struct{ inTime, late float64 }
 
-// parseWorths parses values of the form PIPELINE=IN_TIME or PIPELINE=IN_TIME:LATE, keyed by pipeline.
-func parseWorths(list []string) (map[string]worth, error) {
+// parseAnswerValues parses values of the form PIPELINE=IN_TIME or PIPELINE=IN_TIME:LATE, keyed by pipeline.
+func parseAnswerValues(list []string) (map[string]worth, error) {
 	out := map[string]worth{}
 	for _, text := range list {
 		name, figures, ok := strings.Cut(text, "=")
--- a/src/cli/account_test.go
+++ b/src/cli/account_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	worths, err := parseWorths([]string{"draft=4:1", "tag=2"})
+	worths, err := parseAnswerValues([]string{"draft=4:1", "tag=2"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,7 +39,7 @@
 
 func TestWorthsThatAreNoFiguresAreRefused(t *testing.T) {
 	for _, bad := range []string{"draft", "=4", "draft=x", "draft=4:x", "draft=-1"} {
-		if _, err := parseWorths([]string{bad}); err == nil || !strings.Contains(err.Error(), "worth") {
+		if _, err := parseAnswerValues([]string{bad}); err == nil || !strings.Contains(err.Error(), "worth") {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
