--- a/src/cli/account.go
+++ b/src/cli/account.go
@@ -30,16 +30,16 @@
 	return nil
 }
 
-// worth is the value of one answer of a pipeline when it is in time and when it is late.
-type worth struct{ inTime, late float64 }
+// answerValue is the value of one answer of a pipeline when it is in time and when it is late.
+type answerValue struct{ inTime, late float64 }
 
 // parseAnswerValues parses values of the form PIPELINE=IN_TIME or PIPELINE=IN_TIME:LATE, keyed by pipeline.
-func parseAnswerValues(list []string) (map[string]worth, error) {
-	out := map[string]worth{}
+func parseAnswerValues(list []string) (map[string]answerValue, error) {
+	out := map[string]answerValue{}
 	for _, text := range list {
 		name, figures, ok := strings.Cut(text, "=")
 		first, second, two := strings.Cut(figures, ":")
-		w := worth{}
+		w := answerValue{}
 		var err, errLate error
 		w.inTime, err = strconv.ParseFloat(first, 64)
 		if two {
@@ -108,7 +108,7 @@
 
 // writeLossReport writes the share of the requests' total value that was lost, by pipeline and cause. The earned share and
 // the lost shares sum to 100 %.
-func writeLossReport(w io.Writer, all []outcome, worths map[string]worth) {
+func writeLossReport(w io.Writer, all []outcome, worths map[string]answerValue) {
 	type row struct {
 		outcome
 		count  int
@@ -119,7 +119,7 @@
 	for _, f := range all {
 		v, ok := worths[f.pipeline]
 		if !ok {
-			v = worth{inTime: 1}
+			v = answerValue{inTime: 1}
 		}
 		r := rows[f]
 		if r == nil {
