--- a/src/cli/account.go
+++ b/src/cli/account.go
@@ -75,7 +75,7 @@
 		id := l.text("request")
 		switch l.text("msg") {
 		case "stage made":
-			took := l.figure("took_ms") + l.figure("held_ms")
+			took := l.number("took_ms") + l.number("held_ms")
 			stages[id] += took
 			note(id, "stage in "+l.text("pool"), took)
 		case "request ended":
@@ -86,11 +86,11 @@
 			switch {
 			case l.text("result") != "answered":
 				f.cause = l.text("result") + ": " + withoutNumbers(l.text("cause"))
-			case l.figure("first_ms") <= l.figure("objective_ms"):
+			case l.number("first_ms") <= l.number("objective_ms"):
 				f.inTime = true
 				f.cause = "in time"
 			default:
-				note(id, "first output", l.figure("first_ms")-stages[id])
+				note(id, "first output", l.number("first_ms")-stages[id])
 				f.late = true
 				f.cause = "late, longest: " + part[id]
 			}
@@ -100,8 +100,8 @@
 	return out
 }
 
-// figure returns the number stored under key, or 0 if there is none.
-func (l *logLine) figure(key string) float64 {
+// number returns the number stored under key, or 0 if there is none.
+func (l *logLine) number(key string) float64 {
 	v, _ := l.fields[key].(float64)
 	return v
 }
