--- a/src/cli/call.go
+++ b/src/cli/call.go
@@ -144,7 +144,7 @@
 // embeddedLoad drives a deployment that runs inside this process.
 func embeddedLoad(ctx context.Context, c *cli.Command) error {
 	name := c.String("workload")
-	doc, boxes := exampleOf(name)
+	doc, boxes := exampleDocument(name)
 	set := &local.Set{Document: doc, Boxes: boxes, Log: slog.New(slog.DiscardHandler), Release: Release}
 	set.Adjust = func(s *config.Settings) { s.Policy.Placement = c.String("policy") }
 	defer set.Close()
--- a/src/cli/demo.go
+++ b/src/cli/demo.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// exampleOf returns the example configuration of a workload and the number of its boxes.
-func exampleOf(name string) (*config.Document, int) {
+// exampleDocument returns the example configuration of a workload and the number of its boxes.
+func exampleDocument(name string) (*config.Document, int) {
 	if name == "giftenregister" {
 		return config.ExampleGiftenregister(), 7
 	}
@@ -54,7 +54,7 @@
 
 // demo runs one workload on an embedded deployment, writes a report and returns whether all checks passed.
 func demo(ctx context.Context, w io.Writer, name string, rate float64, length time.Duration, verbose bool) (bool, error) {
-	doc, boxes := exampleOf(name)
+	doc, boxes := exampleDocument(name)
 	log := slog.New(slog.DiscardHandler)
 	if verbose {
 		log = logger("info")
--- a/src/cli/experiment.go
+++ b/src/cli/experiment.go
@@ -72,7 +72,7 @@
 					}
 					rows = append(rows, experiment.Row{Workload: w, Load: percent / 100, Fault: f.Name, Policy: p.Name})
 					for i := range c.Int("seeds") {
-						doc, boxes := exampleOf(w)
+						doc, boxes := exampleDocument(w)
 						if n := c.Int("boxes"); n > 0 {
 							boxes = n
 						}
