--- a/src/cli/call.go
+++ b/src/cli/call.go
@@ -156,7 +156,7 @@
 	if err != nil {
 		return err
 	}
-	plan := load.Plan(load.Workloads[name], conf, spacesFor(doc), c.Float("rate"), c.Duration("time"), boxes, c.Uint64("seed"))
+	plan := load.Plan(load.Workloads[name], conf, workspacesForAnyBox(doc), c.Float("rate"), c.Duration("time"), boxes, c.Uint64("seed"))
 	run := &load.Run{Boxes: set.Addresses(), Plan: plan, Duplicates: c.Float("duplicates"), Progress: progress()}
 	results, err := run.Do(ctx)
 	if err != nil {
--- a/src/cli/demo.go
+++ b/src/cli/demo.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		return false, err
 	}
-	plan := load.Plan(load.Workloads[name], conf, spacesFor(doc), rate, length, boxes, 1)
+	plan := load.Plan(load.Workloads[name], conf, workspacesForAnyBox(doc), rate, length, boxes, 1)
 	run := &load.Run{Boxes: set.Addresses(), Plan: plan, Duplicates: 0.1}
 	results, err := run.Do(ctx)
 	if err != nil {
@@ -90,8 +90,8 @@
 	return ok, nil
 }
 
-// spacesFor lists the workspaces that may enter in every failure domain, so that any box can take their requests.
-func spacesFor(d *config.Document) []string {
+// workspacesForAnyBox lists the workspaces that may enter in every failure domain, so that any box can take their requests.
+func workspacesForAnyBox(d *config.Document) []string {
 	var out []string
 	for _, w := range d.Workspaces {
 		if len(w.EntryIn) == len(d.FailureDomains) {
