--- a/src/cli/demo.go
+++ b/src/cli/demo.go
@@ -80,7 +80,7 @@
 	}
 	report := load.Judge(results, set.Ran())
 	report.Write(w)
-	kinds := writeRan(w, set.Ran())
+	kinds := writeCallCounts(w, set.Ran())
 	ok := report.Clean() && report.Whole > 0 && kinds["encode"] > 0 && kinds["retrieve"] > 0 && kinds["rerank"] > 0 && kinds["generate"] > 0
 	verdict := "no request lost, run twice or answered with another's result"
 	if !ok {
@@ -101,8 +101,8 @@
 	return out
 }
 
-// writeRan prints and returns the number of calls that the stand-ins recorded, by kind.
-func writeRan(w io.Writer, ran []standin.Ran) map[string]int {
+// writeCallCounts prints and returns the number of calls that the stand-ins recorded, by kind.
+func writeCallCounts(w io.Writer, ran []standin.Ran) map[string]int {
 	kinds := map[string]int{}
 	for _, r := range ran {
 		kinds[r.Kind]++
