--- a/src/cli/demo.go
+++ b/src/cli/demo.go
@@ -30,7 +30,7 @@
 		Action: func(ctx context.Context, c *cli.Command) error {
 			clean := true
 			for _, name := range []string{"pageworks", "giftenregister"} {
-				ok, err := demo(ctx, os.Stdout, name, c.Float("rate"), c.Duration("time"), c.Bool("verbose"))
+				ok, err := runDemo(ctx, os.Stdout, name, c.Float("rate"), c.Duration("time"), c.Bool("verbose"))
 				if err != nil {
 					return err
 				}
@@ -52,8 +52,8 @@
 	return config.ExamplePageworks(), 6
 }
 
-// demo runs one workload on an embedded deployment, writes a report and returns whether all checks passed.
-func demo(ctx context.Context, w io.Writer, name string, rate float64, length time.Duration, verbose bool) (bool, error) {
+// runDemo runs one workload on an embedded deployment, writes a report and returns whether all checks passed.
+func runDemo(ctx context.Context, w io.Writer, name string, rate float64, length time.Duration, verbose bool) (bool, error) {
 	doc, boxes := exampleDocument(name)
 	log := slog.New(slog.DiscardHandler)
 	if verbose {
