--- a/src/cli/experiment.go
+++ b/src/cli/experiment.go
@@ -63,11 +63,11 @@
 				return nil, nil, eris.Errorf("loads: %q is not a percentage", l)
 			}
 			for _, f := range experiment.Faults() {
-				if !wanted(c.String("faults"), f.Name) {
+				if !listContains(c.String("faults"), f.Name) {
 					continue
 				}
 				for _, p := range experiment.Policies() {
-					if !wanted(c.String("policies"), p.Name) {
+					if !listContains(c.String("policies"), p.Name) {
 						continue
 					}
 					rows = append(rows, experiment.Row{Workload: w, Load: percent / 100, Fault: f.Name, Policy: p.Name})
@@ -88,7 +88,7 @@
 	return rows, cases, nil
 }
 
-// wanted reports whether name is in the comma-separated list, or the list is "all".
-func wanted(list, name string) bool {
+// listContains reports whether name is in the comma-separated list, or the list is "all".
+func listContains(list, name string) bool {
 	return list == "all" || slices.Contains(strings.Split(list, ","), name)
 }
