--- a/src/cli/gateway.go
+++ b/src/cli/gateway.go
@@ -16,8 +16,8 @@
 	"github.com/stilemast/stilemast/src/signals"
 )
 
-// logPatience bounds how long an exiting process waits for its last log lines to be written.
-const logPatience = 200 * time.Millisecond
+// logFlushTimeout bounds how long an exiting process waits for its last log lines to be written.
+const logFlushTimeout = 200 * time.Millisecond
 
 // serveGateway runs a process that serves opaque requests until a signal stops it.
 func serveGateway(path string, adapter node.Adapter) error {
@@ -26,7 +26,7 @@
 		return err
 	}
 	stream := logging.NewStream(os.Stdout)
-	defer stream.Close(logPatience)
+	defer stream.Close(logFlushTimeout)
 	level := &slog.LevelVar{}
 	setLevel(level, s.LogLevel)
 	log := slog.New(slog.NewJSONHandler(stream, &slog.HandlerOptions{Level: level})).With("box", s.Box)
