--- a/src/cli/call.go
+++ b/src/cli/call.go
@@ -68,13 +68,13 @@
 				return err
 			}
 			defer conn.Close()
-			return stream(ctx, pb.NewPipelinesClient(conn), c)
+			return streamAnswer(ctx, pb.NewPipelinesClient(conn), c)
 		},
 	}
 }
 
-// stream writes the answer to standard output as it arrives, and its key and attach token to standard error.
-func stream(ctx context.Context, client pb.PipelinesClient, c *cli.Command) error {
+// streamAnswer writes the answer to standard output as it arrives, and its key and attach token to standard error.
+func streamAnswer(ctx context.Context, client pb.PipelinesClient, c *cli.Command) error {
 	s, err := openStream(ctx, client, c)
 	if err != nil {
 		return err
