--- a/src/cli/operate.go
+++ b/src/cli/operate.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// operate wraps do in a command action that connects to the operations API of a box.
-func operate(do func(context.Context, pb.OperationsClient, *cli.Command) error) cli.ActionFunc {
+// operationsAction wraps do in a command action that connects to the operations API of a box.
+func operationsAction(do func(context.Context, pb.OperationsClient, *cli.Command) error) cli.ActionFunc {
 	return func(ctx context.Context, c *cli.Command) error {
 		cfg, err := clientTLS(c)
 		if err != nil {
@@ -100,7 +100,7 @@
 	return &cli.Command{
 		Name: "plan", Usage: "show what a configuration would change compared with the one active at a box", ArgsUsage: "FILE",
 		Flags: boxFlags(),
-		Action: operate(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
+		Action: operationsAction(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
 			raw, err := os.ReadFile(c.Args().First())
 			if err != nil {
 				return eris.Wrap(err, "configuration")
@@ -134,7 +134,7 @@
 func statusCommand() *cli.Command {
 	return &cli.Command{
 		Name: "status", Usage: "show the state that a box knows, with the age of each item", Flags: boxFlags(),
-		Action: operate(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
+		Action: operationsAction(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
 			r, err := ops.Status(ctx, &pb.StatusRequest{})
 			if err != nil {
 				return err
@@ -181,7 +181,7 @@
 func drainCommand() *cli.Command {
 	return &cli.Command{
 		Name: "drain", Usage: "start the graceful shutdown of a box", Flags: boxFlags(),
-		Action: operate(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
+		Action: operationsAction(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
 			r, err := ops.Drain(ctx, &pb.DrainRequest{})
 			if err != nil {
 				return err
@@ -195,7 +195,7 @@
 func explainCommand() *cli.Command {
 	return &cli.Command{
 		Name: "explain", Usage: "show how each stage of a recent request was placed", ArgsUsage: "KEY", Flags: boxFlags(),
-		Action: operate(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
+		Action: operationsAction(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
 			r, err := ops.Explain(ctx, &pb.ExplainRequest{Key: c.Args().First()})
 			if err != nil {
 				return err
@@ -221,7 +221,7 @@
 func costCommand() *cli.Command {
 	return &cli.Command{
 		Name: "cost", Usage: "show the resources that each stage consumed at a box", Flags: boxFlags(),
-		Action: operate(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
+		Action: operationsAction(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
 			r, err := ops.CostByStage(ctx, &pb.CostByStageRequest{})
 			if err != nil {
 				return err
--- a/src/cli/report.go
+++ b/src/cli/report.go
@@ -16,7 +16,7 @@
 	return &cli.Command{
 		Name: "burn", Usage: "show the burn rate of the service levels' error budgets at a box",
 		Flags: append(boxFlags(), &cli.StringFlag{Name: "plot", Usage: "also write a plot to a PNG `FILE`"}),
-		Action: operate(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
+		Action: operationsAction(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
 			r, err := ops.Burn(ctx, &pb.BurnRequest{})
 			if err != nil {
 				return err
