--- a/src/cli/operate.go
+++ b/src/cli/operate.go
@@ -150,7 +150,7 @@
 func printStatus(r *pb.StatusReply) error {
 	fmt.Printf("box %s (incarnation %d, release %s): ready %t, draining %t\n", r.GetBox(), r.GetIncarnation(), r.GetVersion(), r.GetReady(), r.GetDraining())
 	fmt.Printf("configuration %d (%s), confirmed %s ago; box list confirmed %s ago\n", r.GetConfigVersion(), r.GetConfigDigest(),
-		brief(r.GetConfigConfirmedAge().AsDuration()), brief(r.GetListConfirmedAge().AsDuration()))
+		formatAge(r.GetConfigConfirmedAge().AsDuration()), formatAge(r.GetListConfirmedAge().AsDuration()))
 	if v := r.GetConfigConflictVersion(); v > 0 {
 		fmt.Printf("CONFLICT: version %d was published again with other content\n", v)
 	}
@@ -161,17 +161,17 @@
 	w := table()
 	fmt.Fprintln(w, "BOX\tFAILURE DOMAIN\tSTATE\tLISTED\tHEARD\tVERSION")
 	for _, m := range r.GetMembers() {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%t\t%s ago\t%d\n", m.GetBox(), m.GetFailureDomain(), m.GetState(), m.GetListed(), brief(m.GetAge().AsDuration()), m.GetConfigVersion())
+		fmt.Fprintf(w, "%s\t%s\t%s\t%t\t%s ago\t%d\n", m.GetBox(), m.GetFailureDomain(), m.GetState(), m.GetListed(), formatAge(m.GetAge().AsDuration()), m.GetConfigVersion())
 	}
 	fmt.Fprintln(w, "\nBACKEND SERVER\tFAILURE DOMAIN\tSTATE\tIN FLIGHT\tWINDOW\tREPORT\tERRORS")
 	for _, b := range r.GetBackendServers() {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s ago\t%.0f%%\n", b.GetBackendServer(), b.GetFailureDomain(), b.GetState(), b.GetInFlight(), b.GetWindow(), brief(b.GetReportAge().AsDuration()), 100*b.GetErrorShare())
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s ago\t%.0f%%\n", b.GetBackendServer(), b.GetFailureDomain(), b.GetState(), b.GetInFlight(), b.GetWindow(), formatAge(b.GetReportAge().AsDuration()), 100*b.GetErrorShare())
 	}
 	return w.Flush()
 }
 
-// brief formats a duration in milliseconds precision; negative ones mean that the event has not happened yet.
-func brief(d time.Duration) string {
+// formatAge formats a duration in milliseconds precision; negative ones mean that the event has not happened yet.
+func formatAge(d time.Duration) string {
 	if d < 0 {
 		return "never"
 	}
@@ -206,7 +206,7 @@
 			fmt.Printf("request %s on box %s: %s\n", r.GetKey(), r.GetBox(), r.GetOutcome())
 			for _, p := range r.GetPlacements() {
 				fmt.Printf("stage %s, attempt %d: %s, waited %s, took %s: %s\n", p.GetStage(), p.GetAttempt()+1, p.GetChosen(),
-					brief(p.GetWaited().AsDuration()), brief(p.GetServed().AsDuration()), p.GetOutcome())
+					formatAge(p.GetWaited().AsDuration()), formatAge(p.GetServed().AsDuration()), p.GetOutcome())
 				for _, cand := range p.GetCandidates() {
 					if cand.GetPassedOver() != "" {
 						fmt.Printf("    not %s: %s\n", cand.GetBackendServer(), cand.GetPassedOver())
