--- a/src/cli/trace.go
+++ b/src/cli/trace.go
@@ -82,8 +82,8 @@
 	return out, nil
 }
 
-// about reports whether a line concerns the request with this ID.
-func about(l *logLine, id string) bool {
+// mentionsRequest reports whether a line concerns the request with this ID.
+func mentionsRequest(l *logLine, id string) bool {
 	return l.text("request") == id || strings.Contains(l.text("requests"), id)
 }
 
@@ -117,7 +117,7 @@
 			if id == "" {
 				return code.New(code.BadField, "ID", "is missing")
 			}
-			lines, err := readLogs(c.StringSlice("log"), func(l *logLine) bool { return about(l, id) })
+			lines, err := readLogs(c.StringSlice("log"), func(l *logLine) bool { return mentionsRequest(l, id) })
 			if err != nil {
 				return err
 			}
--- a/src/cli/trace_test.go
+++ b/src/cli/trace_test.go
@@ -33,7 +33,7 @@
 }
 
 func TestAStoryIsToldInOrderOverSeveralBoxes(t *testing.T) {
-	lines, err := readLogs(logFiles(t), func(l *logLine) bool { return about(l, "r1") })
+	lines, err := readLogs(logFiles(t), func(l *logLine) bool { return mentionsRequest(l, "r1") })
 	if err != nil {
 		t.Fatal(err)
 	}
