--- a/src/cli/trace.go
+++ b/src/cli/trace.go
@@ -87,8 +87,8 @@
 	return l.text("request") == id || strings.Contains(l.text("requests"), id)
 }
 
-// story writes lines as a timeline: the time since the first line, the box, the message and the remaining fields.
-func story(w io.Writer, lines []*logLine) {
+// writeTimeline writes lines as a timeline: the time since the first line, the box, the message and the remaining fields.
+func writeTimeline(w io.Writer, lines []*logLine) {
 	known := []string{"time", "level", "msg", "box", "request"}
 	for _, l := range lines {
 		fmt.Fprintf(w, "%+9.3fs %-16s %s", l.at.Sub(lines[0].at).Seconds(), l.text("box"), l.text("msg"))
@@ -124,7 +124,7 @@
 			if len(lines) == 0 {
 				return code.New(code.NotFound, "ID", "no log line mentions %s", id)
 			}
-			story(os.Stdout, lines)
+			writeTimeline(os.Stdout, lines)
 			return nil
 		},
 	}
--- a/src/cli/trace_test.go
+++ b/src/cli/trace_test.go
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	story(&out, lines)
+	writeTimeline(&out, lines)
 	got := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if len(got) != 3 || !strings.Contains(got[0], "admitted expected_ms=900") || !strings.Contains(got[1], "+1.000s b") || !strings.Contains(got[2], "CANNOT_FINISH") {
 		t.Errorf("story:\n%s", out.String())
