--- a/src/cli/trace.go
+++ b/src/cli/trace.go
@@ -149,15 +149,15 @@
 			if err != nil {
 				return err
 			}
-			causes(os.Stdout, lines)
+			writeCauses(os.Stdout, lines)
 			return nil
 		},
 	}
 }
 
-// causes writes the number of lines for each result, pipeline and cause, most frequent first, with the first request
+// writeCauses writes the number of lines for each result, pipeline and cause, most frequent first, with the first request
 // of each.
-func causes(w io.Writer, lines []*logLine) {
+func writeCauses(w io.Writer, lines []*logLine) {
 	count, first := map[string]int{}, map[string]string{}
 	for _, l := range lines {
 		key := fmt.Sprintf("%-18s %-12s %s", l.text("result"), l.text("pipeline"), withoutNumbers(l.text("cause")))
--- a/src/cli/trace_test.go
+++ b/src/cli/trace_test.go
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	causes(&out, lines)
+	writeCauses(&out, lines)
 	if want := "     2  CANNOT_FINISH      p            expected in # of #  (first: r1)\n"; out.String() != want {
 		t.Errorf("got %q, want %q", out.String(), want)
 	}
