--- a/src/cli/account.go
+++ b/src/cli/account.go
@@ -85,7 +85,7 @@
 			f := outcome{pipeline: l.text("pipeline")}
 			switch {
 			case l.text("result") != "answered":
-				f.cause = l.text("result") + ": " + withoutNumbers(l.text("cause"))
+				f.cause = l.text("result") + ": " + maskNumbers(l.text("cause"))
 			case l.number("first_ms") <= l.number("objective_ms"):
 				f.inTime = true
 				f.cause = "in time"
--- a/src/cli/trace.go
+++ b/src/cli/trace.go
@@ -160,7 +160,7 @@
 func writeCauses(w io.Writer, lines []*logLine) {
 	count, first := map[string]int{}, map[string]string{}
 	for _, l := range lines {
-		key := fmt.Sprintf("%-18s %-12s %s", l.text("result"), l.text("pipeline"), withoutNumbers(l.text("cause")))
+		key := fmt.Sprintf("%-18s %-12s %s", l.text("result"), l.text("pipeline"), maskNumbers(l.text("cause")))
 		if count[key]++; count[key] == 1 {
 			first[key] = l.text("request")
 		}
@@ -180,9 +180,9 @@
 	}
 }
 
-// withoutNumbers replaces every word that contains a digit by "#", so that causes which differ only in names and
+// maskNumbers replaces every word that contains a digit by "#", so that causes which differ only in names and
 // numbers are counted together.
-func withoutNumbers(text string) string {
+func maskNumbers(text string) string {
 	words := strings.Fields(text)
 	for i, word := range words {
 		if strings.ContainsAny(word, "0123456789") {
