--- a/src/cli/trace_test.go
+++ b/src/cli/trace_test.go
@@ -10,7 +10,7 @@
 	"github.com/stilemast/stilemast/src/node"
 )
 
-const logOfOne = `   1.25 edge-1 {"time":"2026-12-02T10:00:01Z","level":"INFO","msg":"admitted","box":"a","request":"r1","expected_ms":900}
+const logOfBoxA = `   1.25 edge-1 {"time":"2026-12-02T10:00:01Z","level":"INFO","msg":"admitted","box":"a","request":"r1","expected_ms":900}
 not a line of ours
 {"time":"2026-12-02T10:00:03Z","level":"INFO","msg":"request ended","box":"a","request":"r1","pipeline":"p","result":"CANNOT_FINISH","cause":"expected in 2.1s of 1.7s"}
 {"time":"2026-12-02T10:00:04Z","level":"INFO","msg":"request ended","box":"a","request":"r2","pipeline":"p","result":"CANNOT_FINISH","cause":"expected in 3.4s of 1.7s"}
@@ -24,7 +24,7 @@
 	t.Helper()
 	dir := t.TempDir()
 	a, b := filepath.Join(dir, "a"), filepath.Join(dir, "b")
-	for path, text := range map[string]string{a: logOfOne, b: logOfAnother} {
+	for path, text := range map[string]string{a: logOfBoxA, b: logOfAnother} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
