--- a/src/cli/trace_test.go
+++ b/src/cli/trace_test.go
@@ -17,14 +17,14 @@
 {"time":"2026-12-02T10:00:04Z","level":"INFO","msg":"request ended","box":"a","request":"r3","pipeline":"p","result":"answered"}
 `
 
-const logOfAnother = `{"time":"2026-12-02T10:00:02Z","level":"INFO","msg":"batch ended","box":"b","requests":"r0 r1","pool":"x"}
+const logOfBoxB = `{"time":"2026-12-02T10:00:02Z","level":"INFO","msg":"batch ended","box":"b","requests":"r0 r1","pool":"x"}
 `
 
 func logFiles(t *testing.T) []string {
 	t.Helper()
 	dir := t.TempDir()
 	a, b := filepath.Join(dir, "a"), filepath.Join(dir, "b")
-	for path, text := range map[string]string{a: logOfBoxA, b: logOfAnother} {
+	for path, text := range map[string]string{a: logOfBoxA, b: logOfBoxB} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
