--- a/src/cli/serve.go
+++ b/src/cli/serve.go
@@ -110,13 +110,13 @@
 					&cli.StringFlag{Name: "boxes", Required: true, Usage: "box list, a JSON `FILE`"}},
 				Action: func(ctx context.Context, c *cli.Command) error {
 					p := &standin.Platform{}
-					if err := loadPlatform(p, c.String("config"), c.String("boxes")); err != nil {
+					if err := publishFiles(p, c.String("config"), c.String("boxes")); err != nil {
 						return err
 					}
 					go func() {
 						for ctx.Err() == nil {
 							time.Sleep(500 * time.Millisecond)
-							_ = loadPlatform(p, c.String("config"), c.String("boxes"))
+							_ = publishFiles(p, c.String("config"), c.String("boxes"))
 						}
 					}()
 					h, err := p.Handler()
@@ -127,8 +127,8 @@
 	}
 }
 
-// loadPlatform publishes a configuration file and a box list file.
-func loadPlatform(p *standin.Platform, conf, boxes string) error {
+// publishFiles publishes a configuration file and a box list file.
+func publishFiles(p *standin.Platform, conf, boxes string) error {
 	raw, err := os.ReadFile(conf)
 	if err != nil {
 		return eris.Wrap(err, "configuration")
