--- a/src/cli/cli.go
+++ b/src/cli/cli.go
@@ -38,7 +38,7 @@
 	if len(args) < 2 || args[1] != serveCommandName {
 		signals.Release()
 	}
-	logging.Adopt(logger("warn"))
+	logging.Adopt(newLogger("warn"))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	root := &cli.Command{
@@ -81,5 +81,5 @@
 	return exitFailed
 }
 
-// logger returns a logger that writes JSON lines of at least the given level to standard error.
-func logger(level string) *slog.Logger { return logging.New(os.Stderr, level) }
+// newLogger returns a newLogger that writes JSON lines of at least the given level to standard error.
+func newLogger(level string) *slog.Logger { return logging.New(os.Stderr, level) }
--- a/src/cli/demo.go
+++ b/src/cli/demo.go
@@ -57,7 +57,7 @@
 	doc, boxes := exampleDocument(name)
 	log := slog.New(slog.DiscardHandler)
 	if verbose {
-		log = logger("info")
+		log = newLogger("info")
 	}
 	set := &local.Set{Document: doc, Boxes: boxes, Log: log, Release: Release}
 	defer set.Close()
--- a/src/cli/serve.go
+++ b/src/cli/serve.go
@@ -48,7 +48,7 @@
 
 // serve runs a box until a signal or an operator's drain request has stopped it.
 func serve(s *config.Settings) error {
-	log := logger(s.LogLevel).With("box", s.Box)
+	log := newLogger(s.LogLevel).With("box", s.Box)
 	n := &node.Node{Settings: s, Log: log, Release: Release}
 	stops := signals.Stops()
 	if err := n.Start(); err != nil {
