--- a/src/cli/call.go
+++ b/src/cli/call.go
@@ -205,7 +205,7 @@
 		report.Write(os.Stdout)
 	}
 	if !report.Clean() {
-		return errSilent
+		return errAlreadyReported
 	}
 	return nil
 }
--- a/src/cli/cli.go
+++ b/src/cli/cli.go
@@ -57,14 +57,14 @@
 	if err == nil {
 		return exitOK
 	}
-	if !errors.Is(err, errSilent) {
+	if !errors.Is(err, errAlreadyReported) {
 		fmt.Fprintln(os.Stderr, "stilemast:", err)
 	}
 	return exitCode(err)
 }
 
-// errSilent makes a command fail without printing an error, because it has already printed what was wrong.
-var errSilent = errors.New("failed")
+// errAlreadyReported makes a command fail without printing an error, because it has already printed what was wrong.
+var errAlreadyReported = errors.New("failed")
 
 // exitCode maps an error to the exit code that says whether anything ran.
 func exitCode(err error) int {
--- a/src/cli/demo.go
+++ b/src/cli/demo.go
@@ -37,7 +37,7 @@
 				clean = clean && ok
 			}
 			if !clean {
-				return errSilent
+				return errAlreadyReported
 			}
 			return nil
 		},
--- a/src/cli/operate.go
+++ b/src/cli/operate.go
@@ -73,7 +73,7 @@
 				fmt.Println(f.Error())
 			}
 			if len(faults) > 0 {
-				return errSilent
+				return errAlreadyReported
 			}
 			fmt.Printf("version %d is valid: %d pipelines, %d workspaces, %d backend servers, digest %s\n",
 				conf.Version(), len(conf.Pipelines()), len(conf.Workspaces()), len(conf.BackendServers()), conf.Digest())
@@ -122,7 +122,7 @@
 		fmt.Printf("%d %s: %s\n", f.GetCode(), f.GetField(), f.GetMessage())
 	}
 	if len(r.GetFaults()) > 0 {
-		return errSilent
+		return errAlreadyReported
 	}
 	fmt.Printf("version %d -> %d, %d changes\n", r.GetFromVersion(), r.GetToVersion(), len(r.GetChanges()))
 	for _, ch := range r.GetChanges() {
