--- a/src/cli/serve_test.go
+++ b/src/cli/serve_test.go
@@ -12,7 +12,7 @@
 
 // Unless configured otherwise, go-zero sends a second SIGTERM 5.5 s after the first; it aborted every graceful shutdown
 // that took longer.
-func TestNoSecondSignalComesByItself(t *testing.T) {
+func TestGoZeroSendsNoSecondSIGTERM(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes seven seconds")
 	}
