--- a/src/cli/account_test.go
+++ b/src/cli/account_test.go
@@ -16,7 +16,7 @@
 `
 
 // Earned and lost shares must sum to the total value of the requests; rejected callers do not count.
-func TestAnAccountSumsToTheWhole(t *testing.T) {
+func TestLossReportSharesSumToTotal(t *testing.T) {
 	lines, err := readLog(strings.NewReader(logOfOutcomes), func(*logLine) bool { return true })
 	if err != nil {
 		t.Fatal(err)
