--- a/src/cli/account_test.go
+++ b/src/cli/account_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestWorthsThatAreNoFiguresAreRefused(t *testing.T) {
+func TestInvalidAnswerValuesAreRejected(t *testing.T) {
 	for _, bad := range []string{"draft", "=4", "draft=x", "draft=4:x", "draft=-1"} {
 		if _, err := parseAnswerValues([]string{bad}); err == nil || !strings.Contains(err.Error(), "worth") {
 			t.Errorf("%q: %v", bad, err)
