--- a/src/cli/plot_test.go
+++ b/src/cli/plot_test.go
@@ -13,7 +13,7 @@
 	"github.com/stilemast/stilemast/src/node"
 )
 
-func TestPlotBurnWritesAPicture(t *testing.T) {
+func TestPlotBurnWritesPNG(t *testing.T) {
 	r := &pb.BurnReply{}
 	for _, level := range []string{"a", "b", "c"} {
 		for _, w := range []time.Duration{time.Minute, time.Hour} {
