--- a/src/cli/plot_test.go
+++ b/src/cli/plot_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestExitCodesOfTheCommandLine(t *testing.T) {
+func TestCommandLineExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	good, bad := filepath.Join(dir, "good.toml"), filepath.Join(dir, "bad.toml")
 	if err := os.WriteFile(bad, []byte("version = 1\nbogus = 2\n"), 0o600); err != nil {
