--- a/src/cli/trace_test.go
+++ b/src/cli/trace_test.go
@@ -32,7 +32,7 @@
 	return []string{a, b}
 }
 
-func TestAStoryIsToldInOrderOverSeveralBoxes(t *testing.T) {
+func TestTimelineMergesLogsOfSeveralBoxes(t *testing.T) {
 	lines, err := readLogs(logFiles(t), func(l *logLine) bool { return mentionsRequest(l, "r1") })
 	if err != nil {
 		t.Fatal(err)
