--- a/src/cli/trace_test.go
+++ b/src/cli/trace_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestCausesAreCountedWhateverTheirFigures(t *testing.T) {
+func TestCausesDifferingInNumbersAreCountedTogether(t *testing.T) {
 	lines, err := readLogs(logFiles(t), func(l *logLine) bool {
 		return l.text("msg") == "request ended" && l.text("result") != "answered"
 	})
