--- a/src/cli/trace_test.go
+++ b/src/cli/trace_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestTraceAndWhySayWhatIsWrong(t *testing.T) {
+func TestTraceAndWhyExitCodes(t *testing.T) {
 	files := logFiles(t)
 	for _, c := range []struct {
 		args []string
