--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -21,7 +21,7 @@
 
 // Timeouts and limits of a gateway process.
 const (
-	callerHeaderTime = 10 * time.Second // for reading a request's header
+	callerHeaderTimeout = 10 * time.Second // for reading a request's header
 	callerIdleTime   = 2 * time.Minute  // before an idle keep-alive connection is closed
 	maxCallerHeader  = 64 << 10
 	leastStop        = 3200 * time.Millisecond // minimum duration of a graceful shutdown, so that the load balancer notices that this box is not ready
@@ -171,7 +171,7 @@
 		return err
 	}
 	srv := &http.Server{
-		Handler: h, ReadHeaderTimeout: callerHeaderTime, IdleTimeout: callerIdleTime, MaxHeaderBytes: maxCallerHeader,
+		Handler: h, ReadHeaderTimeout: callerHeaderTimeout, IdleTimeout: callerIdleTime, MaxHeaderBytes: maxCallerHeader,
 		ConnState: states,
 		ErrorLog:  slog.NewLogLogger(n.Log.Handler(), slog.LevelDebug),
 	}
