--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -22,7 +22,7 @@
 // Timeouts and limits of a gateway process.
 const (
 	callerHeaderTimeout = 10 * time.Second // for reading a request's header
-	callerIdleTime   = 2 * time.Minute  // before an idle keep-alive connection is closed
+	callerIdleTimeout   = 2 * time.Minute  // before an idle keep-alive connection is closed
 	maxCallerHeader  = 64 << 10
 	leastStop        = 3200 * time.Millisecond // minimum duration of a graceful shutdown, so that the load balancer notices that this box is not ready
 	lastAnswers      = 2500 * time.Millisecond // end of the shutdown reserved for answers that have begun; pending stages are failed before it
@@ -171,7 +171,7 @@
 		return err
 	}
 	srv := &http.Server{
-		Handler: h, ReadHeaderTimeout: callerHeaderTimeout, IdleTimeout: callerIdleTime, MaxHeaderBytes: maxCallerHeader,
+		Handler: h, ReadHeaderTimeout: callerHeaderTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxCallerHeader,
 		ConnState: states,
 		ErrorLog:  slog.NewLogLogger(n.Log.Handler(), slog.LevelDebug),
 	}
