--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -23,7 +23,7 @@
 const (
 	callerHeaderTimeout = 10 * time.Second // for reading a request's header
 	callerIdleTimeout   = 2 * time.Minute  // before an idle keep-alive connection is closed
-	maxCallerHeader  = 64 << 10
+	maxCallerHeaderBytes  = 64 << 10
 	leastStop        = 3200 * time.Millisecond // minimum duration of a graceful shutdown, so that the load balancer notices that this box is not ready
 	lastAnswers      = 2500 * time.Millisecond // end of the shutdown reserved for answers that have begun; pending stages are failed before it
 	quietStop        = 400 * time.Millisecond  // without a request before a shutdown completes
@@ -171,7 +171,7 @@
 		return err
 	}
 	srv := &http.Server{
-		Handler: h, ReadHeaderTimeout: callerHeaderTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxCallerHeader,
+		Handler: h, ReadHeaderTimeout: callerHeaderTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxCallerHeaderBytes,
 		ConnState: states,
 		ErrorLog:  slog.NewLogLogger(n.Log.Handler(), slog.LevelDebug),
 	}
