--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -24,7 +24,7 @@
 	callerHeaderTimeout = 10 * time.Second // for reading a request's header
 	callerIdleTimeout   = 2 * time.Minute  // before an idle keep-alive connection is closed
 	maxCallerHeaderBytes  = 64 << 10
-	leastStop        = 3200 * time.Millisecond // minimum duration of a graceful shutdown, so that the load balancer notices that this box is not ready
+	minShutdownTime        = 3200 * time.Millisecond // minimum duration of a graceful shutdown, so that the load balancer notices that this box is not ready
 	lastAnswers      = 2500 * time.Millisecond // end of the shutdown reserved for answers that have begun; pending stages are failed before it
 	quietStop        = 400 * time.Millisecond  // without a request before a shutdown completes
 	stopMargin       = 500 * time.Millisecond  // subtracted from the configured shutdown timeout
@@ -205,7 +205,7 @@
 	defer stages.Stop()
 	for time.Since(began) < limit {
 		quiet := n.gateway.Running() == 0 && n.callers.quietFor() > quietStop
-		if quiet && time.Since(began) > leastStop {
+		if quiet && time.Since(began) > minShutdownTime {
 			break
 		}
 		time.Sleep(stopLook)
