--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -25,7 +25,7 @@
 	callerIdleTimeout   = 2 * time.Minute  // before an idle keep-alive connection is closed
 	maxCallerHeaderBytes  = 64 << 10
 	minShutdownTime        = 3200 * time.Millisecond // minimum duration of a graceful shutdown, so that the load balancer notices that this box is not ready
-	lastAnswers      = 2500 * time.Millisecond // end of the shutdown reserved for answers that have begun; pending stages are failed before it
+	answerReserve      = 2500 * time.Millisecond // end of the shutdown reserved for answers that have begun; pending stages are failed before it
 	quietStop        = 400 * time.Millisecond  // without a request before a shutdown completes
 	stopMargin       = 500 * time.Millisecond  // subtracted from the configured shutdown timeout
 	stopLook         = 50 * time.Millisecond
@@ -201,7 +201,7 @@
 	began := time.Now()
 	limit := time.Duration(n.Settings.StopWithin) - stopMargin
 	n.gateway.Drain()
-	stages := time.AfterFunc(limit-lastAnswers, n.gateway.EndStages)
+	stages := time.AfterFunc(limit-answerReserve, n.gateway.EndStages)
 	defer stages.Stop()
 	for time.Since(began) < limit {
 		quiet := n.gateway.Running() == 0 && n.callers.quietFor() > quietStop
