--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -27,7 +27,7 @@
 	minShutdownTime        = 3200 * time.Millisecond // minimum duration of a graceful shutdown, so that the load balancer notices that this box is not ready
 	answerReserve      = 2500 * time.Millisecond // end of the shutdown reserved for answers that have begun; pending stages are failed before it
 	quietStop        = 400 * time.Millisecond  // without a request before a shutdown completes
-	stopMargin       = 500 * time.Millisecond  // subtracted from the configured shutdown timeout
+	shutdownMargin       = 500 * time.Millisecond  // subtracted from the configured shutdown timeout
 	stopLook         = 50 * time.Millisecond
 	sweepConnections = time.Second
 	memoryPart       = 0.7 // of the configured memory that is set as Go's soft memory limit
@@ -199,7 +199,7 @@
 // until the end, because net/http would abort a request that is just arriving on one.
 func (n *GatewayNode) Stop() int {
 	began := time.Now()
-	limit := time.Duration(n.Settings.StopWithin) - stopMargin
+	limit := time.Duration(n.Settings.StopWithin) - shutdownMargin
 	n.gateway.Drain()
 	stages := time.AfterFunc(limit-answerReserve, n.gateway.EndStages)
 	defer stages.Stop()
