--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -28,7 +28,7 @@
 	answerReserve      = 2500 * time.Millisecond // end of the shutdown reserved for answers that have begun; pending stages are failed before it
 	quietStop        = 400 * time.Millisecond  // without a request before a shutdown completes
 	shutdownMargin       = 500 * time.Millisecond  // subtracted from the configured shutdown timeout
-	stopLook         = 50 * time.Millisecond
+	shutdownPollInterval         = 50 * time.Millisecond
 	sweepConnections = time.Second
 	memoryPart       = 0.7 // of the configured memory that is set as Go's soft memory limit
 	collectPercent   = 60
@@ -208,7 +208,7 @@
 		if quiet && time.Since(began) > minShutdownTime {
 			break
 		}
-		time.Sleep(stopLook)
+		time.Sleep(shutdownPollInterval)
 	}
 	cut := n.gateway.Running()
 	n.Kill()
