--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -29,7 +29,7 @@
 	quietStop        = 400 * time.Millisecond  // without a request before a shutdown completes
 	shutdownMargin       = 500 * time.Millisecond  // subtracted from the configured shutdown timeout
 	shutdownPollInterval         = 50 * time.Millisecond
-	sweepConnections = time.Second
+	sweepInterval = time.Second
 	memoryPart       = 0.7 // of the configured memory that is set as Go's soft memory limit
 	collectPercent   = 60
 	milliCores       = 1000 // in a core
@@ -182,7 +182,7 @@
 
 // sweep closes expired idle connections periodically.
 func (n *GatewayNode) sweep(ctx context.Context) {
-	t := time.NewTicker(sweepConnections)
+	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
 	for {
 		select {
