--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -30,7 +30,7 @@
 	shutdownMargin       = 500 * time.Millisecond  // subtracted from the configured shutdown timeout
 	shutdownPollInterval         = 50 * time.Millisecond
 	sweepInterval = time.Second
-	memoryPart       = 0.7 // of the configured memory that is set as Go's soft memory limit
+	memoryLimitFraction       = 0.7 // of the configured memory that is set as Go's soft memory limit
 	collectPercent   = 60
 	milliCores       = 1000 // in a core
 )
@@ -106,7 +106,7 @@
 func (n *GatewayNode) Start() error {
 	s := n.Settings
 	if s.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(s.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(s.MemoryMB) * (1 << 20)))
 		debug.SetGCPercent(collectPercent)
 	}
 	beats, err := net.Listen("tcp", s.Listen.Peers)
