--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -31,7 +31,7 @@
 	shutdownPollInterval         = 50 * time.Millisecond
 	sweepInterval = time.Second
 	memoryLimitFraction       = 0.7 // of the configured memory that is set as Go's soft memory limit
-	collectPercent   = 60
+	gcPercent   = 60
 	milliCores       = 1000 // in a core
 )
 
@@ -107,7 +107,7 @@
 	s := n.Settings
 	if s.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(s.MemoryMB) * (1 << 20)))
-		debug.SetGCPercent(collectPercent)
+		debug.SetGCPercent(gcPercent)
 	}
 	beats, err := net.Listen("tcp", s.Listen.Peers)
 	if err != nil {
