--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -32,7 +32,7 @@
 	sweepInterval = time.Second
 	memoryLimitFraction       = 0.7 // of the configured memory that is set as Go's soft memory limit
 	gcPercent   = 60
-	milliCores       = 1000 // in a core
+	milliCoresPerCore       = 1000 // in a core
 )
 
 // Adapter connects gateways to a platform.
@@ -120,7 +120,7 @@
 	n.gateway = &gateway.Gateway{
 		Settings: gateway.Settings{
 			Address: beats.Addr().String(), FailureDomain: s.FailureDomain, Regions: s.Regions, Seeds: s.Fleet.Seeds,
-			Capacity:   core.Capacity{CPU: uint32(s.Machine.CPU * s.Machine.Speed * milliCores), Link: uint32(s.Machine.LinkMbps)},
+			Capacity:   core.Capacity{CPU: uint32(s.Machine.CPU * s.Machine.Speed * milliCoresPerCore), Link: uint32(s.Machine.LinkMbps)},
 			RetryRatio: s.Retry.Ratio, RetrySlack: s.Retry.Slack, RetryWindow: time.Duration(s.Retry.Window),
 			Admission: s.Policy.Admission, SharedBatches: s.Policy.SharedBatches,
 		},
