--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -64,19 +64,19 @@
 	beats   net.Listener
 	cancel  context.CancelFunc
 	done    sync.WaitGroup
-	callers activity
+	callers callerActivity
 	killed  sync.Once
 }
 
-// activity tracks the callers' connections on which a request is being read or answered.
-type activity struct {
+// callerActivity tracks the callers' connections on which a request is being read or answered.
+type callerActivity struct {
 	mu     sync.Mutex
 	active map[net.Conn]bool
 	since  time.Time // when a connection last became idle
 }
 
 // note records a connection's state; it is a ConnState hook of net/http.
-func (a *activity) note(c net.Conn, state http.ConnState) {
+func (a *callerActivity) note(c net.Conn, state http.ConnState) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if state == http.StateActive {
@@ -90,7 +90,7 @@
 }
 
 // quietFor returns for how long no request has been read or answered, 0 while one is.
-func (a *activity) quietFor() time.Duration {
+func (a *callerActivity) quietFor() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.active) > 0 {
