--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -75,8 +75,8 @@
 	since  time.Time // when a connection last became idle
 }
 
-// note records a connection's state; it is a ConnState hook of net/http.
-func (a *callerActivity) note(c net.Conn, state http.ConnState) {
+// setState records a connection's state; it is a ConnState hook of net/http.
+func (a *callerActivity) setState(c net.Conn, state http.ConnState) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if state == http.StateActive {
@@ -152,7 +152,7 @@
 		return eris.Wrap(err, "listen.readiness")
 	}
 	n.callers.active = map[net.Conn]bool{}
-	if err := n.serve(s.Listen.Callers, n.Adapter.Callers(n.gateway), n.callers.note); err != nil {
+	if err := n.serve(s.Listen.Callers, n.Adapter.Callers(n.gateway), n.callers.setState); err != nil {
 		return eris.Wrap(err, "listen.callers")
 	}
 	if s.Listen.Metrics != "" {
