--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -61,7 +61,7 @@
 	ports   Ports
 	peers   *peer.Client
 	servers []*http.Server
-	beats   net.Listener
+	peerListener   net.Listener
 	cancel  context.CancelFunc
 	done    sync.WaitGroup
 	callers callerActivity
@@ -113,7 +113,7 @@
 	if err != nil {
 		return eris.Wrap(err, "listen.peers")
 	}
-	n.beats = beats
+	n.peerListener = beats
 	n.peers = peer.NewClient(nil)
 	n.ports = n.Adapter.Open(s)
 	set := metrics.NewGateway()
@@ -223,7 +223,7 @@
 	for _, s := range n.servers {
 		_ = s.Close()
 	}
-	_ = n.beats.Close()
+	_ = n.peerListener.Close()
 	n.peers.Close()
 	n.ports.Close()
 }
