--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -65,7 +65,7 @@
 	cancel  context.CancelFunc
 	done    sync.WaitGroup
 	callers callerActivity
-	killed  sync.Once
+	killOnce  sync.Once
 }
 
 // callerActivity tracks the callers' connections on which a request is being read or answered.
@@ -216,7 +216,7 @@
 }
 
 // Kill closes all connections immediately; running requests are aborted.
-func (n *GatewayNode) Kill() { n.killed.Do(n.kill) }
+func (n *GatewayNode) Kill() { n.killOnce.Do(n.kill) }
 
 func (n *GatewayNode) kill() {
 	n.cancel()
