--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -63,7 +63,7 @@
 	servers []*http.Server
 	peerListener   net.Listener
 	cancel  context.CancelFunc
-	done    sync.WaitGroup
+	wg    sync.WaitGroup
 	callers callerActivity
 	killOnce  sync.Once
 }
@@ -137,13 +137,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
 	n.gateway.Init()
-	n.done.Add(2)
+	n.wg.Add(2)
 	go func() {
-		defer n.done.Done()
+		defer n.wg.Done()
 		n.gateway.Run(ctx)
 	}()
 	go func() {
-		defer n.done.Done()
+		defer n.wg.Done()
 		h := peer.Handlers{Beat: n.gateway.TakeBeat, Batch: n.gateway.TakeBatch, Ask: n.gateway.TakeQuestion}
 		(&peer.Server{Handlers: h}).Serve(ctx, beats)
 	}()
