--- a/src/node/node.go
+++ b/src/node/node.go
@@ -51,7 +51,7 @@
 	box     *box.Box
 	peers   *peer.Client
 	callers net.Listener
-	beats   net.Listener
+	peerListener   net.Listener
 	web     net.Listener
 	grpc    *grpc.Server
 	health  *health.Server
@@ -69,7 +69,7 @@
 func (n *Node) CallersAddress() string { return n.callers.Addr().String() }
 
 // PeersAddress returns the address for other boxes. Call it after Start.
-func (n *Node) PeersAddress() string { return n.beats.Addr().String() }
+func (n *Node) PeersAddress() string { return n.peerListener.Addr().String() }
 
 // Stopped returns a channel that is closed when a graceful shutdown has completed.
 func (n *Node) Stopped() <-chan struct{} { return n.stopped }
@@ -87,7 +87,7 @@
 	if err := n.listen(); err != nil {
 		return err
 	}
-	n.Settings.Listen.Peers = n.beats.Addr().String()
+	n.Settings.Listen.Peers = n.peerListener.Addr().String()
 	n.peers = peer.NewClient(clientTLS)
 	reads := configservice.NewClient(n.Settings.Platform.Addresses, time.Duration(n.Settings.Platform.CallTimeout))
 	reads.Watch = time.Duration(n.Settings.Platform.Watch)
@@ -128,7 +128,7 @@
 	if n.callers, err = net.Listen("tcp", n.Settings.Listen.Callers); err != nil {
 		return eris.Wrap(err, "listen.callers")
 	}
-	if n.beats, err = net.Listen("tcp", n.Settings.Listen.Peers); err != nil {
+	if n.peerListener, err = net.Listen("tcp", n.Settings.Listen.Peers); err != nil {
 		return eris.Wrap(err, "listen.peers")
 	}
 	if n.Settings.Listen.Metrics == "" {
@@ -157,7 +157,7 @@
 	n.done.Add(1)
 	go func() {
 		defer n.done.Done()
-		s.Serve(ctx, n.beats)
+		s.Serve(ctx, n.peerListener)
 	}()
 }
 
@@ -241,7 +241,7 @@
 func (n *Node) Kill() {
 	n.cancel()
 	n.grpc.Stop()
-	_ = n.beats.Close()
+	_ = n.peerListener.Close()
 	n.peers.Close()
 	if n.http != nil {
 		_ = n.http.Close()
