--- a/src/node/node.go
+++ b/src/node/node.go
@@ -50,7 +50,7 @@
 
 	box     *box.Box
 	peers   *peer.Client
-	callers net.Listener
+	callerListener net.Listener
 	peerListener   net.Listener
 	web     net.Listener
 	grpc    *grpc.Server
@@ -66,7 +66,7 @@
 func (n *Node) Box() *box.Box { return n.box }
 
 // CallersAddress returns the address for callers and operators. Call it after Start.
-func (n *Node) CallersAddress() string { return n.callers.Addr().String() }
+func (n *Node) CallersAddress() string { return n.callerListener.Addr().String() }
 
 // PeersAddress returns the address for other boxes. Call it after Start.
 func (n *Node) PeersAddress() string { return n.peerListener.Addr().String() }
@@ -125,7 +125,7 @@
 
 func (n *Node) listen() error {
 	var err error
-	if n.callers, err = net.Listen("tcp", n.Settings.Listen.Callers); err != nil {
+	if n.callerListener, err = net.Listen("tcp", n.Settings.Listen.Callers); err != nil {
 		return eris.Wrap(err, "listen.callers")
 	}
 	if n.peerListener, err = net.Listen("tcp", n.Settings.Listen.Peers); err != nil {
@@ -178,7 +178,7 @@
 	n.done.Add(1)
 	go func() {
 		defer n.done.Done()
-		_ = n.grpc.Serve(n.callers)
+		_ = n.grpc.Serve(n.callerListener)
 	}()
 }
 
