--- a/src/node/node.go
+++ b/src/node/node.go
@@ -52,7 +52,7 @@
 	peers   *peer.Client
 	callerListener net.Listener
 	peerListener   net.Listener
-	web     net.Listener
+	webListener     net.Listener
 	grpc    *grpc.Server
 	health  *health.Server
 	http    *http.Server
@@ -134,21 +134,21 @@
 	if n.Settings.Listen.Metrics == "" {
 		return nil
 	}
-	if n.web, err = net.Listen("tcp", n.Settings.Listen.Metrics); err != nil {
+	if n.webListener, err = net.Listen("tcp", n.Settings.Listen.Metrics); err != nil {
 		return eris.Wrap(err, "listen.metrics")
 	}
 	return nil
 }
 
 func (n *Node) serveWeb(set *metrics.Set, cfg *tls.Config) error {
-	if n.web == nil {
+	if n.webListener == nil {
 		return nil
 	}
 	h, err := set.Handler(n.box)
 	if err != nil {
 		return err
 	}
-	n.http = web.Start(n.web, h, cfg)
+	n.http = web.Start(n.webListener, h, cfg)
 	return nil
 }
 
