--- a/src/node/node.go
+++ b/src/node/node.go
@@ -57,7 +57,7 @@
 	health  *health.Server
 	http    *http.Server
 	cancel  context.CancelFunc
-	done    sync.WaitGroup
+	wg    sync.WaitGroup
 	stopped chan struct{}
 	once    sync.Once
 }
@@ -118,7 +118,7 @@
 	n.servePeers(ctx, peersTLS(n.Settings.TLS, serverTLS))
 	n.serveCallers(serverTLS)
 	n.box.Start(ctx)
-	n.done.Add(1)
+	n.wg.Add(1)
 	go n.watchHealth(ctx)
 	return nil
 }
@@ -154,9 +154,9 @@
 
 func (n *Node) servePeers(ctx context.Context, cfg *tls.Config) {
 	s := &peer.Server{TLS: cfg, Handlers: peer.Handlers{Beat: n.box.TakeBeat, Ask: n.box.TakeQuestion, Forward: n.box.TakeForward}}
-	n.done.Add(1)
+	n.wg.Add(1)
 	go func() {
-		defer n.done.Done()
+		defer n.wg.Done()
 		s.Serve(ctx, n.peerListener)
 	}()
 }
@@ -175,16 +175,16 @@
 	healthpb.RegisterHealthServer(n.grpc, n.health)
 	pb.RegisterPipelinesServer(n.grpc, &rpc.Pipelines{Box: n.box})
 	pb.RegisterOperationsServer(n.grpc, &rpc.Operations{Box: n.box, BeginStop: n.beginStop})
-	n.done.Add(1)
+	n.wg.Add(1)
 	go func() {
-		defer n.done.Done()
+		defer n.wg.Done()
 		_ = n.grpc.Serve(n.callerListener)
 	}()
 }
 
 // watchHealth publishes the readiness of the box in the gRPC health service.
 func (n *Node) watchHealth(ctx context.Context) {
-	defer n.done.Done()
+	defer n.wg.Done()
 	t := time.NewTicker(healthEvery)
 	defer t.Stop()
 	for {
@@ -246,7 +246,7 @@
 	if n.http != nil {
 		_ = n.http.Close()
 	}
-	n.done.Wait()
+	n.wg.Wait()
 }
 
 // loadTLS reads the PEM files named by the settings. Without a certificate both configurations are nil, which means
