--- a/src/node/node.go
+++ b/src/node/node.go
@@ -59,7 +59,7 @@
 	cancel  context.CancelFunc
 	wg    sync.WaitGroup
 	stopped chan struct{}
-	once    sync.Once
+	stopOnce    sync.Once
 }
 
 // Box returns the box that this node runs. Call it after Start.
@@ -212,7 +212,7 @@
 // first and return 0.
 func (n *Node) Stop() int {
 	cut := 0
-	n.once.Do(func() {
+	n.stopOnce.Do(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(n.Settings.StopWithin))
 		defer cancel()
 		cut = n.box.Drain(ctx)
