--- a/src/node/node.go
+++ b/src/node/node.go
@@ -37,7 +37,7 @@
 const (
 	maxMessage   = 2 << 20 // bytes
 	maxStreams   = 4096    // concurrent streams of one connection
-	healthEvery  = 200 * time.Millisecond
+	healthInterval  = 200 * time.Millisecond
 	callersGrace = 2 * time.Second // for open answers to reach callers at the end of a graceful shutdown
 )
 
@@ -185,7 +185,7 @@
 // watchHealth publishes the readiness of the box in the gRPC health service.
 func (n *Node) watchHealth(ctx context.Context) {
 	defer n.wg.Done()
-	t := time.NewTicker(healthEvery)
+	t := time.NewTicker(healthInterval)
 	defer t.Stop()
 	for {
 		state := healthpb.HealthCheckResponse_NOT_SERVING
