--- a/src/node/node.go
+++ b/src/node/node.go
@@ -38,7 +38,7 @@
 	maxMessage   = 2 << 20 // bytes
 	maxStreams   = 4096    // concurrent streams of one connection
 	healthInterval  = 200 * time.Millisecond
-	callersGrace = 2 * time.Second // for open answers to reach callers at the end of a graceful shutdown
+	callerDrainTimeout = 2 * time.Second // for open answers to reach callers at the end of a graceful shutdown
 )
 
 // Node is one process that runs a box. Set the exported fields before Start.
@@ -233,7 +233,7 @@
 	}()
 	select {
 	case <-ended:
-	case <-time.After(callersGrace):
+	case <-time.After(callerDrainTimeout):
 	}
 }
 
