--- a/src/node/node.go
+++ b/src/node/node.go
@@ -35,7 +35,7 @@
 
 // Limits of the callers' gRPC server.
 const (
-	maxMessage   = 2 << 20 // bytes
+	maxMessageBytes   = 2 << 20 // bytes
 	maxStreams   = 4096    // concurrent streams of one connection
 	healthInterval  = 200 * time.Millisecond
 	callerDrainTimeout = 2 * time.Second // for open answers to reach callers at the end of a graceful shutdown
@@ -163,7 +163,7 @@
 
 func (n *Node) serveCallers(cfg *tls.Config) {
 	opts := []grpc.ServerOption{
-		grpc.MaxRecvMsgSize(maxMessage),
+		grpc.MaxRecvMsgSize(maxMessageBytes),
 		grpc.MaxConcurrentStreams(maxStreams),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true}),
 	}
