--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -132,7 +132,7 @@
 		Watch:    set.Watcher(),
 		Clock:    clock.Now,
 	}
-	logClock(n.Log)
+	checkClock(n.Log)
 	n.peers.Refused = n.gateway.TakeRefusal
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
--- a/src/node/node.go
+++ b/src/node/node.go
@@ -102,7 +102,7 @@
 		Clock:    clock.Now,
 		Wall:     time.Now,
 	}
-	logClock(n.Log)
+	checkClock(n.Log)
 	set := metrics.New()
 	n.box.Watch = set.Watcher()
 	if n.Adjust != nil {
@@ -303,8 +303,8 @@
 	return client
 }
 
-// logClock warns if the clock cannot detect that the machine was suspended.
-func logClock(log *slog.Logger) {
+// checkClock warns if the clock cannot detect that the machine was suspended.
+func checkClock(log *slog.Logger) {
 	clock.Now()
 	if err := clock.Err(); err != nil {
 		log.Warn("suspension of the machine cannot be detected", "cause", err.Error())
