--- a/src/node/node.go
+++ b/src/node/node.go
@@ -216,7 +216,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(n.Settings.StopWithin))
 		defer cancel()
 		cut = n.box.Drain(ctx)
-		n.endCallers()
+		n.finishCallers()
 		n.Kill()
 		close(n.stopped)
 	})
@@ -224,8 +224,8 @@
 	return cut
 }
 
-// endCallers waits up to callersGrace for open answers to reach their callers.
-func (n *Node) endCallers() {
+// finishCallers waits up to callersGrace for open answers to reach their callers.
+func (n *Node) finishCallers() {
 	ended := make(chan struct{})
 	go func() {
 		n.grpc.GracefulStop()
