--- a/src/local/local.go
+++ b/src/local/local.go
@@ -23,8 +23,8 @@
 // anyPort is a loopback address with a free port.
 const anyPort = "127.0.0.1:0"
 
-// readyWait is the timeout for a deployment to become ready.
-const readyWait = 15 * time.Second
+// readyTimeout is the timeout for a deployment to become ready.
+const readyTimeout = 15 * time.Second
 
 // Set is one deployment. Fill in Document, Boxes, Log, Release and Adjust before Start.
 type Set struct {
@@ -173,7 +173,7 @@
 
 // waitReady waits until the boxes are ready and the engines have loaded their models.
 func (s *Set) waitReady() error {
-	until := time.Now().Add(readyWait)
+	until := time.Now().Add(readyTimeout)
 	for !s.ready() {
 		if time.Now().After(until) {
 			return eris.New("the deployment did not become ready in time")
