--- a/src/local/local_test.go
+++ b/src/local/local_test.go
@@ -36,8 +36,8 @@
 
 const goodToken = "lakeside-token"
 
-// startSet starts a deployment of two boxes. The token of a workspace is its name with the suffix "-token".
-func startSet(t *testing.T, adjust func(*config.Settings)) *Set {
+// startDeployment starts a deployment of two boxes. The token of a workspace is its name with the suffix "-token".
+func startDeployment(t *testing.T, adjust func(*config.Settings)) *Set {
 	t.Helper()
 	d := config.ExamplePageworks()
 	hash := func(s string) []string {
@@ -83,7 +83,7 @@
 // Each kind of invalid request must get its own error code, report that nothing ran, run no call and not affect later
 // requests.
 func TestBadInputOverTheWire(t *testing.T) {
-	s := startSet(t, nil)
+	s := startDeployment(t, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	address := s.Addresses()[0]
@@ -132,7 +132,7 @@
 }
 
 func TestOperatorsStandApartFromCallers(t *testing.T) {
-	s := startSet(t, nil)
+	s := startDeployment(t, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	for token, want := range map[string]code.Code{"": code.Unauthenticated, goodToken: code.NotAnOperator} {
@@ -242,7 +242,7 @@
 func TestMutualTLSEverywhere(t *testing.T) {
 	dir := t.TempDir()
 	certificates(t, dir)
-	s := startSet(t, func(b *config.Settings) {
+	s := startDeployment(t, func(b *config.Settings) {
 		b.TLS = config.TLSSettings{
 			Certificate: filepath.Join(dir, "box.pem"), Key: filepath.Join(dir, "box.key"),
 			Authority: filepath.Join(dir, "ca.pem"), RequireClient: true, PeerNames: []string{"box"},
