--- a/src/local/local_test.go
+++ b/src/local/local_test.go
@@ -227,8 +227,8 @@
 	}
 }
 
-// heardAll reports whether every box has received a heartbeat from every other one.
-func heardAll(s *Set) bool {
+// allHeartbeatsReceived reports whether every box has received a heartbeat from every other one.
+func allHeartbeatsReceived(s *Set) bool {
 	for _, n := range s.Nodes {
 		for _, m := range n.Box().Status().Members {
 			if m.Heard().IsZero() {
@@ -248,7 +248,7 @@
 			Authority: filepath.Join(dir, "ca.pem"), RequireClient: true, PeerNames: []string{"box"},
 		}
 	})
-	for until := time.Now().Add(10 * time.Second); !heardAll(s); time.Sleep(50 * time.Millisecond) {
+	for until := time.Now().Add(10 * time.Second); !allHeartbeatsReceived(s); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("the boxes receive no heartbeats over TLS")
 		}
