--- a/src/local/local_test.go
+++ b/src/local/local_test.go
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestOperatorsStandApartFromCallers(t *testing.T) {
+func TestOperatorsAuthenticateSeparatelyFromCallers(t *testing.T) {
 	s := startDeployment(t, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
