--- a/src/local/local_test.go
+++ b/src/local/local_test.go
@@ -82,7 +82,7 @@
 
 // Each kind of invalid request must get its own error code, report that nothing ran, run no call and not affect later
 // requests.
-func TestBadInputOverTheWire(t *testing.T) {
+func TestInvalidRequestsAreRefusedWithoutRunning(t *testing.T) {
 	s := startDeployment(t, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
