--- a/src/local/local_test.go
+++ b/src/local/local_test.go
@@ -239,7 +239,7 @@
 	return true
 }
 
-func TestMutualTLSEverywhere(t *testing.T) {
+func TestMutualTLSOnAllListeners(t *testing.T) {
 	dir := t.TempDir()
 	certificates(t, dir)
 	s := startDeployment(t, func(b *config.Settings) {
