--- a/src/local/local_test.go
+++ b/src/local/local_test.go
@@ -287,7 +287,7 @@
 
 // A client with Watch set must get a change by the single call that waits at the service. An unchanged document must
 // not be transferred again.
-func TestWatchOfTheConfiguration(t *testing.T) {
+func TestWatchGetsChangesInOneCall(t *testing.T) {
 	d := config.ExamplePageworks()
 	s := &Set{Document: d, Boxes: 0, Log: slog.New(slog.DiscardHandler)}
 	defer s.Close()
