--- a/src/logging/logging.go
+++ b/src/logging/logging.go
@@ -23,11 +23,11 @@
 func Adopt(l *slog.Logger) {
 	_ = logx.SetUp(logx.LogConf{Mode: "console", Encoding: "json", Level: "severe"})
 	logx.DisableStat()
-	logx.SetWriter(&adopted{log: l.With("from", "go-zero")})
+	logx.SetWriter(&goZeroWriter{log: l.With("from", "go-zero")})
 }
 
-// adopted implements logx.Writer, go-zero's log output, with a slog logger.
-type adopted struct{ log *slog.Logger }
+// goZeroWriter implements logx.Writer, go-zero's log output, with a slog logger.
+type goZeroWriter struct{ log *slog.Logger }
 
 // attrs converts go-zero's log fields to slog arguments.
 func attrs(fields []logx.LogField) []any {
@@ -39,34 +39,34 @@
 }
 
 // Alert implements logx.Writer.
-func (a *adopted) Alert(v any) { a.log.Error("alert", "content", v) }
+func (a *goZeroWriter) Alert(v any) { a.log.Error("alert", "content", v) }
 
 // Close implements logx.Writer.
-func (a *adopted) Close() error { return nil }
+func (a *goZeroWriter) Close() error { return nil }
 
 // Debug implements logx.Writer.
-func (a *adopted) Debug(v any, f ...logx.LogField) {
+func (a *goZeroWriter) Debug(v any, f ...logx.LogField) {
 	a.log.With(attrs(f)...).Debug("debug", "content", v)
 }
 
 // Error implements logx.Writer.
-func (a *adopted) Error(v any, f ...logx.LogField) {
+func (a *goZeroWriter) Error(v any, f ...logx.LogField) {
 	a.log.With(attrs(f)...).Error("error", "content", v)
 }
 
 // Info implements logx.Writer.
-func (a *adopted) Info(v any, f ...logx.LogField) { a.log.With(attrs(f)...).Info("info", "content", v) }
+func (a *goZeroWriter) Info(v any, f ...logx.LogField) { a.log.With(attrs(f)...).Info("info", "content", v) }
 
 // Severe implements logx.Writer.
-func (a *adopted) Severe(v any) { a.log.Error("severe", "content", v) }
+func (a *goZeroWriter) Severe(v any) { a.log.Error("severe", "content", v) }
 
 // Slow implements logx.Writer.
-func (a *adopted) Slow(v any, f ...logx.LogField) { a.log.With(attrs(f)...).Warn("slow", "content", v) }
+func (a *goZeroWriter) Slow(v any, f ...logx.LogField) { a.log.With(attrs(f)...).Warn("slow", "content", v) }
 
 // Stack implements logx.Writer.
-func (a *adopted) Stack(v any) { a.log.Error("stack", "content", v) }
+func (a *goZeroWriter) Stack(v any) { a.log.Error("stack", "content", v) }
 
 // Stat implements logx.Writer.
-func (a *adopted) Stat(v any, f ...logx.LogField) {
+func (a *goZeroWriter) Stat(v any, f ...logx.LogField) {
 	a.log.With(attrs(f)...).Debug("stat", "content", v)
 }
