--- a/src/logging/stream.go
+++ b/src/logging/stream.go
@@ -9,7 +9,7 @@
 
 // Limits of a Stream.
 const (
-	streamBytes = 256 << 10              // buffer size; lines that do not fit are dropped and counted
+	maxBufferedBytes = 256 << 10              // buffer size; lines that do not fit are dropped and counted
 	streamPace  = 100 * time.Millisecond // delay that collects lines for one write
 )
 
@@ -37,7 +37,7 @@
 func (s *Stream) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed || len(s.held)+len(line) > streamBytes {
+	if s.closed || len(s.held)+len(line) > maxBufferedBytes {
 		s.dropped++
 		return len(line), nil
 	}
