--- a/src/logging/stream.go
+++ b/src/logging/stream.go
@@ -10,7 +10,7 @@
 // Limits of a Stream.
 const (
 	maxBufferedBytes = 256 << 10              // buffer size; lines that do not fit are dropped and counted
-	streamPace  = 100 * time.Millisecond // delay that collects lines for one write
+	flushDelay  = 100 * time.Millisecond // delay that collects lines for one write
 )
 
 // Stream is a buffered writer that never blocks: a goroutine writes the buffered lines in larger pieces. Lines that
@@ -61,7 +61,7 @@
 	defer close(s.ended)
 	var out []byte
 	for range s.wake {
-		time.Sleep(streamPace)
+		time.Sleep(flushDelay)
 		s.mu.Lock()
 		out, s.held = s.held, out[:0]
 		if s.dropped > 0 {
