--- a/src/logging/stream.go
+++ b/src/logging/stream.go
@@ -19,7 +19,7 @@
 	Out io.Writer
 
 	mu      sync.Mutex
-	held    []byte
+	buffer    []byte
 	dropped int
 	wake    chan struct{}
 	ended   chan struct{}
@@ -37,11 +37,11 @@
 func (s *Stream) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed || len(s.held)+len(line) > maxBufferedBytes {
+	if s.closed || len(s.buffer)+len(line) > maxBufferedBytes {
 		s.dropped++
 		return len(line), nil
 	}
-	s.held = append(s.held, line...)
+	s.buffer = append(s.buffer, line...)
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -63,7 +63,7 @@
 	for range s.wake {
 		time.Sleep(flushDelay)
 		s.mu.Lock()
-		out, s.held = s.held, out[:0]
+		out, s.buffer = s.buffer, out[:0]
 		if s.dropped > 0 {
 			out = fmt.Appendf(out, `{"time":%q,"level":"WARN","msg":"log lines dropped","count":%d}`+"\n", time.Now().Format(time.RFC3339Nano), s.dropped)
 			s.dropped = 0
@@ -91,8 +91,8 @@
 	defer s.mu.Unlock()
 	select {
 	case <-s.ended:
-		_, _ = s.Out.Write(s.held)
-		s.held = nil
+		_, _ = s.Out.Write(s.buffer)
+		s.buffer = nil
 	default:
 	}
 }
