--- a/src/logging/stream.go
+++ b/src/logging/stream.go
@@ -22,13 +22,13 @@
 	buffer    []byte
 	dropped int
 	wake    chan struct{}
-	ended   chan struct{}
+	done   chan struct{}
 	closed  bool
 }
 
 // NewStream returns a Stream that writes to out.
 func NewStream(out io.Writer) *Stream {
-	s := &Stream{Out: out, wake: make(chan struct{}, 1), ended: make(chan struct{})}
+	s := &Stream{Out: out, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go s.run()
 	return s
 }
@@ -58,7 +58,7 @@
 
 // run writes the buffered lines until wake is closed.
 func (s *Stream) run() {
-	defer close(s.ended)
+	defer close(s.done)
 	var out []byte
 	for range s.wake {
 		time.Sleep(flushDelay)
@@ -84,13 +84,13 @@
 	close(s.wake)
 	s.mu.Unlock()
 	select {
-	case <-s.ended:
+	case <-s.done:
 	case <-time.After(within):
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
-	case <-s.ended:
+	case <-s.done:
 		_, _ = s.Out.Write(s.buffer)
 		s.buffer = nil
 	default:
