--- a/src/logging/stream_test.go
+++ b/src/logging/stream_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// stalled is a writer that blocks until it is released.
-type stalled struct {
+// stalledWriter is a writer that blocks until it is released.
+type stalledWriter struct {
 	mu     sync.Mutex
 	got    bytes.Buffer
 	letGo  chan struct{}
@@ -19,7 +19,7 @@
 	once   sync.Once
 }
 
-func (s *stalled) Write(b []byte) (int, error) {
+func (s *stalledWriter) Write(b []byte) (int, error) {
 	s.once.Do(func() { close(s.called) })
 	<-s.letGo
 	s.mu.Lock()
@@ -30,7 +30,7 @@
 // If nobody reads the log, writes must not block and memory must stay bounded; dropped lines are counted and reported.
 func TestAStalledReaderHoldsNobodyUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &stalled{letGo: make(chan struct{}), called: make(chan struct{})}
+		out := &stalledWriter{letGo: make(chan struct{}), called: make(chan struct{})}
 		s := NewStream(out)
 		line := []byte(strings.Repeat("x", 1000) + "\n")
 		_, _ = s.Write(line)
