--- a/src/logging/stream_test.go
+++ b/src/logging/stream_test.go
@@ -14,14 +14,14 @@
 type stalledWriter struct {
 	mu     sync.Mutex
 	got    bytes.Buffer
-	letGo  chan struct{}
+	release  chan struct{}
 	called chan struct{}
 	once   sync.Once
 }
 
 func (s *stalledWriter) Write(b []byte) (int, error) {
 	s.once.Do(func() { close(s.called) })
-	<-s.letGo
+	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.got.Write(b)
@@ -30,7 +30,7 @@
 // If nobody reads the log, writes must not block and memory must stay bounded; dropped lines are counted and reported.
 func TestAStalledReaderHoldsNobodyUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &stalledWriter{letGo: make(chan struct{}), called: make(chan struct{})}
+		out := &stalledWriter{release: make(chan struct{}), called: make(chan struct{})}
 		s := NewStream(out)
 		line := []byte(strings.Repeat("x", 1000) + "\n")
 		_, _ = s.Write(line)
@@ -48,7 +48,7 @@
 		if dropped < 700 {
 			t.Errorf("only %d lines were dropped: memory is not bounded", dropped)
 		}
-		close(out.letGo)
+		close(out.release)
 		time.Sleep(time.Second)
 		s.Close(time.Second)
 		text := out.got.String()
