--- a/src/logging/stream_test.go
+++ b/src/logging/stream_test.go
@@ -13,7 +13,7 @@
 // stalledWriter is a writer that blocks until it is released.
 type stalledWriter struct {
 	mu     sync.Mutex
-	got    bytes.Buffer
+	written    bytes.Buffer
 	release  chan struct{}
 	called chan struct{}
 	once   sync.Once
@@ -24,7 +24,7 @@
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got.Write(b)
+	return s.written.Write(b)
 }
 
 // If nobody reads the log, writes must not block and memory must stay bounded; dropped lines are counted and reported.
@@ -51,7 +51,7 @@
 		close(out.release)
 		time.Sleep(time.Second)
 		s.Close(time.Second)
-		text := out.got.String()
+		text := out.written.String()
 		if want := fmt.Sprintf(`"msg":"log lines dropped","count":%d`, dropped); !strings.Contains(text, want) {
 			t.Errorf("%d lines were dropped but not reported", dropped)
 		}
