--- a/src/logging/stream_test.go
+++ b/src/logging/stream_test.go
@@ -28,7 +28,7 @@
 }
 
 // If nobody reads the log, writes must not block and memory must stay bounded; dropped lines are counted and reported.
-func TestAStalledReaderHoldsNobodyUp(t *testing.T) {
+func TestStalledReaderDoesNotBlockWriters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &stalledWriter{release: make(chan struct{}), called: make(chan struct{})}
 		s := NewStream(out)
