--- a/src/logging/stream_test.go
+++ b/src/logging/stream_test.go
@@ -61,7 +61,7 @@
 	})
 }
 
-func TestCloseWritesWhatIsHeld(t *testing.T) {
+func TestCloseWritesBufferedLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		s := NewStream(&out)
