--- a/src/metrics/gateway.go
+++ b/src/metrics/gateway.go
@@ -28,7 +28,7 @@
 	pulled    *prometheus.HistogramVec
 	retries   *prometheus.CounterVec
 	withheld  *prometheus.CounterVec
-	said      *prometheus.CounterVec
+	serverNotices      *prometheus.CounterVec
 	permits   *prometheus.CounterVec
 	refused   *prometheus.CounterVec
 	suspected prometheus.Counter
@@ -57,11 +57,11 @@
 			Help: "Ends of servers counted against contents that ran there."}),
 		restored: prometheus.NewCounter(prometheus.CounterOpts{Name: "stilemast_gateway_store_restores_total",
 			Help: "Times that the platform's store came back from an older copy."}),
-		said:     counters("gateway_server_words_total", "Servers that said of themselves that they leave, want rest or limit their requests, by word.", "pool", "word"),
+		serverNotices:     counters("gateway_server_words_total", "Servers that said of themselves that they leave, want rest or limit their requests, by word.", "pool", "word"),
 		permits:  counters("gateway_permits_total", "Permits asked for at servers that limit their requests.", "pool", "granted"),
 		withheld: counters("gateway_withheld_total", "Sends held back since the server took no new work any more when the first byte was due.", "pool"),
 	}
-	s.registry.MustRegister(s.ended, s.took, s.first, s.exchanges, s.exchanged, s.batches, s.pieces, s.batched, s.reads, s.pulls, s.pulled, s.retries, s.withheld, s.said, s.permits, s.refused, s.suspected, s.restored,
+	s.registry.MustRegister(s.ended, s.took, s.first, s.exchanges, s.exchanged, s.batches, s.pieces, s.batched, s.reads, s.pulls, s.pulled, s.retries, s.withheld, s.serverNotices, s.permits, s.refused, s.suspected, s.restored,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return s
 }
@@ -95,7 +95,7 @@
 		Refused:   func(document, reason string) { s.refused.WithLabelValues(document, reason).Inc() },
 		Suspected: func(contents int) { s.suspected.Add(float64(contents)) },
 		Withheld:  func(pool string) { s.withheld.WithLabelValues(pool).Inc() },
-		Said:      func(pool, word string) { s.said.WithLabelValues(pool, word).Inc() },
+		Said:      func(pool, word string) { s.serverNotices.WithLabelValues(pool, word).Inc() },
 		Permitted: func(pool string, ok bool) { s.permits.WithLabelValues(pool, strconv.FormatBool(ok)).Inc() },
 	}
 }
