--- a/src/metrics/gateway.go
+++ b/src/metrics/gateway.go
@@ -15,7 +15,7 @@
 // GatewaySet holds the metrics of one gateway. Labels are pipelines, pools, results and outcomes.
 type GatewaySet struct {
 	registry  *prometheus.Registry
-	ended     *prometheus.CounterVec
+	requestsEnded     *prometheus.CounterVec
 	took      *prometheus.HistogramVec
 	first     *prometheus.HistogramVec
 	exchanges *prometheus.CounterVec
@@ -39,7 +39,7 @@
 func NewGateway() *GatewaySet {
 	s := &GatewaySet{
 		registry:  prometheus.NewRegistry(),
-		ended:     counters("gateway_requests_ended_total", "Requests that ended, by result.", "pipeline", "result"),
+		requestsEnded:     counters("gateway_requests_ended_total", "Requests that ended, by result.", "pipeline", "result"),
 		took:      histograms("gateway_request_seconds", "Time from arrival to the end of the answer.", "pipeline"),
 		first:     histograms("gateway_first_output_seconds", "Time from arrival to the first output.", "pipeline"),
 		exchanges: counters("gateway_exchanges_total", "Requests sent to servers, by outcome.", "pool", "outcome"),
@@ -61,7 +61,7 @@
 		permits:  counters("gateway_permits_total", "Permits asked for at servers that limit their requests.", "pool", "granted"),
 		withheld: counters("gateway_withheld_total", "Sends held back since the server took no new work any more when the first byte was due.", "pool"),
 	}
-	s.registry.MustRegister(s.ended, s.took, s.first, s.exchanges, s.exchanged, s.batches, s.pieces, s.batched, s.reads, s.pulls, s.pulled, s.retries, s.withheld, s.serverNotices, s.permits, s.refused, s.suspected, s.restored,
+	s.registry.MustRegister(s.requestsEnded, s.took, s.first, s.exchanges, s.exchanged, s.batches, s.pieces, s.batched, s.reads, s.pulls, s.pulled, s.retries, s.withheld, s.serverNotices, s.permits, s.refused, s.suspected, s.restored,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return s
 }
@@ -70,7 +70,7 @@
 func (s *GatewaySet) Watcher() gateway.Watcher {
 	return gateway.Watcher{
 		Ended: func(pipeline, result string, took, first time.Duration) {
-			s.ended.WithLabelValues(pipeline, result).Inc()
+			s.requestsEnded.WithLabelValues(pipeline, result).Inc()
 			s.took.WithLabelValues(pipeline).Observe(took.Seconds())
 			if first > 0 {
 				s.first.WithLabelValues(pipeline).Observe(first.Seconds())
