--- a/src/metrics/gateway.go
+++ b/src/metrics/gateway.go
@@ -17,7 +17,7 @@
 	registry  *prometheus.Registry
 	requestsEnded     *prometheus.CounterVec
 	requestSeconds      *prometheus.HistogramVec
-	first     *prometheus.HistogramVec
+	firstOutputSeconds     *prometheus.HistogramVec
 	exchanges *prometheus.CounterVec
 	exchanged *prometheus.HistogramVec
 	batches   *prometheus.CounterVec
@@ -41,7 +41,7 @@
 		registry:  prometheus.NewRegistry(),
 		requestsEnded:     counters("gateway_requests_ended_total", "Requests that ended, by result.", "pipeline", "result"),
 		requestSeconds:      histograms("gateway_request_seconds", "Time from arrival to the end of the answer.", "pipeline"),
-		first:     histograms("gateway_first_output_seconds", "Time from arrival to the first output.", "pipeline"),
+		firstOutputSeconds:     histograms("gateway_first_output_seconds", "Time from arrival to the first output.", "pipeline"),
 		exchanges: counters("gateway_exchanges_total", "Requests sent to servers, by outcome.", "pool", "outcome"),
 		exchanged: histograms("gateway_exchange_seconds", "Time of one exchange with a server.", "pool"),
 		batches:   counters("gateway_batches_total", "Calls that make pieces, by outcome.", "pool", "outcome"),
@@ -61,7 +61,7 @@
 		permits:  counters("gateway_permits_total", "Permits asked for at servers that limit their requests.", "pool", "granted"),
 		withheld: counters("gateway_withheld_total", "Sends held back since the server took no new work any more when the first byte was due.", "pool"),
 	}
-	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.first, s.exchanges, s.exchanged, s.batches, s.pieces, s.batched, s.reads, s.pulls, s.pulled, s.retries, s.withheld, s.serverNotices, s.permits, s.refused, s.suspected, s.restored,
+	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.exchanges, s.exchanged, s.batches, s.pieces, s.batched, s.reads, s.pulls, s.pulled, s.retries, s.withheld, s.serverNotices, s.permits, s.refused, s.suspected, s.restored,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return s
 }
@@ -73,7 +73,7 @@
 			s.requestsEnded.WithLabelValues(pipeline, result).Inc()
 			s.requestSeconds.WithLabelValues(pipeline).Observe(took.Seconds())
 			if first > 0 {
-				s.first.WithLabelValues(pipeline).Observe(first.Seconds())
+				s.firstOutputSeconds.WithLabelValues(pipeline).Observe(first.Seconds())
 			}
 		},
 		Exchanged: func(pool, outcome string, took time.Duration) {
