--- a/src/metrics/gateway.go
+++ b/src/metrics/gateway.go
@@ -19,7 +19,7 @@
 	requestSeconds      *prometheus.HistogramVec
 	firstOutputSeconds     *prometheus.HistogramVec
 	exchanges *prometheus.CounterVec
-	exchanged *prometheus.HistogramVec
+	exchangeSeconds *prometheus.HistogramVec
 	batches   *prometheus.CounterVec
 	pieces    *prometheus.HistogramVec
 	batched   *prometheus.HistogramVec
@@ -43,7 +43,7 @@
 		requestSeconds:      histograms("gateway_request_seconds", "Time from arrival to the end of the answer.", "pipeline"),
 		firstOutputSeconds:     histograms("gateway_first_output_seconds", "Time from arrival to the first output.", "pipeline"),
 		exchanges: counters("gateway_exchanges_total", "Requests sent to servers, by outcome.", "pool", "outcome"),
-		exchanged: histograms("gateway_exchange_seconds", "Time of one exchange with a server.", "pool"),
+		exchangeSeconds: histograms("gateway_exchange_seconds", "Time of one exchange with a server.", "pool"),
 		batches:   counters("gateway_batches_total", "Calls that make pieces, by outcome.", "pool", "outcome"),
 		pieces: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "stilemast_gateway_batch_pieces",
 			Help: "Pieces in one call.", Buckets: prometheus.ExponentialBuckets(1, 2, 8)}, []string{"pool"}),
@@ -61,7 +61,7 @@
 		permits:  counters("gateway_permits_total", "Permits asked for at servers that limit their requests.", "pool", "granted"),
 		withheld: counters("gateway_withheld_total", "Sends held back since the server took no new work any more when the first byte was due.", "pool"),
 	}
-	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.exchanges, s.exchanged, s.batches, s.pieces, s.batched, s.reads, s.pulls, s.pulled, s.retries, s.withheld, s.serverNotices, s.permits, s.refused, s.suspected, s.restored,
+	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.exchanges, s.exchangeSeconds, s.batches, s.pieces, s.batched, s.reads, s.pulls, s.pulled, s.retries, s.withheld, s.serverNotices, s.permits, s.refused, s.suspected, s.restored,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return s
 }
@@ -78,7 +78,7 @@
 		},
 		Exchanged: func(pool, outcome string, took time.Duration) {
 			s.exchanges.WithLabelValues(pool, outcome).Inc()
-			s.exchanged.WithLabelValues(pool).Observe(took.Seconds())
+			s.exchangeSeconds.WithLabelValues(pool).Observe(took.Seconds())
 		},
 		Batched: func(pool string, pieces int, outcome string, took time.Duration) {
 			s.batches.WithLabelValues(pool, outcome).Inc()
