--- a/src/metrics/gateway.go
+++ b/src/metrics/gateway.go
@@ -21,7 +21,7 @@
 	exchanges *prometheus.CounterVec
 	exchangeSeconds *prometheus.HistogramVec
 	batches   *prometheus.CounterVec
-	pieces    *prometheus.HistogramVec
+	batchPieces    *prometheus.HistogramVec
 	batched   *prometheus.HistogramVec
 	reads     *prometheus.CounterVec
 	pulls     *prometheus.CounterVec
@@ -45,7 +45,7 @@
 		exchanges: counters("gateway_exchanges_total", "Requests sent to servers, by outcome.", "pool", "outcome"),
 		exchangeSeconds: histograms("gateway_exchange_seconds", "Time of one exchange with a server.", "pool"),
 		batches:   counters("gateway_batches_total", "Calls that make pieces, by outcome.", "pool", "outcome"),
-		pieces: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "stilemast_gateway_batch_pieces",
+		batchPieces: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "stilemast_gateway_batch_pieces",
 			Help: "Pieces in one call.", Buckets: prometheus.ExponentialBuckets(1, 2, 8)}, []string{"pool"}),
 		batched: histograms("gateway_batch_seconds", "Time of one call that makes pieces.", "pool"),
 		reads:   counters("gateway_store_reads_total", "Reads of the platform's store.", "document", "ok"),
@@ -61,7 +61,7 @@
 		permits:  counters("gateway_permits_total", "Permits asked for at servers that limit their requests.", "pool", "granted"),
 		withheld: counters("gateway_withheld_total", "Sends held back since the server took no new work any more when the first byte was due.", "pool"),
 	}
-	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.exchanges, s.exchangeSeconds, s.batches, s.pieces, s.batched, s.reads, s.pulls, s.pulled, s.retries, s.withheld, s.serverNotices, s.permits, s.refused, s.suspected, s.restored,
+	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.exchanges, s.exchangeSeconds, s.batches, s.batchPieces, s.batched, s.reads, s.pulls, s.pulled, s.retries, s.withheld, s.serverNotices, s.permits, s.refused, s.suspected, s.restored,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return s
 }
@@ -82,7 +82,7 @@
 		},
 		Batched: func(pool string, pieces int, outcome string, took time.Duration) {
 			s.batches.WithLabelValues(pool, outcome).Inc()
-			s.pieces.WithLabelValues(pool).Observe(float64(pieces))
+			s.batchPieces.WithLabelValues(pool).Observe(float64(pieces))
 			s.batched.WithLabelValues(pool).Observe(took.Seconds())
 		},
 		Restored:  s.restored.Inc,
