--- a/src/metrics/gateway.go
+++ b/src/metrics/gateway.go
@@ -22,7 +22,7 @@
 	exchangeSeconds *prometheus.HistogramVec
 	batches   *prometheus.CounterVec
 	batchPieces    *prometheus.HistogramVec
-	batched   *prometheus.HistogramVec
+	batchSeconds   *prometheus.HistogramVec
 	reads     *prometheus.CounterVec
 	pulls     *prometheus.CounterVec
 	pulled    *prometheus.HistogramVec
@@ -47,7 +47,7 @@
 		batches:   counters("gateway_batches_total", "Calls that make pieces, by outcome.", "pool", "outcome"),
 		batchPieces: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "stilemast_gateway_batch_pieces",
 			Help: "Pieces in one call.", Buckets: prometheus.ExponentialBuckets(1, 2, 8)}, []string{"pool"}),
-		batched: histograms("gateway_batch_seconds", "Time of one call that makes pieces.", "pool"),
+		batchSeconds: histograms("gateway_batch_seconds", "Time of one call that makes pieces.", "pool"),
 		reads:   counters("gateway_store_reads_total", "Reads of the platform's store.", "document", "ok"),
 		pulls:   counters("gateway_pulls_total", "Documents asked of other boxes.", "document", "ok"),
 		pulled:  histograms("gateway_pull_seconds", "Time of one document asked of another box.", "document"),
@@ -61,7 +61,7 @@
 		permits:  counters("gateway_permits_total", "Permits asked for at servers that limit their requests.", "pool", "granted"),
 		withheld: counters("gateway_withheld_total", "Sends held back since the server took no new work any more when the first byte was due.", "pool"),
 	}
-	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.exchanges, s.exchangeSeconds, s.batches, s.batchPieces, s.batched, s.reads, s.pulls, s.pulled, s.retries, s.withheld, s.serverNotices, s.permits, s.refused, s.suspected, s.restored,
+	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.exchanges, s.exchangeSeconds, s.batches, s.batchPieces, s.batchSeconds, s.reads, s.pulls, s.pulled, s.retries, s.withheld, s.serverNotices, s.permits, s.refused, s.suspected, s.restored,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return s
 }
@@ -83,7 +83,7 @@
 		Batched: func(pool string, pieces int, outcome string, took time.Duration) {
 			s.batches.WithLabelValues(pool, outcome).Inc()
 			s.batchPieces.WithLabelValues(pool).Observe(float64(pieces))
-			s.batched.WithLabelValues(pool).Observe(took.Seconds())
+			s.batchSeconds.WithLabelValues(pool).Observe(took.Seconds())
 		},
 		Restored:  s.restored.Inc,
 		StoreRead: func(document string, ok bool) { s.reads.WithLabelValues(document, strconv.FormatBool(ok)).Inc() },
