--- a/src/metrics/gateway.go
+++ b/src/metrics/gateway.go
@@ -23,7 +23,7 @@
 	batches   *prometheus.CounterVec
 	batchPieces    *prometheus.HistogramVec
 	batchSeconds   *prometheus.HistogramVec
-	reads     *prometheus.CounterVec
+	storeReads     *prometheus.CounterVec
 	pulls     *prometheus.CounterVec
 	pulled    *prometheus.HistogramVec
 	retries   *prometheus.CounterVec
@@ -48,7 +48,7 @@
 		batchPieces: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "stilemast_gateway_batch_pieces",
 			Help: "Pieces in one call.", Buckets: prometheus.ExponentialBuckets(1, 2, 8)}, []string{"pool"}),
 		batchSeconds: histograms("gateway_batch_seconds", "Time of one call that makes pieces.", "pool"),
-		reads:   counters("gateway_store_reads_total", "Reads of the platform's store.", "document", "ok"),
+		storeReads:   counters("gateway_store_reads_total", "Reads of the platform's store.", "document", "ok"),
 		pulls:   counters("gateway_pulls_total", "Documents asked of other boxes.", "document", "ok"),
 		pulled:  histograms("gateway_pull_seconds", "Time of one document asked of another box.", "document"),
 		retries: counters("gateway_retries_total", "Repeated sends asked of the shared budget.", "pool", "allowed"),
@@ -61,7 +61,7 @@
 		permits:  counters("gateway_permits_total", "Permits asked for at servers that limit their requests.", "pool", "granted"),
 		withheld: counters("gateway_withheld_total", "Sends held back since the server took no new work any more when the first byte was due.", "pool"),
 	}
-	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.exchanges, s.exchangeSeconds, s.batches, s.batchPieces, s.batchSeconds, s.reads, s.pulls, s.pulled, s.retries, s.withheld, s.serverNotices, s.permits, s.refused, s.suspected, s.restored,
+	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.exchanges, s.exchangeSeconds, s.batches, s.batchPieces, s.batchSeconds, s.storeReads, s.pulls, s.pulled, s.retries, s.withheld, s.serverNotices, s.permits, s.refused, s.suspected, s.restored,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return s
 }
@@ -86,7 +86,7 @@
 			s.batchSeconds.WithLabelValues(pool).Observe(took.Seconds())
 		},
 		Restored:  s.restored.Inc,
-		StoreRead: func(document string, ok bool) { s.reads.WithLabelValues(document, strconv.FormatBool(ok)).Inc() },
+		StoreRead: func(document string, ok bool) { s.storeReads.WithLabelValues(document, strconv.FormatBool(ok)).Inc() },
 		Pulled: func(document string, ok bool, took time.Duration) {
 			s.pulls.WithLabelValues(document, strconv.FormatBool(ok)).Inc()
 			s.pulled.WithLabelValues(document).Observe(took.Seconds())
