--- a/src/metrics/gateway.go
+++ b/src/metrics/gateway.go
@@ -25,7 +25,7 @@
 	batchSeconds   *prometheus.HistogramVec
 	storeReads     *prometheus.CounterVec
 	pulls     *prometheus.CounterVec
-	pulled    *prometheus.HistogramVec
+	pullSeconds    *prometheus.HistogramVec
 	retries   *prometheus.CounterVec
 	withheld  *prometheus.CounterVec
 	serverNotices      *prometheus.CounterVec
@@ -50,7 +50,7 @@
 		batchSeconds: histograms("gateway_batch_seconds", "Time of one call that makes pieces.", "pool"),
 		storeReads:   counters("gateway_store_reads_total", "Reads of the platform's store.", "document", "ok"),
 		pulls:   counters("gateway_pulls_total", "Documents asked of other boxes.", "document", "ok"),
-		pulled:  histograms("gateway_pull_seconds", "Time of one document asked of another box.", "document"),
+		pullSeconds:  histograms("gateway_pull_seconds", "Time of one document asked of another box.", "document"),
 		retries: counters("gateway_retries_total", "Repeated sends asked of the shared budget.", "pool", "allowed"),
 		refused: counters("gateway_unusable_documents_total", "Server entries and configurations that can't be used, by reason.", "document", "reason"),
 		suspected: prometheus.NewCounter(prometheus.CounterOpts{Name: "stilemast_gateway_suspects_total",
@@ -61,7 +61,7 @@
 		permits:  counters("gateway_permits_total", "Permits asked for at servers that limit their requests.", "pool", "granted"),
 		withheld: counters("gateway_withheld_total", "Sends held back since the server took no new work any more when the first byte was due.", "pool"),
 	}
-	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.exchanges, s.exchangeSeconds, s.batches, s.batchPieces, s.batchSeconds, s.storeReads, s.pulls, s.pulled, s.retries, s.withheld, s.serverNotices, s.permits, s.refused, s.suspected, s.restored,
+	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.exchanges, s.exchangeSeconds, s.batches, s.batchPieces, s.batchSeconds, s.storeReads, s.pulls, s.pullSeconds, s.retries, s.withheld, s.serverNotices, s.permits, s.refused, s.suspected, s.restored,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return s
 }
@@ -89,7 +89,7 @@
 		StoreRead: func(document string, ok bool) { s.storeReads.WithLabelValues(document, strconv.FormatBool(ok)).Inc() },
 		Pulled: func(document string, ok bool, took time.Duration) {
 			s.pulls.WithLabelValues(document, strconv.FormatBool(ok)).Inc()
-			s.pulled.WithLabelValues(document).Observe(took.Seconds())
+			s.pullSeconds.WithLabelValues(document).Observe(took.Seconds())
 		},
 		Retried:   func(pool string, allowed bool) { s.retries.WithLabelValues(pool, strconv.FormatBool(allowed)).Inc() },
 		Refused:   func(document, reason string) { s.refused.WithLabelValues(document, reason).Inc() },
