--- a/src/metrics/gateway.go
+++ b/src/metrics/gateway.go
@@ -30,7 +30,7 @@
 	withheld  *prometheus.CounterVec
 	serverNotices      *prometheus.CounterVec
 	permits   *prometheus.CounterVec
-	refused   *prometheus.CounterVec
+	unusableDocuments   *prometheus.CounterVec
 	suspected prometheus.Counter
 	restored  prometheus.Counter
 }
@@ -52,7 +52,7 @@
 		pulls:   counters("gateway_pulls_total", "Documents asked of other boxes.", "document", "ok"),
 		pullSeconds:  histograms("gateway_pull_seconds", "Time of one document asked of another box.", "document"),
 		retries: counters("gateway_retries_total", "Repeated sends asked of the shared budget.", "pool", "allowed"),
-		refused: counters("gateway_unusable_documents_total", "Server entries and configurations that can't be used, by reason.", "document", "reason"),
+		unusableDocuments: counters("gateway_unusable_documents_total", "Server entries and configurations that can't be used, by reason.", "document", "reason"),
 		suspected: prometheus.NewCounter(prometheus.CounterOpts{Name: "stilemast_gateway_suspects_total",
 			Help: "Ends of servers counted against contents that ran there."}),
 		restored: prometheus.NewCounter(prometheus.CounterOpts{Name: "stilemast_gateway_store_restores_total",
@@ -61,7 +61,7 @@
 		permits:  counters("gateway_permits_total", "Permits asked for at servers that limit their requests.", "pool", "granted"),
 		withheld: counters("gateway_withheld_total", "Sends held back since the server took no new work any more when the first byte was due.", "pool"),
 	}
-	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.exchanges, s.exchangeSeconds, s.batches, s.batchPieces, s.batchSeconds, s.storeReads, s.pulls, s.pullSeconds, s.retries, s.withheld, s.serverNotices, s.permits, s.refused, s.suspected, s.restored,
+	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.exchanges, s.exchangeSeconds, s.batches, s.batchPieces, s.batchSeconds, s.storeReads, s.pulls, s.pullSeconds, s.retries, s.withheld, s.serverNotices, s.permits, s.unusableDocuments, s.suspected, s.restored,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return s
 }
@@ -92,7 +92,7 @@
 			s.pullSeconds.WithLabelValues(document).Observe(took.Seconds())
 		},
 		Retried:   func(pool string, allowed bool) { s.retries.WithLabelValues(pool, strconv.FormatBool(allowed)).Inc() },
-		Refused:   func(document, reason string) { s.refused.WithLabelValues(document, reason).Inc() },
+		Refused:   func(document, reason string) { s.unusableDocuments.WithLabelValues(document, reason).Inc() },
 		Suspected: func(contents int) { s.suspected.Add(float64(contents)) },
 		Withheld:  func(pool string) { s.withheld.WithLabelValues(pool).Inc() },
 		Said:      func(pool, word string) { s.serverNotices.WithLabelValues(pool, word).Inc() },
