--- a/src/metrics/gateway.go
+++ b/src/metrics/gateway.go
@@ -31,7 +31,7 @@
 	serverNotices      *prometheus.CounterVec
 	permits   *prometheus.CounterVec
 	unusableDocuments   *prometheus.CounterVec
-	suspected prometheus.Counter
+	suspects prometheus.Counter
 	restored  prometheus.Counter
 }
 
@@ -53,7 +53,7 @@
 		pullSeconds:  histograms("gateway_pull_seconds", "Time of one document asked of another box.", "document"),
 		retries: counters("gateway_retries_total", "Repeated sends asked of the shared budget.", "pool", "allowed"),
 		unusableDocuments: counters("gateway_unusable_documents_total", "Server entries and configurations that can't be used, by reason.", "document", "reason"),
-		suspected: prometheus.NewCounter(prometheus.CounterOpts{Name: "stilemast_gateway_suspects_total",
+		suspects: prometheus.NewCounter(prometheus.CounterOpts{Name: "stilemast_gateway_suspects_total",
 			Help: "Ends of servers counted against contents that ran there."}),
 		restored: prometheus.NewCounter(prometheus.CounterOpts{Name: "stilemast_gateway_store_restores_total",
 			Help: "Times that the platform's store came back from an older copy."}),
@@ -61,7 +61,7 @@
 		permits:  counters("gateway_permits_total", "Permits asked for at servers that limit their requests.", "pool", "granted"),
 		withheld: counters("gateway_withheld_total", "Sends held back since the server took no new work any more when the first byte was due.", "pool"),
 	}
-	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.exchanges, s.exchangeSeconds, s.batches, s.batchPieces, s.batchSeconds, s.storeReads, s.pulls, s.pullSeconds, s.retries, s.withheld, s.serverNotices, s.permits, s.unusableDocuments, s.suspected, s.restored,
+	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.exchanges, s.exchangeSeconds, s.batches, s.batchPieces, s.batchSeconds, s.storeReads, s.pulls, s.pullSeconds, s.retries, s.withheld, s.serverNotices, s.permits, s.unusableDocuments, s.suspects, s.restored,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return s
 }
@@ -93,7 +93,7 @@
 		},
 		Retried:   func(pool string, allowed bool) { s.retries.WithLabelValues(pool, strconv.FormatBool(allowed)).Inc() },
 		Refused:   func(document, reason string) { s.unusableDocuments.WithLabelValues(document, reason).Inc() },
-		Suspected: func(contents int) { s.suspected.Add(float64(contents)) },
+		Suspected: func(contents int) { s.suspects.Add(float64(contents)) },
 		Withheld:  func(pool string) { s.withheld.WithLabelValues(pool).Inc() },
 		Said:      func(pool, word string) { s.serverNotices.WithLabelValues(pool, word).Inc() },
 		Permitted: func(pool string, ok bool) { s.permits.WithLabelValues(pool, strconv.FormatBool(ok)).Inc() },
