--- a/src/metrics/gateway.go
+++ b/src/metrics/gateway.go
@@ -32,7 +32,7 @@
 	permits   *prometheus.CounterVec
 	unusableDocuments   *prometheus.CounterVec
 	suspects prometheus.Counter
-	restored  prometheus.Counter
+	storeRestores  prometheus.Counter
 }
 
 // NewGateway returns an empty set.
@@ -55,13 +55,13 @@
 		unusableDocuments: counters("gateway_unusable_documents_total", "Server entries and configurations that can't be used, by reason.", "document", "reason"),
 		suspects: prometheus.NewCounter(prometheus.CounterOpts{Name: "stilemast_gateway_suspects_total",
 			Help: "Ends of servers counted against contents that ran there."}),
-		restored: prometheus.NewCounter(prometheus.CounterOpts{Name: "stilemast_gateway_store_restores_total",
+		storeRestores: prometheus.NewCounter(prometheus.CounterOpts{Name: "stilemast_gateway_store_restores_total",
 			Help: "Times that the platform's store came back from an older copy."}),
 		serverNotices:     counters("gateway_server_words_total", "Servers that said of themselves that they leave, want rest or limit their requests, by word.", "pool", "word"),
 		permits:  counters("gateway_permits_total", "Permits asked for at servers that limit their requests.", "pool", "granted"),
 		withheld: counters("gateway_withheld_total", "Sends held back since the server took no new work any more when the first byte was due.", "pool"),
 	}
-	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.exchanges, s.exchangeSeconds, s.batches, s.batchPieces, s.batchSeconds, s.storeReads, s.pulls, s.pullSeconds, s.retries, s.withheld, s.serverNotices, s.permits, s.unusableDocuments, s.suspects, s.restored,
+	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.exchanges, s.exchangeSeconds, s.batches, s.batchPieces, s.batchSeconds, s.storeReads, s.pulls, s.pullSeconds, s.retries, s.withheld, s.serverNotices, s.permits, s.unusableDocuments, s.suspects, s.storeRestores,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return s
 }
@@ -85,7 +85,7 @@
 			s.batchPieces.WithLabelValues(pool).Observe(float64(pieces))
 			s.batchSeconds.WithLabelValues(pool).Observe(took.Seconds())
 		},
-		Restored:  s.restored.Inc,
+		Restored:  s.storeRestores.Inc,
 		StoreRead: func(document string, ok bool) { s.storeReads.WithLabelValues(document, strconv.FormatBool(ok)).Inc() },
 		Pulled: func(document string, ok bool, took time.Duration) {
 			s.pulls.WithLabelValues(document, strconv.FormatBool(ok)).Inc()
