--- a/src/metrics/metrics.go
+++ b/src/metrics/metrics.go
@@ -21,7 +21,7 @@
 // Set holds the metrics of one box.
 type Set struct {
 	registry *prometheus.Registry
-	ended    *prometheus.CounterVec
+	requestsEnded    *prometheus.CounterVec
 	took     *prometheus.HistogramVec
 	first    *prometheus.HistogramVec
 	calls    *prometheus.CounterVec
@@ -38,7 +38,7 @@
 func New() *Set {
 	s := &Set{
 		registry: prometheus.NewRegistry(),
-		ended:    counters("requests_ended_total", "Requests that ended, by result code.", "pipeline", "class", "code"),
+		requestsEnded:    counters("requests_ended_total", "Requests that ended, by result code.", "pipeline", "class", "code"),
 		took:     histograms("request_seconds", "Time from acceptance to the final answer.", "pipeline"),
 		first:    histograms("first_output_seconds", "Time from acceptance to the first output.", "pipeline"),
 		calls:    counters("calls_total", "Calls to backend servers, by how they ended.", "pool", "failure"),
@@ -47,7 +47,7 @@
 		stale:    prometheus.NewCounter(prometheus.CounterOpts{Name: "stilemast_stale_replies_total", Help: "Replies discarded as late, repeated or foreign."}),
 		reads:    counters("platform_reads_total", "Reads of the platform's service.", "document", "ok"),
 	}
-	s.registry.MustRegister(s.ended, s.took, s.first, s.calls, s.served, s.waited, s.stale, s.reads,
+	s.registry.MustRegister(s.requestsEnded, s.took, s.first, s.calls, s.served, s.waited, s.stale, s.reads,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return s
 }
@@ -68,7 +68,7 @@
 			if err != nil {
 				name = err.Code.String()
 			}
-			s.ended.WithLabelValues(p.Name(), p.Class().String(), name).Inc()
+			s.requestsEnded.WithLabelValues(p.Name(), p.Class().String(), name).Inc()
 			s.took.WithLabelValues(p.Name()).Observe(took.Seconds())
 			if firstOut > 0 {
 				s.first.WithLabelValues(p.Name()).Observe(firstOut.Seconds())
