--- a/src/metrics/metrics.go
+++ b/src/metrics/metrics.go
@@ -22,7 +22,7 @@
 type Set struct {
 	registry *prometheus.Registry
 	requestsEnded    *prometheus.CounterVec
-	took     *prometheus.HistogramVec
+	requestSeconds     *prometheus.HistogramVec
 	first    *prometheus.HistogramVec
 	calls    *prometheus.CounterVec
 	served   *prometheus.HistogramVec
@@ -39,7 +39,7 @@
 	s := &Set{
 		registry: prometheus.NewRegistry(),
 		requestsEnded:    counters("requests_ended_total", "Requests that ended, by result code.", "pipeline", "class", "code"),
-		took:     histograms("request_seconds", "Time from acceptance to the final answer.", "pipeline"),
+		requestSeconds:     histograms("request_seconds", "Time from acceptance to the final answer.", "pipeline"),
 		first:    histograms("first_output_seconds", "Time from acceptance to the first output.", "pipeline"),
 		calls:    counters("calls_total", "Calls to backend servers, by how they ended.", "pool", "failure"),
 		served:   histograms("call_seconds", "Time of one call to a backend server.", "pool"),
@@ -47,7 +47,7 @@
 		stale:    prometheus.NewCounter(prometheus.CounterOpts{Name: "stilemast_stale_replies_total", Help: "Replies discarded as late, repeated or foreign."}),
 		reads:    counters("platform_reads_total", "Reads of the platform's service.", "document", "ok"),
 	}
-	s.registry.MustRegister(s.requestsEnded, s.took, s.first, s.calls, s.served, s.waited, s.stale, s.reads,
+	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.first, s.calls, s.served, s.waited, s.stale, s.reads,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return s
 }
@@ -69,7 +69,7 @@
 				name = err.Code.String()
 			}
 			s.requestsEnded.WithLabelValues(p.Name(), p.Class().String(), name).Inc()
-			s.took.WithLabelValues(p.Name()).Observe(took.Seconds())
+			s.requestSeconds.WithLabelValues(p.Name()).Observe(took.Seconds())
 			if firstOut > 0 {
 				s.first.WithLabelValues(p.Name()).Observe(firstOut.Seconds())
 			}
