--- a/src/metrics/metrics.go
+++ b/src/metrics/metrics.go
@@ -23,7 +23,7 @@
 	registry *prometheus.Registry
 	requestsEnded    *prometheus.CounterVec
 	requestSeconds     *prometheus.HistogramVec
-	first    *prometheus.HistogramVec
+	firstOutputSeconds    *prometheus.HistogramVec
 	calls    *prometheus.CounterVec
 	served   *prometheus.HistogramVec
 	waited   *prometheus.HistogramVec
@@ -40,14 +40,14 @@
 		registry: prometheus.NewRegistry(),
 		requestsEnded:    counters("requests_ended_total", "Requests that ended, by result code.", "pipeline", "class", "code"),
 		requestSeconds:     histograms("request_seconds", "Time from acceptance to the final answer.", "pipeline"),
-		first:    histograms("first_output_seconds", "Time from acceptance to the first output.", "pipeline"),
+		firstOutputSeconds:    histograms("first_output_seconds", "Time from acceptance to the first output.", "pipeline"),
 		calls:    counters("calls_total", "Calls to backend servers, by how they ended.", "pool", "failure"),
 		served:   histograms("call_seconds", "Time of one call to a backend server.", "pool"),
 		waited:   histograms("wait_seconds", "Time a call waited in its pool.", "pool"),
 		stale:    prometheus.NewCounter(prometheus.CounterOpts{Name: "stilemast_stale_replies_total", Help: "Replies discarded as late, repeated or foreign."}),
 		reads:    counters("platform_reads_total", "Reads of the platform's service.", "document", "ok"),
 	}
-	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.first, s.calls, s.served, s.waited, s.stale, s.reads,
+	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.calls, s.served, s.waited, s.stale, s.reads,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return s
 }
@@ -71,7 +71,7 @@
 			s.requestsEnded.WithLabelValues(p.Name(), p.Class().String(), name).Inc()
 			s.requestSeconds.WithLabelValues(p.Name()).Observe(took.Seconds())
 			if firstOut > 0 {
-				s.first.WithLabelValues(p.Name()).Observe(firstOut.Seconds())
+				s.firstOutputSeconds.WithLabelValues(p.Name()).Observe(firstOut.Seconds())
 			}
 		},
 		Settled: func(pool string, f core.Failure, took time.Duration) {
