--- a/src/metrics/metrics.go
+++ b/src/metrics/metrics.go
@@ -25,7 +25,7 @@
 	requestSeconds     *prometheus.HistogramVec
 	firstOutputSeconds    *prometheus.HistogramVec
 	calls    *prometheus.CounterVec
-	served   *prometheus.HistogramVec
+	callSeconds   *prometheus.HistogramVec
 	waited   *prometheus.HistogramVec
 	stale    prometheus.Counter
 	reads    *prometheus.CounterVec
@@ -42,12 +42,12 @@
 		requestSeconds:     histograms("request_seconds", "Time from acceptance to the final answer.", "pipeline"),
 		firstOutputSeconds:    histograms("first_output_seconds", "Time from acceptance to the first output.", "pipeline"),
 		calls:    counters("calls_total", "Calls to backend servers, by how they ended.", "pool", "failure"),
-		served:   histograms("call_seconds", "Time of one call to a backend server.", "pool"),
+		callSeconds:   histograms("call_seconds", "Time of one call to a backend server.", "pool"),
 		waited:   histograms("wait_seconds", "Time a call waited in its pool.", "pool"),
 		stale:    prometheus.NewCounter(prometheus.CounterOpts{Name: "stilemast_stale_replies_total", Help: "Replies discarded as late, repeated or foreign."}),
 		reads:    counters("platform_reads_total", "Reads of the platform's service.", "document", "ok"),
 	}
-	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.calls, s.served, s.waited, s.stale, s.reads,
+	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.calls, s.callSeconds, s.waited, s.stale, s.reads,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return s
 }
@@ -76,7 +76,7 @@
 		},
 		Settled: func(pool string, f core.Failure, took time.Duration) {
 			s.calls.WithLabelValues(pool, f.String()).Inc()
-			s.served.WithLabelValues(pool).Observe(took.Seconds())
+			s.callSeconds.WithLabelValues(pool).Observe(took.Seconds())
 		},
 		Waited: func(pool string, d time.Duration) { s.waited.WithLabelValues(pool).Observe(d.Seconds()) },
 		Stale:  func(n int) { s.stale.Add(float64(n)) },
