--- a/src/metrics/metrics.go
+++ b/src/metrics/metrics.go
@@ -26,7 +26,7 @@
 	firstOutputSeconds    *prometheus.HistogramVec
 	calls    *prometheus.CounterVec
 	callSeconds   *prometheus.HistogramVec
-	waited   *prometheus.HistogramVec
+	waitSeconds   *prometheus.HistogramVec
 	stale    prometheus.Counter
 	reads    *prometheus.CounterVec
 }
@@ -43,11 +43,11 @@
 		firstOutputSeconds:    histograms("first_output_seconds", "Time from acceptance to the first output.", "pipeline"),
 		calls:    counters("calls_total", "Calls to backend servers, by how they ended.", "pool", "failure"),
 		callSeconds:   histograms("call_seconds", "Time of one call to a backend server.", "pool"),
-		waited:   histograms("wait_seconds", "Time a call waited in its pool.", "pool"),
+		waitSeconds:   histograms("wait_seconds", "Time a call waited in its pool.", "pool"),
 		stale:    prometheus.NewCounter(prometheus.CounterOpts{Name: "stilemast_stale_replies_total", Help: "Replies discarded as late, repeated or foreign."}),
 		reads:    counters("platform_reads_total", "Reads of the platform's service.", "document", "ok"),
 	}
-	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.calls, s.callSeconds, s.waited, s.stale, s.reads,
+	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.calls, s.callSeconds, s.waitSeconds, s.stale, s.reads,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return s
 }
@@ -78,7 +78,7 @@
 			s.calls.WithLabelValues(pool, f.String()).Inc()
 			s.callSeconds.WithLabelValues(pool).Observe(took.Seconds())
 		},
-		Waited: func(pool string, d time.Duration) { s.waited.WithLabelValues(pool).Observe(d.Seconds()) },
+		Waited: func(pool string, d time.Duration) { s.waitSeconds.WithLabelValues(pool).Observe(d.Seconds()) },
 		Stale:  func(n int) { s.stale.Add(float64(n)) },
 		Platform: func(document string, ok bool) {
 			word := "false"
