--- a/src/metrics/metrics.go
+++ b/src/metrics/metrics.go
@@ -27,7 +27,7 @@
 	calls    *prometheus.CounterVec
 	callSeconds   *prometheus.HistogramVec
 	waitSeconds   *prometheus.HistogramVec
-	stale    prometheus.Counter
+	staleReplies    prometheus.Counter
 	reads    *prometheus.CounterVec
 }
 
@@ -44,10 +44,10 @@
 		calls:    counters("calls_total", "Calls to backend servers, by how they ended.", "pool", "failure"),
 		callSeconds:   histograms("call_seconds", "Time of one call to a backend server.", "pool"),
 		waitSeconds:   histograms("wait_seconds", "Time a call waited in its pool.", "pool"),
-		stale:    prometheus.NewCounter(prometheus.CounterOpts{Name: "stilemast_stale_replies_total", Help: "Replies discarded as late, repeated or foreign."}),
+		staleReplies:    prometheus.NewCounter(prometheus.CounterOpts{Name: "stilemast_stale_replies_total", Help: "Replies discarded as late, repeated or foreign."}),
 		reads:    counters("platform_reads_total", "Reads of the platform's service.", "document", "ok"),
 	}
-	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.calls, s.callSeconds, s.waitSeconds, s.stale, s.reads,
+	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.calls, s.callSeconds, s.waitSeconds, s.staleReplies, s.reads,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return s
 }
@@ -79,7 +79,7 @@
 			s.callSeconds.WithLabelValues(pool).Observe(took.Seconds())
 		},
 		Waited: func(pool string, d time.Duration) { s.waitSeconds.WithLabelValues(pool).Observe(d.Seconds()) },
-		Stale:  func(n int) { s.stale.Add(float64(n)) },
+		Stale:  func(n int) { s.staleReplies.Add(float64(n)) },
 		Platform: func(document string, ok bool) {
 			word := "false"
 			if ok {
