--- a/src/metrics/metrics.go
+++ b/src/metrics/metrics.go
@@ -28,7 +28,7 @@
 	callSeconds   *prometheus.HistogramVec
 	waitSeconds   *prometheus.HistogramVec
 	staleReplies    prometheus.Counter
-	reads    *prometheus.CounterVec
+	platformReads    *prometheus.CounterVec
 }
 
 // buckets are the upper bounds of the histograms, 1 ms to 33 s.
@@ -45,9 +45,9 @@
 		callSeconds:   histograms("call_seconds", "Time of one call to a backend server.", "pool"),
 		waitSeconds:   histograms("wait_seconds", "Time a call waited in its pool.", "pool"),
 		staleReplies:    prometheus.NewCounter(prometheus.CounterOpts{Name: "stilemast_stale_replies_total", Help: "Replies discarded as late, repeated or foreign."}),
-		reads:    counters("platform_reads_total", "Reads of the platform's service.", "document", "ok"),
+		platformReads:    counters("platform_reads_total", "Reads of the platform's service.", "document", "ok"),
 	}
-	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.calls, s.callSeconds, s.waitSeconds, s.staleReplies, s.reads,
+	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.calls, s.callSeconds, s.waitSeconds, s.staleReplies, s.platformReads,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return s
 }
@@ -85,7 +85,7 @@
 			if ok {
 				word = "true"
 			}
-			s.reads.WithLabelValues(document, word).Inc()
+			s.platformReads.WithLabelValues(document, word).Inc()
 		},
 	}
 }
