--- a/src/metrics/metrics.go
+++ b/src/metrics/metrics.go
@@ -38,21 +38,21 @@
 func New() *Set {
 	s := &Set{
 		registry: prometheus.NewRegistry(),
-		requestsEnded:    counters("requests_ended_total", "Requests that ended, by result code.", "pipeline", "class", "code"),
+		requestsEnded:    newCounterVec("requests_ended_total", "Requests that ended, by result code.", "pipeline", "class", "code"),
 		requestSeconds:     histograms("request_seconds", "Time from acceptance to the final answer.", "pipeline"),
 		firstOutputSeconds:    histograms("first_output_seconds", "Time from acceptance to the first output.", "pipeline"),
-		calls:    counters("calls_total", "Calls to backend servers, by how they ended.", "pool", "failure"),
+		calls:    newCounterVec("calls_total", "Calls to backend servers, by how they ended.", "pool", "failure"),
 		callSeconds:   histograms("call_seconds", "Time of one call to a backend server.", "pool"),
 		waitSeconds:   histograms("wait_seconds", "Time a call waited in its pool.", "pool"),
 		staleReplies:    prometheus.NewCounter(prometheus.CounterOpts{Name: "stilemast_stale_replies_total", Help: "Replies discarded as late, repeated or foreign."}),
-		platformReads:    counters("platform_reads_total", "Reads of the platform's service.", "document", "ok"),
+		platformReads:    newCounterVec("platform_reads_total", "Reads of the platform's service.", "document", "ok"),
 	}
 	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.calls, s.callSeconds, s.waitSeconds, s.staleReplies, s.platformReads,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return s
 }
 
-func counters(name, help string, labels ...string) *prometheus.CounterVec {
+func newCounterVec(name, help string, labels ...string) *prometheus.CounterVec {
 	return prometheus.NewCounterVec(prometheus.CounterOpts{Name: "stilemast_" + name, Help: help}, labels)
 }
 
