--- a/src/metrics/metrics.go
+++ b/src/metrics/metrics.go
@@ -39,11 +39,11 @@
 	s := &Set{
 		registry: prometheus.NewRegistry(),
 		requestsEnded:    newCounterVec("requests_ended_total", "Requests that ended, by result code.", "pipeline", "class", "code"),
-		requestSeconds:     histograms("request_seconds", "Time from acceptance to the final answer.", "pipeline"),
-		firstOutputSeconds:    histograms("first_output_seconds", "Time from acceptance to the first output.", "pipeline"),
+		requestSeconds:     newHistogramVec("request_seconds", "Time from acceptance to the final answer.", "pipeline"),
+		firstOutputSeconds:    newHistogramVec("first_output_seconds", "Time from acceptance to the first output.", "pipeline"),
 		calls:    newCounterVec("calls_total", "Calls to backend servers, by how they ended.", "pool", "failure"),
-		callSeconds:   histograms("call_seconds", "Time of one call to a backend server.", "pool"),
-		waitSeconds:   histograms("wait_seconds", "Time a call waited in its pool.", "pool"),
+		callSeconds:   newHistogramVec("call_seconds", "Time of one call to a backend server.", "pool"),
+		waitSeconds:   newHistogramVec("wait_seconds", "Time a call waited in its pool.", "pool"),
 		staleReplies:    prometheus.NewCounter(prometheus.CounterOpts{Name: "stilemast_stale_replies_total", Help: "Replies discarded as late, repeated or foreign."}),
 		platformReads:    newCounterVec("platform_reads_total", "Reads of the platform's service.", "document", "ok"),
 	}
@@ -56,7 +56,7 @@
 	return prometheus.NewCounterVec(prometheus.CounterOpts{Name: "stilemast_" + name, Help: help}, labels)
 }
 
-func histograms(name, help string, labels ...string) *prometheus.HistogramVec {
+func newHistogramVec(name, help string, labels ...string) *prometheus.HistogramVec {
 	return prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "stilemast_" + name, Help: help, Buckets: buckets}, labels)
 }
 
