--- a/src/web/web.go
+++ b/src/web/web.go
@@ -12,8 +12,8 @@
 	"github.com/zeromicro/go-zero/rest"
 )
 
-// headerWait is the timeout for reading request headers.
-const headerWait = 5 * time.Second
+// headerTimeout is the timeout for reading request headers.
+const headerTimeout = 5 * time.Second
 
 // Handler returns a handler that dispatches requests to routes.
 func Handler(routes []rest.Route) (http.Handler, error) {
@@ -31,7 +31,7 @@
 
 // Start serves a handler on l in the background until the returned server is closed. cfg is nil for plain HTTP.
 func Start(l net.Listener, h http.Handler, cfg *tls.Config) *http.Server {
-	srv := &http.Server{Handler: h, ReadHeaderTimeout: headerWait, TLSConfig: cfg}
+	srv := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, TLSConfig: cfg}
 	go func() {
 		if cfg != nil {
 			_ = srv.ServeTLS(l, "", "")
