--- a/src/load/run.go
+++ b/src/load/run.go
@@ -105,13 +105,13 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r.keep(r.persist(ctx, clients, a.Box, a, key))
+			r.keep(r.sendWithRetries(ctx, clients, a.Box, a, key))
 		}()
 		if float64(a.N%100) < 100*r.Duplicates && len(clients) > 1 {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				res := r.persist(ctx, clients, a.Box+1, a, key)
+				res := r.sendWithRetries(ctx, clients, a.Box+1, a, key)
 				res.Twin = true
 				r.keep(res)
 			}()
@@ -144,8 +144,8 @@
 	comeBackPause = 500 * time.Millisecond // between attempts
 )
 
-// persist sends a request and, with ComeBack, retries it with the same key at other boxes while that may succeed.
-func (r *Run) persist(ctx context.Context, clients []pb.PipelinesClient, box int, a Arrival, key string) Result {
+// sendWithRetries sends a request and, with ComeBack, retries it with the same key at other boxes while that may succeed.
+func (r *Run) sendWithRetries(ctx context.Context, clients []pb.PipelinesClient, box int, a Arrival, key string) Result {
 	begun := time.Now()
 	var told Result // the last answer with a result code, which says more than a broken connection
 	for try := 0; ; try++ {
