--- a/src/load/run.go
+++ b/src/load/run.go
@@ -105,7 +105,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r.keep(r.sendWithRetries(ctx, clients, a.Box, a, key))
+			r.addResult(r.sendWithRetries(ctx, clients, a.Box, a, key))
 		}()
 		if float64(a.N%100) < 100*r.Duplicates && len(clients) > 1 {
 			wg.Add(1)
@@ -113,7 +113,7 @@
 				defer wg.Done()
 				res := r.sendWithRetries(ctx, clients, a.Box+1, a, key)
 				res.Twin = true
-				r.keep(res)
+				r.addResult(res)
 			}()
 		}
 	}
@@ -129,7 +129,7 @@
 	return id.String()
 }
 
-func (r *Run) keep(res Result) {
+func (r *Run) addResult(res Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.results = append(r.results, res)
