--- a/src/load/run.go
+++ b/src/load/run.go
@@ -140,7 +140,7 @@
 
 // Limits of the retries with ComeBack.
 const (
-	comeBackTries = 6                      // retries after the first attempt
+	maxRetries = 6                      // retries after the first attempt
 	comeBackPause = 500 * time.Millisecond // between attempts
 )
 
@@ -154,7 +154,7 @@
 		if res.Code != code.AnswerInterrupted {
 			told = res
 		}
-		if !r.ComeBack || !again || try == comeBackTries {
+		if !r.ComeBack || !again || try == maxRetries {
 			if res.Code == code.AnswerInterrupted && told.Key != "" {
 				res = told
 			}
