--- a/src/load/run.go
+++ b/src/load/run.go
@@ -141,7 +141,7 @@
 // Limits of the retries with ComeBack.
 const (
 	maxRetries = 6                      // retries after the first attempt
-	comeBackPause = 500 * time.Millisecond // between attempts
+	retryPause = 500 * time.Millisecond // between attempts
 )
 
 // sendWithRetries sends a request and, with ComeBack, retries it with the same key at other boxes while that may succeed.
@@ -162,7 +162,7 @@
 			res.Late = res.Took > a.Pipeline.Deadline()
 			return res
 		}
-		time.Sleep(comeBackPause)
+		time.Sleep(retryPause)
 	}
 }
 
