--- a/src/load/run.go
+++ b/src/load/run.go
@@ -77,8 +77,8 @@
 	Twin       bool // the second copy of a duplicated request
 }
 
-// patience is how long the load tool waits for an answer after the request's maximum deadline.
-const patience = 30 * time.Second
+// answerGrace is how long the load tool waits for an answer after the request's maximum deadline.
+const answerGrace = 30 * time.Second
 
 // Do sends each request at its arrival time and waits for all answers.
 func (r *Run) Do(ctx context.Context) ([]Result, error) {
@@ -170,7 +170,7 @@
 func (r *Run) send(ctx context.Context, c pb.PipelinesClient, a Arrival, key string) Result {
 	res := Result{Arrival: a, Key: key}
 	deadline := a.Pipeline.Deadline()
-	ctx, cancel := context.WithTimeout(ctx, a.Pipeline.MaxDeadline()+patience)
+	ctx, cancel := context.WithTimeout(ctx, a.Pipeline.MaxDeadline()+answerGrace)
 	defer cancel()
 	begun := time.Now()
 	answer, err := Collect(func() (grpc.ServerStreamingClient[pb.RunEvent], error) {
