--- a/src/load/run.go
+++ b/src/load/run.go
@@ -204,7 +204,7 @@
 	Token  string // attach token
 }
 
-var errCut = errors.New("the stream ended before the answer was complete")
+var errIncomplete = errors.New("the stream ended before the answer was complete")
 
 // Collect reads a stream until the answer is complete. first, if not nil, is called when output begins.
 func Collect(open func() (grpc.ServerStreamingClient[pb.RunEvent], error), first func()) (Answer, error) {
@@ -216,7 +216,7 @@
 	for {
 		ev, err := s.Recv()
 		if err == io.EOF {
-			return a, errCut
+			return a, errIncomplete
 		}
 		if err != nil {
 			return a, err
@@ -235,7 +235,7 @@
 		case *pb.RunEvent_Finished:
 			a.Stages = e.Finished.GetStages()
 			if int(e.Finished.GetLength()) != len(a.Data) {
-				return a, errCut
+				return a, errIncomplete
 			}
 			return a, nil
 		}
