--- a/src/load/workload.go
+++ b/src/load/workload.go
@@ -72,7 +72,7 @@
 	var out []Arrival
 	at := time.Duration(0)
 	for {
-		at += time.Duration(r.ExpFloat64() / (rate * w.factor(at)) * float64(time.Second))
+		at += time.Duration(r.ExpFloat64() / (rate * w.rateFactor(at)) * float64(time.Second))
 		if at >= length {
 			return out
 		}
@@ -85,8 +85,8 @@
 	}
 }
 
-// factor returns the rate at a point in time relative to the mean rate.
-func (w Workload) factor(at time.Duration) float64 {
+// rateFactor returns the rate at a point in time relative to the mean rate.
+func (w Workload) rateFactor(at time.Duration) float64 {
 	if w.Burst == 0 {
 		return 1
 	}
