--- a/src/load/report.go
+++ b/src/load/report.go
@@ -64,7 +64,7 @@
 func Judge(results []Result, ran []standin.Ran) Report {
 	r := Report{Refusals: map[string]int{}}
 	onceRuns, anyRuns := countRuns(ran)
-	kinds := map[string]*kindSums{}
+	kinds := map[string]*kindTotals{}
 	stages := map[string]*stageSums{}
 	var weight, got float64
 	seen := map[string]bool{}
@@ -122,19 +122,19 @@
 	return once, all
 }
 
-type kindSums struct {
+type kindTotals struct {
 	requests, inTime, late int
 	took, first            *hdrhistogram.Histogram
 }
 
-func kindOf(m map[string]*kindSums, name string) *kindSums {
+func kindOf(m map[string]*kindTotals, name string) *kindTotals {
 	if m[name] == nil {
-		m[name] = &kindSums{took: histogram(), first: histogram()}
+		m[name] = &kindTotals{took: histogram(), first: histogram()}
 	}
 	return m[name]
 }
 
-func (k *kindSums) add(x Result) {
+func (k *kindTotals) add(x Result) {
 	record(k.took, x.Took)
 	record(k.first, x.FirstToken)
 	if x.Late {
@@ -167,7 +167,7 @@
 	}
 }
 
-func kindReports(m map[string]*kindSums) []KindReport {
+func kindReports(m map[string]*kindTotals) []KindReport {
 	out := make([]KindReport, 0, len(m))
 	for n, k := range m {
 		out = append(out, KindReport{
