--- a/src/load/report.go
+++ b/src/load/report.go
@@ -65,7 +65,7 @@
 	r := Report{Refusals: map[string]int{}}
 	onceRuns, anyRuns := countRuns(ran)
 	kinds := map[string]*kindTotals{}
-	stages := map[string]*stageSums{}
+	stages := map[string]*stageTotals{}
 	var weight, got float64
 	seen := map[string]bool{}
 	for _, x := range results {
@@ -144,18 +144,18 @@
 	k.inTime++
 }
 
-type stageSums struct {
+type stageTotals struct {
 	calls                       int
 	seconds                     float64
 	computed, cached, generated uint64
 	waits                       *hdrhistogram.Histogram
 }
 
-func addStages(m map[string]*stageSums, x Result) {
+func addStages(m map[string]*stageTotals, x Result) {
 	for _, u := range x.Stages {
 		s := m[u.GetStage()]
 		if s == nil {
-			s = &stageSums{waits: histogram()}
+			s = &stageTotals{waits: histogram()}
 			m[u.GetStage()] = s
 		}
 		s.calls += int(u.GetAttempts())
@@ -179,7 +179,7 @@
 	return out
 }
 
-func stageReports(m map[string]*stageSums) []StageReport {
+func stageReports(m map[string]*stageTotals) []StageReport {
 	out := make([]StageReport, 0, len(m))
 	for n, s := range m {
 		out = append(out, StageReport{
