--- a/src/load/report.go
+++ b/src/load/report.go
@@ -70,7 +70,7 @@
 	seen := map[string]bool{}
 	for _, x := range results {
 		r.Requests++
-		k := kindOf(kinds, x.Arrival.Pipeline.Name())
+		k := totalsOf(kinds, x.Arrival.Pipeline.Name())
 		k.requests++
 		w := x.Arrival.Pipeline.Weight()
 		weight += w
@@ -127,7 +127,7 @@
 	took, first            *hdrhistogram.Histogram
 }
 
-func kindOf(m map[string]*kindTotals, name string) *kindTotals {
+func totalsOf(m map[string]*kindTotals, name string) *kindTotals {
 	if m[name] == nil {
 		m[name] = &kindTotals{took: histogram(), first: histogram()}
 	}
