--- a/src/load/workload.go
+++ b/src/load/workload.go
@@ -77,7 +77,7 @@
 			return out
 		}
 		k := pick(w.Kinds, r.Float64())
-		space := spaces[workspace(r, len(spaces), w.Crowd)]
+		space := spaces[pickWorkspace(r, len(spaces), w.Crowd)]
 		out = append(out, Arrival{
 			N: len(out), At: at, Workspace: space, Pipeline: c.Pipeline(k.Pipeline),
 			Input: input(k, space, r), Box: r.IntN(boxes),
@@ -108,8 +108,8 @@
 	return kinds[len(kinds)-1]
 }
 
-// workspace returns the index of a random workspace of n.
-func workspace(r *rand.Rand, n int, crowd float64) int {
+// pickWorkspace returns the index of a random pickWorkspace of n.
+func pickWorkspace(r *rand.Rand, n int, crowd float64) int {
 	if n <= 2 || r.Float64() < crowd {
 		return r.IntN(min(n, 2))
 	}
