--- a/src/load/workload.go
+++ b/src/load/workload.go
@@ -80,7 +80,7 @@
 		space := spaces[pickWorkspace(r, len(spaces), w.Crowd)]
 		out = append(out, Arrival{
 			N: len(out), At: at, Workspace: space, Pipeline: c.Pipeline(k.Pipeline),
-			Input: input(k, space, r), Box: r.IntN(boxes),
+			Input: makeInput(k, space, r), Box: r.IntN(boxes),
 		})
 	}
 }
@@ -116,8 +116,8 @@
 	return 2 + r.IntN(n-2)
 }
 
-// input generates a request's input: a shared template, which prefix caches can reuse, followed by unique text.
-func input(k Kind, space string, r *rand.Rand) []byte {
+// makeInput generates a request's makeInput: a shared template, which prefix caches can reuse, followed by unique text.
+func makeInput(k Kind, space string, r *rand.Rand) []byte {
 	var b strings.Builder
 	if k.Prefix > 0 {
 		fill(&b, fmt.Sprintf("%s %s template %d. ", space, k.Pipeline, r.IntN(k.Shared)), k.Prefix)
