--- a/src/load/workload.go
+++ b/src/load/workload.go
@@ -76,7 +76,7 @@
 		if at >= length {
 			return out
 		}
-		k := pick(w.Kinds, r.Float64())
+		k := pickKind(w.Kinds, r.Float64())
 		space := spaces[pickWorkspace(r, len(spaces), w.Crowd)]
 		out = append(out, Arrival{
 			N: len(out), At: at, Workspace: space, Pipeline: c.Pipeline(k.Pipeline),
@@ -97,8 +97,8 @@
 	return calm
 }
 
-// pick selects a kind by its share; x is uniform in [0, 1).
-func pick(kinds []Kind, x float64) Kind {
+// pickKind selects a kind by its share; x is uniform in [0, 1).
+func pickKind(kinds []Kind, x float64) Kind {
 	for _, k := range kinds {
 		if x < k.Share {
 			return k
