--- a/src/signals/signals.go
+++ b/src/signals/signals.go
@@ -12,10 +12,10 @@
 	"syscall"
 )
 
-// waiting is the number of signals that can be queued: one for a graceful shutdown and a second one to abort it.
-const waiting = 2
+// maxQueued is the number of signals that can be queued: one for a graceful shutdown and a second one to abort it.
+const maxQueued = 2
 
-var stops = make(chan os.Signal, waiting)
+var stops = make(chan os.Signal, maxQueued)
 
 func init() { signal.Notify(stops, syscall.SIGTERM, os.Interrupt) }
 
