--- a/src/pack/pack.go
+++ b/src/pack/pack.go
@@ -9,15 +9,15 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// dictionary is the ID of the zstd dictionary, for which the earlier version is used.
-const dictionary = 1
+// dictionaryID is the ID of the zstd dictionaryID, for which the earlier version is used.
+const dictionaryID = 1
 
 // Pack compresses a document. base, if not nil, is an earlier version that the receiver has; then the result contains
 // only the difference to it. The result is deterministic.
 func Pack(raw, base []byte) []byte {
 	opts := []zstd.EOption{zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(2 * config.MaxBytes), zstd.WithEncoderLevel(zstd.SpeedBetterCompression)}
 	if base != nil {
-		opts = append(opts, zstd.WithEncoderDictRaw(dictionary, base))
+		opts = append(opts, zstd.WithEncoderDictRaw(dictionaryID, base))
 	}
 	enc, err := zstd.NewWriter(nil, opts...)
 	if err != nil {
@@ -32,7 +32,7 @@
 func Unpack(packed, base []byte) ([]byte, error) {
 	opts := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(8 * config.MaxBytes)}
 	if base != nil {
-		opts = append(opts, zstd.WithDecoderDictRaw(dictionary, base))
+		opts = append(opts, zstd.WithDecoderDictRaw(dictionaryID, base))
 	}
 	dec, err := zstd.NewReader(nil, opts...)
 	if err != nil {
