--- a/src/configservice/client.go
+++ b/src/configservice/client.go
@@ -46,7 +46,7 @@
 	http httpc.Service
 	turn atomic.Uint32 // index of the current address, modulo their number
 	mu   sync.Mutex
-	seen map[string]seen // last responses by path, without the query
+	responses map[string]seen // last responses by path, without the query
 }
 
 // seen is a cached response with its entity tag, so that an unchanged document is not transferred again.
@@ -60,7 +60,7 @@
 	breaker.NoBreakerFor(serviceName)
 	t := &http.Transport{DialContext: (&net.Dialer{Timeout: timeout}).DialContext, MaxIdleConnsPerHost: 2}
 	return &Client{
-		Addresses: addresses, Timeout: timeout, seen: map[string]seen{},
+		Addresses: addresses, Timeout: timeout, responses: map[string]seen{},
 		http: httpc.NewServiceWithClient(serviceName, &http.Client{Transport: t}),
 	}
 }
@@ -110,7 +110,7 @@
 	}
 	document, _, _ := strings.Cut(path, "?")
 	c.mu.Lock()
-	last := c.seen[document]
+	last := c.responses[document]
 	c.mu.Unlock()
 	if last.tag != "" {
 		req.Header.Set("If-None-Match", last.tag)
@@ -131,7 +131,7 @@
 		return nil, eris.Wrap(err, "read response")
 	}
 	c.mu.Lock()
-	c.seen[document] = seen{tag: resp.Header.Get("ETag"), body: b}
+	c.responses[document] = seen{tag: resp.Header.Get("ETag"), body: b}
 	c.mu.Unlock()
 	return b, nil
 }
