--- a/src/configservice/client.go
+++ b/src/configservice/client.go
@@ -46,11 +46,11 @@
 	http httpc.Service
 	turn atomic.Uint32 // index of the current address, modulo their number
 	mu   sync.Mutex
-	responses map[string]seen // last responses by path, without the query
+	responses map[string]cachedResponse // last responses by path, without the query
 }
 
-// seen is a cached response with its entity tag, so that an unchanged document is not transferred again.
-type seen struct {
+// cachedResponse is a cached response with its entity tag, so that an unchanged document is not transferred again.
+type cachedResponse struct {
 	tag  string
 	body []byte
 }
@@ -60,7 +60,7 @@
 	breaker.NoBreakerFor(serviceName)
 	t := &http.Transport{DialContext: (&net.Dialer{Timeout: timeout}).DialContext, MaxIdleConnsPerHost: 2}
 	return &Client{
-		Addresses: addresses, Timeout: timeout, responses: map[string]seen{},
+		Addresses: addresses, Timeout: timeout, responses: map[string]cachedResponse{},
 		http: httpc.NewServiceWithClient(serviceName, &http.Client{Transport: t}),
 	}
 }
@@ -131,7 +131,7 @@
 		return nil, eris.Wrap(err, "read response")
 	}
 	c.mu.Lock()
-	c.responses[document] = seen{tag: resp.Header.Get("ETag"), body: b}
+	c.responses[document] = cachedResponse{tag: resp.Header.Get("ETag"), body: b}
 	c.mu.Unlock()
 	return b, nil
 }
