--- a/src/configservice/client.go
+++ b/src/configservice/client.go
@@ -51,7 +51,7 @@
 
 // cachedResponse is a cached response with its entity tag, so that an unchanged document is not transferred again.
 type cachedResponse struct {
-	tag  string
+	etag  string
 	body []byte
 }
 
@@ -112,15 +112,15 @@
 	c.mu.Lock()
 	last := c.responses[document]
 	c.mu.Unlock()
-	if last.tag != "" {
-		req.Header.Set("If-None-Match", last.tag)
+	if last.etag != "" {
+		req.Header.Set("If-None-Match", last.etag)
 	}
 	resp, err := c.http.DoRequest(req)
 	if err != nil {
 		return nil, eris.Wrap(err, "send request")
 	}
 	defer resp.Body.Close()
-	if resp.StatusCode == http.StatusNotModified && last.tag != "" {
+	if resp.StatusCode == http.StatusNotModified && last.etag != "" {
 		return last.body, nil
 	}
 	if resp.StatusCode != http.StatusOK {
@@ -131,7 +131,7 @@
 		return nil, eris.Wrap(err, "read response")
 	}
 	c.mu.Lock()
-	c.responses[document] = cachedResponse{tag: resp.Header.Get("ETag"), body: b}
+	c.responses[document] = cachedResponse{etag: resp.Header.Get("ETag"), body: b}
 	c.mu.Unlock()
 	return b, nil
 }
