--- a/src/configservice/client.go
+++ b/src/configservice/client.go
@@ -44,7 +44,7 @@
 	Watch time.Duration
 
 	http httpc.Service
-	turn atomic.Uint32 // index of the current address, modulo their number
+	current atomic.Uint32 // index of the current address, modulo their number
 	mu   sync.Mutex
 	responses map[string]cachedResponse // last responses by path, without the query
 }
@@ -93,10 +93,10 @@
 func (c *Client) read(ctx context.Context, path string, wait time.Duration) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout+wait)
 	defer cancel()
-	address := c.Addresses[int(c.turn.Load())%len(c.Addresses)]
+	address := c.Addresses[int(c.current.Load())%len(c.Addresses)]
 	b, err := c.get(ctx, address, path)
 	if err != nil {
-		c.turn.Add(1)
+		c.current.Add(1)
 		return nil, code.New(code.PlatformFailed, "platform", "%v", err)
 	}
 	return b, nil
