--- a/src/cli/gateway.go
+++ b/src/cli/gateway.go
@@ -39,7 +39,7 @@
 		return err
 	}
 	// Without this go-zero would send the process a second SIGTERM 5.5 s after the first.
-	proc.SetTimeToForceQuit(neverForced)
+	proc.SetTimeToForceQuit(forceQuitDelay)
 	log.Info("serving")
 	for {
 		select {
--- a/src/cli/serve.go
+++ b/src/cli/serve.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// neverForced is set as go-zero's delay before it forces an exit; it exceeds any graceful shutdown.
-const neverForced = 24 * time.Hour
+// forceQuitDelay is set as go-zero's delay before it forces an exit; it exceeds any graceful shutdown.
+const forceQuitDelay = 24 * time.Hour
 
 // serve runs a box until a signal or an operator's drain request has stopped it.
 func serve(s *config.Settings) error {
@@ -56,7 +56,7 @@
 	}
 	// go-zero sends a second SIGTERM 5.5 s after the first, which would abort running requests. Its listeners may
 	// set that delay when they start, so it is overridden afterwards.
-	proc.SetTimeToForceQuit(neverForced)
+	proc.SetTimeToForceQuit(forceQuitDelay)
 	log.Info("serving", "callers", n.CallersAddress(), "peers", n.PeersAddress(), "release", Release)
 	select {
 	case <-stops:
--- a/src/cli/serve_test.go
+++ b/src/cli/serve_test.go
@@ -16,7 +16,7 @@
 	if testing.Short() {
 		t.Skip("takes seven seconds")
 	}
-	proc.SetTimeToForceQuit(neverForced)
+	proc.SetTimeToForceQuit(forceQuitDelay)
 	c := make(chan os.Signal, 4)
 	signal.Notify(c, syscall.SIGTERM)
 	defer signal.Stop(c)
