--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// quietFor returns for how long no request has been read or answered, 0 while one is.
-func (a *callerActivity) quietFor() time.Duration {
+// idleFor returns for how long no request has been read or answered, 0 while one is.
+func (a *callerActivity) idleFor() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.active) > 0 {
@@ -204,7 +204,7 @@
 	stages := time.AfterFunc(limit-answerReserve, n.gateway.EndStages)
 	defer stages.Stop()
 	for time.Since(began) < limit {
-		quiet := n.gateway.Running() == 0 && n.callers.quietFor() > quietStop
+		quiet := n.gateway.Running() == 0 && n.callers.idleFor() > quietStop
 		if quiet && time.Since(began) > minShutdownTime {
 			break
 		}
