--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -26,7 +26,7 @@
 	maxCallerHeaderBytes  = 64 << 10
 	minShutdownTime        = 3200 * time.Millisecond // minimum duration of a graceful shutdown, so that the load balancer notices that this box is not ready
 	answerReserve      = 2500 * time.Millisecond // end of the shutdown reserved for answers that have begun; pending stages are failed before it
-	quietStop        = 400 * time.Millisecond  // without a request before a shutdown completes
+	idleBeforeExit        = 400 * time.Millisecond  // without a request before a shutdown completes
 	shutdownMargin       = 500 * time.Millisecond  // subtracted from the configured shutdown timeout
 	shutdownPollInterval         = 50 * time.Millisecond
 	sweepInterval = time.Second
@@ -204,7 +204,7 @@
 	stages := time.AfterFunc(limit-answerReserve, n.gateway.EndStages)
 	defer stages.Stop()
 	for time.Since(began) < limit {
-		quiet := n.gateway.Running() == 0 && n.callers.idleFor() > quietStop
+		quiet := n.gateway.Running() == 0 && n.callers.idleFor() > idleBeforeExit
 		if quiet && time.Since(began) > minShutdownTime {
 			break
 		}
