--- a/src/cli/account.go
+++ b/src/cli/account.go
@@ -16,7 +16,7 @@
 
 // runAccount runs `why --account`: it reports how much of the requests' total value was lost, by cause.
 func runAccount(c *cli.Command) error {
-	worths, err := parseAnswerValues(c.StringSlice("worth"))
+	values, err := parseAnswerValues(c.StringSlice("worth"))
 	if err != nil {
 		return err
 	}
@@ -26,7 +26,7 @@
 	if err != nil {
 		return err
 	}
-	writeLossReport(os.Stdout, outcomes(lines), worths)
+	writeLossReport(os.Stdout, outcomes(lines), values)
 	return nil
 }
 
@@ -38,12 +38,12 @@
 	out := map[string]answerValue{}
 	for _, text := range list {
 		name, figures, ok := strings.Cut(text, "=")
-		first, second, two := strings.Cut(figures, ":")
+		inTime, late, hasLate := strings.Cut(figures, ":")
 		w := answerValue{}
 		var err, errLate error
-		w.inTime, err = strconv.ParseFloat(first, 64)
-		if two {
-			w.late, errLate = strconv.ParseFloat(second, 64)
+		w.inTime, err = strconv.ParseFloat(inTime, 64)
+		if hasLate {
+			w.late, errLate = strconv.ParseFloat(late, 64)
 		}
 		if !ok || name == "" || err != nil || errLate != nil || w.inTime < 0 || w.late < 0 {
 			return nil, code.New(code.BadField, "worth", "%q is not PIPELINE=FIGURE or PIPELINE=FIGURE:FIGURE", text)
@@ -64,10 +64,10 @@
 // outcomes extracts the outcomes of requests from the log lines of all boxes. A late answer is attributed to the
 // part that took longest: a stage including its queueing time, or the remaining time until the first output.
 func outcomes(lines []*logLine) []outcome {
-	longest, part, stages := map[string]float64{}, map[string]string{}, map[string]float64{}
-	note := func(id, name string, ms float64) {
+	longest, slowestPart, stageTime := map[string]float64{}, map[string]string{}, map[string]float64{}
+	updateLongest := func(id, name string, ms float64) {
 		if ms > longest[id] {
-			longest[id], part[id] = ms, name
+			longest[id], slowestPart[id] = ms, name
 		}
 	}
 	var out []outcome
@@ -76,8 +76,8 @@
 		switch l.text("msg") {
 		case "stage made":
 			took := l.number("took_ms") + l.number("held_ms")
-			stages[id] += took
-			note(id, "stage in "+l.text("pool"), took)
+			stageTime[id] += took
+			updateLongest(id, "stage in "+l.text("pool"), took)
 		case "request ended":
 			if l.text("pipeline") == "" || l.text("result") == "UNAUTHENTICATED" {
 				continue // rejected before it became a request of a pipeline
@@ -90,9 +90,9 @@
 				f.inTime = true
 				f.cause = "in time"
 			default:
-				note(id, "first output", l.number("first_ms")-stages[id])
+				updateLongest(id, "first output", l.number("first_ms")-stageTime[id])
 				f.late = true
-				f.cause = "late, longest: " + part[id]
+				f.cause = "late, longest: " + slowestPart[id]
 			}
 			out = append(out, f)
 		}
@@ -106,18 +106,18 @@
 	return v
 }
 
-// writeLossReport writes the share of the requests' total value that was lost, by pipeline and cause. The earned share and
-// the lost shares sum to 100 %.
-func writeLossReport(w io.Writer, all []outcome, worths map[string]answerValue) {
+// writeLossReport writes the share of the requests' total value that was lost, by pipeline and cause. The earned share
+// and the lost shares sum to 100 %.
+func writeLossReport(w io.Writer, all []outcome, values map[string]answerValue) {
 	type row struct {
 		outcome
 		count  int
 		earned float64
 		lost   float64
 	}
-	rows, whole := map[outcome]*row{}, 0.0
+	rows, total := map[outcome]*row{}, 0.0
 	for _, f := range all {
-		v, ok := worths[f.pipeline]
+		v, ok := values[f.pipeline]
 		if !ok {
 			v = answerValue{inTime: 1}
 		}
@@ -127,7 +127,7 @@
 			rows[f] = r
 		}
 		r.count++
-		whole += v.inTime
+		total += v.inTime
 		switch {
 		case f.inTime:
 			r.earned += v.inTime
@@ -150,7 +150,7 @@
 		}
 		return a.pipeline+a.cause < b.pipeline+b.cause
 	})
-	share := func(x float64) float64 { return 100 * x / max(whole, 1e-9) }
+	share := func(x float64) float64 { return 100 * x / max(total, 1e-9) }
 	fmt.Fprintf(w, "requests %d  earned %.2f%% of what they were worth\n", len(all), share(earned))
 	fmt.Fprintln(w, "   lost   count  pipeline      cause")
 	for _, r := range list {
--- a/src/cli/account_test.go
+++ b/src/cli/account_test.go
@@ -21,12 +21,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	worths, err := parseAnswerValues([]string{"draft=4:1", "tag=2"})
+	values, err := parseAnswerValues([]string{"draft=4:1", "tag=2"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	writeLossReport(&out, outcomes(lines), worths)
+	writeLossReport(&out, outcomes(lines), values)
 	want := `requests 3  earned 50.00% of what they were worth
    lost   count  pipeline      cause
  30.00%       1  draft         late, longest: stage in encode
--- a/src/cli/cli.go
+++ b/src/cli/cli.go
@@ -81,5 +81,5 @@
 	return exitFailed
 }
 
-// newLogger returns a newLogger that writes JSON lines of at least the given level to standard error.
+// newLogger returns a logger that writes JSON lines of at least the given level to standard error.
 func newLogger(level string) *slog.Logger { return logging.New(os.Stderr, level) }
--- a/src/cli/demo.go
+++ b/src/cli/demo.go
@@ -90,7 +90,8 @@
 	return ok, nil
 }
 
-// workspacesForAnyBox lists the workspaces that may enter in every failure domain, so that any box can take their requests.
+// workspacesForAnyBox lists the workspaces that may enter in every failure domain, so that any box can take their
+// requests.
 func workspacesForAnyBox(d *config.Document) []string {
 	var out []string
 	for _, w := range d.Workspaces {
--- a/src/cli/operate.go
+++ b/src/cli/operate.go
@@ -170,7 +170,7 @@
 	return w.Flush()
 }
 
-// formatAge formats a duration in milliseconds precision; negative ones mean that the event has not happened yet.
+// formatAge formats an age with millisecond precision; a negative age means that the event has not happened yet.
 func formatAge(d time.Duration) string {
 	if d < 0 {
 		return "never"
--- a/src/cli/trace.go
+++ b/src/cli/trace.go
@@ -87,14 +87,15 @@
 	return l.text("request") == id || strings.Contains(l.text("requests"), id)
 }
 
-// writeTimeline writes lines as a timeline: the time since the first line, the box, the message and the remaining fields.
+// writeTimeline writes lines as a timeline: the time since the first line, the box, the message and the remaining
+// fields.
 func writeTimeline(w io.Writer, lines []*logLine) {
-	known := []string{"time", "level", "msg", "box", "request"}
+	mainKeys := []string{"time", "level", "msg", "box", "request"}
 	for _, l := range lines {
 		fmt.Fprintf(w, "%+9.3fs %-16s %s", l.at.Sub(lines[0].at).Seconds(), l.text("box"), l.text("msg"))
 		keys := make([]string, 0, len(l.fields))
 		for k := range l.fields {
-			if !slices.Contains(known, k) {
+			if !slices.Contains(mainKeys, k) {
 				keys = append(keys, k)
 			}
 		}
@@ -155,8 +156,8 @@
 	}
 }
 
-// writeCauses writes the number of lines for each result, pipeline and cause, most frequent first, with the first request
-// of each.
+// writeCauses writes the number of lines for each result, pipeline and cause, most frequent first, with the first
+// request of each.
 func writeCauses(w io.Writer, lines []*logLine) {
 	count, first := map[string]int{}, map[string]string{}
 	for _, l := range lines {
--- a/src/configservice/client.go
+++ b/src/configservice/client.go
@@ -43,15 +43,15 @@
 	// immediately. The service counts a waiting read as one call.
 	Watch time.Duration
 
-	http httpc.Service
-	current atomic.Uint32 // index of the current address, modulo their number
-	mu   sync.Mutex
+	http      httpc.Service
+	current   atomic.Uint32 // index of the current address, modulo their number
+	mu        sync.Mutex
 	responses map[string]cachedResponse // last responses by path, without the query
 }
 
 // cachedResponse is a cached response with its entity tag, so that an unchanged document is not transferred again.
 type cachedResponse struct {
-	etag  string
+	etag string
 	body []byte
 }
 
--- a/src/load/report.go
+++ b/src/load/report.go
@@ -66,14 +66,14 @@
 	onceRuns, anyRuns := countRuns(ran)
 	kinds := map[string]*kindTotals{}
 	stages := map[string]*stageTotals{}
-	var weight, got float64
-	seen := map[string]bool{}
+	var totalWeight, earnedWeight float64
+	counted := map[string]bool{} // keys counted as Doubled
 	for _, x := range results {
 		r.Requests++
 		k := totalsOf(kinds, x.Arrival.Pipeline.Name())
 		k.requests++
 		w := x.Arrival.Pipeline.Weight()
-		weight += w
+		totalWeight += w
 		switch {
 		case x.Code == code.OK && x.Wrong:
 			r.Misplaced++
@@ -82,7 +82,7 @@
 			k.add(x)
 			if !x.Late {
 				r.InTime++
-				got += w
+				earnedWeight += w
 			}
 			addStages(stages, x)
 		default:
@@ -94,16 +94,16 @@
 		if x.Ran == code.RanNo && !x.Twin && anyRuns[x.Key] > 0 && x.Arrival.Pipeline.Once() {
 			r.FalseNo++
 		}
-		if onceRuns[x.Key] > 1 && !seen[x.Key] {
+		if onceRuns[x.Key] > 1 && !counted[x.Key] {
 			r.Doubled++
-			seen[x.Key] = true
+			counted[x.Key] = true
 		}
 		if x.Code == code.OK && x.Arrival.Pipeline.Once() && onceRuns[x.Key] == 0 {
 			r.Lost++
 		}
 	}
-	if weight > 0 {
-		r.Weighted = got / weight
+	if totalWeight > 0 {
+		r.Weighted = earnedWeight / totalWeight
 	}
 	r.ByKind, r.ByStage = kindReports(kinds), stageReports(stages)
 	return r
--- a/src/load/run.go
+++ b/src/load/run.go
@@ -144,19 +144,20 @@
 	retryPause = 500 * time.Millisecond // between attempts
 )
 
-// sendWithRetries sends a request and, with ComeBack, retries it with the same key at other boxes while that may succeed.
+// sendWithRetries sends a request and, with ComeBack, retries it with the same key at other boxes while that may
+// succeed.
 func (r *Run) sendWithRetries(ctx context.Context, clients []pb.PipelinesClient, box int, a Arrival, key string) Result {
 	begun := time.Now()
-	var told Result // the last answer with a result code, which says more than a broken connection
+	var lastCoded Result // the last answer with a result code, which says more than a broken connection
 	for try := 0; ; try++ {
 		res := r.send(ctx, clients[(box+try)%len(clients)], a, key)
-		again := res.Code == code.AnswerInterrupted || res.Code == code.Draining || res.Code == code.NotReady || res.Code.Entry().SameKey
+		retryable := res.Code == code.AnswerInterrupted || res.Code == code.Draining || res.Code == code.NotReady || res.Code.Entry().SameKey
 		if res.Code != code.AnswerInterrupted {
-			told = res
+			lastCoded = res
 		}
-		if !r.ComeBack || !again || try == maxRetries {
-			if res.Code == code.AnswerInterrupted && told.Key != "" {
-				res = told
+		if !r.ComeBack || !retryable || try == maxRetries {
+			if res.Code == code.AnswerInterrupted && lastCoded.Key != "" {
+				res = lastCoded
 			}
 			res.Took = time.Since(begun)
 			res.Late = res.Took > a.Pipeline.Deadline()
--- a/src/load/workload.go
+++ b/src/load/workload.go
@@ -108,7 +108,7 @@
 	return kinds[len(kinds)-1]
 }
 
-// pickWorkspace returns the index of a random pickWorkspace of n.
+// pickWorkspace returns the index of a random workspace of n; crowd is the probability of the first two.
 func pickWorkspace(r *rand.Rand, n int, crowd float64) int {
 	if n <= 2 || r.Float64() < crowd {
 		return r.IntN(min(n, 2))
@@ -116,7 +116,7 @@
 	return 2 + r.IntN(n-2)
 }
 
-// makeInput generates a request's makeInput: a shared template, which prefix caches can reuse, followed by unique text.
+// makeInput generates a request's input: a shared template, which prefix caches can reuse, followed by unique text.
 func makeInput(k Kind, space string, r *rand.Rand) []byte {
 	var b strings.Builder
 	if k.Prefix > 0 {
--- a/src/local/local.go
+++ b/src/local/local.go
@@ -136,20 +136,20 @@
 
 // BoxSettings returns the settings of the i-th box. Boxes are spread over the failure domains in turn.
 func (s *Set) BoxSettings(name string, i int) *config.Settings {
-	set := config.DefaultSettings()
-	set.Box = name
-	set.FailureDomain = s.Document.FailureDomains[i%len(s.Document.FailureDomains)].Name
-	set.Listen = config.ListenSettings{Callers: anyPort, Peers: anyPort}
-	set.Platform.Addresses = []string{s.address}
-	set.Platform.PollEvery = config.Duration(500 * time.Millisecond)
-	set.AtMostOnce.ListLag = config.Duration(time.Second)
-	set.AtMostOnce.FreshWithin = config.Duration(3 * time.Second)
-	set.AtMostOnce.ClockSkew = config.Duration(250 * time.Millisecond)
-	set.Callers.Anyone, set.Operators.Anyone = true, true
+	settings := config.DefaultSettings()
+	settings.Box = name
+	settings.FailureDomain = s.Document.FailureDomains[i%len(s.Document.FailureDomains)].Name
+	settings.Listen = config.ListenSettings{Callers: anyPort, Peers: anyPort}
+	settings.Platform.Addresses = []string{s.address}
+	settings.Platform.PollEvery = config.Duration(500 * time.Millisecond)
+	settings.AtMostOnce.ListLag = config.Duration(time.Second)
+	settings.AtMostOnce.FreshWithin = config.Duration(3 * time.Second)
+	settings.AtMostOnce.ClockSkew = config.Duration(250 * time.Millisecond)
+	settings.Callers.Anyone, settings.Operators.Anyone = true, true
 	if s.Adjust != nil {
-		s.Adjust(&set)
+		s.Adjust(&settings)
 	}
-	return &set
+	return &settings
 }
 
 // StartBox starts another box. Others do not know of it before ListBoxes.
@@ -173,9 +173,9 @@
 
 // waitReady waits until the boxes are ready and the engines have loaded their models.
 func (s *Set) waitReady() error {
-	until := time.Now().Add(readyTimeout)
+	deadline := time.Now().Add(readyTimeout)
 	for !s.ready() {
-		if time.Now().After(until) {
+		if time.Now().After(deadline) {
 			return eris.New("the deployment did not become ready in time")
 		}
 		time.Sleep(20 * time.Millisecond)
--- a/src/logging/async_writer.go
+++ b/src/logging/async_writer.go
@@ -10,7 +10,7 @@
 // Limits of a Stream.
 const (
 	maxBufferedBytes = 256 << 10              // buffer size; lines that do not fit are dropped and counted
-	flushDelay  = 100 * time.Millisecond // delay that collects lines for one write
+	flushDelay       = 100 * time.Millisecond // delay that collects lines for one write
 )
 
 // Stream is a buffered writer that never blocks: a goroutine writes the buffered lines in larger pieces. Lines that
@@ -19,10 +19,10 @@
 	Out io.Writer
 
 	mu      sync.Mutex
-	buffer    []byte
+	buffer  []byte
 	dropped int
 	wake    chan struct{}
-	done   chan struct{}
+	done    chan struct{}
 	closed  bool
 }
 
--- a/src/logging/async_writer_test.go
+++ b/src/logging/async_writer_test.go
@@ -12,11 +12,11 @@
 
 // stalledWriter is a writer that blocks until it is released.
 type stalledWriter struct {
-	mu     sync.Mutex
-	written    bytes.Buffer
-	release  chan struct{}
-	called chan struct{}
-	once   sync.Once
+	mu      sync.Mutex
+	written bytes.Buffer
+	release chan struct{}
+	called  chan struct{}
+	once    sync.Once
 }
 
 func (s *stalledWriter) Write(b []byte) (int, error) {
--- a/src/logging/logging.go
+++ b/src/logging/logging.go
@@ -55,13 +55,17 @@
 }
 
 // Info implements logx.Writer.
-func (a *goZeroWriter) Info(v any, f ...logx.LogField) { a.log.With(attrs(f)...).Info("info", "content", v) }
+func (a *goZeroWriter) Info(v any, f ...logx.LogField) {
+	a.log.With(attrs(f)...).Info("info", "content", v)
+}
 
 // Severe implements logx.Writer.
 func (a *goZeroWriter) Severe(v any) { a.log.Error("severe", "content", v) }
 
 // Slow implements logx.Writer.
-func (a *goZeroWriter) Slow(v any, f ...logx.LogField) { a.log.With(attrs(f)...).Warn("slow", "content", v) }
+func (a *goZeroWriter) Slow(v any, f ...logx.LogField) {
+	a.log.With(attrs(f)...).Warn("slow", "content", v)
+}
 
 // Stack implements logx.Writer.
 func (a *goZeroWriter) Stack(v any) { a.log.Error("stack", "content", v) }
--- a/src/metrics/gateway.go
+++ b/src/metrics/gateway.go
@@ -14,52 +14,52 @@
 
 // GatewaySet holds the metrics of one gateway. Labels are pipelines, pools, results and outcomes.
 type GatewaySet struct {
-	registry  *prometheus.Registry
-	requestsEnded     *prometheus.CounterVec
-	requestSeconds      *prometheus.HistogramVec
-	firstOutputSeconds     *prometheus.HistogramVec
-	exchanges *prometheus.CounterVec
-	exchangeSeconds *prometheus.HistogramVec
-	batches   *prometheus.CounterVec
-	batchPieces    *prometheus.HistogramVec
-	batchSeconds   *prometheus.HistogramVec
-	storeReads     *prometheus.CounterVec
-	pulls     *prometheus.CounterVec
-	pullSeconds    *prometheus.HistogramVec
-	retries   *prometheus.CounterVec
-	withheld  *prometheus.CounterVec
+	registry           *prometheus.Registry
+	requestsEnded      *prometheus.CounterVec
+	requestSeconds     *prometheus.HistogramVec
+	firstOutputSeconds *prometheus.HistogramVec
+	exchanges          *prometheus.CounterVec
+	exchangeSeconds    *prometheus.HistogramVec
+	batches            *prometheus.CounterVec
+	batchPieces        *prometheus.HistogramVec
+	batchSeconds       *prometheus.HistogramVec
+	storeReads         *prometheus.CounterVec
+	pulls              *prometheus.CounterVec
+	pullSeconds        *prometheus.HistogramVec
+	retries            *prometheus.CounterVec
+	withheld           *prometheus.CounterVec
 	serverNotices      *prometheus.CounterVec
-	permits   *prometheus.CounterVec
-	unusableDocuments   *prometheus.CounterVec
-	suspects prometheus.Counter
-	storeRestores  prometheus.Counter
+	permits            *prometheus.CounterVec
+	unusableDocuments  *prometheus.CounterVec
+	suspects           prometheus.Counter
+	storeRestores      prometheus.Counter
 }
 
 // NewGateway returns an empty set.
 func NewGateway() *GatewaySet {
 	s := &GatewaySet{
-		registry:  prometheus.NewRegistry(),
-		requestsEnded:     newCounterVec("gateway_requests_ended_total", "Requests that ended, by result.", "pipeline", "result"),
-		requestSeconds:      newHistogramVec("gateway_request_seconds", "Time from arrival to the end of the answer.", "pipeline"),
-		firstOutputSeconds:     newHistogramVec("gateway_first_output_seconds", "Time from arrival to the first output.", "pipeline"),
-		exchanges: newCounterVec("gateway_exchanges_total", "Requests sent to servers, by outcome.", "pool", "outcome"),
-		exchangeSeconds: newHistogramVec("gateway_exchange_seconds", "Time of one exchange with a server.", "pool"),
-		batches:   newCounterVec("gateway_batches_total", "Calls that make pieces, by outcome.", "pool", "outcome"),
+		registry:           prometheus.NewRegistry(),
+		requestsEnded:      newCounterVec("gateway_requests_ended_total", "Requests that ended, by result.", "pipeline", "result"),
+		requestSeconds:     newHistogramVec("gateway_request_seconds", "Time from arrival to the end of the answer.", "pipeline"),
+		firstOutputSeconds: newHistogramVec("gateway_first_output_seconds", "Time from arrival to the first output.", "pipeline"),
+		exchanges:          newCounterVec("gateway_exchanges_total", "Requests sent to servers, by outcome.", "pool", "outcome"),
+		exchangeSeconds:    newHistogramVec("gateway_exchange_seconds", "Time of one exchange with a server.", "pool"),
+		batches:            newCounterVec("gateway_batches_total", "Calls that make pieces, by outcome.", "pool", "outcome"),
 		batchPieces: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "stilemast_gateway_batch_pieces",
 			Help: "Pieces in one call.", Buckets: prometheus.ExponentialBuckets(1, 2, 8)}, []string{"pool"}),
-		batchSeconds: newHistogramVec("gateway_batch_seconds", "Time of one call that makes pieces.", "pool"),
-		storeReads:   newCounterVec("gateway_store_reads_total", "Reads of the platform's store.", "document", "ok"),
-		pulls:   newCounterVec("gateway_pulls_total", "Documents asked of other boxes.", "document", "ok"),
-		pullSeconds:  newHistogramVec("gateway_pull_seconds", "Time of one document asked of another box.", "document"),
-		retries: newCounterVec("gateway_retries_total", "Repeated sends asked of the shared budget.", "pool", "allowed"),
+		batchSeconds:      newHistogramVec("gateway_batch_seconds", "Time of one call that makes pieces.", "pool"),
+		storeReads:        newCounterVec("gateway_store_reads_total", "Reads of the platform's store.", "document", "ok"),
+		pulls:             newCounterVec("gateway_pulls_total", "Documents asked of other boxes.", "document", "ok"),
+		pullSeconds:       newHistogramVec("gateway_pull_seconds", "Time of one document asked of another box.", "document"),
+		retries:           newCounterVec("gateway_retries_total", "Repeated sends asked of the shared budget.", "pool", "allowed"),
 		unusableDocuments: newCounterVec("gateway_unusable_documents_total", "Server entries and configurations that can't be used, by reason.", "document", "reason"),
 		suspects: prometheus.NewCounter(prometheus.CounterOpts{Name: "stilemast_gateway_suspects_total",
 			Help: "Ends of servers counted against contents that ran there."}),
 		storeRestores: prometheus.NewCounter(prometheus.CounterOpts{Name: "stilemast_gateway_store_restores_total",
 			Help: "Times that the platform's store came back from an older copy."}),
-		serverNotices:     newCounterVec("gateway_server_words_total", "Servers that said of themselves that they leave, want rest or limit their requests, by word.", "pool", "word"),
-		permits:  newCounterVec("gateway_permits_total", "Permits asked for at servers that limit their requests.", "pool", "granted"),
-		withheld: newCounterVec("gateway_withheld_total", "Sends held back since the server took no new work any more when the first byte was due.", "pool"),
+		serverNotices: newCounterVec("gateway_server_words_total", "Servers that said of themselves that they leave, want rest or limit their requests, by word.", "pool", "word"),
+		permits:       newCounterVec("gateway_permits_total", "Permits asked for at servers that limit their requests.", "pool", "granted"),
+		withheld:      newCounterVec("gateway_withheld_total", "Sends held back since the server took no new work any more when the first byte was due.", "pool"),
 	}
 	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.exchanges, s.exchangeSeconds, s.batches, s.batchPieces, s.batchSeconds, s.storeReads, s.pulls, s.pullSeconds, s.retries, s.withheld, s.serverNotices, s.permits, s.unusableDocuments, s.suspects, s.storeRestores,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -101,8 +101,8 @@
 }
 
 // Handler serves the metrics. It adds gauges of the gateway's state, which are read at each scrape, so it must be
-// called only once. dials returns the number of connections opened to servers.
-func (s *GatewaySet) Handler(g *gateway.Gateway, dials func() int64) http.Handler {
+// called only once. connections returns the number of connections opened to servers.
+func (s *GatewaySet) Handler(g *gateway.Gateway, connections func() int64) http.Handler {
 	gauge := func(name, help string, read func() float64) {
 		s.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "stilemast_gateway_" + name, Help: help}, read))
 	}
@@ -111,6 +111,6 @@
 	gauge("config_confirmed_age_seconds", "Age of the last confirmation of the configuration and the list of servers.", func() float64 { return g.ConfirmedAge().Seconds() })
 	gauge("config_behind_seconds", "Time for which a newer configuration is known than is held.", func() float64 { return g.BehindFor().Seconds() })
 	gauge("members", "Boxes that take work.", func() float64 { return float64(g.Members()) })
-	gauge("server_connections_opened", "Connections opened to servers since the start.", func() float64 { return float64(dials()) })
+	gauge("server_connections_opened", "Connections opened to servers since the start.", func() float64 { return float64(connections()) })
 	return promhttp.HandlerFor(s.registry, promhttp.HandlerOpts{})
 }
--- a/src/metrics/metrics.go
+++ b/src/metrics/metrics.go
@@ -20,15 +20,15 @@
 
 // Set holds the metrics of one box.
 type Set struct {
-	registry *prometheus.Registry
-	requestsEnded    *prometheus.CounterVec
+	registry           *prometheus.Registry
+	requestsEnded      *prometheus.CounterVec
 	requestSeconds     *prometheus.HistogramVec
-	firstOutputSeconds    *prometheus.HistogramVec
-	calls    *prometheus.CounterVec
-	callSeconds   *prometheus.HistogramVec
-	waitSeconds   *prometheus.HistogramVec
-	staleReplies    prometheus.Counter
-	platformReads    *prometheus.CounterVec
+	firstOutputSeconds *prometheus.HistogramVec
+	calls              *prometheus.CounterVec
+	callSeconds        *prometheus.HistogramVec
+	waitSeconds        *prometheus.HistogramVec
+	staleReplies       prometheus.Counter
+	platformReads      *prometheus.CounterVec
 }
 
 // buckets are the upper bounds of the histograms, 1 ms to 33 s.
@@ -37,15 +37,15 @@
 // New returns an empty set.
 func New() *Set {
 	s := &Set{
-		registry: prometheus.NewRegistry(),
-		requestsEnded:    newCounterVec("requests_ended_total", "Requests that ended, by result code.", "pipeline", "class", "code"),
+		registry:           prometheus.NewRegistry(),
+		requestsEnded:      newCounterVec("requests_ended_total", "Requests that ended, by result code.", "pipeline", "class", "code"),
 		requestSeconds:     newHistogramVec("request_seconds", "Time from acceptance to the final answer.", "pipeline"),
-		firstOutputSeconds:    newHistogramVec("first_output_seconds", "Time from acceptance to the first output.", "pipeline"),
-		calls:    newCounterVec("calls_total", "Calls to backend servers, by how they ended.", "pool", "failure"),
-		callSeconds:   newHistogramVec("call_seconds", "Time of one call to a backend server.", "pool"),
-		waitSeconds:   newHistogramVec("wait_seconds", "Time a call waited in its pool.", "pool"),
-		staleReplies:    prometheus.NewCounter(prometheus.CounterOpts{Name: "stilemast_stale_replies_total", Help: "Replies discarded as late, repeated or foreign."}),
-		platformReads:    newCounterVec("platform_reads_total", "Reads of the platform's service.", "document", "ok"),
+		firstOutputSeconds: newHistogramVec("first_output_seconds", "Time from acceptance to the first output.", "pipeline"),
+		calls:              newCounterVec("calls_total", "Calls to backend servers, by how they ended.", "pool", "failure"),
+		callSeconds:        newHistogramVec("call_seconds", "Time of one call to a backend server.", "pool"),
+		waitSeconds:        newHistogramVec("wait_seconds", "Time a call waited in its pool.", "pool"),
+		staleReplies:       prometheus.NewCounter(prometheus.CounterOpts{Name: "stilemast_stale_replies_total", Help: "Replies discarded as late, repeated or foreign."}),
+		platformReads:      newCounterVec("platform_reads_total", "Reads of the platform's service.", "document", "ok"),
 	}
 	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.calls, s.callSeconds, s.waitSeconds, s.staleReplies, s.platformReads,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -21,18 +21,18 @@
 
 // Timeouts and limits of a gateway process.
 const (
-	callerHeaderTimeout = 10 * time.Second // for reading a request's header
-	callerIdleTimeout   = 2 * time.Minute  // before an idle keep-alive connection is closed
-	maxCallerHeaderBytes  = 64 << 10
-	minShutdownTime        = 3200 * time.Millisecond // minimum duration of a graceful shutdown, so that the load balancer notices that this box is not ready
-	answerReserve      = 2500 * time.Millisecond // end of the shutdown reserved for answers that have begun; pending stages are failed before it
-	idleBeforeExit        = 400 * time.Millisecond  // without a request before a shutdown completes
+	callerHeaderTimeout  = 10 * time.Second // for reading a request's header
+	callerIdleTimeout    = 2 * time.Minute  // before an idle keep-alive connection is closed
+	maxCallerHeaderBytes = 64 << 10
+	minShutdownTime      = 3200 * time.Millisecond // minimum duration of a graceful shutdown, so that the load balancer notices that this box is not ready
+	answerReserve        = 2500 * time.Millisecond // end of the shutdown reserved for answers that have begun; pending stages are failed before it
+	idleBeforeExit       = 400 * time.Millisecond  // without a request before a shutdown completes
 	shutdownMargin       = 500 * time.Millisecond  // subtracted from the configured shutdown timeout
-	shutdownPollInterval         = 50 * time.Millisecond
-	sweepInterval = time.Second
-	memoryLimitFraction       = 0.7 // of the configured memory that is set as Go's soft memory limit
-	gcPercent   = 60
-	milliCoresPerCore       = 1000 // in a core
+	shutdownPollInterval = 50 * time.Millisecond
+	sweepInterval        = time.Second
+	memoryLimitFraction  = 0.7 // of the configured memory that is set as Go's soft memory limit
+	gcPercent            = 60
+	milliCoresPerCore    = 1000 // in a core
 )
 
 // Adapter connects gateways to a platform.
@@ -57,15 +57,15 @@
 	Adapter  Adapter
 	Log      *slog.Logger
 
-	gateway *gateway.Gateway
-	ports   Ports
-	peers   *peer.Client
-	servers []*http.Server
-	peerListener   net.Listener
-	cancel  context.CancelFunc
-	wg    sync.WaitGroup
-	callers callerActivity
-	killOnce  sync.Once
+	gateway      *gateway.Gateway
+	ports        Ports
+	peers        *peer.Client
+	servers      []*http.Server
+	peerListener net.Listener
+	cancel       context.CancelFunc
+	wg           sync.WaitGroup
+	callers      callerActivity
+	killOnce     sync.Once
 }
 
 // callerActivity tracks the callers' connections on which a request is being read or answered.
--- a/src/node/node.go
+++ b/src/node/node.go
@@ -35,9 +35,9 @@
 
 // Limits of the callers' gRPC server.
 const (
-	maxMessageBytes   = 2 << 20 // bytes
-	maxStreams   = 4096    // concurrent streams of one connection
-	healthInterval  = 200 * time.Millisecond
+	maxMessageBytes    = 2 << 20 // bytes
+	maxStreams         = 4096    // concurrent streams of one connection
+	healthInterval     = 200 * time.Millisecond
 	callerDrainTimeout = 2 * time.Second // for open answers to reach callers at the end of a graceful shutdown
 )
 
@@ -48,18 +48,18 @@
 	Release  string
 	Adjust   func(*box.Box) // modifies the box before it starts; may be nil
 
-	box     *box.Box
-	peers   *peer.Client
+	box            *box.Box
+	peers          *peer.Client
 	callerListener net.Listener
 	peerListener   net.Listener
-	webListener     net.Listener
-	grpc    *grpc.Server
-	health  *health.Server
-	http    *http.Server
-	cancel  context.CancelFunc
-	wg    sync.WaitGroup
-	stopped chan struct{}
-	stopOnce    sync.Once
+	webListener    net.Listener
+	grpc           *grpc.Server
+	health         *health.Server
+	http           *http.Server
+	cancel         context.CancelFunc
+	wg             sync.WaitGroup
+	stopped        chan struct{}
+	stopOnce       sync.Once
 }
 
 // Box returns the box that this node runs. Call it after Start.
@@ -224,7 +224,7 @@
 	return cut
 }
 
-// finishCallers waits up to callersGrace for open answers to reach their callers.
+// finishCallers waits up to callerDrainTimeout for open answers to reach their callers.
 func (n *Node) finishCallers() {
 	ended := make(chan struct{})
 	go func() {
--- a/src/pack/pack.go
+++ b/src/pack/pack.go
@@ -9,7 +9,7 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// dictionaryID is the ID of the zstd dictionaryID, for which the earlier version is used.
+// dictionaryID is the ID of the zstd dictionary, for which the earlier version is used.
 const dictionaryID = 1
 
 // Pack compresses a document. base, if not nil, is an earlier version that the receiver has; then the result contains
