--- a/src/load/workload.go
+++ b/src/load/workload.go
@@ -24,8 +24,8 @@
 type Workload struct {
 	Name  string
 	Kinds []Kind
-	// Crowd is the share of requests that come from the first two workspaces.
-	Crowd float64
+	// TopWorkspacesShare is the share of requests that come from the first two workspaces.
+	TopWorkspacesShare float64
 	// Burst multiplies the rate during the first quarter of every BurstEvery; 0 means no bursts.
 	Burst      float64
 	BurstEvery time.Duration
@@ -34,7 +34,7 @@
 // Workloads are the available workloads by name.
 var Workloads = map[string]Workload{
 	"pageworks": {
-		Name: "pageworks", Crowd: 0.7, Burst: 2, BurstEvery: 8 * time.Second,
+		Name: "pageworks", TopWorkspacesShare: 0.7, Burst: 2, BurstEvery: 8 * time.Second,
 		Kinds: []Kind{
 			{Pipeline: "spread-draft", Share: 0.10, Prefix: 2048, Own: 1024, Shared: 12},
 			{Pipeline: "caption", Share: 0.40, Prefix: 1024, Own: 256, Shared: 30},
@@ -44,7 +44,7 @@
 		},
 	},
 	"giftenregister": {
-		Name: "giftenregister", Crowd: 0.6,
+		Name: "giftenregister", TopWorkspacesShare: 0.6,
 		Kinds: []Kind{
 			{Pipeline: "dossier-review", Share: 0.10, Prefix: 4096, Own: 2048, Shared: 20},
 			{Pipeline: "letter", Share: 0.15, Prefix: 1024, Own: 512, Shared: 8},
@@ -77,7 +77,7 @@
 			return out
 		}
 		k := pickKind(w.Kinds, r.Float64())
-		space := spaces[pickWorkspace(r, len(spaces), w.Crowd)]
+		space := spaces[pickWorkspace(r, len(spaces), w.TopWorkspacesShare)]
 		out = append(out, Arrival{
 			N: len(out), At: at, Workspace: space, Pipeline: c.Pipeline(k.Pipeline),
 			Input: makeInput(k, space, r), Box: r.IntN(boxes),
