--- a/src/experiment/experiment.go
+++ b/src/experiment/experiment.go
@@ -146,7 +146,7 @@
 		}
 		slots := float64(c.Pool(last.Pool())[0].Slots())
 		step := cost.Step.Seconds()/slots + cost.PerRunning.Seconds()
-		prompt := float64(k.Prefix+k.UniqueBytes) / standin.TokenBytes
+		prompt := float64(k.TemplateBytes+k.UniqueBytes) / standin.TokenBytes
 		each += k.Share * (0.75*float64(last.MaxTokens())*step + prompt*cost.PerPrefill.Seconds())
 	}
 	engines := 0
