--- a/src/load/workload.go
+++ b/src/load/workload.go
@@ -17,7 +17,7 @@
 	Share    float64 // of all requests, 0 to 1
 	TemplateBytes   int     // bytes of the input taken from a shared template
 	UniqueBytes      int     // bytes of the input unique to the request
-	Shared   int     // number of templates in each workspace
+	Templates   int     // number of templates in each workspace
 }
 
 // Workload is a mix of requests and their arrival pattern.
@@ -36,21 +36,21 @@
 	"pageworks": {
 		Name: "pageworks", TopWorkspacesShare: 0.7, Burst: 2, BurstEvery: 8 * time.Second,
 		Kinds: []Kind{
-			{Pipeline: "spread-draft", Share: 0.10, TemplateBytes: 2048, UniqueBytes: 1024, Shared: 12},
-			{Pipeline: "caption", Share: 0.40, TemplateBytes: 1024, UniqueBytes: 256, Shared: 30},
-			{Pipeline: "tag-suggestion", Share: 0.30, TemplateBytes: 512, UniqueBytes: 128, Shared: 30},
-			{Pipeline: "proof-approval", Share: 0.10, TemplateBytes: 128, UniqueBytes: 128, Shared: 10},
-			{Pipeline: "tag-stamp", Share: 0.10, TemplateBytes: 0, UniqueBytes: 128, Shared: 1},
+			{Pipeline: "spread-draft", Share: 0.10, TemplateBytes: 2048, UniqueBytes: 1024, Templates: 12},
+			{Pipeline: "caption", Share: 0.40, TemplateBytes: 1024, UniqueBytes: 256, Templates: 30},
+			{Pipeline: "tag-suggestion", Share: 0.30, TemplateBytes: 512, UniqueBytes: 128, Templates: 30},
+			{Pipeline: "proof-approval", Share: 0.10, TemplateBytes: 128, UniqueBytes: 128, Templates: 10},
+			{Pipeline: "tag-stamp", Share: 0.10, TemplateBytes: 0, UniqueBytes: 128, Templates: 1},
 		},
 	},
 	"giftenregister": {
 		Name: "giftenregister", TopWorkspacesShare: 0.6,
 		Kinds: []Kind{
-			{Pipeline: "dossier-review", Share: 0.10, TemplateBytes: 4096, UniqueBytes: 2048, Shared: 20},
-			{Pipeline: "letter", Share: 0.15, TemplateBytes: 1024, UniqueBytes: 512, Shared: 8},
-			{Pipeline: "receipt", Share: 0.25, TemplateBytes: 0, UniqueBytes: 256, Shared: 1},
-			{Pipeline: "registration", Share: 0.15, TemplateBytes: 0, UniqueBytes: 256, Shared: 1},
-			{Pipeline: "status-check", Share: 0.35, TemplateBytes: 256, UniqueBytes: 128, Shared: 6},
+			{Pipeline: "dossier-review", Share: 0.10, TemplateBytes: 4096, UniqueBytes: 2048, Templates: 20},
+			{Pipeline: "letter", Share: 0.15, TemplateBytes: 1024, UniqueBytes: 512, Templates: 8},
+			{Pipeline: "receipt", Share: 0.25, TemplateBytes: 0, UniqueBytes: 256, Templates: 1},
+			{Pipeline: "registration", Share: 0.15, TemplateBytes: 0, UniqueBytes: 256, Templates: 1},
+			{Pipeline: "status-check", Share: 0.35, TemplateBytes: 256, UniqueBytes: 128, Templates: 6},
 		},
 	},
 }
@@ -120,7 +120,7 @@
 func makeInput(k Kind, space string, r *rand.Rand) []byte {
 	var b strings.Builder
 	if k.TemplateBytes > 0 {
-		fill(&b, fmt.Sprintf("%s %s template %d. ", space, k.Pipeline, r.IntN(k.Shared)), k.TemplateBytes)
+		fill(&b, fmt.Sprintf("%s %s template %d. ", space, k.Pipeline, r.IntN(k.Templates)), k.TemplateBytes)
 	}
 	fill(&b, fmt.Sprintf("request %016x%016x. ", r.Uint64(), r.Uint64()), k.UniqueBytes)
 	return []byte(b.String())
