--- a/src/load/workload.go
+++ b/src/load/workload.go
@@ -11,8 +11,8 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// Kind is one type of request in a workload.
-type Kind struct {
+// RequestKind is one type of request in a workload.
+type RequestKind struct {
 	Pipeline string
 	Share    float64 // of all requests, 0 to 1
 	TemplateBytes   int     // bytes of the input taken from a shared template
@@ -23,7 +23,7 @@
 // Workload is a mix of requests and their arrival pattern.
 type Workload struct {
 	Name  string
-	Kinds []Kind
+	Kinds []RequestKind
 	// TopWorkspacesShare is the share of requests that come from the first two workspaces.
 	TopWorkspacesShare float64
 	// Burst multiplies the rate during the first quarter of every BurstEvery; 0 means no bursts.
@@ -35,7 +35,7 @@
 var Workloads = map[string]Workload{
 	"pageworks": {
 		Name: "pageworks", TopWorkspacesShare: 0.7, Burst: 2, BurstEvery: 8 * time.Second,
-		Kinds: []Kind{
+		Kinds: []RequestKind{
 			{Pipeline: "spread-draft", Share: 0.10, TemplateBytes: 2048, UniqueBytes: 1024, Templates: 12},
 			{Pipeline: "caption", Share: 0.40, TemplateBytes: 1024, UniqueBytes: 256, Templates: 30},
 			{Pipeline: "tag-suggestion", Share: 0.30, TemplateBytes: 512, UniqueBytes: 128, Templates: 30},
@@ -45,7 +45,7 @@
 	},
 	"giftenregister": {
 		Name: "giftenregister", TopWorkspacesShare: 0.6,
-		Kinds: []Kind{
+		Kinds: []RequestKind{
 			{Pipeline: "dossier-review", Share: 0.10, TemplateBytes: 4096, UniqueBytes: 2048, Templates: 20},
 			{Pipeline: "letter", Share: 0.15, TemplateBytes: 1024, UniqueBytes: 512, Templates: 8},
 			{Pipeline: "receipt", Share: 0.25, TemplateBytes: 0, UniqueBytes: 256, Templates: 1},
@@ -98,7 +98,7 @@
 }
 
 // pickKind selects a kind by its share; x is uniform in [0, 1).
-func pickKind(kinds []Kind, x float64) Kind {
+func pickKind(kinds []RequestKind, x float64) RequestKind {
 	for _, k := range kinds {
 		if x < k.Share {
 			return k
@@ -117,7 +117,7 @@
 }
 
 // makeInput generates a request's input: a shared template, which prefix caches can reuse, followed by unique text.
-func makeInput(k Kind, space string, r *rand.Rand) []byte {
+func makeInput(k RequestKind, space string, r *rand.Rand) []byte {
 	var b strings.Builder
 	if k.TemplateBytes > 0 {
 		fill(&b, fmt.Sprintf("%s %s template %d. ", space, k.Pipeline, r.IntN(k.Templates)), k.TemplateBytes)
