--- a/src/cli/call.go
+++ b/src/cli/call.go
@@ -183,7 +183,7 @@
 	}
 	sort.Strings(spaces)
 	plan := load.Plan(load.Workloads[c.String("workload")], conf, spaces, c.Float("rate"), c.Duration("time"), len(boxes), c.Uint64("seed"))
-	run := &load.Run{Boxes: boxes, Plan: plan, Duplicates: c.Float("duplicates"), Progress: progress(), ComeBack: true}
+	run := &load.Run{Boxes: boxes, Plan: plan, Duplicates: c.Float("duplicates"), Progress: progress(), Retry: true}
 	results, err := run.Do(ctx)
 	if err != nil {
 		return err
--- a/src/load/run.go
+++ b/src/load/run.go
@@ -57,7 +57,7 @@
 	Plan       []Arrival
 	Duplicates float64               // share of requests that are also sent to a second box, as a load balancer may do
 	Progress   func(done, total int) // called after each answer; may be nil
-	ComeBack   bool                  // retry failed requests with the same key at the next box
+	Retry   bool                  // retry failed requests with the same key at the next box
 
 	mu      sync.Mutex
 	results []Result
@@ -155,7 +155,7 @@
 		if res.Code != code.AnswerInterrupted {
 			lastCoded = res
 		}
-		if !r.ComeBack || !retryable || try == maxRetries {
+		if !r.Retry || !retryable || try == maxRetries {
 			if res.Code == code.AnswerInterrupted && lastCoded.Key != "" {
 				res = lastCoded
 			}
