--- a/src/load/report.go
+++ b/src/load/report.go
@@ -91,7 +91,7 @@
 				r.Lost++
 			}
 		}
-		if x.Ran == code.RanNo && !x.Twin && anyRuns[x.Key] > 0 && x.Arrival.Pipeline.Once() {
+		if x.Ran == code.RanNo && !x.Duplicate && anyRuns[x.Key] > 0 && x.Arrival.Pipeline.Once() {
 			r.FalseNo++
 		}
 		if onceRuns[x.Key] > 1 && !counted[x.Key] {
--- a/src/load/run.go
+++ b/src/load/run.go
@@ -74,7 +74,7 @@
 	Took       time.Duration
 	FirstToken time.Duration
 	Stages     []*pb.StageUse
-	Twin       bool // the second copy of a duplicated request
+	Duplicate       bool // the second copy of a duplicated request
 }
 
 // answerGrace is how long the load tool waits for an answer after the request's maximum deadline.
@@ -112,7 +112,7 @@
 			go func() {
 				defer wg.Done()
 				res := r.sendWithRetries(ctx, clients, a.Box+1, a, key)
-				res.Twin = true
+				res.Duplicate = true
 				r.addResult(res)
 			}()
 		}
