--- a/src/load/report.go
+++ b/src/load/report.go
@@ -75,7 +75,7 @@
 		w := x.Arrival.Pipeline.Weight()
 		totalWeight += w
 		switch {
-		case x.Code == code.OK && x.Wrong:
+		case x.Code == code.OK && x.WrongAnswer:
 			r.Misplaced++
 		case x.Code == code.OK:
 			r.Whole++
--- a/src/load/run.go
+++ b/src/load/run.go
@@ -69,7 +69,7 @@
 	Key        string
 	Code       code.Code
 	Ran        code.Ran
-	Wrong      bool // complete, but not the answer to this request
+	WrongAnswer      bool // complete, but not the answer to this request
 	Late       bool
 	Took       time.Duration
 	FirstToken time.Duration
@@ -186,7 +186,7 @@
 		return res
 	}
 	res.Stages = answer.Stages
-	res.Wrong = !bytes.Equal(answer.Data, standin.Whole(a.Pipeline, a.Input, 0))
+	res.WrongAnswer = !bytes.Equal(answer.Data, standin.Whole(a.Pipeline, a.Input, 0))
 	return res
 }
 
