--- a/src/load/report.go
+++ b/src/load/report.go
@@ -22,7 +22,7 @@
 	Lost      int            `json:"lost"`                // accepted requests without a final answer, or answered without having run
 	Doubled   int            `json:"doubled"`             // non-repeatable calls that ran more than once
 	Misplaced int            `json:"misplaced"`           // answers that belong to another request
-	FalseNo   int            `json:"ran_after_not_run"`   // reported as not run, although something ran
+	RanAfterNotRun   int            `json:"ran_after_not_run"`   // reported as not run, although something ran
 	ByKind    []KindReport   `json:"by_pipeline"`
 	ByStage   []StageReport  `json:"by_stage"`
 	Refusals  map[string]int `json:"refusals"`
@@ -92,7 +92,7 @@
 			}
 		}
 		if x.Ran == code.RanNo && !x.Duplicate && anyRuns[x.Key] > 0 && x.Arrival.Pipeline.Once() {
-			r.FalseNo++
+			r.RanAfterNotRun++
 		}
 		if onceRuns[x.Key] > 1 && !counted[x.Key] {
 			r.Doubled++
@@ -192,12 +192,12 @@
 }
 
 // Clean reports whether no violation was found: nothing lost, doubled, misplaced or falsely reported as not run.
-func (r Report) Clean() bool { return r.Lost+r.Doubled+r.Misplaced+r.FalseNo == 0 }
+func (r Report) Clean() bool { return r.Lost+r.Doubled+r.Misplaced+r.RanAfterNotRun == 0 }
 
 // Write prints the report as text.
 func (r Report) Write(w io.Writer) {
 	fmt.Fprintf(w, "%d requests: %d whole, %d in time, weighted attainment %.1f%%\n", r.Requests, r.Whole, r.InTime, 100*r.Weighted)
-	fmt.Fprintf(w, "lost %d, doubled %d, misplaced %d, ran after \"not run\" %d\n\n", r.Lost, r.Doubled, r.Misplaced, r.FalseNo)
+	fmt.Fprintf(w, "lost %d, doubled %d, misplaced %d, ran after \"not run\" %d\n\n", r.Lost, r.Doubled, r.Misplaced, r.RanAfterNotRun)
 	fmt.Fprintf(w, "%-18s %8s %8s %6s %9s %9s %12s\n", "pipeline", "requests", "in time", "late", "p50 ms", "p95 ms", "first p95 ms")
 	for _, k := range r.ByKind {
 		fmt.Fprintf(w, "%-18s %8d %8d %6d %9.1f %9.1f %12.1f\n", k.Pipeline, k.Requests, k.InTime, k.Late, k.P50, k.P95, k.First95)
