--- a/src/load/report.go
+++ b/src/load/report.go
@@ -18,7 +18,7 @@
 	Requests  int            `json:"requests"`
 	Complete     int            `json:"whole"`               // complete and correct answers
 	InTime    int            `json:"in_time"`             // of them, within the deadline
-	Weighted  float64        `json:"attainment_weighted"` // share of requests in time, weighted by pipeline
+	WeightedAttainment  float64        `json:"attainment_weighted"` // share of requests in time, weighted by pipeline
 	Lost      int            `json:"lost"`                // accepted requests without a final answer, or answered without having run
 	Doubled   int            `json:"doubled"`             // non-repeatable calls that ran more than once
 	Misplaced int            `json:"misplaced"`           // answers that belong to another request
@@ -103,7 +103,7 @@
 		}
 	}
 	if totalWeight > 0 {
-		r.Weighted = earnedWeight / totalWeight
+		r.WeightedAttainment = earnedWeight / totalWeight
 	}
 	r.ByKind, r.ByStage = kindReports(kinds), stageReports(stages)
 	return r
@@ -196,7 +196,7 @@
 
 // Write prints the report as text.
 func (r Report) Write(w io.Writer) {
-	fmt.Fprintf(w, "%d requests: %d whole, %d in time, weighted attainment %.1f%%\n", r.Requests, r.Complete, r.InTime, 100*r.Weighted)
+	fmt.Fprintf(w, "%d requests: %d whole, %d in time, weighted attainment %.1f%%\n", r.Requests, r.Complete, r.InTime, 100*r.WeightedAttainment)
 	fmt.Fprintf(w, "lost %d, doubled %d, misplaced %d, ran after \"not run\" %d\n\n", r.Lost, r.Doubled, r.Misplaced, r.RanAfterNotRun)
 	fmt.Fprintf(w, "%-18s %8s %8s %6s %9s %9s %12s\n", "pipeline", "requests", "in time", "late", "p50 ms", "p95 ms", "first p95 ms")
 	for _, k := range r.ByKind {
