--- a/src/load/report.go
+++ b/src/load/report.go
@@ -36,7 +36,7 @@
 	Late     int     `json:"late"`
 	P50      float64 `json:"p50_ms"`
 	P95      float64 `json:"p95_ms"`
-	First95  float64 `json:"first_token_p95_ms"`
+	FirstTokenP95  float64 `json:"first_token_p95_ms"`
 }
 
 // StageReport summarizes one stage over all pipelines: the resources it consumed and how long its calls waited.
@@ -172,7 +172,7 @@
 	for n, k := range m {
 		out = append(out, KindReport{
 			Pipeline: n, Requests: k.requests, InTime: k.inTime, Late: k.late,
-			P50: milliseconds(k.took, 50), P95: milliseconds(k.took, 95), First95: milliseconds(k.first, 95),
+			P50: milliseconds(k.took, 50), P95: milliseconds(k.took, 95), FirstTokenP95: milliseconds(k.first, 95),
 		})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Pipeline < out[j].Pipeline })
@@ -200,7 +200,7 @@
 	fmt.Fprintf(w, "lost %d, doubled %d, misplaced %d, ran after \"not run\" %d\n\n", r.Lost, r.Doubled, r.Misplaced, r.RanAfterNotRun)
 	fmt.Fprintf(w, "%-18s %8s %8s %6s %9s %9s %12s\n", "pipeline", "requests", "in time", "late", "p50 ms", "p95 ms", "first p95 ms")
 	for _, k := range r.ByKind {
-		fmt.Fprintf(w, "%-18s %8d %8d %6d %9.1f %9.1f %12.1f\n", k.Pipeline, k.Requests, k.InTime, k.Late, k.P50, k.P95, k.First95)
+		fmt.Fprintf(w, "%-18s %8d %8d %6d %9.1f %9.1f %12.1f\n", k.Pipeline, k.Requests, k.InTime, k.Late, k.P50, k.P95, k.FirstTokenP95)
 	}
 	fmt.Fprintf(w, "\n%-18s %8s %9s %10s %10s %10s %12s\n", "stage", "calls", "seconds", "computed", "cached", "generated", "wait p95 ms")
 	for _, s := range r.ByStage {
