--- a/src/load/report.go
+++ b/src/load/report.go
@@ -23,13 +23,13 @@
 	Doubled   int            `json:"doubled"`             // non-repeatable calls that ran more than once
 	Misplaced int            `json:"misplaced"`           // answers that belong to another request
 	RanAfterNotRun   int            `json:"ran_after_not_run"`   // reported as not run, although something ran
-	ByKind    []KindReport   `json:"by_pipeline"`
+	ByKind    []PipelineReport   `json:"by_pipeline"`
 	ByStage   []StageReport  `json:"by_stage"`
 	Refusals  map[string]int `json:"refusals"`
 }
 
-// KindReport summarizes one pipeline. Latencies are those of complete answers.
-type KindReport struct {
+// PipelineReport summarizes one pipeline. Latencies are those of complete answers.
+type PipelineReport struct {
 	Pipeline string  `json:"pipeline"`
 	Requests int     `json:"requests"`
 	InTime   int     `json:"in_time"`
@@ -167,10 +167,10 @@
 	}
 }
 
-func kindReports(m map[string]*kindTotals) []KindReport {
-	out := make([]KindReport, 0, len(m))
+func kindReports(m map[string]*kindTotals) []PipelineReport {
+	out := make([]PipelineReport, 0, len(m))
 	for n, k := range m {
-		out = append(out, KindReport{
+		out = append(out, PipelineReport{
 			Pipeline: n, Requests: k.requests, InTime: k.inTime, Late: k.late,
 			P50: milliseconds(k.took, 50), P95: milliseconds(k.took, 95), FirstTokenP95: milliseconds(k.first, 95),
 		})
