--- a/src/load/report.go
+++ b/src/load/report.go
@@ -23,7 +23,7 @@
 	Doubled   int            `json:"doubled"`             // non-repeatable calls that ran more than once
 	Misplaced int            `json:"misplaced"`           // answers that belong to another request
 	RanAfterNotRun   int            `json:"ran_after_not_run"`   // reported as not run, although something ran
-	ByKind    []PipelineReport   `json:"by_pipeline"`
+	ByPipeline    []PipelineReport   `json:"by_pipeline"`
 	ByStage   []StageReport  `json:"by_stage"`
 	Refusals  map[string]int `json:"refusals"`
 }
@@ -105,7 +105,7 @@
 	if totalWeight > 0 {
 		r.WeightedAttainment = earnedWeight / totalWeight
 	}
-	r.ByKind, r.ByStage = kindReports(kinds), stageReports(stages)
+	r.ByPipeline, r.ByStage = kindReports(kinds), stageReports(stages)
 	return r
 }
 
@@ -199,7 +199,7 @@
 	fmt.Fprintf(w, "%d requests: %d whole, %d in time, weighted attainment %.1f%%\n", r.Requests, r.Complete, r.InTime, 100*r.WeightedAttainment)
 	fmt.Fprintf(w, "lost %d, doubled %d, misplaced %d, ran after \"not run\" %d\n\n", r.Lost, r.Doubled, r.Misplaced, r.RanAfterNotRun)
 	fmt.Fprintf(w, "%-18s %8s %8s %6s %9s %9s %12s\n", "pipeline", "requests", "in time", "late", "p50 ms", "p95 ms", "first p95 ms")
-	for _, k := range r.ByKind {
+	for _, k := range r.ByPipeline {
 		fmt.Fprintf(w, "%-18s %8d %8d %6d %9.1f %9.1f %12.1f\n", k.Pipeline, k.Requests, k.InTime, k.Late, k.P50, k.P95, k.FirstTokenP95)
 	}
 	fmt.Fprintf(w, "\n%-18s %8s %9s %10s %10s %10s %12s\n", "stage", "calls", "seconds", "computed", "cached", "generated", "wait p95 ms")
