--- a/src/cli/call.go
+++ b/src/cli/call.go
@@ -162,7 +162,7 @@
 	if err != nil {
 		return err
 	}
-	return writeReport(c, load.Judge(results, set.Ran()))
+	return writeReport(c, load.Evaluate(results, set.Ran()))
 }
 
 // externalLoad drives boxes of other processes. Their backend servers must be stand-ins, which report the calls
@@ -192,7 +192,7 @@
 	if err != nil {
 		return err
 	}
-	return writeReport(c, load.Judge(results, ran))
+	return writeReport(c, load.Evaluate(results, ran))
 }
 
 // writeReport prints a report and returns an error if it is not clean.
--- a/src/cli/demo.go
+++ b/src/cli/demo.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return false, err
 	}
-	report := load.Judge(results, set.Ran())
+	report := load.Evaluate(results, set.Ran())
 	report.Write(w)
 	kinds := writeCallCounts(w, set.Ran())
 	ok := report.Clean() && report.Complete > 0 && kinds["encode"] > 0 && kinds["retrieve"] > 0 && kinds["rerank"] > 0 && kinds["generate"] > 0
--- a/src/load/report.go
+++ b/src/load/report.go
@@ -59,9 +59,9 @@
 
 func record(h *hdrhistogram.Histogram, d time.Duration) { _ = h.RecordValue(max(1, d.Microseconds())) }
 
-// Judge summarizes results and checks them against the calls that the stand-ins ran; Report lists the violations that
+// Evaluate summarizes results and checks them against the calls that the stand-ins ran; Report lists the violations that
 // it counts.
-func Judge(results []Result, ran []standin.Ran) Report {
+func Evaluate(results []Result, ran []standin.Ran) Report {
 	r := Report{Refusals: map[string]int{}}
 	onceRuns, anyRuns := countRuns(ran)
 	kinds := map[string]*kindTotals{}
