--- a/src/cli/call.go
+++ b/src/cli/call.go
@@ -152,7 +152,7 @@
 		return err
 	}
 	time.Sleep(set.BoxSettings("", 0).AtMostOnce.Window() + time.Second)
-	conf, err := load.Config(doc)
+	conf, err := load.ParseDocument(doc)
 	if err != nil {
 		return err
 	}
--- a/src/cli/demo.go
+++ b/src/cli/demo.go
@@ -68,7 +68,7 @@
 	settle := set.BoxSettings("", 0).AtMostOnce.Window() + time.Second
 	fmt.Fprintf(w, "up; waiting %s until each box can be sure which keys it owns\n", settle)
 	time.Sleep(settle)
-	conf, err := load.Config(doc)
+	conf, err := load.ParseDocument(doc)
 	if err != nil {
 		return false, err
 	}
--- a/src/experiment/experiment.go
+++ b/src/experiment/experiment.go
@@ -160,7 +160,7 @@
 
 // Play makes one run.
 func Play(x Case) (Figures, error) {
-	c, err := load.Config(x.Document)
+	c, err := load.ParseDocument(x.Document)
 	if err != nil {
 		return Figures{}, err
 	}
--- a/src/load/run.go
+++ b/src/load/run.go
@@ -243,8 +243,8 @@
 	}
 }
 
-// Config validates a configuration document and returns the parsed configuration.
-func Config(d *config.Document) (*config.Config, error) {
+// ParseDocument validates a configuration document and returns the parsed configuration.
+func ParseDocument(d *config.Document) (*config.Config, error) {
 	raw, err := config.Marshal(d)
 	if err != nil {
 		return nil, eris.Wrap(err, "marshal document")
