--- a/src/cli/call.go
+++ b/src/cli/call.go
@@ -145,7 +145,7 @@
 func embeddedLoad(ctx context.Context, c *cli.Command) error {
 	name := c.String("workload")
 	doc, boxes := exampleDocument(name)
-	set := &local.Set{Document: doc, Boxes: boxes, Log: slog.New(slog.DiscardHandler), Release: Release}
+	set := &local.Deployment{Document: doc, Boxes: boxes, Log: slog.New(slog.DiscardHandler), Release: Release}
 	set.Adjust = func(s *config.Settings) { s.Policy.Placement = c.String("policy") }
 	defer set.Close()
 	if err := set.Start(); err != nil {
--- a/src/cli/demo.go
+++ b/src/cli/demo.go
@@ -59,7 +59,7 @@
 	if verbose {
 		log = newLogger("info")
 	}
-	set := &local.Set{Document: doc, Boxes: boxes, Log: log, Release: Release}
+	set := &local.Deployment{Document: doc, Boxes: boxes, Log: log, Release: Release}
 	defer set.Close()
 	fmt.Fprintf(w, "== %s: %d boxes, %d backend servers, %d failure domains\n", name, boxes, len(doc.BackendServers), len(doc.FailureDomains))
 	if err := set.Start(); err != nil {
--- a/src/local/bench_test.go
+++ b/src/local/bench_test.go
@@ -19,7 +19,7 @@
 // BenchmarkAddedTime measures the latency that a box adds to each stage, by comparing calls of the stages directly at
 // the stand-ins with the same pipeline run through a box.
 func BenchmarkAddedTime(b *testing.B) {
-	s := &Set{Document: config.ExamplePageworks(), Boxes: 1, Log: slog.New(slog.DiscardHandler), Release: "bench"}
+	s := &Deployment{Document: config.ExamplePageworks(), Boxes: 1, Log: slog.New(slog.DiscardHandler), Release: "bench"}
 	defer s.Close()
 	if err := s.Start(); err != nil {
 		b.Fatal(err)
--- a/src/local/local.go
+++ b/src/local/local.go
@@ -26,8 +26,8 @@
 // readyTimeout is the timeout for a deployment to become ready.
 const readyTimeout = 15 * time.Second
 
-// Set is one deployment. Fill in Document, Boxes, Log, Release and Adjust before Start.
-type Set struct {
+// Deployment is one deployment. Fill in Document, Boxes, Log, Release and Adjust before Start.
+type Deployment struct {
 	Document *config.Document // Start fills in the addresses of the backend servers
 	Boxes    int              // number of boxes to start
 	Log      *slog.Logger
@@ -45,7 +45,7 @@
 }
 
 // Start starts the deployment and waits until all boxes and engines are ready.
-func (s *Set) Start() error {
+func (s *Deployment) Start() error {
 	logging.Adopt(s.Log)
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
@@ -65,7 +65,7 @@
 }
 
 // startBackends starts a stand-in for each backend server of the document and stores its address there.
-func (s *Set) startBackends(ctx context.Context) error {
+func (s *Deployment) startBackends(ctx context.Context) error {
 	s.Engines, s.Services = map[string]*standin.Engine{}, map[string]*standin.Service{}
 	store := &standin.WeightStore{}
 	for i := range s.Document.BackendServers {
@@ -82,7 +82,7 @@
 }
 
 // startBackend creates the stand-in for a backend server: an engine if it has a model, else a service.
-func (s *Set) startBackend(ctx context.Context, d *config.BackendServerDoc, store *standin.WeightStore) (http.Handler, error) {
+func (s *Deployment) startBackend(ctx context.Context, d *config.BackendServerDoc, store *standin.WeightStore) (http.Handler, error) {
 	if d.Model == "" {
 		v := &standin.Service{Name: d.Name, Slots: d.Slots, Base: 10 * time.Millisecond}
 		s.Services[d.Name] = v
@@ -99,7 +99,7 @@
 }
 
 // serve serves a handler on a loopback port and returns its address.
-func (s *Set) serve(h http.Handler) (string, error) {
+func (s *Deployment) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", anyPort)
 	if err != nil {
 		return "", eris.Wrap(err, "listen for stand-in")
@@ -108,7 +108,7 @@
 	return l.Addr().String(), nil
 }
 
-func (s *Set) startPlatform() error {
+func (s *Deployment) startPlatform() error {
 	s.Platform = &standin.Platform{}
 	if err := s.Publish(); err != nil {
 		return err
@@ -122,7 +122,7 @@
 }
 
 // Publish publishes the current content of Document.
-func (s *Set) Publish() error {
+func (s *Deployment) Publish() error {
 	raw, err := config.Marshal(s.Document)
 	if err != nil {
 		return eris.Wrap(err, "marshal document")
@@ -132,10 +132,10 @@
 }
 
 // PlatformAddress returns the address of the platform's stand-in.
-func (s *Set) PlatformAddress() string { return s.address }
+func (s *Deployment) PlatformAddress() string { return s.address }
 
 // BoxSettings returns the settings of the i-th box. Boxes are spread over the failure domains in turn.
-func (s *Set) BoxSettings(name string, i int) *config.Settings {
+func (s *Deployment) BoxSettings(name string, i int) *config.Settings {
 	settings := config.DefaultSettings()
 	settings.Box = name
 	settings.FailureDomain = s.Document.FailureDomains[i%len(s.Document.FailureDomains)].Name
@@ -153,7 +153,7 @@
 }
 
 // StartBox starts another box. Others do not know of it before ListBoxes.
-func (s *Set) StartBox(name string, i int) (*node.Node, error) {
+func (s *Deployment) StartBox(name string, i int) (*node.Node, error) {
 	n := &node.Node{Settings: s.BoxSettings(name, i), Log: s.Log, Release: s.Release}
 	if err := n.Start(); err != nil {
 		return nil, err
@@ -163,7 +163,7 @@
 }
 
 // ListBoxes publishes the box list with all boxes started so far.
-func (s *Set) ListBoxes() {
+func (s *Deployment) ListBoxes() {
 	boxes := make([]core.ListedBox, len(s.Nodes))
 	for i, n := range s.Nodes {
 		boxes[i] = core.ListedBox{Name: n.Settings.Box, Address: n.PeersAddress(), FailureDomain: n.Settings.FailureDomain}
@@ -172,7 +172,7 @@
 }
 
 // waitReady waits until the boxes are ready and the engines have loaded their models.
-func (s *Set) waitReady() error {
+func (s *Deployment) waitReady() error {
 	deadline := time.Now().Add(readyTimeout)
 	for !s.ready() {
 		if time.Now().After(deadline) {
@@ -184,7 +184,7 @@
 }
 
 // ready reports whether the boxes are ready and the engines have loaded their models.
-func (s *Set) ready() bool {
+func (s *Deployment) ready() bool {
 	for _, n := range s.Nodes {
 		if !n.Box().Ready() {
 			return false
@@ -199,7 +199,7 @@
 }
 
 // Addresses returns the boxes' addresses for callers.
-func (s *Set) Addresses() []string {
+func (s *Deployment) Addresses() []string {
 	out := make([]string, len(s.Nodes))
 	for i, n := range s.Nodes {
 		out[i] = n.CallersAddress()
@@ -208,7 +208,7 @@
 }
 
 // Ran returns all calls that the stand-ins ran.
-func (s *Set) Ran() []standin.Ran {
+func (s *Deployment) Ran() []standin.Ran {
 	var out []standin.Ran
 	for _, e := range s.Engines {
 		out = append(out, e.Log.All()...)
@@ -220,7 +220,7 @@
 }
 
 // Close stops all boxes and stand-ins immediately.
-func (s *Set) Close() {
+func (s *Deployment) Close() {
 	for _, n := range s.Nodes {
 		n.Kill()
 	}
--- a/src/local/local_test.go
+++ b/src/local/local_test.go
@@ -37,7 +37,7 @@
 const goodToken = "lakeside-token"
 
 // startDeployment starts a deployment of two boxes. The token of a workspace is its name with the suffix "-token".
-func startDeployment(t *testing.T, adjust func(*config.Settings)) *Set {
+func startDeployment(t *testing.T, adjust func(*config.Settings)) *Deployment {
 	t.Helper()
 	d := config.ExamplePageworks()
 	hash := func(s string) []string {
@@ -51,7 +51,7 @@
 		d.Pipelines[i].Deadline *= 10
 	}
 	d.Workspaces[0].EntryIn = []string{"nw-3"} // a failure domain without a box
-	s := &Set{Document: d, Boxes: 2, Log: slog.New(slog.DiscardHandler), Release: "test"}
+	s := &Deployment{Document: d, Boxes: 2, Log: slog.New(slog.DiscardHandler), Release: "test"}
 	s.Adjust = func(b *config.Settings) {
 		b.Callers.Anyone, b.Operators.Anyone = false, false
 		b.Operators.TokensSHA256 = hash("operator")
@@ -228,7 +228,7 @@
 }
 
 // allHeartbeatsReceived reports whether every box has received a heartbeat from every other one.
-func allHeartbeatsReceived(s *Set) bool {
+func allHeartbeatsReceived(s *Deployment) bool {
 	for _, n := range s.Nodes {
 		for _, m := range n.Box().Status().Members {
 			if m.Heard().IsZero() {
@@ -289,7 +289,7 @@
 // not be transferred again.
 func TestWatchGetsChangesInOneCall(t *testing.T) {
 	d := config.ExamplePageworks()
-	s := &Set{Document: d, Boxes: 0, Log: slog.New(slog.DiscardHandler)}
+	s := &Deployment{Document: d, Boxes: 0, Log: slog.New(slog.DiscardHandler)}
 	defer s.Close()
 	if err := s.Start(); err != nil {
 		t.Fatal(err)
