--- a/src/cli/cli.go
+++ b/src/cli/cli.go
@@ -38,7 +38,7 @@
 	if len(args) < 2 || args[1] != serveCommandName {
 		signals.Release()
 	}
-	logging.Adopt(newLogger("warn"))
+	logging.RedirectGoZero(newLogger("warn"))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	root := &cli.Command{
--- a/src/local/local.go
+++ b/src/local/local.go
@@ -46,7 +46,7 @@
 
 // Start starts the deployment and waits until all boxes and engines are ready.
 func (s *Deployment) Start() error {
-	logging.Adopt(s.Log)
+	logging.RedirectGoZero(s.Log)
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
 	if err := s.startBackends(ctx); err != nil {
