--- a/src/logging/async_writer.go
+++ b/src/logging/async_writer.go
@@ -13,9 +13,9 @@
 	flushDelay       = 100 * time.Millisecond // delay that collects lines for one write
 )
 
-// Stream is a buffered writer that never blocks: a goroutine writes the buffered lines in larger pieces. Lines that
+// AsyncWriter is a buffered writer that never blocks: a goroutine writes the buffered lines in larger pieces. Lines that
 // arrive while the buffer is full, because the reader of Out is stalled, are dropped; a log line reports how many.
-type Stream struct {
+type AsyncWriter struct {
 	Out io.Writer
 
 	mu      sync.Mutex
@@ -27,14 +27,14 @@
 }
 
 // NewStream returns a Stream that writes to out.
-func NewStream(out io.Writer) *Stream {
-	s := &Stream{Out: out, wake: make(chan struct{}, 1), done: make(chan struct{})}
+func NewStream(out io.Writer) *AsyncWriter {
+	s := &AsyncWriter{Out: out, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go s.run()
 	return s
 }
 
 // Write buffers or drops one line. It never returns an error.
-func (s *Stream) Write(line []byte) (int, error) {
+func (s *AsyncWriter) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed || len(s.buffer)+len(line) > maxBufferedBytes {
@@ -50,14 +50,14 @@
 }
 
 // Dropped returns the number of lines dropped since the last report of dropped lines.
-func (s *Stream) Dropped() int {
+func (s *AsyncWriter) Dropped() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.dropped
 }
 
 // run writes the buffered lines until wake is closed.
-func (s *Stream) run() {
+func (s *AsyncWriter) run() {
 	defer close(s.done)
 	var out []byte
 	for range s.wake {
@@ -74,7 +74,7 @@
 }
 
 // Close writes the buffered lines; it gives up if the pending writes do not complete within the given time.
-func (s *Stream) Close(within time.Duration) {
+func (s *AsyncWriter) Close(within time.Duration) {
 	s.mu.Lock()
 	if s.closed {
 		s.mu.Unlock()
