--- a/src/cli/gateway.go
+++ b/src/cli/gateway.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	stream := logging.NewStream(os.Stdout)
+	stream := logging.NewAsyncWriter(os.Stdout)
 	defer stream.Close(logFlushTimeout)
 	level := &slog.LevelVar{}
 	setLevel(level, s.LogLevel)
--- a/src/logging/async_writer.go
+++ b/src/logging/async_writer.go
@@ -26,8 +26,8 @@
 	closed  bool
 }
 
-// NewStream returns a Stream that writes to out.
-func NewStream(out io.Writer) *AsyncWriter {
+// NewAsyncWriter returns a Stream that writes to out.
+func NewAsyncWriter(out io.Writer) *AsyncWriter {
 	s := &AsyncWriter{Out: out, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go s.run()
 	return s
--- a/src/logging/async_writer_test.go
+++ b/src/logging/async_writer_test.go
@@ -31,7 +31,7 @@
 func TestStalledReaderDoesNotBlockWriters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &stalledWriter{release: make(chan struct{}), called: make(chan struct{})}
-		s := NewStream(out)
+		s := NewAsyncWriter(out)
 		line := []byte(strings.Repeat("x", 1000) + "\n")
 		_, _ = s.Write(line)
 		<-out.called
@@ -64,7 +64,7 @@
 func TestCloseWritesBufferedLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
-		s := NewStream(&out)
+		s := NewAsyncWriter(&out)
 		_, _ = s.Write([]byte("a\n"))
 		s.Close(time.Second)
 		if out.String() != "a\n" {
