--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -47,7 +47,7 @@
 	Backends gateway.Backends
 	Store    gateway.Store
 	Sweep    func()       // closes expired idle connections; called periodically
-	Dials    func() int64 // number of connections opened to servers so far
+	ConnectionsOpened    func() int64 // number of connections opened to servers so far
 	Close    func()       // releases all connections
 }
 
@@ -156,7 +156,7 @@
 		return eris.Wrap(err, "listen.callers")
 	}
 	if s.Listen.Metrics != "" {
-		if err := n.serve(s.Listen.Metrics, set.Handler(n.gateway, n.ports.Dials), nil); err != nil {
+		if err := n.serve(s.Listen.Metrics, set.Handler(n.gateway, n.ports.ConnectionsOpened), nil); err != nil {
 			return eris.Wrap(err, "listen.metrics")
 		}
 	}
