--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -46,7 +46,7 @@
 type Ports struct {
 	Backends gateway.Backends
 	Store    gateway.Store
-	Sweep    func()       // closes expired idle connections; called periodically
+	CloseExpired    func()       // closes expired idle connections; called periodically
 	ConnectionsOpened    func() int64 // number of connections opened to servers so far
 	Close    func()       // releases all connections
 }
@@ -189,7 +189,7 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			n.ports.Sweep()
+			n.ports.CloseExpired()
 		}
 	}
 }
