--- a/src/gateway/links_test.go
+++ b/src/gateway/links_test.go
@@ -82,7 +82,7 @@
 	for sent := 0; sent < n; sent += linkChunk {
 		arrived := l.pass(from, to, min(linkChunk, n-sent))
 		if !wait(ctx, time.Until(arrived)) {
-			return &port.Interrupted{Got: sent, Want: n, Cause: ctx.Err()}
+			return &port.InterruptedError{Got: sent, Want: n, Cause: ctx.Err()}
 		}
 	}
 	return nil
--- a/src/gateway/pulling.go
+++ b/src/gateway/pulling.go
@@ -203,7 +203,7 @@
 		g.Log.Info("document pulled", append(line, "revision", catalog.ConfigRevision(catalog.State(d.AsOf)), "bytes", d.Part.Size, "base", d.Base)...)
 		return
 	}
-	var broken *port.Interrupted
+	var broken *port.InterruptedError
 	if errors.As(err, &broken) {
 		line = append(line, "got_bytes", broken.Got, "of_bytes", broken.Want)
 	}
--- a/src/peer/frame.go
+++ b/src/peer/frame.go
@@ -76,7 +76,7 @@
 		err = io.ErrUnexpectedEOF
 	}
 	if err != nil {
-		return nil, &port.Interrupted{Got: int(got), Want: n, Cause: err}
+		return nil, &port.InterruptedError{Got: int(got), Want: n, Cause: err}
 	}
 	return buf.Bytes(), nil
 }
--- a/src/peer/frame_test.go
+++ b/src/peer/frame_test.go
@@ -56,7 +56,7 @@
 		t.Errorf("too long: %v", err)
 	}
 	cut := append(binary.BigEndian.AppendUint32(nil, 100), 1, 2, 3)
-	var broken *port.Interrupted
+	var broken *port.InterruptedError
 	_, err := ReadFrame(bytes.NewReader(cut))
 	if !errors.As(err, &broken) || broken.Got != 3 || broken.Want != 100 || broken.Cause != io.ErrUnexpectedEOF {
 		t.Errorf("cut off: %v", err)
--- a/src/port/port.go
+++ b/src/port/port.go
@@ -145,19 +145,19 @@
 	Uses      []core.StageUse `msgpack:"u"`
 }
 
-// Interrupted is the error of an answer from another box that was only received in part.
-type Interrupted struct {
+// InterruptedError is the error of an answer from another box that was only received in part.
+type InterruptedError struct {
 	Got, Want int // in bytes
 	Cause     error
 }
 
 // Error implements error.
-func (e *Interrupted) Error() string {
+func (e *InterruptedError) Error() string {
 	return fmt.Sprintf("received %d of %d bytes: %v", e.Got, e.Want, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *Interrupted) Unwrap() error { return e.Cause }
+func (e *InterruptedError) Unwrap() error { return e.Cause }
 
 // Question is a request from one box to another; exactly one field is set.
 type Question struct {
