--- a/src/box/once.go
+++ b/src/box/once.go
@@ -108,7 +108,7 @@
 		if err == nil || ctx.Err() != nil {
 			return ctx.Err()
 		}
-		var never *port.NotConnected
+		var never *port.NotConnectedError
 		if errors.As(err, &never) && !reached {
 			return emit(refusal(code.New(code.HomeUnreachable, "key", "box %s can't be reached from here", name).After(comeBackAfter)))
 		}
--- a/src/faults/links_test.go
+++ b/src/faults/links_test.go
@@ -136,11 +136,11 @@
 	time.Sleep(linkDelay)
 	t := f.target(to)
 	if t == nil || b.ctx.Err() != nil {
-		return nil, &port.NotConnected{Cause: errLost}
+		return nil, &port.NotConnectedError{Cause: errLost}
 	}
 	if f.isCut(b.name, to) || f.isCut(to, b.name) {
 		time.Sleep(dialTimeout)
-		return nil, &port.NotConnected{Cause: errLost}
+		return nil, &port.NotConnectedError{Cause: errLost}
 	}
 	return t, nil
 }
--- a/src/peer/client.go
+++ b/src/peer/client.go
@@ -170,7 +170,7 @@
 func (c *Client) open(ctx context.Context, address string, m *Message) (net.Conn, func() bool, error) {
 	conn, err := c.dial(ctx, address)
 	if err != nil {
-		return nil, nil, &port.NotConnected{Cause: err}
+		return nil, nil, &port.NotConnectedError{Cause: err}
 	}
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	n, err := WriteFrame(conn, m)
--- a/src/peer/frame_test.go
+++ b/src/peer/frame_test.go
@@ -96,7 +96,7 @@
 	}()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	var never *port.NotConnected
+	var never *port.NotConnectedError
 	err = c.Forward(ctx, address, port.Forward{}, func(port.ForwardEvent) {})
 	if err == nil || errorsAs(err, &never) {
 		t.Errorf("a forward that was taken and not answered: %v", err)
@@ -107,8 +107,8 @@
 	}
 }
 
-func errorsAs(err error, target **port.NotConnected) bool {
-	e, ok := err.(*port.NotConnected)
+func errorsAs(err error, target **port.NotConnectedError) bool {
+	e, ok := err.(*port.NotConnectedError)
 	if ok {
 		*target = e
 	}
--- a/src/port/port.go
+++ b/src/port/port.go
@@ -94,14 +94,14 @@
 	Forward func(ctx context.Context, address string, f Forward, emit func(ForwardEvent)) error
 }
 
-// NotConnected is the error of a message of which no byte was sent, so that the other box cannot have acted on it.
-type NotConnected struct{ Cause error }
+// NotConnectedError is the error of a message of which no byte was sent, so that the other box cannot have acted on it.
+type NotConnectedError struct{ Cause error }
 
 // Error implements error.
-func (e *NotConnected) Error() string { return "not connected: " + e.Cause.Error() }
+func (e *NotConnectedError) Error() string { return "not connected: " + e.Cause.Error() }
 
 // Unwrap returns the cause.
-func (e *NotConnected) Unwrap() error { return e.Cause }
+func (e *NotConnectedError) Unwrap() error { return e.Cause }
 
 // Forward passes a request on to the box that must run it or, if Attach is set, reattaches to the answer of a request
 // at the box that holds it.
