--- a/src/backend/client.go
+++ b/src/backend/client.go
@@ -84,7 +84,7 @@
 	}
 	resp, err := service.DoRequest(req)
 	if err != nil {
-		return port.CallResult{}, &port.CallError{Failure: sendFailure(ctx, connected.Load()), Message: err.Error(), Refused: errors.Is(err, syscall.ECONNREFUSED)}
+		return port.CallResult{}, &port.CallError{Failure: sendFailure(ctx, connected.Load()), Message: err.Error(), ConnectionRefused: errors.Is(err, syscall.ECONNREFUSED)}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
--- a/src/box/suspects.go
+++ b/src/box/suspects.go
@@ -94,7 +94,7 @@
 	switch {
 	case err == nil:
 		b.suspects.Good(f.content.At(stage.Pool()))
-	case err.Refused:
+	case err.ConnectionRefused:
 		b.suspects.Ended(life, suspects.Refused)
 	case err.Failure == core.Broken && !server.Leaving():
 		b.suspects.Broke(life, f.content.At(stage.Pool()))
--- a/src/faults/links_test.go
+++ b/src/faults/links_test.go
@@ -34,7 +34,7 @@
 	if f.crashes != nil {
 		life := f.crashes.begin(s.Name(), r)
 		if life == nil {
-			return port.CallResult{}, &port.CallError{Failure: core.NotSent, Message: "connection refused", Refused: true}
+			return port.CallResult{}, &port.CallError{Failure: core.NotSent, Message: "connection refused", ConnectionRefused: true}
 		}
 		go func() {
 			select {
