--- a/src/backend/backend_test.go
+++ b/src/backend/backend_test.go
@@ -104,8 +104,8 @@
 		if got.Failure != c.want {
 			t.Errorf("%s: %s, want %s", name, got.Failure, c.want)
 		}
-		if want := map[bool]time.Duration{true: 1500 * time.Millisecond}[c.want == core.Busy]; got.Rest != want {
-			t.Errorf("%s: asks for a rest of %s, want %s", name, got.Rest, want)
+		if want := map[bool]time.Duration{true: 1500 * time.Millisecond}[c.want == core.Busy]; got.RetryAfter != want {
+			t.Errorf("%s: asks for a rest of %s, want %s", name, got.RetryAfter, want)
 		}
 	}
 }
--- a/src/backend/client.go
+++ b/src/backend/client.go
@@ -123,7 +123,7 @@
 	e := &port.CallError{Failure: core.Broken, Message: fmt.Sprintf("status %d: %s", resp.StatusCode, bytes.TrimSpace(text))}
 	switch {
 	case resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(NotRunHeader) == "busy":
-		e.Failure, e.Rest = core.Busy, exchange.RetryAfter(resp.Header)
+		e.Failure, e.RetryAfter = core.Busy, exchange.RetryAfter(resp.Header)
 	case resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(NotRunHeader) == "leaving":
 		e.Failure = core.Leaving
 	case resp.StatusCode >= 400 && resp.StatusCode < 500:
--- a/src/box/flight.go
+++ b/src/box/flight.go
@@ -183,9 +183,9 @@
 
 // hearRest takes for how long a server wants nothing that turned a call away.
 func (f *flight) hearRest(s *config.BackendServer, stage *config.Stage, err *port.CallError) {
-	if p := f.box.pools.get(stage.Pool()); p != nil && err.Rest > 0 {
-		f.box.Log.Info("server asks for rest", "server", s.Name(), "pool", stage.Pool(), "asks_ms", err.Rest.Milliseconds())
-		p.locked(func(c *core.Pool) { c.AsksRest(f.box.now(), s.Name(), err.Rest) })
+	if p := f.box.pools.get(stage.Pool()); p != nil && err.RetryAfter > 0 {
+		f.box.Log.Info("server asks for rest", "server", s.Name(), "pool", stage.Pool(), "asks_ms", err.RetryAfter.Milliseconds())
+		p.locked(func(c *core.Pool) { c.AsksRest(f.box.now(), s.Name(), err.RetryAfter) })
 	}
 }
 
--- a/src/faults/pushback_test.go
+++ b/src/faults/pushback_test.go
@@ -44,7 +44,7 @@
 						return nil
 					}
 					rests[box+server] = append(list, now)
-					return &port.CallError{Failure: core.Busy, Message: "full", Rest: asked}
+					return &port.CallError{Failure: core.Busy, Message: "full", RetryAfter: asked}
 				}
 				var all sync.WaitGroup
 				answered := map[string]int{}
--- a/src/port/port.go
+++ b/src/port/port.go
@@ -46,9 +46,9 @@
 	Failure core.Failure
 	Message string
 	ConnectionRefused bool // the connection was refused: no process listens at the server's address
-	// Rest is for how long the server wants no calls from this box (Retry-After), 0 if it named no time. It comes with
+	// RetryAfter is for how long the server wants no calls from this box (Retry-After), 0 if it named no time. It comes with
 	// the failure Busy only.
-	Rest time.Duration
+	RetryAfter time.Duration
 }
 
 // Error implements error.
--- a/src/standin/http.go
+++ b/src/standin/http.go
@@ -173,8 +173,8 @@
 	switch err.Failure {
 	case core.Busy, core.Leaving:
 		w.Header().Set(backend.NotRunHeader, err.Failure.String())
-		if err.Rest > 0 {
-			w.Header().Set("Retry-After", strconv.FormatFloat(err.Rest.Seconds(), 'f', 3, 64))
+		if err.RetryAfter > 0 {
+			w.Header().Set("Retry-After", strconv.FormatFloat(err.RetryAfter.Seconds(), 'f', 3, 64))
 		}
 		http.Error(w, err.Message, http.StatusServiceUnavailable)
 	case core.Wrong:
