--- a/src/load/report.go
+++ b/src/load/report.go
@@ -15,28 +15,28 @@
 
 // Report summarizes a run.
 type Report struct {
-	Requests  int            `json:"requests"`
-	Complete     int            `json:"whole"`               // complete and correct answers
-	InTime    int            `json:"in_time"`             // of them, within the deadline
-	WeightedAttainment  float64        `json:"attainment_weighted"` // share of requests in time, weighted by pipeline
-	Lost      int            `json:"lost"`                // accepted requests without a final answer, or answered without having run
-	Doubled   int            `json:"doubled"`             // non-repeatable calls that ran more than once
-	Misplaced int            `json:"misplaced"`           // answers that belong to another request
-	RanAfterNotRun   int            `json:"ran_after_not_run"`   // reported as not run, although something ran
-	ByPipeline    []PipelineReport   `json:"by_pipeline"`
-	ByStage   []StageReport  `json:"by_stage"`
-	Refusals  map[string]int `json:"refusals"`
+	Requests           int              `json:"requests"`
+	Complete           int              `json:"whole"`               // complete and correct answers
+	InTime             int              `json:"in_time"`             // of them, within the deadline
+	WeightedAttainment float64          `json:"attainment_weighted"` // share of requests in time, weighted by pipeline
+	Lost               int              `json:"lost"`                // accepted requests without a final answer, or answered without having run
+	Doubled            int              `json:"doubled"`             // non-repeatable calls that ran more than once
+	Misplaced          int              `json:"misplaced"`           // answers that belong to another request
+	RanAfterNotRun     int              `json:"ran_after_not_run"`   // reported as not run, although something ran
+	ByPipeline         []PipelineReport `json:"by_pipeline"`
+	ByStage            []StageReport    `json:"by_stage"`
+	Refusals           map[string]int   `json:"refusals"`
 }
 
 // PipelineReport summarizes one pipeline. Latencies are those of complete answers.
 type PipelineReport struct {
-	Pipeline string  `json:"pipeline"`
-	Requests int     `json:"requests"`
-	InTime   int     `json:"in_time"`
-	Late     int     `json:"late"`
-	P50      float64 `json:"p50_ms"`
-	P95      float64 `json:"p95_ms"`
-	FirstTokenP95  float64 `json:"first_token_p95_ms"`
+	Pipeline      string  `json:"pipeline"`
+	Requests      int     `json:"requests"`
+	InTime        int     `json:"in_time"`
+	Late          int     `json:"late"`
+	P50           float64 `json:"p50_ms"`
+	P95           float64 `json:"p95_ms"`
+	FirstTokenP95 float64 `json:"first_token_p95_ms"`
 }
 
 // StageReport summarizes one stage over all pipelines: the resources it consumed and how long its calls waited.
@@ -59,8 +59,8 @@
 
 func record(h *hdrhistogram.Histogram, d time.Duration) { _ = h.RecordValue(max(1, d.Microseconds())) }
 
-// Evaluate summarizes results and checks them against the calls that the stand-ins ran; Report lists the violations that
-// it counts.
+// Evaluate summarizes results and checks them against the calls that the stand-ins ran; Report describes the violations
+// that it counts.
 func Evaluate(results []Result, ran []standin.Ran) Report {
 	r := Report{Refusals: map[string]int{}}
 	onceRuns, anyRuns := countRuns(ran)
--- a/src/load/run.go
+++ b/src/load/run.go
@@ -57,7 +57,7 @@
 	Plan       []Arrival
 	Duplicates float64               // share of requests that are also sent to a second box, as a load balancer may do
 	Progress   func(done, total int) // called after each answer; may be nil
-	Retry   bool                  // retry failed requests with the same key at the next box
+	Retry      bool                  // retry failed requests with the same key at the next box
 
 	mu      sync.Mutex
 	results []Result
@@ -65,16 +65,16 @@
 
 // Result is the outcome of one request.
 type Result struct {
-	Arrival    Arrival
-	Key        string
-	Code       code.Code
-	Ran        code.Ran
-	WrongAnswer      bool // complete, but not the answer to this request
-	Late       bool
-	Took       time.Duration
-	FirstToken time.Duration
-	Stages     []*pb.StageUse
-	Duplicate       bool // the second copy of a duplicated request
+	Arrival     Arrival
+	Key         string
+	Code        code.Code
+	Ran         code.Ran
+	WrongAnswer bool // complete, but not the answer to this request
+	Late        bool
+	Took        time.Duration
+	FirstToken  time.Duration
+	Stages      []*pb.StageUse
+	Duplicate   bool // the second copy of a duplicated request
 }
 
 // answerGrace is how long the load tool waits for an answer after the request's maximum deadline.
@@ -138,13 +138,13 @@
 	}
 }
 
-// Limits of the retries with ComeBack.
+// Limits of the retries if Run.Retry is set.
 const (
 	maxRetries = 6                      // retries after the first attempt
 	retryPause = 500 * time.Millisecond // between attempts
 )
 
-// sendWithRetries sends a request and, with ComeBack, retries it with the same key at other boxes while that may
+// sendWithRetries sends a request and, if Retry is set, retries it with the same key at other boxes while that may
 // succeed.
 func (r *Run) sendWithRetries(ctx context.Context, clients []pb.PipelinesClient, box int, a Arrival, key string) Result {
 	begun := time.Now()
--- a/src/load/workload.go
+++ b/src/load/workload.go
@@ -13,11 +13,11 @@
 
 // RequestKind is one type of request in a workload.
 type RequestKind struct {
-	Pipeline string
-	Share    float64 // of all requests, 0 to 1
-	TemplateBytes   int     // bytes of the input taken from a shared template
-	UniqueBytes      int     // bytes of the input unique to the request
-	Templates   int     // number of templates in each workspace
+	Pipeline      string
+	Share         float64 // of all requests, 0 to 1
+	TemplateBytes int     // bytes of the input taken from a shared template
+	UniqueBytes   int     // bytes of the input unique to the request
+	Templates     int     // number of templates in each workspace
 }
 
 // Workload is a mix of requests and their arrival pattern.
--- a/src/logging/async_writer.go
+++ b/src/logging/async_writer.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Limits of a Stream.
+// Limits of an AsyncWriter.
 const (
 	maxBufferedBytes = 256 << 10              // buffer size; lines that do not fit are dropped and counted
 	flushDelay       = 100 * time.Millisecond // delay that collects lines for one write
 )
 
-// AsyncWriter is a buffered writer that never blocks: a goroutine writes the buffered lines in larger pieces. Lines that
-// arrive while the buffer is full, because the reader of Out is stalled, are dropped; a log line reports how many.
+// AsyncWriter is a buffered writer that never blocks: a goroutine writes the buffered lines in larger pieces. Lines
+// that arrive while the buffer is full, because the reader of Out is stalled, are dropped; a log line reports how many.
 type AsyncWriter struct {
 	Out io.Writer
 
@@ -26,7 +26,7 @@
 	closed  bool
 }
 
-// NewAsyncWriter returns a Stream that writes to out.
+// NewAsyncWriter returns an AsyncWriter that writes to out.
 func NewAsyncWriter(out io.Writer) *AsyncWriter {
 	s := &AsyncWriter{Out: out, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go s.run()
--- a/src/logging/logging.go
+++ b/src/logging/logging.go
@@ -18,8 +18,9 @@
 	return slog.New(slog.NewJSONHandler(w, &slog.HandlerOptions{Level: l}))
 }
 
-// RedirectGoZero redirects go-zero's messages of severity error and above to a logger. Its access log and periodic statistics
-// stay off because metrics cover them. go-zero sets up its log only once, so its components cannot undo this later.
+// RedirectGoZero redirects go-zero's messages of severity error and above to a logger. Its access log and periodic
+// statistics stay off because metrics cover them. go-zero sets up its log only once, so its components cannot undo this
+// later.
 func RedirectGoZero(l *slog.Logger) {
 	_ = logx.SetUp(logx.LogConf{Mode: "console", Encoding: "json", Level: "severe"})
 	logx.DisableStat()
--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -44,11 +44,11 @@
 
 // Ports are the platform-specific parts of one process that an adapter provides.
 type Ports struct {
-	Backends gateway.Backends
-	Store    gateway.Store
-	CloseExpired    func()       // closes expired idle connections; called periodically
-	ConnectionsOpened    func() int64 // number of connections opened to servers so far
-	Close    func()       // releases all connections
+	Backends          gateway.Backends
+	Store             gateway.Store
+	CloseExpired      func()       // closes expired idle connections; called periodically
+	ConnectionsOpened func() int64 // number of connections opened to servers so far
+	Close             func()       // releases all connections
 }
 
 // GatewayNode is one gateway process, which serves opaque requests. Set the exported fields before Start.
--- a/src/port/port.go
+++ b/src/port/port.go
@@ -43,11 +43,11 @@
 
 // CallError describes a failed call.
 type CallError struct {
-	Failure core.Failure
-	Message string
-	ConnectionRefused bool // the connection was refused: no process listens at the server's address
-	// RetryAfter is for how long the server wants no calls from this box (Retry-After), 0 if it named no time. It comes with
-	// the failure Busy only.
+	Failure           core.Failure
+	Message           string
+	ConnectionRefused bool // no process listens at the server's address
+	// RetryAfter is for how long the server wants no calls from this box, 0 if it named no time. It is set with the
+	// failure Busy only.
 	RetryAfter time.Duration
 }
 
@@ -88,7 +88,7 @@
 	Beat func(address string, b core.Beat)
 	// Batch sends a message about batched work without waiting; it may be lost.
 	Batch func(address string, m batch.Message)
-	// Ask sends a question and waits for its answer. The error is a NotConnected if no byte was sent.
+	// Ask sends a question and waits for its answer. The error is a NotConnectedError if no byte was sent.
 	Ask func(ctx context.Context, address string, q Question) (Answer, error)
 	// Forward sends a request to the box that must run it; emit receives the events of its answer.
 	Forward func(ctx context.Context, address string, f Forward, emit func(ForwardEvent)) error
