--- a/src/local/local.go
+++ b/src/local/local.go
@@ -26,7 +26,8 @@
 // readyTimeout is the timeout for a deployment to become ready.
 const readyTimeout = 15 * time.Second
 
-// Deployment is a complete installation of boxes, backend servers and platform in this process. Fill in Document, Boxes, Log, Release and Adjust before Start.
+// Deployment is a set of boxes, stand-ins for backend servers and a stand-in for the platform. Fill in Document, Boxes,
+// Log, Release and Adjust before Start.
 type Deployment struct {
 	Document *config.Document // Start fills in the addresses of the backend servers
 	Boxes    int              // number of boxes to start
--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -204,8 +204,8 @@
 	stages := time.AfterFunc(limit-answerReserve, n.gateway.EndStages)
 	defer stages.Stop()
 	for time.Since(began) < limit {
-		quiet := n.gateway.Running() == 0 && n.callers.idleFor() > idleBeforeExit
-		if quiet && time.Since(began) > minShutdownTime {
+		idle := n.gateway.Running() == 0 && n.callers.idleFor() > idleBeforeExit
+		if idle && time.Since(began) > minShutdownTime {
 			break
 		}
 		time.Sleep(shutdownPollInterval)
--- a/src/node/node.go
+++ b/src/node/node.go
@@ -89,14 +89,14 @@
 	}
 	n.Settings.Listen.Peers = n.peerListener.Addr().String()
 	n.peers = peer.NewClient(clientTLS)
-	reads := configservice.NewClient(n.Settings.Platform.Addresses, time.Duration(n.Settings.Platform.CallTimeout))
-	reads.Watch = time.Duration(n.Settings.Platform.Watch)
+	platform := configservice.NewClient(n.Settings.Platform.Addresses, time.Duration(n.Settings.Platform.CallTimeout))
+	platform.Watch = time.Duration(n.Settings.Platform.Watch)
 	n.box = &box.Box{
 		Settings: n.Settings,
 		ID:       core.BoxID{Name: n.Settings.Box, Incarnation: uint64(time.Now().UnixNano())},
 		Release:  n.Release,
 		Backends: backend.NewClient(backendTLS(n.Settings.TLS, clientTLS)).Ports(),
-		Platform: reads.Ports(),
+		Platform: platform.Ports(),
 		Peers:    n.peers.Ports(),
 		Log:      n.Log,
 		Clock:    clock.Now,
--- a/src/port/port.go
+++ b/src/port/port.go
@@ -18,26 +18,26 @@
 // CallRequest is one attempt of a stage, as sent to a backend server. It is the public HTTP interface of engines and
 // services.
 type CallRequest struct {
-	Attempt   string   `json:"attempt"`
-	Kind      string   `json:"kind"`
+	Attempt   string   `json:"attempt"` // ID of the attempt
+	Kind      string   `json:"kind"`    // of the stage, such as "generate"
 	Input     []byte   `json:"input"`
 	Continue  []byte   `json:"continue,omitempty"` // output that the caller already has
-	Offset    int      `json:"offset,omitempty"`
+	Offset    int      `json:"offset,omitempty"`   // with Resume: byte offset in the output to resume from
 	MaxTokens int      `json:"max_tokens,omitempty"`
 	Priority  int      `json:"priority,omitempty"` // lower values are more urgent
 	Salt      string   `json:"salt,omitempty"`     // isolates the caches of workspaces from each other
 	Prefix    []uint64 `json:"prefix,omitempty"`
 	Model     string   `json:"model,omitempty"`
 	Adapter   string   `json:"adapter,omitempty"`
-	Once      bool     `json:"once,omitempty"`
-	Resume    bool     `json:"resume,omitempty"`
+	Once      bool     `json:"once,omitempty"`   // the call must not be run twice
+	Resume    bool     `json:"resume,omitempty"` // reattach to the output of an attempt that already runs
 }
 
 // CallResult is the result of a successful call.
 type CallResult struct {
 	Output []byte   `json:"output,omitempty"`
-	Length int      `json:"length"`
-	Stream bool     `json:"stream"`
+	Length int      `json:"length"` // bytes of the complete output
+	Stream bool     `json:"stream"` // the output was streamed and Output is empty
 	Use    core.Use `json:"use"`
 }
 
