--- a/src/cli/cli.go
+++ b/src/cli/cli.go
@@ -36,7 +36,7 @@
 // Main runs the command line and returns the exit code. The adapter connects gateways to a platform.
 func Main(args []string, adapter node.Adapter) int {
 	if len(args) < 2 || args[1] != serveCommandName {
-		signals.Release()
+		signals.RestoreDefaults()
 	}
 	logging.RedirectGoZero(newLogger("warn"))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
--- a/src/signals/signals.go
+++ b/src/signals/signals.go
@@ -19,9 +19,9 @@
 
 func init() { signal.Notify(stops, syscall.SIGTERM, os.Interrupt) }
 
-// Release stops catching SIGTERM and SIGINT, for commands without a graceful shutdown. A signal that is already queued
+// RestoreDefaults stops catching SIGTERM and SIGINT, for commands without a graceful shutdown. A signal that is already queued
 // is sent to the process again.
-func Release() {
+func RestoreDefaults() {
 	signal.Stop(stops)
 	select {
 	case s := <-stops:
