--- a/src/cli/cli.go
+++ b/src/cli/cli.go
@@ -30,7 +30,7 @@
 	exitFailed  = 1 // the command failed, or its result says nothing about execution
 	exitRefused = 2 // refused before anything ran
 	exitUnknown = 3 // the outcome is unknown
-	exitRan     = 4 // refused after something ran
+	exitRefusedAfterRun     = 4 // refused after something ran
 )
 
 // Main runs the command line and returns the exit code. The adapter connects gateways to a platform.
@@ -75,7 +75,7 @@
 		case code.RanUnknown:
 			return exitUnknown
 		case code.RanYes:
-			return exitRan
+			return exitRefusedAfterRun
 		}
 	}
 	return exitFailed
