--- a/src/cli/cli.go
+++ b/src/cli/cli.go
@@ -29,7 +29,7 @@
 	exitOK      = 0
 	exitFailed  = 1 // the command failed, or its result says nothing about execution
 	exitRefused = 2 // refused before anything ran
-	exitUnknown = 3 // the outcome is unknown
+	exitOutcomeUnknown = 3 // the outcome is unknown
 	exitRefusedAfterRun     = 4 // refused after something ran
 )
 
@@ -73,7 +73,7 @@
 		case code.RanNo:
 			return exitRefused
 		case code.RanUnknown:
-			return exitUnknown
+			return exitOutcomeUnknown
 		case code.RanYes:
 			return exitRefusedAfterRun
 		}
