--- a/src/cli/cli.go
+++ b/src/cli/cli.go
@@ -28,7 +28,7 @@
 const (
 	exitOK      = 0
 	exitFailed  = 1 // the command failed, or its result says nothing about execution
-	exitRefused = 2 // refused before anything ran
+	exitRefusedBeforeRun = 2 // refused before anything ran
 	exitOutcomeUnknown = 3 // the outcome is unknown
 	exitRefusedAfterRun     = 4 // refused after something ran
 )
@@ -71,7 +71,7 @@
 	if r := rpc.ResultOf(err); r != nil {
 		switch code.Ran(r.GetRan()) {
 		case code.RanNo:
-			return exitRefused
+			return exitRefusedBeforeRun
 		case code.RanUnknown:
 			return exitOutcomeUnknown
 		case code.RanYes:
