--- a/src/cli/cli.go
+++ b/src/cli/cli.go
@@ -26,11 +26,11 @@
 
 // Exit codes of the program; scripts use them to decide whether a request may be sent again.
 const (
-	exitOK      = 0
-	exitFailed  = 1 // the command failed, or its result says nothing about execution
-	exitRefusedBeforeRun = 2 // refused before anything ran
-	exitOutcomeUnknown = 3 // the outcome is unknown
-	exitRefusedAfterRun     = 4 // refused after something ran
+	exitOK               = 0
+	exitFailed           = 1 // the command failed, or its result says nothing about execution
+	exitRefusedBeforeRun = 2
+	exitOutcomeUnknown   = 3
+	exitRefusedAfterRun  = 4
 )
 
 // Main runs the command line and returns the exit code. The adapter connects gateways to a platform.
--- a/src/signals/signals.go
+++ b/src/signals/signals.go
@@ -19,8 +19,8 @@
 
 func init() { signal.Notify(stops, syscall.SIGTERM, os.Interrupt) }
 
-// RestoreDefaults stops catching SIGTERM and SIGINT, for commands without a graceful shutdown. A signal that is already queued
-// is sent to the process again.
+// RestoreDefaults stops catching SIGTERM and SIGINT, for commands without a graceful shutdown. A signal that is already
+// queued is sent to the process again.
 func RestoreDefaults() {
 	signal.Stop(stops)
 	select {
