--- a/src/backend/client.go
+++ b/src/backend/client.go
@@ -84,7 +84,7 @@
 	}
 	resp, err := service.DoRequest(req)
 	if err != nil {
-		return port.CallResult{}, &port.CallError{Failure: sendFailure(ctx, connected.Load()), Message: err.Error(), Refused: errors.Is(err, syscall.ECONNREFUSED)}
+		return port.CallResult{}, &port.CallError{Failure: sendFailure(ctx, connected.Load()), Message: err.Error(), ConnectionRefused: errors.Is(err, syscall.ECONNREFUSED)}
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
@@ -123,7 +123,7 @@
 	e := &port.CallError{Failure: core.Broken, Message: fmt.Sprintf("status %d: %s", resp.StatusCode, bytes.TrimSpace(text))}
 	switch {
 	case resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(NotRunHeader) == "busy":
-		e.Failure, e.Rest = core.Busy, exchange.RetryAfter(resp.Header)
+		e.Failure, e.RetryAfter = core.Busy, exchange.RetryAfter(resp.Header)
 	case resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(NotRunHeader) == "leaving":
 		e.Failure = core.Leaving
 	case resp.StatusCode >= 400 && resp.StatusCode < 500:
--- a/src/box/at_most_once.go
+++ b/src/box/at_most_once.go
@@ -110,7 +110,7 @@
 		if err == nil || ctx.Err() != nil {
 			return ctx.Err()
 		}
-		var never *port.NotConnected
+		var never *port.NotConnectedError
 		if errors.As(err, &never) && !reached {
 			return emit(refusal(code.New(code.HomeUnreachable, "key", "box %s can't be reached from here", name).After(homeRetryAfter)))
 		}
--- a/src/box/flight.go
+++ b/src/box/flight.go
@@ -185,9 +185,9 @@
 
 // noteRest applies the time for which a server that rejected a call asks for no further calls.
 func (f *flight) noteRest(s *config.BackendServer, stage *config.Stage, err *port.CallError) {
-	if p := f.box.pools.get(stage.Pool()); p != nil && err.Rest > 0 {
-		f.box.Log.Info("server asks for rest", "server", s.Name(), "pool", stage.Pool(), "asks_ms", err.Rest.Milliseconds())
-		p.locked(func(c *core.Pool) { c.RecordRest(f.box.now(), s.Name(), err.Rest) })
+	if p := f.box.pools.get(stage.Pool()); p != nil && err.RetryAfter > 0 {
+		f.box.Log.Info("server asks for rest", "server", s.Name(), "pool", stage.Pool(), "asks_ms", err.RetryAfter.Milliseconds())
+		p.locked(func(c *core.Pool) { c.RecordRest(f.box.now(), s.Name(), err.RetryAfter) })
 	}
 }
 
--- a/src/box/suspects.go
+++ b/src/box/suspects.go
@@ -97,7 +97,7 @@
 	switch {
 	case err == nil:
 		b.suspects.RecordGood(f.content.At(stage.Pool()))
-	case err.Refused:
+	case err.ConnectionRefused:
 		b.suspects.RecordCrash(life, suspects.Refused)
 	case err.Failure == core.Broken && !server.Leaving():
 		b.suspects.RecordBroken(life, f.content.At(stage.Pool()))
--- a/src/cli/cli.go
+++ b/src/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line: every part of stilemast is a command of one binary.
+// Package cli implements the command line; every part of stilemast is a subcommand of one binary.
 package cli
 
 import (
@@ -18,27 +18,27 @@
 	"github.com/stilemast/stilemast/src/signals"
 )
 
-// serveName is the command of processes that a planned stop ends.
-const serveName = "serve"
+// serveCommandName is the command whose process handles stop signals by a graceful shutdown.
+const serveCommandName = "serve"
 
-// Release is the version of the program.
+// Release is the version of the program, as shown by --version and reported to operators.
 const Release = "0.1.0"
 
-// Exit codes.
+// Exit codes of the program; scripts use them to decide whether a request may be sent again.
 const (
-	exitOK      = 0
-	exitFailed  = 1 // the command failed
-	exitRefused = 2 // refused: nothing ran
-	exitUnknown = 3 // the outcome is not known
-	exitRan     = 4 // refused after something ran
+	exitOK               = 0
+	exitFailed           = 1 // the command failed, or its result says nothing about execution
+	exitRefusedBeforeRun = 2
+	exitOutcomeUnknown   = 3
+	exitRefusedAfterRun  = 4
 )
 
-// Main runs the command line and gives the exit code. The adapter connects gateways to a platform.
+// Main runs the command line and returns the exit code. The adapter connects gateways to a platform.
 func Main(args []string, adapter node.Adapter) int {
-	if len(args) < 2 || args[1] != serveName {
-		signals.Release()
+	if len(args) < 2 || args[1] != serveCommandName {
+		signals.RestoreDefaults()
 	}
-	logging.Adopt(logger("warn"))
+	logging.RedirectGoZero(newLogger("warn"))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	root := &cli.Command{
@@ -57,29 +57,29 @@
 	if err == nil {
 		return exitOK
 	}
-	if !errors.Is(err, errSilent) {
+	if !errors.Is(err, errAlreadyReported) {
 		fmt.Fprintln(os.Stderr, "stilemast:", err)
 	}
 	return exitCode(err)
 }
 
-// errSilent ends a command that has already said what was wrong.
-var errSilent = errors.New("failed")
+// errAlreadyReported makes a command fail without printing an error, because it has already printed what was wrong.
+var errAlreadyReported = errors.New("failed")
 
-// exitCode tells scripts whether anything ran.
+// exitCode maps an error to the exit code that says whether anything ran.
 func exitCode(err error) int {
 	if r := rpc.ResultOf(err); r != nil {
 		switch code.Ran(r.GetRan()) {
 		case code.RanNo:
-			return exitRefused
+			return exitRefusedBeforeRun
 		case code.RanUnknown:
-			return exitUnknown
+			return exitOutcomeUnknown
 		case code.RanYes:
-			return exitRan
+			return exitRefusedAfterRun
 		}
 	}
 	return exitFailed
 }
 
-// logger writes JSON lines to standard error.
-func logger(level string) *slog.Logger { return logging.New(os.Stderr, level) }
+// newLogger returns a logger that writes JSON lines of at least the given level to standard error.
+func newLogger(level string) *slog.Logger { return logging.New(os.Stderr, level) }
--- a/src/cli/demo.go
+++ b/src/cli/demo.go
@@ -21,7 +21,7 @@
 func demoCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "demo",
-		Usage: "run both users' workloads for some seconds on an embedded deployment and account for every call",
+		Usage: "run both example workloads for some seconds on an embedded deployment and verify every call",
 		Flags: []cli.Flag{
 			&cli.DurationFlag{Name: "time", Value: 6 * time.Second, Usage: "`DURATION` of each workload"},
 			&cli.FloatFlag{Name: "rate", Value: 40, Usage: "requests a second"},
@@ -30,58 +30,59 @@
 		Action: func(ctx context.Context, c *cli.Command) error {
 			clean := true
 			for _, name := range []string{"pageworks", "giftenregister"} {
-				ok, err := demo(ctx, os.Stdout, name, c.Float("rate"), c.Duration("time"), c.Bool("verbose"))
+				ok, err := runDemo(ctx, os.Stdout, name, c.Float("rate"), c.Duration("time"), c.Bool("verbose"))
 				if err != nil {
 					return err
 				}
 				clean = clean && ok
 			}
 			if !clean {
-				return errSilent
+				return errAlreadyReported
 			}
 			return nil
 		},
 	}
 }
 
-// exampleOf gives a user's example document and how many boxes the user has.
-func exampleOf(name string) (*config.Document, int) {
+// exampleDocument returns the example configuration of a workload and the number of its boxes.
+func exampleDocument(name string) (*config.Document, int) {
 	if name == "giftenregister" {
 		return config.ExampleGiftenregister(), 7
 	}
 	return config.ExamplePageworks(), 6
 }
 
-func demo(ctx context.Context, w io.Writer, name string, rate float64, length time.Duration, verbose bool) (bool, error) {
-	doc, boxes := exampleOf(name)
+// runDemo runs one workload on an embedded deployment, writes a report and returns whether all checks passed.
+func runDemo(ctx context.Context, w io.Writer, name string, rate float64, length time.Duration, verbose bool) (bool, error) {
+	doc, boxes := exampleDocument(name)
 	log := slog.New(slog.DiscardHandler)
 	if verbose {
-		log = logger("info")
+		log = newLogger("info")
 	}
-	set := &local.Set{Document: doc, Boxes: boxes, Log: log, Release: Release}
+	set := &local.Deployment{Document: doc, Boxes: boxes, Log: log, Release: Release}
 	defer set.Close()
 	fmt.Fprintf(w, "== %s: %d boxes, %d backend servers, %d failure domains\n", name, boxes, len(doc.BackendServers), len(doc.FailureDomains))
 	if err := set.Start(); err != nil {
 		return false, err
 	}
 	settle := set.BoxSettings("", 0).AtMostOnce.Window() + time.Second
-	fmt.Fprintf(w, "up; waiting %s until each box can prove which keys it is home to\n", settle)
+	fmt.Fprintf(w, "up; waiting %s until each box can be sure which keys it owns\n", settle)
 	time.Sleep(settle)
-	conf, err := load.Config(doc)
+	conf, err := load.ParseDocument(doc)
 	if err != nil {
 		return false, err
 	}
-	plan := load.Plan(load.Workloads[name], conf, spacesFor(doc), rate, length, boxes, 1)
+	plan := load.Plan(load.Workloads[name], conf, workspacesForAnyBox(doc), rate, length, boxes, 1)
 	run := &load.Run{Boxes: set.Addresses(), Plan: plan, Duplicates: 0.1}
 	results, err := run.Do(ctx)
 	if err != nil {
 		return false, err
 	}
-	report := load.Judge(results, set.Ran())
+	report := load.Evaluate(results, set.Ran())
 	report.Write(w)
-	kinds := writeRan(w, set.Ran())
-	ok := report.Clean() && report.Whole > 0 && kinds["encode"] > 0 && kinds["retrieve"] > 0 && kinds["rerank"] > 0 && kinds["generate"] > 0
-	verdict := "nothing lost, doubled or misplaced"
+	kinds := writeCallCounts(w, set.Ran())
+	ok := report.Clean() && report.Complete > 0 && kinds["encode"] > 0 && kinds["retrieve"] > 0 && kinds["rerank"] > 0 && kinds["generate"] > 0
+	verdict := "no request lost, run twice or answered with another's result"
 	if !ok {
 		verdict = "FAILED: see the counts above"
 	}
@@ -89,8 +90,9 @@
 	return ok, nil
 }
 
-// spacesFor lists the workspaces that every box may hold, so that any box can be picked.
-func spacesFor(d *config.Document) []string {
+// workspacesForAnyBox lists the workspaces that may enter in every failure domain, so that any box can take their
+// requests.
+func workspacesForAnyBox(d *config.Document) []string {
 	var out []string
 	for _, w := range d.Workspaces {
 		if len(w.EntryIn) == len(d.FailureDomains) {
@@ -100,8 +102,8 @@
 	return out
 }
 
-// writeRan prints the stand-ins' own count of what they ran and gives it by kind.
-func writeRan(w io.Writer, ran []standin.Execution) map[string]int {
+// writeCallCounts prints and returns the number of calls that the stand-ins recorded, by kind.
+func writeCallCounts(w io.Writer, ran []standin.Execution) map[string]int {
 	kinds := map[string]int{}
 	for _, r := range ran {
 		kinds[r.Kind]++
@@ -111,6 +113,6 @@
 		parts = append(parts, fmt.Sprintf("%s %d", k, n))
 	}
 	sort.Strings(parts)
-	fmt.Fprintf(w, "\nthe stand-ins' own count of calls: %s\n", strings.Join(parts, ", "))
+	fmt.Fprintf(w, "\ncalls recorded by the stand-ins: %s\n", strings.Join(parts, ", "))
 	return kinds
 }
--- a/src/cli/experiment.go
+++ b/src/cli/experiment.go
@@ -18,14 +18,14 @@
 
 func experimentCommand() *cli.Command {
 	return &cli.Command{
-		Name: "experiment", Usage: "compare policies in virtual time: same arrivals, same seeds, same faults",
+		Name: "experiment", Usage: "compare policies in virtual time with the same arrivals, seeds and faults",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "workloads", Value: "pageworks,giftenregister", Usage: "comma-separated `LIST`"},
-			&cli.StringFlag{Name: "loads", Value: "50,80,100,130,200", Usage: "per cent of capacity, comma-separated `LIST`"},
+			&cli.StringFlag{Name: "loads", Value: "50,80,100,130,200", Usage: "comma-separated `LIST` of loads in percent of capacity"},
 			&cli.StringFlag{Name: "faults", Value: "quiet", Usage: "comma-separated `LIST`, or all"},
 			&cli.StringFlag{Name: "policies", Value: "all", Usage: "comma-separated `LIST`, or all"},
-			&cli.IntFlag{Name: "seeds", Value: 5, Usage: "seeds of each run"},
-			&cli.IntFlag{Name: "boxes", Usage: "boxes instead of the users' own number"},
+			&cli.IntFlag{Name: "seeds", Value: 5, Usage: "number of seeds for each combination"},
+			&cli.IntFlag{Name: "boxes", Usage: "number of boxes instead of the workload's own"},
 			&cli.Uint64Flag{Name: "first-seed", Value: 1, Usage: "the first seed"},
 			&cli.DurationFlag{Name: "time", Value: 30 * time.Second, Usage: "virtual `DURATION` of the arrivals"},
 			&cli.BoolFlag{Name: "json", Usage: "print JSON"},
@@ -52,7 +52,7 @@
 	}
 }
 
-// experimentCases lays out the rows and, for each, a case a seed.
+// experimentCases returns the result rows and the cases to run: for each row one case per seed, in the same order.
 func experimentCases(c *cli.Command) ([]experiment.Row, []experiment.Case, error) {
 	var rows []experiment.Row
 	var cases []experiment.Case
@@ -63,16 +63,16 @@
 				return nil, nil, eris.Errorf("loads: %q is not a percentage", l)
 			}
 			for _, f := range experiment.Faults() {
-				if !wanted(c.String("faults"), f.Name) {
+				if !listContains(c.String("faults"), f.Name) {
 					continue
 				}
 				for _, p := range experiment.Policies() {
-					if !wanted(c.String("policies"), p.Name) {
+					if !listContains(c.String("policies"), p.Name) {
 						continue
 					}
 					rows = append(rows, experiment.Row{Workload: w, Load: percent / 100, Fault: f.Name, Policy: p.Name})
 					for i := range c.Int("seeds") {
-						doc, boxes := exampleOf(w)
+						doc, boxes := exampleDocument(w)
 						if n := c.Int("boxes"); n > 0 {
 							boxes = n
 						}
@@ -88,6 +88,7 @@
 	return rows, cases, nil
 }
 
-func wanted(list, name string) bool {
+// listContains reports whether name is in the comma-separated list, or the list is "all".
+func listContains(list, name string) bool {
 	return list == "all" || slices.Contains(strings.Split(list, ","), name)
 }
--- a/src/cli/operate.go
+++ b/src/cli/operate.go
@@ -17,20 +17,20 @@
 	"github.com/stilemast/stilemast/src/load"
 )
 
-// boxFlags say which box a command talks to, and as whom.
+// boxFlags returns the flags that select the box a command talks to and the credentials to present.
 func boxFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: "box", Usage: "callers' `ADDRESS` of a box", Value: "127.0.0.1:7000"},
-		&cli.StringFlag{Name: "token", Usage: "`TOKEN` to show", Sources: cli.EnvVars("STILEMAST_TOKEN")},
-		&cli.StringFlag{Name: "ca", Usage: "PEM `FILE` of the authority that signs the boxes' certificates"},
-		&cli.StringFlag{Name: "cert", Usage: "PEM `FILE` of the own certificate"},
-		&cli.StringFlag{Name: "key", Usage: "PEM `FILE` of the own key"},
+		&cli.StringFlag{Name: "token", Usage: "bearer `TOKEN` to authenticate with", Sources: cli.EnvVars("STILEMAST_TOKEN")},
+		&cli.StringFlag{Name: "ca", Usage: "PEM `FILE` of the certificate authority of the boxes"},
+		&cli.StringFlag{Name: "cert", Usage: "PEM `FILE` of the client certificate"},
+		&cli.StringFlag{Name: "key", Usage: "PEM `FILE` of the client key"},
 		&cli.BoolFlag{Name: "json", Usage: "print JSON"},
 	}
 }
 
-// operate makes the action of a command that talks to a box's operators' interface.
-func operate(do func(context.Context, pb.OperationsClient, *cli.Command) error) cli.ActionFunc {
+// operationsAction wraps do in a command action that connects to the operations API of a box.
+func operationsAction(do func(context.Context, pb.OperationsClient, *cli.Command) error) cli.ActionFunc {
 	return func(ctx context.Context, c *cli.Command) error {
 		cfg, err := clientTLS(c)
 		if err != nil {
@@ -48,7 +48,7 @@
 func printJSON(m proto.Message) error {
 	b, err := protojson.MarshalOptions{Multiline: true}.Marshal(m)
 	if err != nil {
-		return eris.Wrap(err, "answer can't be printed")
+		return eris.Wrap(err, "marshal reply")
 	}
 	fmt.Println(string(b))
 	return nil
@@ -58,8 +58,8 @@
 
 func validateCommand() *cli.Command {
 	return &cli.Command{
-		Name: "validate", Usage: "check a configuration, or settings, as a box would; no box is needed", ArgsUsage: "FILE",
-		Flags: []cli.Flag{&cli.BoolFlag{Name: "settings", Usage: "the file holds a box's settings"}},
+		Name: "validate", Usage: "check a configuration or settings file as a box would, without contacting one", ArgsUsage: "FILE",
+		Flags: []cli.Flag{&cli.BoolFlag{Name: "settings", Usage: "the file contains the settings of a box"}},
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Bool("settings") {
 				return validateSettings(c.Args().First())
@@ -73,7 +73,7 @@
 				fmt.Println(f.Error())
 			}
 			if len(faults) > 0 {
-				return errSilent
+				return errAlreadyReported
 			}
 			fmt.Printf("version %d is valid: %d pipelines, %d workspaces, %d backend servers, digest %s\n",
 				conf.Version(), len(conf.Pipelines()), len(conf.Workspaces()), len(conf.BackendServers()), conf.Digest())
@@ -82,7 +82,7 @@
 	}
 }
 
-// validateSettings checks the settings of a box or of a gateway, whichever the file holds.
+// validateSettings checks a settings file of a box or a gateway, depending on its mode.
 func validateSettings(path string) error {
 	mode, err := config.ReadMode(path)
 	if err != nil {
@@ -98,9 +98,9 @@
 
 func planCommand() *cli.Command {
 	return &cli.Command{
-		Name: "plan", Usage: "tell what a configuration would change against the one in force at a box", ArgsUsage: "FILE",
+		Name: "plan", Usage: "show what a configuration would change compared with the one active at a box", ArgsUsage: "FILE",
 		Flags: boxFlags(),
-		Action: operate(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
+		Action: operationsAction(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
 			raw, err := os.ReadFile(c.Args().First())
 			if err != nil {
 				return eris.Wrap(err, "configuration")
@@ -122,7 +122,7 @@
 		fmt.Printf("%d %s: %s\n", f.GetCode(), f.GetField(), f.GetMessage())
 	}
 	if len(r.GetFaults()) > 0 {
-		return errSilent
+		return errAlreadyReported
 	}
 	fmt.Printf("version %d -> %d, %d changes\n", r.GetFromVersion(), r.GetToVersion(), len(r.GetChanges()))
 	for _, ch := range r.GetChanges() {
@@ -133,8 +133,8 @@
 
 func statusCommand() *cli.Command {
 	return &cli.Command{
-		Name: "status", Usage: "tell what a box knows, with the age of each fact", Flags: boxFlags(),
-		Action: operate(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
+		Name: "status", Usage: "show the state that a box knows, with the age of each item", Flags: boxFlags(),
+		Action: operationsAction(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
 			r, err := ops.Status(ctx, &pb.StatusRequest{})
 			if err != nil {
 				return err
@@ -150,7 +150,7 @@
 func printStatus(r *pb.StatusReply) error {
 	fmt.Printf("box %s (incarnation %d, release %s): ready %t, draining %t\n", r.GetBox(), r.GetIncarnation(), r.GetVersion(), r.GetReady(), r.GetDraining())
 	fmt.Printf("configuration %d (%s), confirmed %s ago; box list confirmed %s ago\n", r.GetConfigVersion(), r.GetConfigDigest(),
-		brief(r.GetConfigConfirmedAge().AsDuration()), brief(r.GetListConfirmedAge().AsDuration()))
+		formatAge(r.GetConfigConfirmedAge().AsDuration()), formatAge(r.GetListConfirmedAge().AsDuration()))
 	if v := r.GetConfigConflictVersion(); v > 0 {
 		fmt.Printf("CONFLICT: version %d was published again with other content\n", v)
 	}
@@ -161,16 +161,17 @@
 	w := table()
 	fmt.Fprintln(w, "BOX\tFAILURE DOMAIN\tSTATE\tLISTED\tHEARD\tVERSION")
 	for _, m := range r.GetMembers() {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%t\t%s ago\t%d\n", m.GetBox(), m.GetFailureDomain(), m.GetState(), m.GetListed(), brief(m.GetAge().AsDuration()), m.GetConfigVersion())
+		fmt.Fprintf(w, "%s\t%s\t%s\t%t\t%s ago\t%d\n", m.GetBox(), m.GetFailureDomain(), m.GetState(), m.GetListed(), formatAge(m.GetAge().AsDuration()), m.GetConfigVersion())
 	}
 	fmt.Fprintln(w, "\nBACKEND SERVER\tFAILURE DOMAIN\tSTATE\tIN FLIGHT\tWINDOW\tREPORT\tERRORS")
 	for _, b := range r.GetBackendServers() {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s ago\t%.0f%%\n", b.GetBackendServer(), b.GetFailureDomain(), b.GetState(), b.GetInFlight(), b.GetWindow(), brief(b.GetReportAge().AsDuration()), 100*b.GetErrorShare())
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s ago\t%.0f%%\n", b.GetBackendServer(), b.GetFailureDomain(), b.GetState(), b.GetInFlight(), b.GetWindow(), formatAge(b.GetReportAge().AsDuration()), 100*b.GetErrorShare())
 	}
 	return w.Flush()
 }
 
-func brief(d time.Duration) string {
+// formatAge formats an age with millisecond precision; a negative age means that the event has not happened yet.
+func formatAge(d time.Duration) string {
 	if d < 0 {
 		return "never"
 	}
@@ -179,13 +180,13 @@
 
 func drainCommand() *cli.Command {
 	return &cli.Command{
-		Name: "drain", Usage: "begin the planned stop of a box", Flags: boxFlags(),
-		Action: operate(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
+		Name: "drain", Usage: "start the graceful shutdown of a box", Flags: boxFlags(),
+		Action: operationsAction(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
 			r, err := ops.Drain(ctx, &pb.DrainRequest{})
 			if err != nil {
 				return err
 			}
-			fmt.Printf("stopping; %d requests run and will end first\n", r.GetRunning())
+			fmt.Printf("stopping; %d running requests will finish first\n", r.GetRunning())
 			return nil
 		}),
 	}
@@ -193,8 +194,8 @@
 
 func explainCommand() *cli.Command {
 	return &cli.Command{
-		Name: "explain", Usage: "tell how each stage of a recent request was placed", ArgsUsage: "KEY", Flags: boxFlags(),
-		Action: operate(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
+		Name: "explain", Usage: "show how each stage of a recent request was placed", ArgsUsage: "KEY", Flags: boxFlags(),
+		Action: operationsAction(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
 			r, err := ops.Explain(ctx, &pb.ExplainRequest{Key: c.Args().First()})
 			if err != nil {
 				return err
@@ -205,7 +206,7 @@
 			fmt.Printf("request %s on box %s: %s\n", r.GetKey(), r.GetBox(), r.GetOutcome())
 			for _, p := range r.GetPlacements() {
 				fmt.Printf("stage %s, attempt %d: %s, waited %s, took %s: %s\n", p.GetStage(), p.GetAttempt()+1, p.GetChosen(),
-					brief(p.GetWaited().AsDuration()), brief(p.GetServed().AsDuration()), p.GetOutcome())
+					formatAge(p.GetWaited().AsDuration()), formatAge(p.GetServed().AsDuration()), p.GetOutcome())
 				for _, cand := range p.GetCandidates() {
 					if cand.GetPassedOver() != "" {
 						fmt.Printf("    not %s: %s\n", cand.GetBackendServer(), cand.GetPassedOver())
@@ -219,8 +220,8 @@
 
 func costCommand() *cli.Command {
 	return &cli.Command{
-		Name: "cost", Usage: "sum what each stage consumed at a box", Flags: boxFlags(),
-		Action: operate(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
+		Name: "cost", Usage: "show the resources that each stage consumed at a box", Flags: boxFlags(),
+		Action: operationsAction(func(ctx context.Context, ops pb.OperationsClient, c *cli.Command) error {
 			r, err := ops.CostByStage(ctx, &pb.CostByStageRequest{})
 			if err != nil {
 				return err
--- a/src/cli/trace_test.go
+++ b/src/cli/trace_test.go
@@ -10,21 +10,21 @@
 	"github.com/stilemast/stilemast/src/node"
 )
 
-const logOfOne = `   1.25 edge-1 {"time":"2026-12-02T10:00:01Z","level":"INFO","msg":"admitted","box":"a","request":"r1","expected_ms":900}
+const logOfBoxA = `   1.25 edge-1 {"time":"2026-12-02T10:00:01Z","level":"INFO","msg":"admitted","box":"a","request":"r1","expected_ms":900}
 not a line of ours
 {"time":"2026-12-02T10:00:03Z","level":"INFO","msg":"request ended","box":"a","request":"r1","pipeline":"p","result":"CANNOT_FINISH","cause":"expected in 2.1s of 1.7s"}
 {"time":"2026-12-02T10:00:04Z","level":"INFO","msg":"request ended","box":"a","request":"r2","pipeline":"p","result":"CANNOT_FINISH","cause":"expected in 3.4s of 1.7s"}
 {"time":"2026-12-02T10:00:04Z","level":"INFO","msg":"request ended","box":"a","request":"r3","pipeline":"p","result":"answered"}
 `
 
-const logOfAnother = `{"time":"2026-12-02T10:00:02Z","level":"INFO","msg":"batch ended","box":"b","requests":"r0 r1","pool":"x"}
+const logOfBoxB = `{"time":"2026-12-02T10:00:02Z","level":"INFO","msg":"batch ended","box":"b","requests":"r0 r1","pool":"x"}
 `
 
 func logFiles(t *testing.T) []string {
 	t.Helper()
 	dir := t.TempDir()
 	a, b := filepath.Join(dir, "a"), filepath.Join(dir, "b")
-	for path, text := range map[string]string{a: logOfOne, b: logOfAnother} {
+	for path, text := range map[string]string{a: logOfBoxA, b: logOfBoxB} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -32,20 +32,20 @@
 	return []string{a, b}
 }
 
-func TestAStoryIsToldInOrderOverSeveralBoxes(t *testing.T) {
-	lines, err := readLogs(logFiles(t), func(l *logLine) bool { return about(l, "r1") })
+func TestTimelineMergesLogsOfSeveralBoxes(t *testing.T) {
+	lines, err := readLogs(logFiles(t), func(l *logLine) bool { return mentionsRequest(l, "r1") })
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	story(&out, lines)
+	writeTimeline(&out, lines)
 	got := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if len(got) != 3 || !strings.Contains(got[0], "admitted expected_ms=900") || !strings.Contains(got[1], "+1.000s b") || !strings.Contains(got[2], "CANNOT_FINISH") {
 		t.Errorf("story:\n%s", out.String())
 	}
 }
 
-func TestCausesAreCountedWhateverTheirFigures(t *testing.T) {
+func TestCausesDifferingInNumbersAreCountedTogether(t *testing.T) {
 	lines, err := readLogs(logFiles(t), func(l *logLine) bool {
 		return l.text("msg") == "request ended" && l.text("result") != "answered"
 	})
@@ -53,13 +53,13 @@
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	causes(&out, lines)
+	writeCauses(&out, lines)
 	if want := "     2  CANNOT_FINISH      p            expected in # of #  (first: r1)\n"; out.String() != want {
 		t.Errorf("got %q, want %q", out.String(), want)
 	}
 }
 
-func TestTraceAndWhySayWhatIsWrong(t *testing.T) {
+func TestTraceAndWhyExitCodes(t *testing.T) {
 	files := logFiles(t)
 	for _, c := range []struct {
 		args []string
--- a/src/experiment/experiment.go
+++ b/src/experiment/experiment.go
@@ -149,7 +149,7 @@
 		}
 		slots := float64(c.Pool(last.Pool())[0].Slots())
 		step := cost.Step.Seconds()/slots + cost.PerSequence.Seconds()
-		prompt := float64(k.Prefix+k.Own) / standin.TokenBytes
+		prompt := float64(k.TemplateBytes+k.UniqueBytes) / standin.TokenBytes
 		secondsPerRequest += k.Share * (0.75*float64(last.MaxTokens())*step + prompt*cost.PerPrefillToken.Seconds())
 	}
 	engines := 0
@@ -163,7 +163,7 @@
 
 // Run simulates one run.
 func Run(c Case) (Figures, error) {
-	conf, err := load.Config(c.Document)
+	conf, err := load.ParseDocument(c.Document)
 	if err != nil {
 		return Figures{}, err
 	}
--- a/src/faults/links_test.go
+++ b/src/faults/links_test.go
@@ -36,7 +36,7 @@
 	if f.crashing != nil {
 		exited := f.crashing.begin(s.Name(), r)
 		if exited == nil {
-			return port.CallResult{}, &port.CallError{Failure: core.NotSent, Message: "connection refused", Refused: true}
+			return port.CallResult{}, &port.CallError{Failure: core.NotSent, Message: "connection refused", ConnectionRefused: true}
 		}
 		go func() {
 			select {
@@ -141,11 +141,11 @@
 	time.Sleep(linkDelay)
 	t := f.liveBox(to)
 	if t == nil || b.ctx.Err() != nil {
-		return nil, &port.NotConnected{Cause: errConnectionLost}
+		return nil, &port.NotConnectedError{Cause: errConnectionLost}
 	}
 	if f.isCut(b.name, to) || f.isCut(to, b.name) {
 		time.Sleep(dialTimeout)
-		return nil, &port.NotConnected{Cause: errConnectionLost}
+		return nil, &port.NotConnectedError{Cause: errConnectionLost}
 	}
 	return t, nil
 }
--- a/src/faults/pushback_test.go
+++ b/src/faults/pushback_test.go
@@ -45,7 +45,7 @@
 						return nil
 					}
 					rejectedAt[box+server] = append(list, now)
-					return &port.CallError{Failure: core.Busy, Message: "full", Rest: restAsked}
+					return &port.CallError{Failure: core.Busy, Message: "full", RetryAfter: restAsked}
 				}
 				var senders sync.WaitGroup
 				answered := map[string]int{}
--- a/src/load/report.go
+++ b/src/load/report.go
@@ -13,33 +13,33 @@
 	"github.com/stilemast/stilemast/src/standin"
 )
 
-// Report sums a run.
+// Report summarizes a run.
 type Report struct {
-	Requests  int            `json:"requests"`
-	Whole     int            `json:"whole"`
-	InTime    int            `json:"in_time"`
-	Weighted  float64        `json:"attainment_weighted"`
-	Lost      int            `json:"lost"`
-	Doubled   int            `json:"doubled"`
-	Misplaced int            `json:"misplaced"`
-	FalseNo   int            `json:"ran_after_not_run"`
-	ByKind    []KindReport   `json:"by_pipeline"`
-	ByStage   []StageReport  `json:"by_stage"`
-	Refusals  map[string]int `json:"refusals"`
+	Requests           int              `json:"requests"`
+	Complete           int              `json:"whole"`               // complete and correct answers
+	InTime             int              `json:"in_time"`             // of them, within the deadline
+	WeightedAttainment float64          `json:"attainment_weighted"` // share of requests in time, weighted by pipeline
+	Lost               int              `json:"lost"`                // accepted requests without a final answer, or answered without having run
+	Doubled            int              `json:"doubled"`             // non-repeatable calls that ran more than once
+	Misplaced          int              `json:"misplaced"`           // answers that belong to another request
+	RanAfterNotRun     int              `json:"ran_after_not_run"`   // reported as not run, although something ran
+	ByPipeline         []PipelineReport `json:"by_pipeline"`
+	ByStage            []StageReport    `json:"by_stage"`
+	Refusals           map[string]int   `json:"refusals"`
 }
 
-// KindReport sums one pipeline.
-type KindReport struct {
-	Pipeline string  `json:"pipeline"`
-	Requests int     `json:"requests"`
-	InTime   int     `json:"in_time"`
-	Late     int     `json:"late"`
-	P50      float64 `json:"p50_ms"`
-	P95      float64 `json:"p95_ms"`
-	First95  float64 `json:"first_token_p95_ms"`
+// PipelineReport summarizes one pipeline. Latencies are those of complete answers.
+type PipelineReport struct {
+	Pipeline      string  `json:"pipeline"`
+	Requests      int     `json:"requests"`
+	InTime        int     `json:"in_time"`
+	Late          int     `json:"late"`
+	P50           float64 `json:"p50_ms"`
+	P95           float64 `json:"p95_ms"`
+	FirstTokenP95 float64 `json:"first_token_p95_ms"`
 }
 
-// StageReport sums one stage over all pipelines: what it consumed and how long calls waited.
+// StageReport summarizes one stage over all pipelines: the resources it consumed and how long its calls waited.
 type StageReport struct {
 	Stage     string  `json:"stage"`
 	Calls     int     `json:"calls"`
@@ -50,6 +50,7 @@
 	WaitP95   float64 `json:"wait_p95_ms"`
 }
 
+// histogram covers 1 µs to 1 h with three significant digits.
 func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 3_600_000_000, 3) }
 
 func milliseconds(h *hdrhistogram.Histogram, q float64) float64 {
@@ -58,31 +59,30 @@
 
 func record(h *hdrhistogram.Histogram, d time.Duration) { _ = h.RecordValue(max(1, d.Microseconds())) }
 
-// Judge sums results and holds them against what the stand-ins ran: an answer that is not the
-// request's own is misplaced, a call that may not be repeated and ran twice is doubled, an accepted
-// request without a final answer is lost, and a "not run" of something that ran is false.
-func Judge(results []Result, ran []standin.Execution) Report {
+// Evaluate summarizes results and checks them against the calls that the stand-ins ran; Report describes the violations
+// that it counts.
+func Evaluate(results []Result, ran []standin.Execution) Report {
 	r := Report{Refusals: map[string]int{}}
 	onceRuns, anyRuns := countRuns(ran)
-	kinds := map[string]*kindSums{}
-	stages := map[string]*stageSums{}
-	var weight, got float64
-	seen := map[string]bool{}
+	kinds := map[string]*kindTotals{}
+	stages := map[string]*stageTotals{}
+	var totalWeight, earnedWeight float64
+	counted := map[string]bool{} // keys counted as Doubled
 	for _, x := range results {
 		r.Requests++
-		k := kindOf(kinds, x.Arrival.Pipeline.Name())
+		k := totalsOf(kinds, x.Arrival.Pipeline.Name())
 		k.requests++
 		w := x.Arrival.Pipeline.Weight()
-		weight += w
+		totalWeight += w
 		switch {
-		case x.Code == code.OK && x.Wrong:
+		case x.Code == code.OK && x.WrongAnswer:
 			r.Misplaced++
 		case x.Code == code.OK:
-			r.Whole++
+			r.Complete++
 			k.add(x)
 			if !x.Late {
 				r.InTime++
-				got += w
+				earnedWeight += w
 			}
 			addStages(stages, x)
 		default:
@@ -91,25 +91,25 @@
 				r.Lost++
 			}
 		}
-		if x.Ran == code.RanNo && !x.Twin && anyRuns[x.Key] > 0 && x.Arrival.Pipeline.Once() {
-			r.FalseNo++
+		if x.Ran == code.RanNo && !x.Duplicate && anyRuns[x.Key] > 0 && x.Arrival.Pipeline.Once() {
+			r.RanAfterNotRun++
 		}
-		if onceRuns[x.Key] > 1 && !seen[x.Key] {
+		if onceRuns[x.Key] > 1 && !counted[x.Key] {
 			r.Doubled++
-			seen[x.Key] = true
+			counted[x.Key] = true
 		}
 		if x.Code == code.OK && x.Arrival.Pipeline.Once() && onceRuns[x.Key] == 0 {
 			r.Lost++
 		}
 	}
-	if weight > 0 {
-		r.Weighted = got / weight
+	if totalWeight > 0 {
+		r.WeightedAttainment = earnedWeight / totalWeight
 	}
-	r.ByKind, r.ByStage = kindReports(kinds), stageReports(stages)
+	r.ByPipeline, r.ByStage = kindReports(kinds), stageReports(stages)
 	return r
 }
 
-// countRuns counts, for each key, the calls that may not be repeated and all calls.
+// countRuns counts the non-repeatable calls and all calls of each request key.
 func countRuns(ran []standin.Execution) (once, all map[string]int) {
 	once, all = map[string]int{}, map[string]int{}
 	for _, x := range ran {
@@ -122,19 +122,19 @@
 	return once, all
 }
 
-type kindSums struct {
+type kindTotals struct {
 	requests, inTime, late int
 	took, first            *hdrhistogram.Histogram
 }
 
-func kindOf(m map[string]*kindSums, name string) *kindSums {
+func totalsOf(m map[string]*kindTotals, name string) *kindTotals {
 	if m[name] == nil {
-		m[name] = &kindSums{took: histogram(), first: histogram()}
+		m[name] = &kindTotals{took: histogram(), first: histogram()}
 	}
 	return m[name]
 }
 
-func (k *kindSums) add(x Result) {
+func (k *kindTotals) add(x Result) {
 	record(k.took, x.Took)
 	record(k.first, x.FirstToken)
 	if x.Late {
@@ -144,18 +144,18 @@
 	k.inTime++
 }
 
-type stageSums struct {
+type stageTotals struct {
 	calls                       int
 	seconds                     float64
 	computed, cached, generated uint64
 	waits                       *hdrhistogram.Histogram
 }
 
-func addStages(m map[string]*stageSums, x Result) {
+func addStages(m map[string]*stageTotals, x Result) {
 	for _, u := range x.Stages {
 		s := m[u.GetStage()]
 		if s == nil {
-			s = &stageSums{waits: histogram()}
+			s = &stageTotals{waits: histogram()}
 			m[u.GetStage()] = s
 		}
 		s.calls += int(u.GetAttempts())
@@ -167,19 +167,19 @@
 	}
 }
 
-func kindReports(m map[string]*kindSums) []KindReport {
-	out := make([]KindReport, 0, len(m))
+func kindReports(m map[string]*kindTotals) []PipelineReport {
+	out := make([]PipelineReport, 0, len(m))
 	for n, k := range m {
-		out = append(out, KindReport{
+		out = append(out, PipelineReport{
 			Pipeline: n, Requests: k.requests, InTime: k.inTime, Late: k.late,
-			P50: milliseconds(k.took, 50), P95: milliseconds(k.took, 95), First95: milliseconds(k.first, 95),
+			P50: milliseconds(k.took, 50), P95: milliseconds(k.took, 95), FirstTokenP95: milliseconds(k.first, 95),
 		})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Pipeline < out[j].Pipeline })
 	return out
 }
 
-func stageReports(m map[string]*stageSums) []StageReport {
+func stageReports(m map[string]*stageTotals) []StageReport {
 	out := make([]StageReport, 0, len(m))
 	for n, s := range m {
 		out = append(out, StageReport{
@@ -191,16 +191,16 @@
 	return out
 }
 
-// Clean says whether nothing was lost, doubled, misplaced or falsely refused.
-func (r Report) Clean() bool { return r.Lost+r.Doubled+r.Misplaced+r.FalseNo == 0 }
+// Clean reports whether no violation was found: nothing lost, doubled, misplaced or falsely reported as not run.
+func (r Report) Clean() bool { return r.Lost+r.Doubled+r.Misplaced+r.RanAfterNotRun == 0 }
 
 // Write prints the report as text.
 func (r Report) Write(w io.Writer) {
-	fmt.Fprintf(w, "%d requests: %d whole, %d in time, weighted attainment %.1f%%\n", r.Requests, r.Whole, r.InTime, 100*r.Weighted)
-	fmt.Fprintf(w, "lost %d, doubled %d, misplaced %d, ran after \"not run\" %d\n\n", r.Lost, r.Doubled, r.Misplaced, r.FalseNo)
+	fmt.Fprintf(w, "%d requests: %d whole, %d in time, weighted attainment %.1f%%\n", r.Requests, r.Complete, r.InTime, 100*r.WeightedAttainment)
+	fmt.Fprintf(w, "lost %d, doubled %d, misplaced %d, ran after \"not run\" %d\n\n", r.Lost, r.Doubled, r.Misplaced, r.RanAfterNotRun)
 	fmt.Fprintf(w, "%-18s %8s %8s %6s %9s %9s %12s\n", "pipeline", "requests", "in time", "late", "p50 ms", "p95 ms", "first p95 ms")
-	for _, k := range r.ByKind {
-		fmt.Fprintf(w, "%-18s %8d %8d %6d %9.1f %9.1f %12.1f\n", k.Pipeline, k.Requests, k.InTime, k.Late, k.P50, k.P95, k.First95)
+	for _, k := range r.ByPipeline {
+		fmt.Fprintf(w, "%-18s %8d %8d %6d %9.1f %9.1f %12.1f\n", k.Pipeline, k.Requests, k.InTime, k.Late, k.P50, k.P95, k.FirstTokenP95)
 	}
 	fmt.Fprintf(w, "\n%-18s %8s %9s %10s %10s %10s %12s\n", "stage", "calls", "seconds", "computed", "cached", "generated", "wait p95 ms")
 	for _, s := range r.ByStage {
--- a/src/load/workload.go
+++ b/src/load/workload.go
@@ -1,5 +1,4 @@
-// Package load drives boxes with the users' workloads, open-loop and bounded, and judges every
-// answer against what it must be.
+// Package load generates open-loop load on boxes from named workloads and checks every answer.
 package load
 
 import (
@@ -12,81 +11,82 @@
 	"github.com/stilemast/stilemast/src/config"
 )
 
-// Kind is one sort of request in a workload.
-type Kind struct {
-	Pipeline string
-	Share    float64 // of all requests
-	Prefix   int     // bytes of the input that come from a shared template
-	Own      int     // bytes of its own
-	Shared   int     // how many templates there are
+// RequestKind is one type of request in a workload.
+type RequestKind struct {
+	Pipeline      string
+	Share         float64 // of all requests, 0 to 1
+	TemplateBytes int     // bytes of the input taken from a shared template
+	UniqueBytes   int     // bytes of the input unique to the request
+	Templates     int     // number of templates in each workspace
 }
 
-// Workload is a mix of requests and how they come.
+// Workload is a mix of requests and their arrival pattern.
 type Workload struct {
 	Name  string
-	Kinds []Kind
-	// Crowd is the share of requests that come from the first two workspaces.
-	Crowd float64
-	// Burst multiplies the rate during the first quarter of every BurstEvery; 0 for none.
+	Kinds []RequestKind
+	// TopWorkspacesShare is the share of requests that come from the first two workspaces.
+	TopWorkspacesShare float64
+	// Burst multiplies the rate during the first quarter of every BurstEvery; 0 means no bursts.
 	Burst      float64
 	BurstEvery time.Duration
 }
 
-// Workloads are the mixes the users describe.
+// Workloads are the available workloads by name.
 var Workloads = map[string]Workload{
 	"pageworks": {
-		Name: "pageworks", Crowd: 0.7, Burst: 2, BurstEvery: 8 * time.Second,
-		Kinds: []Kind{
-			{Pipeline: "spread-draft", Share: 0.10, Prefix: 2048, Own: 1024, Shared: 12},
-			{Pipeline: "caption", Share: 0.40, Prefix: 1024, Own: 256, Shared: 30},
-			{Pipeline: "tag-suggestion", Share: 0.30, Prefix: 512, Own: 128, Shared: 30},
-			{Pipeline: "proof-approval", Share: 0.10, Prefix: 128, Own: 128, Shared: 10},
-			{Pipeline: "tag-stamp", Share: 0.10, Prefix: 0, Own: 128, Shared: 1},
+		Name: "pageworks", TopWorkspacesShare: 0.7, Burst: 2, BurstEvery: 8 * time.Second,
+		Kinds: []RequestKind{
+			{Pipeline: "spread-draft", Share: 0.10, TemplateBytes: 2048, UniqueBytes: 1024, Templates: 12},
+			{Pipeline: "caption", Share: 0.40, TemplateBytes: 1024, UniqueBytes: 256, Templates: 30},
+			{Pipeline: "tag-suggestion", Share: 0.30, TemplateBytes: 512, UniqueBytes: 128, Templates: 30},
+			{Pipeline: "proof-approval", Share: 0.10, TemplateBytes: 128, UniqueBytes: 128, Templates: 10},
+			{Pipeline: "tag-stamp", Share: 0.10, TemplateBytes: 0, UniqueBytes: 128, Templates: 1},
 		},
 	},
 	"giftenregister": {
-		Name: "giftenregister", Crowd: 0.6,
-		Kinds: []Kind{
-			{Pipeline: "dossier-review", Share: 0.10, Prefix: 4096, Own: 2048, Shared: 20},
-			{Pipeline: "letter", Share: 0.15, Prefix: 1024, Own: 512, Shared: 8},
-			{Pipeline: "receipt", Share: 0.25, Prefix: 0, Own: 256, Shared: 1},
-			{Pipeline: "registration", Share: 0.15, Prefix: 0, Own: 256, Shared: 1},
-			{Pipeline: "status-check", Share: 0.35, Prefix: 256, Own: 128, Shared: 6},
+		Name: "giftenregister", TopWorkspacesShare: 0.6,
+		Kinds: []RequestKind{
+			{Pipeline: "dossier-review", Share: 0.10, TemplateBytes: 4096, UniqueBytes: 2048, Templates: 20},
+			{Pipeline: "letter", Share: 0.15, TemplateBytes: 1024, UniqueBytes: 512, Templates: 8},
+			{Pipeline: "receipt", Share: 0.25, TemplateBytes: 0, UniqueBytes: 256, Templates: 1},
+			{Pipeline: "registration", Share: 0.15, TemplateBytes: 0, UniqueBytes: 256, Templates: 1},
+			{Pipeline: "status-check", Share: 0.35, TemplateBytes: 256, UniqueBytes: 128, Templates: 6},
 		},
 	},
 }
 
 // Arrival is one request of a plan.
 type Arrival struct {
-	N         int
+	N         int           // sequence number, from 0
 	At        time.Duration // since the start
 	Workspace string
 	Pipeline  *config.Pipeline
 	Input     []byte
-	Box       int // number of the box that the balancer picks
+	Box       int // index of the box that the load balancer picks
 }
 
-// Plan lays out the arrivals of a run: the same for the same seed, whatever serves them.
+// Plan generates the arrivals of a run with the given mean rate per second. They depend only on the arguments,
+// including the seed, and not on the boxes' behavior.
 func Plan(w Workload, c *config.Config, spaces []string, rate float64, length time.Duration, boxes int, seed uint64) []Arrival {
 	r := rand.New(rand.NewPCG(seed, 7))
 	var out []Arrival
 	at := time.Duration(0)
 	for {
-		at += time.Duration(r.ExpFloat64() / (rate * w.factor(at)) * float64(time.Second))
+		at += time.Duration(r.ExpFloat64() / (rate * w.rateFactor(at)) * float64(time.Second))
 		if at >= length {
 			return out
 		}
-		k := pick(w.Kinds, r.Float64())
-		space := spaces[workspace(r, len(spaces), w.Crowd)]
+		k := pickKind(w.Kinds, r.Float64())
+		space := spaces[pickWorkspace(r, len(spaces), w.TopWorkspacesShare)]
 		out = append(out, Arrival{
 			N: len(out), At: at, Workspace: space, Pipeline: c.Pipeline(k.Pipeline),
-			Input: input(k, space, r), Box: r.IntN(boxes),
+			Input: makeInput(k, space, r), Box: r.IntN(boxes),
 		})
 	}
 }
 
-// factor is the rate at a moment over the mean rate.
-func (w Workload) factor(at time.Duration) float64 {
+// rateFactor returns the rate at a point in time relative to the mean rate.
+func (w Workload) rateFactor(at time.Duration) float64 {
 	if w.Burst == 0 {
 		return 1
 	}
@@ -97,7 +97,8 @@
 	return calm
 }
 
-func pick(kinds []Kind, x float64) Kind {
+// pickKind selects a kind by its share; x is uniform in [0, 1).
+func pickKind(kinds []RequestKind, x float64) RequestKind {
 	for _, k := range kinds {
 		if x < k.Share {
 			return k
@@ -107,23 +108,25 @@
 	return kinds[len(kinds)-1]
 }
 
-func workspace(r *rand.Rand, n int, crowd float64) int {
+// pickWorkspace returns the index of a random workspace of n; crowd is the probability of the first two.
+func pickWorkspace(r *rand.Rand, n int, crowd float64) int {
 	if n <= 2 || r.Float64() < crowd {
 		return r.IntN(min(n, 2))
 	}
 	return 2 + r.IntN(n-2)
 }
 
-// input makes a request's text: a shared template first, which caches can hold, then its own part.
-func input(k Kind, space string, r *rand.Rand) []byte {
+// makeInput generates a request's input: a shared template, which prefix caches can reuse, followed by unique text.
+func makeInput(k RequestKind, space string, r *rand.Rand) []byte {
 	var b strings.Builder
-	if k.Prefix > 0 {
-		fill(&b, fmt.Sprintf("%s %s template %d. ", space, k.Pipeline, r.IntN(k.Shared)), k.Prefix)
+	if k.TemplateBytes > 0 {
+		fill(&b, fmt.Sprintf("%s %s template %d. ", space, k.Pipeline, r.IntN(k.Templates)), k.TemplateBytes)
 	}
-	fill(&b, fmt.Sprintf("request %016x%016x. ", r.Uint64(), r.Uint64()), k.Own)
+	fill(&b, fmt.Sprintf("request %016x%016x. ", r.Uint64(), r.Uint64()), k.UniqueBytes)
 	return []byte(b.String())
 }
 
+// fill appends n bytes of repeated text.
 func fill(b *strings.Builder, text string, n int) {
 	for n > 0 {
 		part := text[:min(n, len(text))]
--- a/src/node/gateway.go
+++ b/src/node/gateway.go
@@ -19,64 +19,64 @@
 	"github.com/stilemast/stilemast/src/peer"
 )
 
-// Tunables of a gateway's process.
+// Timeouts and limits of a gateway process.
 const (
-	callerHeaderTime = 10 * time.Second // a caller may take over its header
-	callerIdleTime   = 2 * time.Minute  // a caller's connection may be unused
-	maxCallerHeader  = 64 << 10
-	leastStop        = 3200 * time.Millisecond // for the balancer to notice that this box is not ready
-	lastAnswers      = 2500 * time.Millisecond // kept for answers that have begun; stages are not waited for
-	quietStop        = 400 * time.Millisecond  // without a request before a stopping process ends
-	stopMargin       = 500 * time.Millisecond  // kept from the time that a planned stop may take
-	stopLook         = 50 * time.Millisecond
-	sweepConnections = time.Second
-	memoryPart       = 0.7 // of the limit that the runtime's heap aims to stay within
-	collectPercent   = 60
-	milliCores       = 1000 // in a core
+	callerHeaderTimeout  = 10 * time.Second // for reading a request's header
+	callerIdleTimeout    = 2 * time.Minute  // before an idle keep-alive connection is closed
+	maxCallerHeaderBytes = 64 << 10
+	minShutdownTime      = 3200 * time.Millisecond // minimum duration of a graceful shutdown, so that the load balancer notices that this box is not ready
+	answerReserve        = 2500 * time.Millisecond // end of the shutdown reserved for answers that have begun; pending stages are failed before it
+	idleBeforeExit       = 400 * time.Millisecond  // without a request before a shutdown completes
+	shutdownMargin       = 500 * time.Millisecond  // subtracted from the configured shutdown timeout
+	shutdownPollInterval = 50 * time.Millisecond
+	sweepInterval        = time.Second
+	memoryLimitFraction  = 0.7 // of the configured memory that is set as Go's soft memory limit
+	gcPercent            = 60
+	milliCoresPerCore    = 1000 // in a core
 )
 
-// Adapter connects the product to a platform.
+// Adapter connects gateways to a platform.
 type Adapter struct {
 	Open    func(*config.GatewaySettings) Ports
-	Callers func(*gateway.Gateway) http.Handler // takes callers' requests
-	Ready   func(*gateway.Gateway) http.Handler // answers whether callers may come
+	Callers func(*gateway.Gateway) http.Handler // serves callers' requests
+	Ready   func(*gateway.Gateway) http.Handler // serves the readiness check
 }
 
-// Ports are what an adapter gives one process.
+// Ports are the platform-specific parts of one process that an adapter provides.
 type Ports struct {
-	Backends gateway.Backends
-	Store    gateway.Store
-	Sweep    func()       // drops connections whose time is over
-	Dials    func() int64 // connections opened to servers so far
-	Close    func()
+	Backends          gateway.Backends
+	Store             gateway.Store
+	CloseExpired      func()       // closes expired idle connections; called periodically
+	ConnectionsOpened func() int64 // number of connections opened to servers so far
+	Close             func()       // releases all connections
 }
 
-// GatewayNode is one process that serves opaque requests. Set the exported fields before Start.
+// GatewayNode is one gateway process, which serves opaque requests. Set the exported fields before Start.
 type GatewayNode struct {
 	Settings *config.GatewaySettings
 	Adapter  Adapter
 	Log      *slog.Logger
 
-	gateway *gateway.Gateway
-	ports   Ports
-	peers   *peer.Client
-	servers []*http.Server
-	beats   net.Listener
-	cancel  context.CancelFunc
-	done    sync.WaitGroup
-	callers activity
-	killed  sync.Once
+	gateway      *gateway.Gateway
+	ports        Ports
+	peers        *peer.Client
+	servers      []*http.Server
+	peerListener net.Listener
+	cancel       context.CancelFunc
+	wg           sync.WaitGroup
+	callers      callerActivity
+	killOnce     sync.Once
 }
 
-// activity counts the callers' connections on which a request is being read or answered.
-type activity struct {
+// callerActivity tracks the callers' connections on which a request is being read or answered.
+type callerActivity struct {
 	mu     sync.Mutex
 	active map[net.Conn]bool
-	since  time.Time // when the last of them fell idle
+	since  time.Time // when a connection last became idle
 }
 
-// note follows a connection's state; it is the ConnState hook of net/http.
-func (a *activity) note(c net.Conn, state http.ConnState) {
+// setState records a connection's state; it is a ConnState hook of net/http.
+func (a *callerActivity) setState(c net.Conn, state http.ConnState) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if state == http.StateActive {
@@ -89,8 +89,8 @@
 	}
 }
 
-// quietFor is how long no request has been read or answered, 0 when one is.
-func (a *activity) quietFor() time.Duration {
+// idleFor returns for how long no request has been read or answered, 0 while one is.
+func (a *callerActivity) idleFor() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(a.active) > 0 {
@@ -99,28 +99,28 @@
 	return time.Since(a.since)
 }
 
-// Gateway is the gateway inside, after Start.
+// Gateway returns the gateway that this process runs. Call it after Start.
 func (n *GatewayNode) Gateway() *gateway.Gateway { return n.gateway }
 
-// Start opens the listeners and begins to serve.
+// Start opens the listeners and starts serving. Errors name the setting that they concern.
 func (n *GatewayNode) Start() error {
 	s := n.Settings
 	if s.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(s.MemoryMB) * (1 << 20)))
-		debug.SetGCPercent(collectPercent)
+		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(s.MemoryMB) * (1 << 20)))
+		debug.SetGCPercent(gcPercent)
 	}
 	beats, err := net.Listen("tcp", s.Listen.Peers)
 	if err != nil {
 		return eris.Wrap(err, "listen.peers")
 	}
-	n.beats = beats
+	n.peerListener = beats
 	n.peers = peer.NewClient(nil)
 	n.ports = n.Adapter.Open(s)
 	set := metrics.NewGateway()
 	n.gateway = &gateway.Gateway{
 		Settings: gateway.Settings{
 			Address: beats.Addr().String(), FailureDomain: s.FailureDomain, Regions: s.Regions, Seeds: s.Fleet.Seeds,
-			Capacity:   core.Capacity{CPU: uint32(s.Machine.CPU * s.Machine.Speed * milliCores), Link: uint32(s.Machine.LinkMbps)},
+			Capacity:   core.Capacity{CPU: uint32(s.Machine.CPU * s.Machine.Speed * milliCoresPerCore), Link: uint32(s.Machine.LinkMbps)},
 			RetryRatio: s.Retry.Ratio, RetrySlack: s.Retry.Slack, RetryWindow: time.Duration(s.Retry.Window),
 			Admission: s.Policy.Admission, SharedBatches: s.Policy.SharedBatches,
 		},
@@ -132,18 +132,18 @@
 		Observer: set.Watcher(),
 		Clock:    clock.Now,
 	}
-	logClock(n.Log)
+	checkClock(n.Log)
 	n.peers.OnRefused = n.gateway.HandleRefusal
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
 	n.gateway.Init()
-	n.done.Add(2)
+	n.wg.Add(2)
 	go func() {
-		defer n.done.Done()
+		defer n.wg.Done()
 		n.gateway.Run(ctx)
 	}()
 	go func() {
-		defer n.done.Done()
+		defer n.wg.Done()
 		h := peer.Handlers{Beat: n.gateway.HandleBeat, Batch: n.gateway.HandleBatch, Ask: n.gateway.HandleQuestion}
 		(&peer.Server{Handlers: h}).Serve(ctx, beats)
 	}()
@@ -152,26 +152,26 @@
 		return eris.Wrap(err, "listen.readiness")
 	}
 	n.callers.active = map[net.Conn]bool{}
-	if err := n.serve(s.Listen.Callers, n.Adapter.Callers(n.gateway), n.callers.note); err != nil {
+	if err := n.serve(s.Listen.Callers, n.Adapter.Callers(n.gateway), n.callers.setState); err != nil {
 		return eris.Wrap(err, "listen.callers")
 	}
 	if s.Listen.Metrics != "" {
-		if err := n.serve(s.Listen.Metrics, set.Handler(n.gateway, n.ports.Dials), nil); err != nil {
+		if err := n.serve(s.Listen.Metrics, set.Handler(n.gateway, n.ports.ConnectionsOpened), nil); err != nil {
 			return eris.Wrap(err, "listen.metrics")
 		}
 	}
 	return nil
 }
 
-// serve opens a listener for a handler. net/http is used directly: go-zero's router can't pass every
-// path and method on untouched.
+// serve listens on an address and serves h there; states may be nil. It uses net/http directly because go-zero's
+// router cannot pass every path and method on unchanged.
 func (n *GatewayNode) serve(address string, h http.Handler, states func(net.Conn, http.ConnState)) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
 	srv := &http.Server{
-		Handler: h, ReadHeaderTimeout: callerHeaderTime, IdleTimeout: callerIdleTime, MaxHeaderBytes: maxCallerHeader,
+		Handler: h, ReadHeaderTimeout: callerHeaderTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxCallerHeaderBytes,
 		ConnState: states,
 		ErrorLog:  slog.NewLogLogger(n.Log.Handler(), slog.LevelDebug),
 	}
@@ -180,49 +180,50 @@
 	return nil
 }
 
+// sweep closes expired idle connections periodically.
 func (n *GatewayNode) sweep(ctx context.Context) {
-	t := time.NewTicker(sweepConnections)
+	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			n.ports.Sweep()
+			n.ports.CloseExpired()
 		}
 	}
 }
 
-// Stop is the planned stop: not ready at once, then every request runs to its end within the time
-// that the settings allow. It gives the requests that were cut. Idle connections of callers are not
-// closed before the end: a request may be arriving on one, and net/http would cut it under its handler.
+// Stop shuts the process down gracefully: it becomes not ready immediately, and running requests may finish within
+// the configured time. It returns the number of requests that were aborted. Idle connections of callers stay open
+// until the end, because net/http would abort a request that is just arriving on one.
 func (n *GatewayNode) Stop() int {
 	began := time.Now()
-	limit := time.Duration(n.Settings.StopWithin) - stopMargin
+	limit := time.Duration(n.Settings.StopWithin) - shutdownMargin
 	n.gateway.Drain()
-	stages := time.AfterFunc(limit-lastAnswers, n.gateway.EndStages)
+	stages := time.AfterFunc(limit-answerReserve, n.gateway.EndStages)
 	defer stages.Stop()
 	for time.Since(began) < limit {
-		quiet := n.gateway.Running() == 0 && n.callers.quietFor() > quietStop
-		if quiet && time.Since(began) > leastStop {
+		idle := n.gateway.Running() == 0 && n.callers.idleFor() > idleBeforeExit
+		if idle && time.Since(began) > minShutdownTime {
 			break
 		}
-		time.Sleep(stopLook)
+		time.Sleep(shutdownPollInterval)
 	}
 	cut := n.gateway.Running()
 	n.Kill()
 	return cut
 }
 
-// Kill ends the process's work at once.
-func (n *GatewayNode) Kill() { n.killed.Do(n.kill) }
+// Kill closes all connections immediately; running requests are aborted.
+func (n *GatewayNode) Kill() { n.killOnce.Do(n.kill) }
 
 func (n *GatewayNode) kill() {
 	n.cancel()
 	for _, s := range n.servers {
 		_ = s.Close()
 	}
-	_ = n.beats.Close()
+	_ = n.peerListener.Close()
 	n.peers.Close()
 	n.ports.Close()
 }
