--- a/src/cli/account.go
+++ b/src/cli/account.go
@@ -14,9 +14,9 @@
 	"github.com/stilemast/stilemast/src/code"
 )
 
-// writeAccount is the command why with --account.
-func writeAccount(c *cli.Command) error {
-	worths, err := parseWorths(c.StringSlice("worth"))
+// runAccount runs `why --account`: it reports how much of the requests' total value was lost, by cause.
+func runAccount(c *cli.Command) error {
+	values, err := parseAnswerValues(c.StringSlice("worth"))
 	if err != nil {
 		return err
 	}
@@ -26,24 +26,24 @@
 	if err != nil {
 		return err
 	}
-	account(os.Stdout, outcomes(lines), worths)
+	writeLossReport(os.Stdout, outcomes(lines), values)
 	return nil
 }
 
-// worth is what an answer of one pipeline counts, in time and late.
-type worth struct{ inTime, late float64 }
+// answerValue is the value of one answer of a pipeline when it is in time and when it is late.
+type answerValue struct{ inTime, late float64 }
 
-// parseWorths reads PIPELINE=IN_TIME or PIPELINE=IN_TIME:LATE.
-func parseWorths(list []string) (map[string]worth, error) {
-	out := map[string]worth{}
+// parseAnswerValues parses values of the form PIPELINE=IN_TIME or PIPELINE=IN_TIME:LATE, keyed by pipeline.
+func parseAnswerValues(list []string) (map[string]answerValue, error) {
+	out := map[string]answerValue{}
 	for _, text := range list {
 		name, figures, ok := strings.Cut(text, "=")
-		first, second, two := strings.Cut(figures, ":")
-		w := worth{}
+		inTime, late, hasLate := strings.Cut(figures, ":")
+		w := answerValue{}
 		var err, errLate error
-		w.inTime, err = strconv.ParseFloat(first, 64)
-		if two {
-			w.late, errLate = strconv.ParseFloat(second, 64)
+		w.inTime, err = strconv.ParseFloat(inTime, 64)
+		if hasLate {
+			w.late, errLate = strconv.ParseFloat(late, 64)
 		}
 		if !ok || name == "" || err != nil || errLate != nil || w.inTime < 0 || w.late < 0 {
 			return nil, code.New(code.BadField, "worth", "%q is not PIPELINE=FIGURE or PIPELINE=FIGURE:FIGURE", text)
@@ -53,7 +53,7 @@
 	return out, nil
 }
 
-// outcome is how one request ended, and where the time of a late one went.
+// outcome says how one request ended and, if it was late, which part took longest.
 type outcome struct {
 	pipeline string
 	cause    string
@@ -61,13 +61,13 @@
 	late     bool
 }
 
-// outcomes reads how requests ended from the lines of all boxes. A late answer is put to the part of its way that took
-// longest: a stage, with its wait, or what was left of it until the first output.
+// outcomes extracts the outcomes of requests from the log lines of all boxes. A late answer is attributed to the
+// part that took longest: a stage including its queueing time, or the remaining time until the first output.
 func outcomes(lines []*logLine) []outcome {
-	longest, part, stages := map[string]float64{}, map[string]string{}, map[string]float64{}
-	note := func(id, name string, ms float64) {
+	longest, slowestPart, stageTime := map[string]float64{}, map[string]string{}, map[string]float64{}
+	updateLongest := func(id, name string, ms float64) {
 		if ms > longest[id] {
-			longest[id], part[id] = ms, name
+			longest[id], slowestPart[id] = ms, name
 		}
 	}
 	var out []outcome
@@ -75,24 +75,24 @@
 		id := l.text("request")
 		switch l.text("msg") {
 		case "stage made":
-			took := l.figure("took_ms") + l.figure("held_ms")
-			stages[id] += took
-			note(id, "stage in "+l.text("pool"), took)
+			took := l.number("took_ms") + l.number("held_ms")
+			stageTime[id] += took
+			updateLongest(id, "stage in "+l.text("pool"), took)
 		case "request ended":
 			if l.text("pipeline") == "" || l.text("result") == "UNAUTHENTICATED" {
-				continue // nothing was owed
+				continue // rejected before it became a request of a pipeline
 			}
 			f := outcome{pipeline: l.text("pipeline")}
 			switch {
 			case l.text("result") != "answered":
-				f.cause = l.text("result") + ": " + withoutNumbers(l.text("cause"))
-			case l.figure("first_ms") <= l.figure("objective_ms"):
+				f.cause = l.text("result") + ": " + maskNumbers(l.text("cause"))
+			case l.number("first_ms") <= l.number("objective_ms"):
 				f.inTime = true
 				f.cause = "in time"
 			default:
-				note(id, "first output", l.figure("first_ms")-stages[id])
+				updateLongest(id, "first output", l.number("first_ms")-stageTime[id])
 				f.late = true
-				f.cause = "late, longest: " + part[id]
+				f.cause = "late, longest: " + slowestPart[id]
 			}
 			out = append(out, f)
 		}
@@ -100,26 +100,26 @@
 	return out
 }
 
-// figure reads a number of a line, 0 when it has none.
-func (l *logLine) figure(key string) float64 {
+// number returns the number stored under key, or 0 if there is none.
+func (l *logLine) number(key string) float64 {
 	v, _ := l.fields[key].(float64)
 	return v
 }
 
-// account writes what was lost of all that requests were worth, by pipeline and cause. Its shares, what was earned
-// included, sum to the whole.
-func account(w io.Writer, all []outcome, worths map[string]worth) {
+// writeLossReport writes the share of the requests' total value that was lost, by pipeline and cause. The earned share
+// and the lost shares sum to 100 %.
+func writeLossReport(w io.Writer, all []outcome, values map[string]answerValue) {
 	type row struct {
 		outcome
 		count  int
 		earned float64
 		lost   float64
 	}
-	rows, whole := map[outcome]*row{}, 0.0
+	rows, total := map[outcome]*row{}, 0.0
 	for _, f := range all {
-		v, ok := worths[f.pipeline]
+		v, ok := values[f.pipeline]
 		if !ok {
-			v = worth{inTime: 1}
+			v = answerValue{inTime: 1}
 		}
 		r := rows[f]
 		if r == nil {
@@ -127,7 +127,7 @@
 			rows[f] = r
 		}
 		r.count++
-		whole += v.inTime
+		total += v.inTime
 		switch {
 		case f.inTime:
 			r.earned += v.inTime
@@ -150,7 +150,7 @@
 		}
 		return a.pipeline+a.cause < b.pipeline+b.cause
 	})
-	share := func(x float64) float64 { return 100 * x / max(whole, 1e-9) }
+	share := func(x float64) float64 { return 100 * x / max(total, 1e-9) }
 	fmt.Fprintf(w, "requests %d  earned %.2f%% of what they were worth\n", len(all), share(earned))
 	fmt.Fprintln(w, "   lost   count  pipeline      cause")
 	for _, r := range list {
--- a/src/cli/account_test.go
+++ b/src/cli/account_test.go
@@ -15,18 +15,18 @@
 {"time":"2026-12-02T10:00:03Z","msg":"request ended","request":"r5","pipeline":"tag","result":"UNAUTHENTICATED","cause":"the token is not known"}
 `
 
-// What was earned and what was lost sum to what the requests were worth.
-func TestAnAccountSumsToTheWhole(t *testing.T) {
+// Earned and lost shares must sum to the total value of the requests; rejected callers do not count.
+func TestLossReportSharesSumToTotal(t *testing.T) {
 	lines, err := readLog(strings.NewReader(logOfOutcomes), func(*logLine) bool { return true })
 	if err != nil {
 		t.Fatal(err)
 	}
-	worths, err := parseWorths([]string{"draft=4:1", "tag=2"})
+	values, err := parseAnswerValues([]string{"draft=4:1", "tag=2"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	account(&out, outcomes(lines), worths)
+	writeLossReport(&out, outcomes(lines), values)
 	want := `requests 3  earned 50.00% of what they were worth
    lost   count  pipeline      cause
  30.00%       1  draft         late, longest: stage in encode
@@ -37,9 +37,9 @@
 	}
 }
 
-func TestWorthsThatAreNoFiguresAreRefused(t *testing.T) {
+func TestInvalidAnswerValuesAreRejected(t *testing.T) {
 	for _, bad := range []string{"draft", "=4", "draft=x", "draft=4:x", "draft=-1"} {
-		if _, err := parseWorths([]string{bad}); err == nil || !strings.Contains(err.Error(), "worth") {
+		if _, err := parseAnswerValues([]string{bad}); err == nil || !strings.Contains(err.Error(), "worth") {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
--- a/src/cli/plot_test.go
+++ b/src/cli/plot_test.go
@@ -13,7 +13,7 @@
 	"github.com/stilemast/stilemast/src/node"
 )
 
-func TestPlotBurnWritesAPicture(t *testing.T) {
+func TestPlotBurnWritesPNG(t *testing.T) {
 	r := &pb.BurnReply{}
 	for _, level := range []string{"a", "b", "c"} {
 		for _, w := range []time.Duration{time.Minute, time.Hour} {
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestExitCodesOfTheCommandLine(t *testing.T) {
+func TestCommandLineExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	good, bad := filepath.Join(dir, "good.toml"), filepath.Join(dir, "bad.toml")
 	if err := os.WriteFile(bad, []byte("version = 1\nbogus = 2\n"), 0o600); err != nil {
--- a/src/faults/caller_test.go
+++ b/src/faults/caller_test.go
@@ -14,20 +14,21 @@
 	"github.com/stilemast/stilemast/src/standin"
 )
 
-// answer is what a caller got.
+// answer is what a caller received for one request.
 type answer struct {
-	key   string
-	input []byte
-	pipe  string
-	code  code.Code
-	ran   code.Ran
-	data  []byte
-	token string
-	box   core.BoxID
-	cut   bool // the connection to the box broke before the end
-	out   bool // a piece was out of place
+	key       string
+	input     []byte
+	pipeline  string
+	code      code.Code
+	ran       code.Ran
+	data      []byte
+	token     string
+	box       core.BoxID
+	cut       bool // the connection to the box broke before the answer's end
+	misplaced bool // a chunk did not start where the one before ended
 }
 
+// newKey returns a new request key from the fleet's seeded random source.
 func (f *fleet) newKey() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -36,24 +37,25 @@
 	return core.NewKeyID(time.Now(), random).String()
 }
 
-// send is a caller: it connects to a box and reads to the end, or until the box dies.
+// send sends a request to a box and reads the answer to its end, or until the box is killed.
 func (f *fleet) send(name, pipeline, key string, input []byte) answer {
-	return f.read(name, answer{key: key, input: input, pipe: pipeline}, func(ctx context.Context, b *fakeBox, emit box.Emit) error {
+	return f.receive(name, answer{key: key, input: input, pipeline: pipeline}, func(ctx context.Context, b *fakeBox, emit box.Emit) error {
 		return b.Serve(ctx, box.Request{Workspace: "ws", Pipeline: pipeline, Key: key, Input: input}, emit)
 	})
 }
 
-// attach is a caller that comes back with a token.
+// attach resumes an answer at a box with its attach token, from an offset.
 func (f *fleet) attach(name string, a answer, from int) answer {
 	a.data = a.data[:from]
-	return f.read(name, a, func(ctx context.Context, b *fakeBox, emit box.Emit) error {
+	return f.receive(name, a, func(ctx context.Context, b *fakeBox, emit box.Emit) error {
 		return b.Attach(ctx, "ws", a.token, from, emit)
 	})
 }
 
-func (f *fleet) read(name string, a answer, do func(context.Context, *fakeBox, box.Emit) error) answer {
+// receive reads the events of one request at a box into an answer. A box that is not running gives a cut answer.
+func (f *fleet) receive(name string, a answer, do func(context.Context, *fakeBox, box.Emit) error) answer {
 	a.code, a.ran, a.cut = code.OK, 0, false
-	t := f.target(name)
+	t := f.liveBox(name)
 	if t == nil {
 		a.cut = true
 		return a
@@ -61,10 +63,10 @@
 	a.box = t.ID
 	ctx, cancel := context.WithTimeout(t.ctx, 90*time.Second)
 	defer cancel()
-	t.gate()
+	t.waitWhilePaused()
 	ended := false
 	err := do(ctx, t, func(e port.ForwardEvent) error {
-		t.gate()
+		t.waitWhilePaused()
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
@@ -74,13 +76,13 @@
 			f.mu.Lock()
 			f.tokens[a.key] = a.token
 			f.mu.Unlock()
-			f.step("accepted", f.target(e.Accepted.Token.Holder.Name), "", port.CallRequest{Attempt: a.key})
+			f.reached("accepted", f.liveBox(e.Accepted.Token.Holder.Name), "", port.CallRequest{Attempt: a.key})
 		case e.Chunk != nil:
-			a.out = a.out || e.Chunk.Offset != len(a.data)
+			a.misplaced = a.misplaced || e.Chunk.Offset != len(a.data)
 			a.data = append(a.data, e.Chunk.Data...)
 		case e.End != nil:
 			ended = true
-			f.step("delivered", t, "", port.CallRequest{Attempt: a.key})
+			f.reached("delivered", t, "", port.CallRequest{Attempt: a.key})
 			if e.End.Err != nil {
 				a.code, a.ran = e.End.Err.Code, e.End.Err.DidRun()
 			}
@@ -91,13 +93,14 @@
 	return a
 }
 
-// runs counts what the stand-ins ran under a key: for one box if by is set, else for all.
+// runs counts the calls that the backend servers ran for a key, and those of them that may not be repeated:
+// for one box if by is set, else for all.
 func (f *fleet) runs(key string, by core.BoxID) (all, once int) {
 	id := key
 	if k, err := core.ParseKey(key); err == nil {
 		id = k.ID.String()
 	}
-	count := func(l []standin.Ran) {
+	count := func(l []standin.Execution) {
 		for _, r := range l {
 			if strings.HasPrefix(r.Attempt, id+"/") && (by.Name == "" || strings.HasSuffix(r.Attempt, by.String())) {
 				all++
@@ -116,34 +119,34 @@
 	return all, once
 }
 
-// broken says which promise an answer broke, or "".
-func (f *fleet) broken(a answer) string {
+// violation describes the guarantee that an answer violates, or returns "".
+func (f *fleet) violation(a answer) string {
 	by := core.BoxID{}
-	if a.pipe != "receipt" {
-		by = a.box // a repeatable request's answer speaks of its own copy
+	if a.pipeline != "receipt" {
+		by = a.box // each copy of a repeatable request answers for its own calls only
 	}
 	all, once := f.runs(a.key, by)
-	whole := standin.Whole(f.conf.Pipeline(a.pipe), a.input, 0)
+	want := standin.ExpectedOutput(f.config.Pipeline(a.pipeline), a.input, 0)
 	switch {
-	case a.out:
-		return "a piece of the answer was out of place"
+	case a.misplaced:
+		return "a chunk of the answer has a wrong offset"
 	case once > 1:
 		return fmt.Sprintf("a call that may not be repeated ran %d times", once)
 	case a.cut:
 		return ""
-	case a.code == code.OK && !bytes.Equal(a.data, whole):
-		return fmt.Sprintf("the answer is not the request's own: %d bytes, want %d", len(a.data), len(whole))
-	case a.code == code.OK && a.pipe == "receipt" && once != 1:
-		return "answered whole, but the call did not run"
+	case a.code == code.OK && !bytes.Equal(a.data, want):
+		return fmt.Sprintf("the answer differs from the correct one: %d bytes, want %d", len(a.data), len(want))
+	case a.code == code.OK && a.pipeline == "receipt" && once != 1:
+		return "answered in full, but the call did not run"
 	case a.code != code.OK && a.ran == code.RanNo && all > 0:
-		return fmt.Sprintf("%s said \"not run\" and %d calls ran", a.code, all)
+		return fmt.Sprintf("%s says \"not run\", but %d calls ran", a.code, all)
 	case a.code != code.OK && a.ran == code.RanYes && all == 0:
-		return fmt.Sprintf("%s said \"ran\" and nothing ran", a.code)
-	case len(a.data) > 0 && !bytes.HasPrefix(whole, a.data):
-		return "pieces of another answer"
+		return fmt.Sprintf("%s says \"ran\", but no call ran", a.code)
+	case len(a.data) > 0 && !bytes.HasPrefix(want, a.data):
+		return "the partial answer is no prefix of the correct one"
 	}
 	return ""
 }
 
-// noBox asks runs for the calls of all boxes.
-var noBox core.BoxID
+// allBoxes makes runs count the calls of all boxes.
+var allBoxes core.BoxID
--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -19,43 +19,43 @@
 // errSilent ends an attempt whose server stayed silent too long.
 var errSilent = errors.New("the server stayed silent")
 
-// verdict says what to do after an attempt.
-type verdict uint8
+// nextStep is the next step after an attempt.
+type nextStep uint8
 
 const (
-	answered verdict = iota + 1 // the caller has its answer
-	again                       // another server may be asked
-	over                        // the request ends with the error
+	stepDone  nextStep = iota + 1 // the caller has its answer
+	stepRetry                     // try another server
+	stepFail                      // end the request with the error
 )
 
-// repeatable says whether the request may be sent again after it may have run.
-func (v *visit) repeatable() bool {
+// repeatable reports whether the request may be sent again although it may have run.
+func (v *requestRun) repeatable() bool {
 	p := v.pipeline
 	return p.Kind == catalog.Repeatable || p.Kind == catalog.Stream && p.Resumable
 }
 
-// attempt sends the request to one server after another until the caller has its answer. A server that refused the
-// connection was sent nothing, and the next one is tried: on a day on which a fifth of the engines crashed 206 of
-// 14,165 requests met three such servers and ended (counted in the boxes' logs).
-func (v *visit) attempt(ctx context.Context) {
+// runAttempts sends the request to one server after another until the caller has its answer. A server that
+// refused the connection was sent nothing, so the next one is tried. Ending requests after three such servers
+// lost 206 of 14,165 on a day on which a fifth of the engines crashed.
+func (v *requestRun) runAttempts(ctx context.Context) {
 	unsent, began := 0, v.gateway.now()
 	for {
-		what, err, sent := v.once(ctx)
-		if what == answered {
+		what, err, sent := v.attemptOnce(ctx)
+		if what == stepDone {
 			return
 		}
-		if !sent && v.withheld && what != over && ctx.Err() == nil {
-			v.withheld = false
+		if !sent && v.uncounted && what != stepFail && ctx.Err() == nil {
+			v.uncounted = false
 			continue
 		}
 		if !sent {
-			if unsent++; what == over || ctx.Err() != nil || unsent >= maxUnsent && v.gateway.now().Sub(began) > unsentFor {
+			if unsent++; what == stepFail || ctx.Err() != nil || unsent >= maxUnsent && v.gateway.now().Sub(began) > unsentFor {
 				v.fail(ctx, err)
 				return
 			}
 			continue
 		}
-		if what == over || ctx.Err() != nil || v.attempts >= max(1, v.pipeline.Attempts) || !v.takeRetry() {
+		if what == stepFail || ctx.Err() != nil || v.attempts >= max(1, v.pipeline.Attempts) || !v.takeRetry() {
 			v.fail(ctx, err)
 			return
 		}
@@ -68,23 +68,23 @@
 	}
 }
 
-// needsStages says whether results that were given up are needed again.
-func (v *visit) needsStages() bool {
-	if v.made == nil {
+// needsStages reports whether results that were released are needed again.
+func (v *requestRun) needsStages() bool {
+	if v.stageResults == nil {
 		return false
 	}
-	v.made.mu.Lock()
-	defer v.made.mu.Unlock()
+	v.stageResults.mu.Lock()
+	defer v.stageResults.mu.Unlock()
 	for _, i := range v.pipeline.FinalStages() {
-		if v.made.freed[i] {
+		if v.stageResults.freed[i] {
 			return true
 		}
 	}
 	return false
 }
 
-// takeRetry spends one repeat of the budget that all boxes share.
-func (v *visit) takeRetry() bool {
+// takeRetry spends one retry of the budget that all boxes share.
+func (v *requestRun) takeRetry() bool {
 	g := v.gateway
 	now := g.now()
 	boxes := g.fleet.boxes(now)
@@ -93,16 +93,16 @@
 	ok := e.budget.Take(now, boxes)
 	e.mu.Unlock()
 	g.Log.Info("retry", "request", v.request.ID, "pool", v.pool, "allowed", ok, "boxes", boxes, "attempts", v.attempts)
-	if g.Watch.Retried != nil {
-		g.Watch.Retried(v.pool, ok)
+	if g.Observer.Retried != nil {
+		g.Observer.Retried(v.pool, ok)
 	}
 	return ok
 }
 
 // fail ends a request that no server answered.
-func (v *visit) fail(ctx context.Context, err *code.Error) {
+func (v *requestRun) fail(ctx context.Context, err *code.Error) {
 	if v.begun && v.callerLeft(ctx) {
-		v.ended("cancelled", "cause", "the caller left within the stream", "last_event", v.lastEvent)
+		v.ended("cancelled", "cause", "the caller left during the stream", "last_event", v.lastEvent)
 		v.caller.Cut()
 		return
 	}
@@ -123,117 +123,117 @@
 	v.refuse(err)
 }
 
-// once makes one attempt. The last result says whether any byte of the request left this box.
-func (v *visit) once(ctx context.Context) (verdict, *code.Error, bool) {
+// attemptOnce makes one attempt. The last result reports whether any byte of the request left this box.
+func (v *requestRun) attemptOnce(ctx context.Context) (nextStep, *code.Error, bool) {
 	g := v.gateway
 	e := g.pools.get(v.pool)
-	g.awaitAwake(ctx) // before it is worked out what time is left
+	g.awaitConfirmed(ctx) // before the remaining time is computed
 	if err := v.awaitRest(ctx, e); err != nil {
-		return over, err, false
+		return stepFail, err, false
 	}
 	now := g.now()
-	if !now.Before(v.deadline) { // a pause took it, and the timer that ends the request is late by as much
-		return over, code.New(code.DeadlinePassed, "deadline", "no time is left for an attempt").WithRan(v.ran()), false
+	if !now.Before(v.deadline) { // the process was paused, which delays the deadline timer as well
+		return stepFail, code.New(code.DeadlinePassed, "deadline", "no time left for an attempt").WithRan(v.ran()), false
 	}
-	if err := v.mayTry(); err != nil {
-		return over, err, false
+	if err := v.checkContent(); err != nil {
+		return stepFail, err, false
 	}
-	v.wish.Within = v.confinesNow()
+	v.wish.Within = v.currentConfines()
 	e.mu.Lock()
 	s, why, ok := e.picker.Pick(now, &v.wish)
 	source, copied := e.picker.CopySource(now, s.ID, &v.wish)
 	e.mu.Unlock()
 	reserved := v.wish.Only != ""
 	v.wish.Only = ""
-	if !ok && reserved { // the server left while its permit was waited for
-		v.withheld = true
-		return again, v.noServer(e, now), false
+	if !ok && reserved { // the server left while the request waited for its permit
+		v.uncounted = true
+		return stepRetry, v.noServer(e, now), false
 	}
 	if !ok {
-		v.withheld = v.mayWait(e, now)
-		if v.withheld {
-			return again, v.noServer(e, now), false
+		v.uncounted = v.serverExpected(e, now)
+		if v.uncounted {
+			return stepRetry, v.noServer(e, now), false
 		}
-		return over, v.noServer(e, now), false
+		return stepFail, v.noServer(e, now), false
 	}
 	if !v.permitted(ctx, s) {
 		e.mu.Lock()
 		e.picker.Ended(g.now(), s.ID, &v.wish, balance.Dropped)
 		e.mu.Unlock()
-		if v.asked >= permitsAsked {
-			return over, v.noServer(e, g.now()), false
+		if v.permitRequests >= maxPermitRequests {
+			return stepFail, v.noServer(e, g.now()), false
 		}
-		v.withheld = true
-		return again, v.noServer(e, g.now()), false
+		v.uncounted = true
+		return stepRetry, v.noServer(e, g.now()), false
 	}
 	now = g.now()
 	v.wish.Exclude[s.ID] = true
 	if copied {
 		why += ", copies from " + source.ID
 	}
-	handles, _, _ := v.made.final()
+	handles, _, _ := v.stageResults.final()
 	c := &Call{
 		Server: s, Request: v.request, Left: v.deadline.Sub(now), Workspace: v.workspace,
-		Urgency: min(v.priority, priorityHigher), Inputs: handles, Source: source.Address, LastEvent: v.lastEvent, Fresh: !v.repeatable(),
+		Priority: min(v.priority, priorityHigher), Inputs: handles, Source: source.Address, LastEvent: v.lastEvent, NewConnection: !v.repeatable(),
 	}
 	if c.LastEvent == "" {
 		c.LastEvent = v.request.LastEvent
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watch := v.patience(cancel)
+	watch := v.silenceTimer(cancel)
 	defer watch.Stop()
-	c.Start = v.startInside(s, g.startOf(ctx, s, "request "+v.request.ID, v.request.ID, now))
+	c.Start = v.startInBoundary(s, g.startCheck(ctx, s, "request "+v.request.ID, v.request.ID, now))
 	began := g.now()
-	stop := v.giveUpInputs(e, len(handles) > 0)
+	stop := v.releaseInputs(e, len(handles) > 0)
 	defer stop()
 	reply, err := g.Backends.Send(ctx, c)
 	var notSent *exchange.NotSent
 	if errors.As(err, &notSent) {
-		g.words.giveBack(s.ID, v.request.ID)
+		g.signals.giveBack(s.ID, v.request.ID)
 		outcome := balance.Broken
 		switch {
 		case exchange.ConnectionRefused(err):
 			outcome = balance.Absent
 			g.suspects.RecordCrash(lifeOf(s), suspects.Refused)
 		case errors.Is(err, ErrServerRests):
-			outcome, v.withheld, v.turnedAway = balance.Dropped, true, append(v.turnedAway, s.ID)
+			outcome, v.uncounted, v.restingServers = balance.Dropped, true, append(v.restingServers, s.ID)
 		case errors.Is(err, ErrServerLeft), errors.Is(err, errOutside):
 			outcome = balance.Dropped
 		}
-		v.settle(e, s, outcome, began, "not sent: "+notSent.Cause.Error(), why)
-		return again, refusal(code.BackendsDown, "pool", failureReturn, "%s could not be reached", s.ID), false
+		v.recordOutcome(e, s, outcome, began, "not sent: "+notSent.Cause.Error(), why)
+		return stepRetry, refusal(code.BackendsDown, "pool", failureRetryAfter, "%s could not be reached", s.ID), false
 	}
 	v.attempts++
 	if reply != nil {
-		v.said = reply.Said
+		v.signals = reply.Signals
 		sent := began
-		if reply.Moved {
+		if reply.AddressReused {
 			sent = time.Time{}
 		}
-		g.hear(s, reply.Said, "request "+v.request.ID, sent)
+		g.recordSignals(s, reply.Signals, "request "+v.request.ID, sent)
 	}
 	if err != nil {
 		v.maybeRan = true
-		v.broke(ctx, s)
-		v.settle(e, s, v.blame(ctx), began, err.Error(), why)
+		v.recordBreak(ctx, s)
+		v.recordOutcome(e, s, v.breakOutcome(ctx), began, err.Error(), why)
 		return v.afterBreak(), code.New(code.OutcomeUnknown, "", "%s gave no answer: %v", s.ID, err), true
 	}
-	return v.take(ctx, e, s, reply, began, watch, why)
+	return v.handleReply(ctx, e, s, reply, began, watch, why)
 }
 
-// ran says whether anything of the request may have run.
-func (v *visit) ran() code.Ran {
+// ran reports whether any part of the request may have run.
+func (v *requestRun) ran() code.Ran {
 	if v.maybeRan {
 		return code.RanUnknown
 	}
 	return code.RanNo
 }
 
-// mayTry says whether the request may be sent once more, for all that is known of its content. Where servers have ended under
-// it, it is given to the server with the least work, and not repeated from the second end on: of what is at work
-// there as little as can be may be lost with it.
-func (v *visit) mayTry() *code.Error {
+// checkContent checks whether the request may be sent once more, given what is known of its content. A content
+// under which servers ended is sent to the server with the least work, so that as little other work as
+// possible is lost with it, and is not retried from the second end on.
+func (v *requestRun) checkContent() *code.Error {
 	g := v.gateway
 	if err := g.barredAt(v.content, v.pool); err != nil {
 		return err
@@ -246,23 +246,24 @@
 	return nil
 }
 
-// broke tells that the exchange with a server broke, unless the caller ended it.
-func (v *visit) broke(ctx context.Context, s catalog.Server) {
+// recordBreak records that the exchange with a server recordBreak, unless the caller ended it.
+func (v *requestRun) recordBreak(ctx context.Context, s catalog.Server) {
 	if !v.callerLeft(ctx) || errors.Is(context.Cause(ctx), errSilent) {
 		v.gateway.brokeAt(s, v.content.At(v.pool))
 	}
 }
 
-// went tells of a whole answer. Only a success that the server signed shows that it ran the content and lives.
-func (v *visit) went(reply *Reply) {
+// recordSuccess records a complete answer. Only a success signed by the server shows that it ran the content and
+// survived.
+func (v *requestRun) recordSuccess(reply *Reply) {
 	if reply.Signed && isSuccess(reply.Status) {
 		v.gateway.suspects.RecordGood(v.content.At(v.pool))
 	}
 }
 
-// blame says how far a broken exchange speaks against the server: not at all when the caller left, and
-// no more than a failure when the deadline passed, which may be too short for any server.
-func (v *visit) blame(ctx context.Context) balance.Outcome {
+// breakOutcome returns how a broken exchange counts against the server: not at all when the caller left, and only as
+// a failure when the deadline passed, which may be too short for any server.
+func (v *requestRun) breakOutcome(ctx context.Context) balance.Outcome {
 	switch {
 	case errors.Is(context.Cause(ctx), errSilent):
 		return balance.Broken
@@ -274,24 +275,24 @@
 	return balance.Broken
 }
 
-// afterBreak says whether a request that may have run may be sent again.
-func (v *visit) afterBreak() verdict {
+// afterBreak returns whether a request that may have run can be sent again.
+func (v *requestRun) afterBreak() nextStep {
 	if v.repeatable() {
-		return again
+		return stepRetry
 	}
-	return over
+	return stepFail
 }
 
-// patience ends an attempt whose server stays silent, where another server may be asked.
-func (v *visit) patience(cancel context.CancelCauseFunc) *time.Timer {
+// silenceTimer starts a timer that ends an attempt whose server stays silent, if another server may be tried.
+func (v *requestRun) silenceTimer(cancel context.CancelCauseFunc) *time.Timer {
 	limit := v.deadline.Sub(v.gateway.now()) + time.Hour
 	p := v.pipeline
 	if v.attempts+1 < p.Attempts {
 		switch {
 		case p.Kind == catalog.Repeatable:
-			limit = max(leastAttempt, time.Duration(hedgeShare*float64(p.Objective)))
+			limit = max(minAttemptTime, time.Duration(hedgeShare*float64(p.Objective)))
 		case p.Kind == catalog.Stream && p.Resumable:
-			limit = max(silentFloor, time.Duration(silentFactor*float64(v.gateway.estimates.get(p.Name))))
+			limit = max(minSilence, time.Duration(silentFactor*float64(v.gateway.estimates.get(p.Name))))
 		}
 	}
 	return time.AfterFunc(limit, func() {
@@ -301,9 +302,9 @@
 	})
 }
 
-// retryLeft says whether the request could be sent again; where it could not, a silent server is
-// better than none.
-func (v *visit) retryLeft() bool {
+// retryLeft reports whether the retry budget allows another attempt; otherwise a silent server is better than
+// none.
+func (v *requestRun) retryLeft() bool {
 	g := v.gateway
 	now := g.now()
 	boxes := g.fleet.boxes(now)
@@ -313,37 +314,37 @@
 	return e.budget.Remaining(now, boxes) > 0
 }
 
-// take judges the head of an answer and passes the answer on.
-func (v *visit) take(ctx context.Context, e *pool, s catalog.Server, reply *Reply, began time.Time, watch *time.Timer, why string) (verdict, *code.Error, bool) {
+// handleReply handles the head of an answer and passes the answer on.
+func (v *requestRun) handleReply(ctx context.Context, e *pool, s catalog.Server, reply *Reply, began time.Time, watch *time.Timer, why string) (nextStep, *code.Error, bool) {
 	g := v.gateway
 	switch {
-	case reply.Missing:
+	case reply.InputGone:
 		reply.Close(false)
-		v.settle(e, s, balance.Dropped, began, "an input is gone", why)
+		v.recordOutcome(e, s, balance.Dropped, began, "an input is gone", why)
 		e.inputGone()
-		v.made.freeAll()
+		v.stageResults.freeAll()
 		delete(v.wish.Exclude, s.ID)
-		if v.remade {
-			return over, refusal(code.BackendFailed, "stages", failureReturn, "results of stages were gone twice"), true
+		if v.resultsRemade {
+			return stepFail, refusal(code.BackendFailed, "stages", failureRetryAfter, "stage results were gone twice"), true
 		}
-		v.remade = true
+		v.resultsRemade = true
 		v.attempts--
-		return again, refusal(code.BackendFailed, "stages", failureReturn, "results of stages were gone"), true
-	case reply.Moved: // it was sent to a server all the same: the operator's limit of servers counts it
+		return stepRetry, refusal(code.BackendFailed, "stages", failureRetryAfter, "stage results were gone"), true
+	case reply.AddressReused: // a server got the request, so it counts towards the operator's limit of attempts
 		reply.Close(false)
-		v.settle(e, s, balance.Replaced, began, "another server has the address", why)
-		return again, refusal(code.BackendsDown, "pool", failureReturn, "%s is gone", s.ID), true
+		v.recordOutcome(e, s, balance.Replaced, began, "another server has the address", why)
+		return stepRetry, refusal(code.BackendsDown, "pool", failureRetryAfter, "%s is gone", s.ID), true
 	case reply.NotRun:
 		reply.Close(false)
-		outcome, after := balance.Full, failureReturn
-		if reply.Said.Rest > 0 {
-			outcome, after, v.turnedAway = balance.AsksRest, elsewhereAfter, append(v.turnedAway, s.ID)
+		outcome, after := balance.Full, failureRetryAfter
+		if reply.Signals.Rest > 0 {
+			outcome, after, v.restingServers = balance.AsksRest, otherBoxRetryAfter, append(v.restingServers, s.ID)
 		}
-		v.settle(e, s, outcome, began, http.StatusText(reply.Status)+", not run", why)
+		v.recordOutcome(e, s, outcome, began, http.StatusText(reply.Status)+", not run", why)
 		if _, resting := v.restEnds(e, g.now()); resting {
-			return again, v.noServer(e, g.now()), true
+			return stepRetry, v.noServer(e, g.now()), true
 		}
-		return again, refusal(code.QueueFull, "pool", after, "%s did not take the request: status %d", s.ID, reply.Status), true
+		return stepRetry, refusal(code.QueueFull, "pool", after, "%s did not take the request: status %d", s.ID, reply.Status), true
 	}
 	v.maybeRan = true
 	if reply.Events && isSuccess(reply.Status) {
@@ -352,38 +353,38 @@
 	body, err := readWhole(reply)
 	if err != nil {
 		reply.Close(false)
-		v.broke(ctx, s)
-		v.settle(e, s, v.blame(ctx), began, "answer broke off: "+err.Error(), why)
-		return v.afterBreak(), code.New(code.OutcomeUnknown, "", "the answer of %s broke off: %v", s.ID, err), true
+		v.recordBreak(ctx, s)
+		v.recordOutcome(e, s, v.breakOutcome(ctx), began, "answer interrupted: "+err.Error(), why)
+		return v.afterBreak(), code.New(code.OutcomeUnknown, "", "the answer of %s was interrupted: %v", s.ID, err), true
 	}
 	reply.Close(true)
 	if reply.Status >= http.StatusInternalServerError && v.repeatable() && v.attempts < v.pipeline.Attempts && !v.begun && v.takeRetry() {
-		v.settle(e, s, balance.Failed, began, "status "+http.StatusText(reply.Status), why)
+		v.recordOutcome(e, s, balance.Failed, began, "status "+http.StatusText(reply.Status), why)
 		if v.needsStages() {
 			if e := v.makeStages(ctx); e != nil {
-				return over, e, true
+				return stepFail, e, true
 			}
 		}
-		what, err, sent := v.once(ctx)
+		what, err, sent := v.attemptOnce(ctx)
 		return what, err, sent
 	}
 	if v.begun {
-		v.settle(e, s, balance.Failed, began, "status "+http.StatusText(reply.Status), why)
-		return over, code.New(code.AnswerInterrupted, "", "the stream could not go on: status %d", reply.Status), true
+		v.recordOutcome(e, s, balance.Failed, began, "status "+http.StatusText(reply.Status), why)
+		return stepFail, code.New(code.AnswerInterrupted, "", "the stream could not be resumed: status %d", reply.Status), true
 	}
 	outcome := balance.Good
 	if reply.Status >= http.StatusInternalServerError {
 		outcome = balance.Failed
 	}
-	v.settle(e, s, outcome, began, "status "+http.StatusText(reply.Status), why)
-	v.went(reply)
+	v.recordOutcome(e, s, outcome, began, "status "+http.StatusText(reply.Status), why)
+	v.recordSuccess(reply)
 	v.firstOut = v.gateway.now()
 	v.ended("answered", "status", reply.Status, "server", s.ID, "bytes", len(body))
 	v.caller.Whole(reply.Status, reply.Header, body)
-	return answered, nil, true
+	return stepDone, nil, true
 }
 
-// readWhole reads the body of an answer that is no stream.
+// readWhole reads the body of a non-streaming answer.
 func readWhole(r *Reply) ([]byte, error) {
 	var body []byte
 	buf := make([]byte, 8<<10)
@@ -402,17 +403,17 @@
 	}
 }
 
-// settle tells the pool how an exchange ended.
-func (v *visit) settle(e *pool, s catalog.Server, o balance.Outcome, began time.Time, detail, why string) {
+// recordOutcome records in the pool how an exchange ended.
+func (v *requestRun) recordOutcome(e *pool, s catalog.Server, o balance.Outcome, began time.Time, detail, why string) {
 	g := v.gateway
 	now := g.now()
 	e.mu.Lock()
 	rests := e.picker.Current(s) && e.picker.Ended(now, s.ID, &v.wish, o)
 	e.mu.Unlock()
 	took := now.Sub(began)
-	g.Log.Info("exchange", "request", v.request.ID, "pool", e.name, "content", v.content.String(), "server", s.ID, "incarnation", s.Incarnation, "domain", s.Domain, "outcome", o.String(), "took_ms", took.Milliseconds(), "detail", detail, "chosen", why, "rests", rests, "says_leaving", v.said.Leaving, "asks_rest_ms", v.said.Rest.Milliseconds(), "names_limit", v.said.Limit)
-	v.said = pushback.Signals{}
-	if g.Watch.Exchanged != nil {
-		g.Watch.Exchanged(e.name, o.String(), took)
+	g.Log.Info("exchange", "request", v.request.ID, "pool", e.name, "content", v.content.String(), "server", s.ID, "incarnation", s.Incarnation, "domain", s.Domain, "outcome", o.String(), "took_ms", took.Milliseconds(), "detail", detail, "chosen", why, "rests", rests, "says_leaving", v.signals.Leaving, "asks_rest_ms", v.signals.Rest.Milliseconds(), "names_limit", v.signals.Limit)
+	v.signals = pushback.Signals{}
+	if g.Observer.Exchanged != nil {
+		g.Observer.Exchanged(e.name, o.String(), took)
 	}
 }
--- a/src/gateway/bench_test.go
+++ b/src/gateway/bench_test.go
@@ -27,11 +27,11 @@
 		}},
 	}
 	g.Init()
-	g.takeCatalog(testCatalog(1), nil, 1, time.Now(), "bench")
+	g.applyCatalog(testCatalog(1), nil, 1, time.Now(), "bench")
 	b.Helper()
-	g.takeServers(benchServers(servers, 0), 2, time.Now(), "bench")
+	g.applyServers(benchServers(servers, 0), 2, time.Now(), "bench")
 	for i := range boxes {
-		g.TakeBeat(core.Beat{From: core.Rumour{ID: core.BoxID{Name: fmt.Sprint("box", i), Incarnation: 1}, Address: fmt.Sprint("h", i, ":1"), State: core.MemberAlive}, News: true})
+		g.HandleBeat(core.Beat{From: core.Rumour{ID: core.BoxID{Name: fmt.Sprint("box", i), Incarnation: 1}, Address: fmt.Sprint("h", i, ":1"), State: core.MemberAlive}, News: true})
 	}
 	return g
 }
@@ -57,7 +57,7 @@
 			for i := 0; b.Loop(); i++ {
 				l := g.published.list
 				d := catalog.Difference{Put: []catalog.Server{{ID: "i-00000007", Pool: "model", Address: "10.0.0.7:80", Domain: "d3", Slots: 65 + i%2}}}
-				g.takeDifference(&port.Published{AsOf: uint64(10 + i), Base: l.Digest(), Digest: l.DigestAfter(d), Since: &d}, "bench")
+				g.applyDifference(&port.Published{AsOf: uint64(10 + i), Base: l.Digest(), Digest: l.DigestAfter(d), Since: &d}, "bench")
 			}
 		})
 	}
@@ -74,7 +74,7 @@
 			}
 			for i := 0; b.Loop(); i++ {
 				beat.Seq = uint64(i)
-				g.TakeBeat(beat)
+				g.HandleBeat(beat)
 			}
 		})
 	}
@@ -103,7 +103,7 @@
 		b.Run(fmt.Sprint(n/2), func(b *testing.B) {
 			g := benchGateway(b, n, n/2)
 			for b.Loop() {
-				g.fleet.roster.forget()
+				g.fleet.roster.invalidate()
 				g.schedulerOf("encode", nil)
 			}
 		})
@@ -117,7 +117,7 @@
 		b.Run(fmt.Sprint(limited, " of 600"), func(b *testing.B) {
 			g := benchGateway(b, 600, 0)
 			for i := range limited {
-				g.hear(catalog.Server{ID: fmt.Sprintf("i-%08x", i), Pool: "model"}, pushback.Signals{Limit: 4}, "bench", g.now())
+				g.recordSignals(catalog.Server{ID: fmt.Sprintf("i-%08x", i), Pool: "model"}, pushback.Signals{Limit: 4}, "bench", g.now())
 			}
 			e := g.pools.get("model")
 			for b.Loop() {
--- a/src/gateway/costs_test.go
+++ b/src/gateway/costs_test.go
@@ -49,7 +49,7 @@
 			return func(i int) {
 				l := g.published.list
 				d := &catalog.Difference{Put: []catalog.Server{changed(i)}}
-				g.takeDifference(&port.Published{AsOf: uint64(100 + i), Base: l.Digest(), Digest: l.DigestAfter(*d), Since: d}, "peer")
+				g.applyDifference(&port.Published{AsOf: uint64(100 + i), Base: l.Digest(), Digest: l.DigestAfter(*d), Since: d}, "peer")
 			}
 		},
 		"difference to an earlier list received": func(g *Gateway) func(int) {
@@ -57,11 +57,11 @@
 				base := g.published.list.Digest()
 				for k, id := range []string{"i-00000008", "i-00000009"} {
 					d := catalog.Difference{Put: []catalog.Server{{ID: id, Pool: "model", Domain: "d0", Slots: 64 + i}}}
-					g.takeDifference(&port.Published{AsOf: uint64(100 + 4*i + k), Base: g.published.list.Digest(), Digest: g.published.list.DigestAfter(d), Since: &d}, "peer")
+					g.applyDifference(&port.Published{AsOf: uint64(100 + 4*i + k), Base: g.published.list.Digest(), Digest: g.published.list.DigestAfter(d), Since: &d}, "peer")
 				}
 				d := catalog.Difference{Put: []catalog.Server{changed(i)}}
 				after, _ := g.published.list.Rebase(base, d)
-				g.takeDifference(&port.Published{AsOf: uint64(100 + 4*i + 3), Base: base, Digest: g.published.list.DigestAfter(after), Since: &d}, "peer")
+				g.applyDifference(&port.Published{AsOf: uint64(100 + 4*i + 3), Base: base, Digest: g.published.list.DigestAfter(after), Since: &d}, "peer")
 			}
 		},
 		"read from the store": func(g *Gateway) func(int) {
@@ -70,15 +70,15 @@
 			l.Changes()
 			return func(i int) {
 				l.Put(changed(i))
-				g.takeListing(l, catalog.State(100+i), time.Now())
+				g.applyListing(l, catalog.State(100+i), time.Now())
 			}
 		},
 		"difference passed on": func(g *Gateway) func(int) {
 			return func(i int) {
-				q := g.published.question(port.DocumentServers)
+				q := g.published.pullRequest(port.DocumentServers)
 				d := catalog.Difference{Put: []catalog.Server{changed(i)}}
-				g.takeDifference(&port.Published{AsOf: uint64(100 + i), Base: g.published.list.Digest(), Digest: g.published.list.DigestAfter(d), Since: &d}, "peer")
-				if given := g.give(q); given.Since == nil || len(given.Since.Put) != 1 {
+				g.applyDifference(&port.Published{AsOf: uint64(100 + i), Base: g.published.list.Digest(), Digest: g.published.list.DigestAfter(d), Since: &d}, "peer")
+				if given := g.answerPull(q); given.Since == nil || len(given.Since.Put) != 1 {
 					t.Errorf("passed on as %+v", given)
 				}
 			}
@@ -106,7 +106,7 @@
 	g := benchGateway(t, manyServers, 0)
 	for i := range 2 * manyChanges {
 		d := catalog.Difference{Put: []catalog.Server{{ID: fmt.Sprintf("i-%08x", i), Pool: "model", Domain: "d0", Slots: 65}}}
-		g.takeDifference(&port.Published{AsOf: uint64(100 + i), Base: g.published.list.Digest(), Digest: g.published.list.DigestAfter(d), Since: &d}, "peer")
+		g.applyDifference(&port.Published{AsOf: uint64(100 + i), Base: g.published.list.Digest(), Digest: g.published.list.DigestAfter(d), Since: &d}, "peer")
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -131,7 +131,7 @@
 		g := f.box("box7")
 		rebuilds := func(watch time.Duration) (times int) {
 			var last time.Time
-			for began := time.Now(); time.Since(began) < watch; time.Sleep(rosterLife / 4) {
+			for began := time.Now(); time.Since(began) < watch; time.Sleep(minRosterValidity / 4) {
 				g.fleet.mu.Lock()
 				at := g.fleet.roster.madeAt
 				g.fleet.mu.Unlock()
@@ -141,16 +141,16 @@
 			}
 			return times
 		}
-		if n, most := rebuilds(time.Minute), 1+int(time.Minute/mostRosterLife); n > most {
+		if n, most := rebuilds(time.Minute), 1+int(time.Minute/maxRosterValidity); n > most {
 			t.Errorf("the roster was rebuilt %d times in a minute without a change, want at most %d", n, most)
 		}
 		f.kill("box20")
-		for began := time.Now(); slices.Contains(g.fleet.usable(), "box20"); time.Sleep(rosterLife / 4) {
+		for began := time.Now(); slices.Contains(g.fleet.usable(), "box20"); time.Sleep(minRosterValidity / 4) {
 			if time.Since(began) > 10*time.Second {
 				t.Fatal("a killed box still counts as usable")
 			}
 		}
-		time.Sleep(2 * rosterLife)
+		time.Sleep(2 * minRosterValidity)
 		g.fleet.mu.Lock()
 		held := slices.Contains(g.fleet.eligible(g.now()), "box20")
 		g.fleet.mu.Unlock()
--- a/src/gateway/owner.go
+++ b/src/gateway/jobs.go
@@ -10,21 +10,21 @@
 	"github.com/stilemast/stilemast/src/core"
 )
 
-// waiting holds the jobs of this box that schedulers work on.
-type waiting struct {
+// ownedJobs holds this box's jobs that schedulers work on.
+type ownedJobs struct {
 	gateway *Gateway
 	mu      sync.Mutex
 	next    uint64
 	jobs    map[uint64]chan batch.Message
 }
 
-func (w *waiting) init(g *Gateway) {
+func (w *ownedJobs) init(g *Gateway) {
 	w.gateway = g
 	w.jobs = map[uint64]chan batch.Message{}
 }
 
-// open makes an id and the channel on which answers come.
-func (w *waiting) open() (batch.JobID, chan batch.Message) {
+// open creates a job id and the channel for its answers.
+func (w *ownedJobs) open() (batch.JobID, chan batch.Message) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.next++
@@ -34,14 +34,14 @@
 	return batch.JobID{Box: id.Name, Life: id.Incarnation, N: w.next}, c
 }
 
-func (w *waiting) close(id batch.JobID) {
+func (w *ownedJobs) close(id batch.JobID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.jobs, id.N)
 }
 
-// take gives an answer to whoever waits for it.
-func (w *waiting) take(m batch.Message) {
+// take delivers an answer to the job that waits for it.
+func (w *ownedJobs) take(m batch.Message) {
 	id := batch.JobID{}
 	switch {
 	case m.Accept != nil:
@@ -68,8 +68,8 @@
 	}
 }
 
-// lost tells the jobs that wait for a scheduler that it is not there any more.
-func (w *waiting) lost(box string) {
+// failJobsAt notifies the jobs that wait for a scheduler that it is gone.
+func (w *ownedJobs) failJobsAt(box string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for n, c := range w.jobs {
@@ -81,22 +81,22 @@
 	}
 }
 
-// TakeRefusal takes the word that an address of a box refuses connections: its process has ended. What
-// waits there goes elsewhere at once; the box counts again when it is heard of.
-func (g *Gateway) TakeRefusal(address string) {
+// HandleRefusal handles a refused connection to a box's address: its process has ended. Jobs
+// that wait there are moved at once; the box is used again when it is next heard of.
+func (g *Gateway) HandleRefusal(address string) {
 	box := g.fleet.boxAt(address)
-	if box == "" || !g.fleet.refused(g.now(), box) {
+	if box == "" || !g.fleet.avoidEnded(g.now(), box) {
 		return
 	}
 	g.Log.Warn("box refuses connections", "box_address", address, "peer", box)
-	g.waiting.lost(box)
+	g.ownedJobs.failJobsAt(box)
 }
 
-// tell sends a message on jobs to a box, this one included.
-func (g *Gateway) tell(box string, m batch.Message) {
+// sendBatch sends a message on jobs to a box, which may be this one.
+func (g *Gateway) sendBatch(box string, m batch.Message) {
 	m.From, m.Address = g.ID.Name, g.Settings.Address
 	if box == g.ID.Name {
-		g.desk.take(m)
+		g.schedulers.take(m)
 		return
 	}
 	if a := g.fleet.addressOf(box); a != "" {
@@ -104,11 +104,11 @@
 	}
 }
 
-// runJob has a job done by its pool's scheduler and gives its end. When a scheduler stays silent the
+// runJob has a job done by its pool's scheduler and returns its result. When a scheduler stays silent, the
 // next box is asked; a piece may then be made twice. reading is called when every piece is in a call.
 func (g *Gateway) runJob(ctx context.Context, j *batch.Job, reading func()) (*batch.Done, batch.Reason) {
-	id, answers := g.waiting.open()
-	defer g.waiting.close(id)
+	id, answers := g.ownedJobs.open()
+	defer g.ownedJobs.close(id)
 	j.ID = id
 	avoid := map[string]bool{}
 	g.awaitFormed(ctx)
@@ -120,7 +120,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			g.tell(box, batch.Message{Withdraw: &batch.Withdraw{ID: id, Pool: j.Pool}})
+			g.sendBatch(box, batch.Message{Withdraw: &batch.Withdraw{ID: id, Pool: j.Pool}})
 			return nil, batch.Withdrawn
 		case m := <-answers:
 			switch {
@@ -128,14 +128,14 @@
 				return m.Done, 0
 			case m.Failed != nil && m.Failed.Reason == batch.NoPool && box != g.ID.Name:
 				avoid[box] = true
-				box, accepted, silent = g.another(j, box, avoid, poolUnknown), false, 0
+				box, accepted, silent = g.reassign(j, box, avoid, poolUnknown), false, 0
 				timer.Reset(ackPatience)
 			case m.Failed != nil && m.Failed.Reason == batch.Moved:
-				// A box that did not answer is not asked again: the one that names it takes a job that
-				// comes back.
+				// A box that did not answer is not asked again: the box that redirected to it accepts the
+				// job when it is sent again.
 				if to := m.Failed.To; !avoid[to] && g.fleet.mayAsk(g.now(), to) {
 					box = to
-					g.fleet.moved(g.now(), j.Pool, to)
+					g.fleet.recordRedirect(g.now(), j.Pool, to)
 				}
 				accepted, silent = false, 0
 				g.submit(box, j, "")
@@ -143,7 +143,7 @@
 			case m.Failed != nil && m.Failed.Reason == batch.Unreachable:
 				if m.From == box {
 					avoid[box] = true
-					box, accepted, silent = g.another(j, box, avoid, silentScheduler), false, 0
+					box, accepted, silent = g.reassign(j, box, avoid, silentScheduler), false, 0
 					timer.Reset(ackPatience)
 				}
 			case m.Failed != nil:
@@ -158,9 +158,9 @@
 		case <-timer.C:
 			silent++
 			lost := g.fleet.stateOf(box) == core.MemberDead && box != g.ID.Name
-			if !accepted || silent > silentAsks || lost {
+			if !accepted || silent > maxSilentAsks || lost {
 				avoid[box] = true
-				box, accepted, silent = g.another(j, box, avoid, silentScheduler), false, 0
+				box, accepted, silent = g.reassign(j, box, avoid, silentScheduler), false, 0
 				timer.Reset(ackPatience)
 				continue
 			}
@@ -170,17 +170,17 @@
 	}
 }
 
-// Causes for which a job goes to another scheduler.
+// Causes for moving a job to another scheduler.
 const (
 	silentScheduler = "silent"
 	poolUnknown     = "no_pool"
 )
 
-// another moves a job from a scheduler that does not answer to the next.
-func (g *Gateway) another(j *batch.Job, from string, avoid map[string]bool, why string) string {
-	g.tell(from, batch.Message{Withdraw: &batch.Withdraw{ID: j.ID, Pool: j.Pool}})
+// reassign moves a job from a scheduler that does not answer to the next one.
+func (g *Gateway) reassign(j *batch.Job, from string, avoid map[string]bool, why string) string {
+	g.sendBatch(from, batch.Message{Withdraw: &batch.Withdraw{ID: j.ID, Pool: j.Pool}})
 	if why == silentScheduler {
-		g.fleet.shun(g.now(), from)
+		g.fleet.avoidScheduler(g.now(), from)
 	}
 	box := g.schedulerOf(j.Pool, avoid)
 	g.Log.Warn("scheduler changed", "request", j.Request, "pool", j.Pool, "from", from, "to", box, "cause", why)
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -12,23 +12,23 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// published holds the two documents of the platform.
+// published holds the two documents of the platform: the configuration and the list of servers.
 type published struct {
 	gateway *Gateway
 
-	applying sync.Mutex // held while pools and schedulers are given their servers, so that the newest change wins
+	applying sync.Mutex // held while pools and schedulers get their servers, so that the newest change wins
 
 	mu       sync.Mutex
 	catalogs *catalog.Feed
 	lists    *catalog.Feed
 	held     *catalog.Catalog
-	list     *catalog.List    // of servers, as the platform has it
-	registry catalog.Registry // what this box believes of them
+	list     *catalog.List    // of servers, as published
+	registry catalog.Registry // this box's view of the servers
 	closures catalog.Evacuations
 	eras     eras
-	known    bool // a list of servers was seen
-	given    given
-	taking   taking
+	known    bool // a list of servers has been received
+	source   catalogSource
+	partial  partialDocument
 }
 
 func (p *published) init(g *Gateway) {
@@ -40,7 +40,7 @@
 		f.First = len(g.Settings.Seeds) == 0 || slices.Contains(g.Settings.Seeds, g.Settings.Address)
 	}
 	p.list = catalog.NewList()
-	p.given.init(g)
+	p.source.init(g)
 }
 
 func (p *published) hasServers() bool {
@@ -49,7 +49,7 @@
 	return p.known
 }
 
-// confirmedAt is when both documents were last known to be the newest.
+// confirmedAt returns when both documents were last known to be the newest.
 func (p *published) confirmedAt() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -60,7 +60,7 @@
 	return b
 }
 
-// catalogBehind is for how long this box has known of a newer configuration than it holds.
+// catalogBehind returns for how long a newer configuration than the held one has been known.
 func (p *published) catalogBehind(now time.Time) time.Duration {
 	since, _, _ := p.behind(port.DocumentConfig)
 	if since.IsZero() {
@@ -69,32 +69,32 @@
 	return now.Sub(since)
 }
 
-// catalogAge is how long ago the catalog was last known to be the newest.
+// catalogAge returns the time since the catalog was last known to be the newest.
 func (p *published) catalogAge(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return now.Sub(p.catalogs.Confirmed())
 }
 
-// say fills the statements of a heartbeat.
-func (p *published) say(now time.Time, b *core.Beat) {
+// fillStatements fills the statements on documents in a heartbeat.
+func (p *published) fillStatements(now time.Time, b *core.Beat) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b.Config, b.List = p.catalogs.Statement(now), p.lists.Statement(now)
-	p.tellEra(now, b)
+	p.fillEra(now, b)
 }
 
-// hear takes the statements of a heartbeat. It says whether something newer is known than is held.
-func (p *published) hear(b core.Beat, askedAt time.Time) (behind bool) {
+// mergeStatements merges the statements of a heartbeat and reports whether a newer document than a held one is known.
+func (p *published) mergeStatements(b core.Beat, askedAt time.Time) (behind bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now, held := p.gateway.now(), p.heldRevision(port.DocumentServers)
-	p.hearEra(&b)
+	p.decodeRevisions(&b)
 	p.catalogs.HandleStatement(now, b.From.ID.Name, b.Config, askedAt)
 	p.lists.HandleStatement(now, b.From.ID.Name, b.List, askedAt)
 	p.confirmList(now)
 	revision := p.heldRevision(port.DocumentServers)
-	p.gateway.noteRise(p.takeEra(revision.Era()), held, revision, b.From.ID.Name)
+	p.gateway.reportRestore(p.advanceEra(revision.Era()), held, revision, b.From.ID.Name)
 	if b.Settled {
 		p.registry.Settle(now, catalog.ListRevision(catalog.State(b.List.Version)).Era())
 	}
@@ -106,15 +106,15 @@
 	return !config.IsZero() || !list.IsZero()
 }
 
-// empty says whether this box has neither document yet, or lacks one.
+// empty reports whether this box lacks one of the documents.
 func (p *published) empty() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.catalogs.AsOf() == 0 || p.lists.AsOf() == 0
 }
 
-// woke notes that this process stood still since a time.
-func (p *published) woke(now, since time.Time) {
+// resumed records that this process was paused since a time.
+func (p *published) resumed(now, since time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.catalogs.NotePause(now, since)
@@ -129,31 +129,31 @@
 	p.lists.Forget(box)
 }
 
-// sayCatalog is what this box says of the catalog that it holds.
-func (p *published) sayCatalog(now time.Time) core.Statement {
+// catalogStatement returns this box's statement on the catalog that it holds.
+func (p *published) catalogStatement(now time.Time) core.Statement {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.catalogs.Statement(now)
 }
 
-// heldCatalog is the configuration in force, nil for none.
+// heldCatalog returns the configuration in force, nil for none.
 func (p *published) heldCatalog() *catalog.Catalog {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.held
 }
 
-// listAge is how long ago the list of servers was last known to be the newest.
+// listAge returns the time since the list of servers was last known to be the newest.
 func (p *published) listAge(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return now.Sub(p.lists.Confirmed())
 }
 
-// takeCatalog puts a catalog in force unless it is older than the one that is. readAt is zero when
-// it came from a peer; raw is its encoded form, nil when that is not known. Of what the store shows below the version in force,
-// which it lost, the evacuations are taken.
-func (g *Gateway) takeCatalog(c *catalog.Catalog, raw []byte, asOf catalog.State, readAt time.Time, from string) {
+// applyCatalog puts a catalog in force unless it is older than the current one. readAt is zero if it came from
+// a peer; raw is its encoded form, nil if unknown. If the store returns a version below the one in force,
+// which it lost, only the evacuations are applied.
+func (g *Gateway) applyCatalog(c *catalog.Catalog, raw []byte, asOf catalog.State, readAt time.Time, from string) {
 	p := &g.published
 	if raw == nil && (p.heldCatalog() == nil || c.Version > p.heldCatalog().Version) {
 		raw = g.encode(c)
@@ -177,12 +177,12 @@
 	} else {
 		changed = p.catalogs.ApplyRead(readAt, asOf, digest, c.Version)
 	}
-	rise := p.takeEra(revision.Era())
+	rise := p.advanceEra(revision.Era())
 	if !changed {
 		p.mu.Unlock()
-		g.noteRise(rise, heldRevision, revision, from)
+		g.reportRestore(rise, heldRevision, revision, from)
 		if !readAt.IsZero() && digest != held.Digest {
-			g.logPassedOver(port.DocumentConfig, revision, heldRevision, digest, held.Digest)
+			g.logIgnoredState(port.DocumentConfig, revision, heldRevision, digest, held.Digest)
 		}
 		return
 	}
@@ -192,21 +192,22 @@
 	p.held = c
 	evacuations := p.closures.ApplyConfig(now, c.Evacuated, revision, heldRevision.Era())
 	kept := p.closures.Unlisted()
-	p.given.hold(digest, raw)
+	p.source.setCurrent(digest, raw)
 	g.index.Store(catalog.NewIndex(c))
 	p.mu.Unlock()
-	g.noteRise(rise, heldRevision, revision, from)
+	g.reportRestore(rise, heldRevision, revision, from)
 	g.Log.Info("configuration in force", "version", c.Version, "revision", revision, "from", from, "pipelines", len(c.Pipelines), "workspaces", len(c.Workspaces), "evacuated", c.Evacuated, "kept_evacuated", kept, "held_version", versionOf(before), "behind_ms", milliseconds(g.now(), behindSince))
 	g.logChanges(c.Version, catalog.ChangesOf(before, c))
 	if before == nil || evacuations {
 		g.applyAll()
 	} else {
-		g.desk.takeLimits()
+		g.schedulers.takeLimits()
 	}
 	g.announce()
 }
 
-// encode gives a catalog as it goes between boxes, nil when that can't be: then this box hands nothing on.
+// encode returns a catalog in the encoding used between boxes, nil if that fails; this box then sends it to
+// nobody.
 func (g *Gateway) encode(c *catalog.Catalog) []byte {
 	out := *c
 	out.Bounded = true
@@ -218,7 +219,7 @@
 	return raw
 }
 
-// versionOf is a catalog's version, 0 for none.
+// versionOf returns a catalog's version, 0 for none.
 func versionOf(c *catalog.Catalog) uint64 {
 	if c == nil {
 		return 0
@@ -226,7 +227,7 @@
 	return c.Version
 }
 
-// logChanges says what a version changes; lists of names are shortened.
+// logChanges logs what a version changes, with shortened lists of names.
 func (g *Gateway) logChanges(version uint64, c catalog.Changes) {
 	line := []any{"version", version}
 	for _, f := range []struct {
@@ -237,7 +238,7 @@
 		{"pools_changed", c.PoolsChanged}, {"tokens_added_of", c.TokensAdded}, {"tokens_removed_of", c.TokensRemoved},
 	} {
 		if len(f.list) > 0 {
-			line = append(line, f.name, len(f.list), f.name+"_names", firstOf(f.list))
+			line = append(line, f.name, len(f.list), f.name+"_names", firstNames(f.list))
 		}
 	}
 	g.Log.Info("configuration changes", line...)
--- a/src/gateway/published_test.go
+++ b/src/gateway/published_test.go
@@ -49,18 +49,18 @@
 		f := newTestFleet(t, 1)
 		time.Sleep(2 * time.Second)
 		g := f.box("box0")
-		held := g.published.question(port.DocumentServers)
+		held := g.published.pullRequest(port.DocumentServers)
 		f.addServers(3)
 		time.Sleep(time.Second)
-		d := g.TakeQuestion(t.Context(), port.Question{Publish: held}).Publish
+		d := g.HandleQuestion(t.Context(), port.Question{Publish: held}).Publish
 		if d.Since == nil || len(d.Since.Put) != 3 || len(d.Servers) != 0 {
 			t.Errorf("got %+v, want the three new servers", d)
 		}
 		other := &port.PullPublished{Document: port.DocumentServers, Held: append([]string{"unknown"}, held.Held...)}
-		if d = g.TakeQuestion(t.Context(), port.Question{Publish: other}).Publish; d.Since == nil || d.Base != held.Held[0] {
+		if d = g.HandleQuestion(t.Context(), port.Question{Publish: other}).Publish; d.Since == nil || d.Base != held.Held[0] {
 			t.Errorf("got %+v, want the difference to the earlier list that both know", d)
 		}
-		d = g.TakeQuestion(t.Context(), port.Question{Publish: &port.PullPublished{Document: port.DocumentServers, Held: []string{"unknown"}}}).Publish
+		d = g.HandleQuestion(t.Context(), port.Question{Publish: &port.PullPublished{Document: port.DocumentServers, Held: []string{"unknown"}}}).Publish
 		if d.Since != nil || len(d.Servers) != len(f.servers) {
 			t.Errorf("a box with an unknown list got %+v, want the whole list", d)
 		}
@@ -75,7 +75,7 @@
 		g := f.box("box0")
 		before := g.published.list.Digest()
 		for _, base := range []string{before, "unknown"} {
-			g.takeDifference(&port.Published{AsOf: 99, Digest: "other", Base: base, Since: &catalog.Difference{Gone: []string{"model0"}}}, "box9")
+			g.applyDifference(&port.Published{AsOf: 99, Digest: "other", Base: base, Since: &catalog.Difference{Gone: []string{"model0"}}}, "box9")
 		}
 		if g.published.list.Digest() != before || !g.mayUse("model0") {
 			t.Error("a difference to another list was applied")
@@ -117,11 +117,11 @@
 			r, _ := catalog.RevisionAt(f.era, f.rev+n)
 			return catalog.ListAt(r)
 		}
-		g.takeServers(serversByID(f.servers[:2]), later(1), time.Time{}, "one reader")
+		g.applyServers(serversByID(f.servers[:2]), later(1), time.Time{}, "one reader")
 		change := catalog.Difference{Put: []catalog.Server{{ID: "new", Pool: "model", Domain: "d", Slots: 64}}, Gone: []string{"model0"}}
 		want["new"] = change.Put[0]
 		delete(want, "model0")
-		g.takeDifference(&port.Published{AsOf: uint64(later(2)), Digest: catalog.Digest(want), Base: base, Since: &change}, "another")
+		g.applyDifference(&port.Published{AsOf: uint64(later(2)), Digest: catalog.Digest(want), Base: base, Since: &change}, "another")
 		if got := serversByID(g.published.list.Servers()); !maps.Equal(got, want) {
 			t.Errorf("holds %v, want %v", got, want)
 		}
@@ -136,7 +136,7 @@
 		g.Init()
 		var all sync.WaitGroup
 		for n := range 24 {
-			all.Go(func() { g.takeServers(benchServers(300+n, 0), catalog.State(n+1), time.Time{}, "somebody") })
+			all.Go(func() { g.applyServers(benchServers(300+n, 0), catalog.State(n+1), time.Time{}, "somebody") })
 		}
 		all.Wait()
 		want := 0
--- a/src/gateway/pulling_test.go
+++ b/src/gateway/pulling_test.go
@@ -71,11 +71,11 @@
 		good := func() *port.Published {
 			holder := &Gateway{ID: core.BoxID{Name: "giver", Incarnation: 1}, Peers: port.Peers{Beat: func(string, core.Beat) {}}}
 			holder.Init()
-			holder.takeCatalog(f.box("box0").published.held, nil, 1, time.Now(), "store")
+			holder.applyCatalog(f.box("box0").published.held, nil, 1, time.Now(), "store")
 			next := withRoutes(f.catalog, 10)
 			next.Version = 1000 // never in the store
-			holder.takeCatalog(next, nil, 90, time.Now(), "store")
-			return holder.give(&port.PullPublished{Document: port.DocumentConfig, Held: []string{f.box("box0").published.held.Digest()}})
+			holder.applyCatalog(next, nil, 90, time.Now(), "store")
+			return holder.answerPull(&port.PullPublished{Document: port.DocumentConfig, Held: []string{f.box("box0").published.held.Digest()}})
 		}
 		for _, c := range []struct {
 			name   string
@@ -84,7 +84,7 @@
 			{"a first part with an offset", func(d *port.Published) { d.Part.Offset = 7 }},
 			{"an empty part", func(d *port.Published) { d.Part.Bytes = nil }},
 			{"a part longer than the whole", func(d *port.Published) { d.Part.Size = 5 }},
-			{"a document that is too large", func(d *port.Published) { d.Part.Size = mostPacked + 1 }},
+			{"a document that is too large", func(d *port.Published) { d.Part.Size = maxPackedBytes + 1 }},
 			{"a wrong checksum", func(d *port.Published) { d.Part.Sum++ }},
 			{"an unknown base", func(d *port.Published) { d.Base = "unknown" }},
 			{"another digest", func(d *port.Published) { d.Digest = "77" }},
@@ -95,7 +95,7 @@
 		} {
 			d := good()
 			c.damage(d)
-			if more, err := g.takePublished(d, "giver", time.Now()); err == nil || more || g.Version() == 1000 {
+			if more, err := g.applyPulled(d, "giver", time.Now()); err == nil || more || g.Version() == 1000 {
 				t.Errorf("%s: more %t, %v, version %d", c.name, more, err, g.Version())
 			}
 			f.publish(withRoutes(f.catalog, 10))
@@ -104,11 +104,11 @@
 				t.Errorf("%s: version %d later, want %d", c.name, g.Version(), f.catalog.Version)
 			}
 		}
-		if more, err := g.takePublished(good(), "giver", time.Now()); err != nil || more || g.Version() != 1000 {
+		if more, err := g.applyPulled(good(), "giver", time.Now()); err != nil || more || g.Version() != 1000 {
 			t.Errorf("an intact part: more %t, %v, version %d", more, err, g.Version())
 		}
-		g.published.taking = taking{whole: true}
-		if q := g.published.question(port.DocumentConfig); len(q.Held) > 0 {
+		g.published.partial = partialDocument{whole: true}
+		if q := g.published.pullRequest(port.DocumentConfig); len(q.Held) > 0 {
 			t.Error("a difference is requested again after one that did not apply")
 		}
 	})
@@ -125,36 +125,36 @@
 		time.Sleep(2 * time.Second)
 		g := f.box("box0")
 		whole := &port.PullPublished{Document: port.DocumentConfig, From: "a"}
-		size := g.give(whole).Part.Size
+		size := g.answerPull(whole).Part.Size
 		var busy *port.Busy
 		begun := 1
 		for range 50 {
-			if d := g.give(&port.PullPublished{Document: port.DocumentConfig, From: "b"}); d.Busy != nil {
+			if d := g.answerPull(&port.PullPublished{Document: port.DocumentConfig, From: "b"}); d.Busy != nil {
 				busy = d.Busy
 				break
 			}
 			begun++
 		}
-		if most := 2 + int(giveAhead.Seconds()*giveShare*10*bytesPerMbit/float64(size)); busy == nil || begun > most {
+		if most := 2 + int(linkReserveAhead.Seconds()*linkShare*10*bytesPerMbit/float64(size)); busy == nil || begun > most {
 			t.Fatalf("%d transfers of %d bytes were started at once, want at most %d", begun, size, most)
 		}
 		if busy.For <= 0 || busy.For > time.Second {
 			t.Errorf("retry time is %v", busy.For)
 		}
 		// Transfers under way continue all the same.
-		p := g.give(whole).Busy
-		rest := g.give(&port.PullPublished{Document: port.DocumentConfig, From: "a", Offset: partBytes, Sum: g.published.given.packs[0].sum})
+		p := g.answerPull(whole).Busy
+		rest := g.answerPull(&port.PullPublished{Document: port.DocumentConfig, From: "a", Offset: partBytes, Sum: g.published.source.packs[0].sum})
 		if p == nil || rest.Part == nil || rest.Part.Offset != partBytes {
 			t.Errorf("a transfer under way is not continued: %+v", rest)
 		}
 		for offset := partBytes; offset < size; offset += partBytes {
-			g.give(&port.PullPublished{Document: port.DocumentConfig, From: "a", Offset: offset, Sum: rest.Part.Sum})
+			g.answerPull(&port.PullPublished{Document: port.DocumentConfig, From: "a", Offset: offset, Sum: rest.Part.Sum})
 		}
-		if d := g.give(whole); d.Busy == nil || !slices.Equal(d.Busy.Holders, []string{"a"}) {
+		if d := g.answerPull(whole); d.Busy == nil || !slices.Equal(d.Busy.Holders, []string{"a"}) {
 			t.Errorf("names %+v, want the box that has the whole document", d.Busy)
 		}
 		other := newEmptyFleet(t).start("other")
-		other.published.hearHolders(&port.Published{AsOf: 9, Digest: "2", Busy: &port.Busy{Holders: []string{"a"}}})
+		other.published.recordHolders(&port.Published{AsOf: 9, Digest: "2", Busy: &port.Busy{Holders: []string{"a"}}})
 		other.published.mu.Lock()
 		defer other.published.mu.Unlock()
 		if from := other.published.catalogs.NextPull(time.Now()); from != "a" {
--- a/src/gateway/pushback_site_test.go
+++ b/src/gateway/pushback_site_test.go
@@ -133,15 +133,15 @@
 	switch {
 	case shed:
 		r := textReply(http.StatusServiceUnavailable, "")
-		r.NotRun, r.Signed, r.Said = true, false, w
+		r.NotRun, r.Signed, r.Signals = true, false, w
 		return r, nil
 	case strings.HasPrefix(c.Request.Path, "/draft/"):
 		r := eventStream(ctx, 1, 2, time.Millisecond, io.EOF)
-		r.Said = w
+		r.Signals = w
 		return r, nil
 	}
 	r := textReply(http.StatusOK, "ok")
-	r.Said = w
+	r.Signals = w
 	return r, nil
 }
 
@@ -160,9 +160,9 @@
 	}
 	s.recordAnswer(box, c.Server.ID, w)
 	if shed {
-		return PieceReply{Outcome: batch.CallFull, Said: w}
+		return PieceReply{Outcome: batch.CallFull, Signals: w}
 	}
-	return PieceReply{Outcome: batch.CallDone, Results: resultsOf(c.Server, c.Items), Said: w}
+	return PieceReply{Outcome: batch.CallDone, Results: resultsOf(c.Server, c.Items), Signals: w}
 }
 
 func (s *pushbackSite) free(box string, v catalog.Server) pushback.Signals {
--- a/src/gateway/pushback_test.go
+++ b/src/gateway/pushback_test.go
@@ -176,7 +176,9 @@
 					}
 					return textReply(http.StatusOK, "ok"), nil
 				}
-				time.AfterFunc(200*time.Millisecond, func() { g.hear(catalog.Server{ID: server, Pool: "model"}, word, "another request", time.Now()) })
+				time.AfterFunc(200*time.Millisecond, func() {
+					g.recordSignals(catalog.Server{ID: server, Pool: "model"}, word, "another request", time.Now())
+				})
 				if a := f.ask("box2", "/stamp/x", "r", func(r *Request) { r.Pieces = nil }); a.status != http.StatusOK {
 					t.Errorf("the caller got %d %v, want the answer of another server", a.status, a.refused)
 				}
@@ -193,8 +195,8 @@
 		settle()
 		g := f.box("box2")
 		leaves, rests := catalog.Server{ID: "model0", Pool: "model"}, catalog.Server{ID: "model1", Pool: "model"}
-		g.hear(leaves, pushback.Signals{Leaving: true}, "r", time.Now())
-		g.hear(rests, pushback.Signals{Rest: 3 * time.Second}, "r", time.Now())
+		g.recordSignals(leaves, pushback.Signals{Leaving: true}, "r", time.Now())
+		g.recordSignals(rests, pushback.Signals{Rest: 3 * time.Second}, "r", time.Now())
 		if !g.restsUntil(&rests).After(g.now()) || g.mayUse("model0") {
 			t.Fatal("the notices had no effect")
 		}
@@ -220,10 +222,10 @@
 			freed[s.ID]++
 			return pushback.Signals{Rest: 3 * time.Second}
 		}
-		g.hear(catalog.Server{ID: "piece0", Pool: "encode"}, pushback.Signals{Leaving: true}, "pieces", time.Now())
+		g.recordSignals(catalog.Server{ID: "piece0", Pool: "encode"}, pushback.Signals{Leaving: true}, "pieces", time.Now())
 		for range 3 {
 			for _, id := range []string{"piece0", "piece1"} {
-				g.desk.giveUp(f.ctx, catalog.Server{ID: id, Pool: "encode"}, []string{"h"})
+				g.schedulers.releaseResults(f.ctx, catalog.Server{ID: id, Pool: "encode"}, []string{"h"})
 			}
 		}
 		if freed["piece0"] != 0 || freed["piece1"] != 1 {
@@ -249,7 +251,7 @@
 				s.f.send = func(ctx context.Context, box string, c *Call) (*Reply, error) {
 					r, err := send(ctx, box, c)
 					if r != nil && old(box) {
-						r.Said = pushback.Signals{}
+						r.Signals = pushback.Signals{}
 					}
 					return r, err
 				}
--- a/src/gateway/relay.go
+++ b/src/gateway/relay.go
@@ -18,7 +18,7 @@
 	held []byte
 }
 
-// add takes bytes and gives all whole events in them; what is left of the last one is kept.
+// add appends bytes and returns all complete events; an incomplete last one is kept.
 func (e *eventSplitter) add(b []byte) []byte {
 	e.held = append(e.held, b...)
 	end := bytes.LastIndex(e.held, []byte("\n\n"))
@@ -33,7 +33,7 @@
 	return whole
 }
 
-// lastID is the id of the last event in a run of whole events that has one, or "".
+// lastID returns the last event id in a run of whole events, "" for none.
 func lastID(whole []byte) string {
 	id := ""
 	for line := range bytes.Lines(whole) {
@@ -66,8 +66,8 @@
 	return out
 }
 
-// relay passes a stream on, event by event.
-func (v *visit) relay(ctx context.Context, e *pool, s catalog.Server, reply *Reply, began time.Time, watch *time.Timer, why string) (verdict, *code.Error, bool) {
+// relay passes a stream on to the caller, event by event.
+func (v *requestRun) relay(ctx context.Context, e *pool, s catalog.Server, reply *Reply, began time.Time, watch *time.Timer, why string) (nextStep, *code.Error, bool) {
 	g := v.gateway
 	var split eventSplitter
 	buf := make([]byte, relayBuffer)
@@ -81,10 +81,10 @@
 			}
 			if e := v.pass(whole, reply, e, s, began); e != nil {
 				reply.Close(false)
-				v.settle(g.pools.get(v.pool), s, balance.Dropped, began, "caller gone", why)
-				v.ended("cancelled", "cause", "the caller left within the stream", "server", s.ID)
+				v.recordOutcome(g.pools.get(v.pool), s, balance.Dropped, began, "caller gone", why)
+				v.ended("cancelled", "cause", "the caller left during the stream", "server", s.ID)
 				v.caller.Cut()
-				return answered, nil, true
+				return stepDone, nil, true
 			}
 			if moves {
 				watch.Reset(gapLimit)
@@ -92,11 +92,11 @@
 		}
 		if err == io.EOF && len(split.held) == 0 && v.begun {
 			reply.Close(true)
-			v.settle(e, s, balance.Good, began, "stream ended", why)
-			v.went(reply)
+			v.recordOutcome(e, s, balance.Good, began, "stream ended", why)
+			v.recordSuccess(reply)
 			v.ended("answered", "status", reply.Status, "server", s.ID, "last_event", v.lastEvent)
 			v.caller.End()
-			return answered, nil, true
+			return stepDone, nil, true
 		}
 		if err == nil && len(split.held) > maxEvent {
 			err = code.New(code.MessageTooLarge, "event", "over %d bytes", maxEvent)
@@ -111,14 +111,14 @@
 		if cause := context.Cause(ctx); errors.Is(cause, errSilent) {
 			err = cause
 		}
-		v.broke(ctx, s)
-		v.settle(e, s, v.blame(ctx), began, "stream broke off: "+err.Error(), why)
-		return v.afterBreak(), code.New(code.AnswerInterrupted, "", "the stream of %s broke off after event %q: %v", s.ID, v.lastEvent, err), true
+		v.recordBreak(ctx, s)
+		v.recordOutcome(e, s, v.breakOutcome(ctx), began, "stream interrupted: "+err.Error(), why)
+		return v.afterBreak(), code.New(code.AnswerInterrupted, "", "the stream of %s was interrupted after event %q: %v", s.ID, v.lastEvent, err), true
 	}
 }
 
-// pass gives whole events to the caller; the first of them also gives up the results of stages.
-func (v *visit) pass(whole []byte, reply *Reply, e *pool, s catalog.Server, began time.Time) error {
+// pass sends whole events to the caller; the first of them also releases the stage results.
+func (v *requestRun) pass(whole []byte, reply *Reply, e *pool, s catalog.Server, began time.Time) error {
 	if len(whole) == 0 {
 		return nil
 	}
@@ -134,7 +134,7 @@
 		}
 		e.mu.Unlock()
 	}
-	v.made.freeAll()
+	v.stageResults.freeAll()
 	if id := lastID(whole); id != "" {
 		v.lastEvent = id
 	}
--- a/src/gateway/restore_test.go
+++ b/src/gateway/restore_test.go
@@ -140,7 +140,7 @@
 		settle()
 		g := f.box("box0")
 		ahead := catalog.ListAt(catalog.RevisionFromWire(f.rev+2, f.era))
-		g.takeServers(serversByID(f.servers[1:]), ahead, time.Time{}, "a box with a revision of another history")
+		g.applyServers(serversByID(f.servers[1:]), ahead, time.Time{}, "a box with a revision of another history")
 		time.Sleep(3 * time.Second)
 		if !g.mayUse("piece0") {
 			t.Error("a list that was skipped while a later one was held is not applied once it is the newest")
@@ -153,9 +153,9 @@
 		synctest.Test(t, func(t *testing.T) {
 			f := newEmptyFleet(t)
 			counted := make([]atomic.Int32, boxes)
-			f.watcher = func(box string) Watcher {
+			f.watcher = func(box string) Observer {
 				i, _ := strconv.Atoi(strings.TrimPrefix(box, "box"))
-				return Watcher{Restored: func() { counted[i].Add(1) }}
+				return Observer{Restored: func() { counted[i].Add(1) }}
 			}
 			for i := range boxes {
 				f.start(fmt.Sprint("box", i))
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -13,34 +13,35 @@
 	"github.com/stilemast/stilemast/src/suspects"
 )
 
-// desk holds the schedulers of the pools that this box forms calls for.
-type desk struct {
+// schedulers holds the schedulers of the pools that this box schedules.
+type schedulers struct {
 	gateway *Gateway
 
 	mu  sync.Mutex
 	all map[string]*scheduler
 }
 
+// scheduler is the scheduler of one pool.
 type scheduler struct {
-	mu      sync.Mutex
-	core    *batch.Scheduler
-	pool    string
-	usedAt  time.Time
-	heldAt  time.Time // when calls were last put off for a handover
-	givenAt time.Time // when another box last handed the pool over to this one
-	foreign bool      // another box had the pool when this one last looked
+	mu         sync.Mutex
+	core       *batch.Scheduler
+	pool       string
+	usedAt     time.Time
+	delayedAt  time.Time // when calls were last delayed for a handover
+	receivedAt time.Time // when another box last handed the pool over to this one
+	foreign    bool      // another box was the pool's scheduler at the last check
 }
 
-// keeps says whether another box has just handed the pool over.
-func (s *scheduler) keeps(now time.Time) bool { return now.Sub(s.givenAt) < handoverKeeps }
+// justReceived reports whether another box has just handed the pool over to this one.
+func (s *scheduler) justReceived(now time.Time) bool { return now.Sub(s.receivedAt) < handoverKeeps }
 
-func (d *desk) init(g *Gateway) {
+func (d *schedulers) init(g *Gateway) {
 	d.gateway = g
 	d.all = map[string]*scheduler{}
 }
 
-// get gives the scheduler of a pool, made on the first job; nil when the pool makes no pieces.
-func (d *desk) get(pool string) *scheduler {
+// get returns the scheduler of a pool, created on first use; nil if the pool has no batches.
+func (d *schedulers) get(pool string) *scheduler {
 	x := d.gateway.index.Load()
 	if x == nil {
 		return nil
@@ -63,8 +64,8 @@
 	return s
 }
 
-// open gives a new scheduler its servers; changes that come meanwhile wait, so that none is missed.
-func (d *desk) open(s *scheduler, limits catalog.Pool) {
+// open configures a new scheduler with its servers; concurrent changes wait, so that none is missed.
+func (d *schedulers) open(s *scheduler, limits catalog.Pool) {
 	g := d.gateway
 	g.published.applying.Lock()
 	defer g.published.applying.Unlock()
@@ -73,10 +74,10 @@
 	a := s.core.Configure(g.now(), limits, servers)
 	s.mu.Unlock()
 	g.Log.Info("scheduler opened", "pool", s.pool, "servers", len(servers))
-	d.carry(s, a)
+	d.execute(s, a)
 }
 
-func (d *desk) list() []*scheduler {
+func (d *schedulers) list() []*scheduler {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := make([]*scheduler, 0, len(d.all))
@@ -86,32 +87,32 @@
 	return out
 }
 
-// configure gives all schedulers their servers and limits. A pool that is not named has none.
-func (d *desk) configure(servers map[string][]*catalog.Server) {
+// configure sets the servers and limits of all schedulers. A pool missing from the map gets no servers.
+func (d *schedulers) configure(servers map[string][]*catalog.Server) {
 	for _, s := range d.list() {
 		if limits, ok := d.limitsOf(s.pool); ok {
 			s.mu.Lock()
 			a := s.core.Configure(d.gateway.now(), limits, servers[s.pool])
 			s.mu.Unlock()
-			d.carry(s, a)
+			d.execute(s, a)
 		}
 	}
 }
 
-// takeLimits gives all schedulers the limits of the configuration in force.
-func (d *desk) takeLimits() {
+// takeLimits sets the limits of all schedulers from the configuration in force.
+func (d *schedulers) takeLimits() {
 	for _, s := range d.list() {
 		if limits, ok := d.limitsOf(s.pool); ok {
 			s.mu.Lock()
 			a := s.core.SetLimits(d.gateway.now(), limits)
 			s.mu.Unlock()
-			d.carry(s, a)
+			d.execute(s, a)
 		}
 	}
 }
 
-// change takes a change of a pool's servers that take new work.
-func (d *desk) change(pool string, c *poolChange) {
+// change applies a change of a pool's servers that take new work.
+func (d *schedulers) change(pool string, c *poolChange) {
 	d.mu.Lock()
 	s := d.all[pool]
 	d.mu.Unlock()
@@ -121,11 +122,11 @@
 	s.mu.Lock()
 	a := s.core.UpdateServers(d.gateway.now(), c.put, c.gone)
 	s.mu.Unlock()
-	d.carry(s, a)
+	d.execute(s, a)
 }
 
-// limitsOf gives the limits of a pool; false when it makes no pieces.
-func (d *desk) limitsOf(pool string) (catalog.Pool, bool) {
+// limitsOf returns the limits of a pool; false if it has no batches.
+func (d *schedulers) limitsOf(pool string) (catalog.Pool, bool) {
 	x := d.gateway.index.Load()
 	if x == nil || x.Pool(pool) == nil || x.Pool(pool).Batch == nil {
 		return catalog.Pool{}, false
@@ -133,25 +134,26 @@
 	return *x.Pool(pool), true
 }
 
-// handOverAll passes on the pools that other boxes schedule now.
-func (d *desk) handOverAll() {
+// handOverAll hands over the pools that other boxes schedule now.
+func (d *schedulers) handOverAll() {
 	for _, s := range d.list() {
 		d.handOver(s)
 	}
 }
 
-func (d *desk) tick(context.Context) {
+// tick hands pools over and starts the calls that are due.
+func (d *schedulers) tick(context.Context) {
 	d.handOverAll()
 	for _, s := range d.list() {
 		s.mu.Lock()
 		a := s.core.Tick(d.gateway.now())
 		s.mu.Unlock()
-		d.carry(s, a)
+		d.execute(s, a)
 	}
 }
 
-// handOver passes a pool on that another box schedules now.
-func (d *desk) handOver(s *scheduler) {
+// handOver hands a pool over to the box that schedules it now.
+func (d *schedulers) handOver(s *scheduler) {
 	g := d.gateway
 	next := g.schedulerOf(s.pool, nil)
 	if next == g.ID.Name {
@@ -159,7 +161,7 @@
 	}
 	now := g.now()
 	s.mu.Lock()
-	if s.keeps(now) && !g.Draining() { // the giver knew better: giving it back would start a circle
+	if s.justReceived(now) && !g.Draining() { // handing it back would start a loop, and the box that gave it may know more
 		s.mu.Unlock()
 		return
 	}
@@ -167,28 +169,29 @@
 	h, a := s.core.HandOver(now, next)
 	s.mu.Unlock()
 	g.fleet.disclaim(s.pool)
-	d.carry(s, a)
+	d.execute(s, a)
 	if !h.Empty() {
 		g.Log.Info("scheduler handed over", "pool", s.pool, "to", next, "results", len(h.Held), "calls", len(h.Busy), "jobs", len(a.Replies))
-		g.tell(next, batch.Message{Handover: &h})
+		g.sendBatch(next, batch.Message{Handover: &h})
 	}
 }
 
-func (d *desk) takeOver(h batch.Handover) {
+// takeOver takes a pool over from another box.
+func (d *schedulers) takeOver(h batch.Handover) {
 	s := d.get(h.Pool)
 	if s == nil {
 		return
 	}
 	now := d.gateway.now()
 	s.mu.Lock()
-	s.givenAt, s.foreign = now, false
+	s.receivedAt, s.foreign = now, false
 	s.core.TakeOver(now, h)
 	s.mu.Unlock()
 	d.gateway.fleet.claim(h.Pool)
 }
 
-// take serves a message of an owner.
-func (d *desk) take(m batch.Message) {
+// take handles a message of a job's owner or of another scheduler.
+func (d *schedulers) take(m batch.Message) {
 	switch {
 	case m.Submit != nil:
 		d.submit(m.Submit)
@@ -205,25 +208,25 @@
 	}
 }
 
-func (d *desk) submit(j *batch.Submit) {
+func (d *schedulers) submit(j *batch.Submit) {
 	s := d.get(j.Pool)
 	if s == nil {
 		d.reply(batch.Reply{Box: j.ID.Box, Message: batch.Message{Failed: &batch.Failed{ID: j.ID, Reason: batch.NoPool}}})
 		return
 	}
 	now := d.gateway.now()
-	d.gateway.fleet.toldSilent(now, j.Silent, j.ID.Box)
+	d.gateway.fleet.handleSilenceReport(now, j.Silent, j.ID.Box)
 	elsewhere := d.gateway.schedulerOf(j.Pool, nil)
 	if elsewhere == d.gateway.ID.Name {
 		elsewhere = ""
 	}
 	s.mu.Lock()
 	s.usedAt = now
-	if s.keeps(now) && !d.gateway.Draining() {
+	if s.justReceived(now) && !d.gateway.Draining() {
 		elsewhere = ""
 	}
-	if elsewhere == "" && s.foreign && now.Sub(s.heldAt) > handoverAgain {
-		s.heldAt = now
+	if elsewhere == "" && s.foreign && now.Sub(s.delayedAt) > handoverAgain {
+		s.delayedAt = now
 		s.core.HoldUntil(now.Add(handoverWait))
 	}
 	s.foreign = elsewhere != ""
@@ -232,30 +235,30 @@
 	if elsewhere == "" {
 		d.gateway.fleet.claim(j.Pool)
 	}
-	d.carry(s, a)
+	d.execute(s, a)
 }
 
-func (d *desk) withdraw(w batch.Withdraw) {
+func (d *schedulers) withdraw(w batch.Withdraw) {
 	d.with(w.Pool, func(now time.Time, s *batch.Scheduler) batch.Actions { return s.Withdraw(now, w.ID) })
 }
 
-func (d *desk) free(f batch.Free) {
+func (d *schedulers) free(f batch.Free) {
 	d.with(f.Pool, func(now time.Time, s *batch.Scheduler) batch.Actions {
 		s.Free(now, f.Results)
 		return batch.Actions{}
 	})
 }
 
-func (d *desk) hold(h batch.Held) {
+func (d *schedulers) hold(h batch.Held) {
 	d.with(h.Pool, func(now time.Time, s *batch.Scheduler) batch.Actions {
 		s.AddHeld(now, h.Results)
 		return batch.Actions{}
 	})
 }
 
-// with has the scheduler of a pool do something under its lock, and carries out what follows; nothing when
-// the pool makes no pieces.
-func (d *desk) with(pool string, do func(now time.Time, s *batch.Scheduler) batch.Actions) {
+// with runs a function on the scheduler of a pool under its lock and carries out the resulting actions; it
+// does nothing if the pool has no batches.
+func (d *schedulers) with(pool string, do func(now time.Time, s *batch.Scheduler) batch.Actions) {
 	s := d.get(pool)
 	if s == nil {
 		return
@@ -263,11 +266,11 @@
 	s.mu.Lock()
 	a := do(d.gateway.now(), s.core)
 	s.mu.Unlock()
-	d.carry(s, a)
+	d.execute(s, a)
 }
 
-// carry carries a scheduler's actions out.
-func (d *desk) carry(s *scheduler, a batch.Actions) {
+// execute executes a scheduler's actions.
+func (d *schedulers) execute(s *scheduler, a batch.Actions) {
 	for _, r := range a.Replies {
 		d.reply(r)
 	}
@@ -279,29 +282,30 @@
 	}
 }
 
-func (d *desk) freeAt(f batch.FreeCall) {
+func (d *schedulers) freeAt(f batch.FreeCall) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	d.giveUp(ctx, f.Server, f.Handles)
+	d.releaseResults(ctx, f.Server, f.Handles)
 }
 
-// giveUp gives results up at a server, unless it wants nothing now: they are lost by age then. The scheduler keeps them while it
-// knows of the rest, so that only a word which came in between has this effect.
-func (d *desk) giveUp(ctx context.Context, s catalog.Server, handles []string) {
+// releaseResults releases results at a server, unless it wants no requests now; the results then expire there. The
+// scheduler keeps results while it knows that the server wants rest, so this only happens for a signal
+// received since.
+func (d *schedulers) releaseResults(ctx context.Context, s catalog.Server, handles []string) {
 	g := d.gateway
 	owner, v := "results of "+handles[0], pushback.Verdict{State: pushback.Full}
 	if _, ok := g.takePermit(ctx, s, owner, 0); ok {
-		v = g.words.begin(g.now(), s, owner)
+		v = g.signals.begin(g.now(), s, owner)
 	}
 	if !v.Open() {
-		g.Log.Info("results not given up at a server that wants nothing", "server", s.ID, "state", v.State.String(), "results", len(handles))
+		g.Log.Info("results not released, server wants no requests", "server", s.ID, "state", v.State.String(), "results", len(handles))
 		return
 	}
-	g.hear(s, g.Backends.FreePieces(ctx, s, handles), "results given up", time.Time{})
+	g.recordSignals(s, g.Backends.FreePieces(ctx, s, handles), "results given up", time.Time{})
 }
 
-// call runs one call and tells its scheduler how it ended.
-func (d *desk) call(s *scheduler, c batch.Call) {
+// call runs one call and reports its end to the scheduler.
+func (d *schedulers) call(s *scheduler, c batch.Call) {
 	g := d.gateway
 	began := g.now()
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
@@ -309,9 +313,9 @@
 	r := PieceReply{Outcome: batch.CallWithheld}
 	if _, ok := g.takePermit(ctx, c.Server, owner, 0); ok {
 		if len(c.Free) > 0 {
-			d.giveUp(ctx, c.Server, c.Free)
+			d.releaseResults(ctx, c.Server, c.Free)
 		}
-		r = g.Backends.RunPieces(ctx, PieceCall{Server: c.Server, Items: c.Items, Start: g.startOf(ctx, c.Server, "pieces", owner, began)})
+		r = g.Backends.RunPieces(ctx, PieceCall{Server: c.Server, Items: c.Items, Start: g.startCheck(ctx, c.Server, "pieces", owner, began)})
 	}
 	cancel()
 	outcome, results := r.Outcome, r.Results
@@ -319,8 +323,8 @@
 	if outcome != batch.CallDone && outcome != batch.CallFull {
 		sent = time.Time{}
 	}
-	g.hear(c.Server, r.Said, "pieces", sent)
-	d.noteContents(c, outcome, results)
+	g.recordSignals(c.Server, r.Signals, "pieces", sent)
+	d.recordContents(c, outcome, results)
 	now := g.now()
 	took := now.Sub(began)
 	s.mu.Lock()
@@ -328,15 +332,15 @@
 	pending, calls := s.core.Pending()
 	s.mu.Unlock()
 	late, gone, noRoom, failed := batch.CountReasons(results)
-	g.Log.Info("batch ended", "pool", s.pool, "server", c.Server.ID, "pieces", len(c.Items), "outcome", outcome.String(), "took_ms", took.Milliseconds(), "pending", pending, "calls", calls, "late", late, "gone", gone, "no_room", noRoom, "failed", failed, "says_leaving", r.Said.Leaving, "asks_rest_ms", r.Said.Rest.Milliseconds(), "names_limit", r.Said.Limit, "requests", c.Requests())
-	if g.Watch.Batched != nil {
-		g.Watch.Batched(s.pool, len(c.Items), outcome.String(), took)
+	g.Log.Info("batch ended", "pool", s.pool, "server", c.Server.ID, "pieces", len(c.Items), "outcome", outcome.String(), "took_ms", took.Milliseconds(), "pending", pending, "calls", calls, "late", late, "gone", gone, "no_room", noRoom, "failed", failed, "says_leaving", r.Signals.Leaving, "asks_rest_ms", r.Signals.Rest.Milliseconds(), "names_limit", r.Signals.Limit, "requests", c.Requests())
+	if g.Observer.Batched != nil {
+		g.Observer.Batched(s.pool, len(c.Items), outcome.String(), took)
 	}
-	d.carry(s, a)
+	d.execute(s, a)
 }
 
-// noteContents tells what the end of a call says of the contents in it.
-func (d *desk) noteContents(c batch.Call, outcome batch.CallOutcome, results []batch.ItemResult) {
+// recordContents records what the end of a call shows about the contents in it.
+func (d *schedulers) recordContents(c batch.Call, outcome batch.CallOutcome, results []batch.ItemResult) {
 	g := d.gateway
 	switch outcome {
 	case batch.CallBroken:
@@ -355,12 +359,12 @@
 }
 
 // reply sends an answer to the owner of a job.
-func (d *desk) reply(r batch.Reply) {
+func (d *schedulers) reply(r batch.Reply) {
 	g := d.gateway
 	m := r.Message
 	m.From, m.Address = g.ID.Name, g.Settings.Address
 	if r.Box == g.ID.Name {
-		g.waiting.take(m)
+		g.ownedJobs.take(m)
 		return
 	}
 	if a := g.fleet.addressOf(r.Box); a != "" {
@@ -368,8 +372,8 @@
 	}
 }
 
-// waits tells how long pieces wait in the pools that this box schedules.
-func (d *desk) waits(now time.Time) []core.WaitNote {
+// waits returns the waiting times in the pools that this box schedules.
+func (d *schedulers) waits(now time.Time) []core.WaitNote {
 	var out []core.WaitNote
 	for _, s := range d.list() {
 		s.mu.Lock()
@@ -382,8 +386,8 @@
 	return out
 }
 
-// foreign counts the calls and waiting pieces of this box's schedulers, for a planned stop.
-func (d *desk) foreign() int {
+// pendingWork counts the calls and waiting pieces of this box's schedulers, for a planned stop.
+func (d *schedulers) pendingWork() int {
 	n := 0
 	for _, s := range d.list() {
 		s.mu.Lock()
--- a/src/gateway/scheduling_test.go
+++ b/src/gateway/scheduling_test.go
@@ -118,7 +118,7 @@
 		}
 		time.Sleep(500 * time.Millisecond)
 		a := f.ask("box1", "/draft/x", "late", nil)
-		if a.refused == nil || a.refused.Code != code.CannotFinish || a.refused.DidRun() != code.RanNo || a.refused.RetryAfter < leastReturn || a.took > 10*time.Millisecond {
+		if a.refused == nil || a.refused.Code != code.CannotFinish || a.refused.DidRun() != code.RanNo || a.refused.RetryAfter < minRetryAfter || a.took > 10*time.Millisecond {
 			t.Errorf("with 240 pieces waiting for three servers: %+v", a)
 		}
 		all.Wait()
@@ -136,7 +136,7 @@
 		f.send = func(ctx context.Context, _ string, c *Call) (*Reply, error) {
 			if sent++; sent == 1 {
 				r := textReply(http.StatusConflict, "")
-				r.NotRun, r.Missing = true, true
+				r.NotRun, r.InputGone = true, true
 				return r, nil
 			}
 			return eventStream(ctx, 1, 1, time.Millisecond, io.EOF), nil
@@ -206,13 +206,13 @@
 				next = f.box(b)
 			}
 		}
-		next.TakeBatch(batch.Message{From: first, Handover: &batch.Handover{Pool: "encode"}})
+		next.HandleBatch(batch.Message{From: first, Handover: &batch.Handover{Pool: "encode"}})
 		for n := range uint64(12) { // each occupies all servers for 300 ms
-			next.TakeBatch(batch.Message{From: "box0", Submit: &batch.Submit{
+			next.HandleBatch(batch.Message{From: "box0", Submit: &batch.Submit{
 				ID: batch.JobID{Box: "box0", N: n}, Pool: "encode", Pieces: 12, DeadlineIn: time.Minute, DueIn: time.Second}})
 		}
 		waiting := func() int {
-			s := next.desk.get("encode")
+			s := next.schedulers.get("encode")
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			pieces, _ := s.core.Pending()
--- a/src/load/run.go
+++ b/src/load/run.go
@@ -42,45 +42,45 @@
 		}))
 	}
 	conn, err := grpc.NewClient(address, opts...)
-	return conn, eris.Wrap(err, "box can't be dialled")
+	return conn, eris.Wrap(err, "dial box")
 }
 
 func withToken(ctx context.Context, token string) context.Context {
 	return metadata.AppendToOutgoingContext(ctx, "authorization", "Bearer "+token)
 }
 
-// Run drives boxes with a plan. Set its fields, then call Do.
+// Run sends the requests of a plan to boxes. Set its fields, then call Do.
 type Run struct {
 	Boxes      []string // callers' addresses
 	TLS        *tls.Config
 	Token      string
 	Plan       []Arrival
-	Duplicates float64 // share of requests that the balancer brings to a second box too
-	Progress   func(done, total int)
-	ComeBack   bool // callers whose box is lost come back with the same key at the next box
+	Duplicates float64               // share of requests that are also sent to a second box, as a load balancer may do
+	Progress   func(done, total int) // called after each answer; may be nil
+	Retry      bool                  // retry failed requests with the same key at the next box
 
 	mu      sync.Mutex
 	results []Result
 }
 
-// Result is what became of one request.
+// Result is the outcome of one request.
 type Result struct {
-	Arrival    Arrival
-	Key        string
-	Code       code.Code
-	Ran        code.Ran
-	Wrong      bool // a whole answer that is not this request's answer
-	Late       bool
-	Took       time.Duration
-	FirstToken time.Duration
-	Stages     []*pb.StageUse
-	Twin       bool // the second copy of a duplicated request
+	Arrival     Arrival
+	Key         string
+	Code        code.Code
+	Ran         code.Ran
+	WrongAnswer bool // complete, but not the answer to this request
+	Late        bool
+	Took        time.Duration
+	FirstToken  time.Duration
+	Stages      []*pb.StageUse
+	Duplicate   bool // the second copy of a duplicated request
 }
 
-// patience is how long after its deadline a request may still be answered.
-const patience = 30 * time.Second
+// answerGrace is how long the load tool waits for an answer after the request's maximum deadline.
+const answerGrace = 30 * time.Second
 
-// Do sends every arrival at its time and waits for all answers.
+// Do sends each request at its arrival time and waits for all answers.
 func (r *Run) Do(ctx context.Context) ([]Result, error) {
 	clients := make([]pb.PipelinesClient, len(r.Boxes))
 	for i, a := range r.Boxes {
@@ -105,15 +105,15 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r.keep(r.persist(ctx, clients, a.Box, a, key))
+			r.addResult(r.sendWithRetries(ctx, clients, a.Box, a, key))
 		}()
 		if float64(a.N%100) < 100*r.Duplicates && len(clients) > 1 {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				res := r.persist(ctx, clients, a.Box+1, a, key)
-				res.Twin = true
-				r.keep(res)
+				res := r.sendWithRetries(ctx, clients, a.Box+1, a, key)
+				res.Duplicate = true
+				r.addResult(res)
 			}()
 		}
 	}
@@ -124,12 +124,12 @@
 func newKey() string {
 	id, err := uuid.NewV7()
 	if err != nil {
-		panic(err) // the system has no randomness left
+		panic(err) // the random number generator failed
 	}
 	return id.String()
 }
 
-func (r *Run) keep(res Result) {
+func (r *Run) addResult(res Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.results = append(r.results, res)
@@ -138,39 +138,40 @@
 	}
 }
 
-// The callers' patience with lost boxes.
+// Limits of the retries if Run.Retry is set.
 const (
-	comeBackTries = 6
-	comeBackPause = 500 * time.Millisecond
+	maxRetries = 6                      // retries after the first attempt
+	retryPause = 500 * time.Millisecond // between attempts
 )
 
-// persist sends a request, and where callers come back does so with the same key while that can help.
-func (r *Run) persist(ctx context.Context, clients []pb.PipelinesClient, box int, a Arrival, key string) Result {
+// sendWithRetries sends a request and, if Retry is set, retries it with the same key at other boxes while that may
+// succeed.
+func (r *Run) sendWithRetries(ctx context.Context, clients []pb.PipelinesClient, box int, a Arrival, key string) Result {
 	begun := time.Now()
-	var told Result // the last answer with a number, which tells more than a connection that broke
+	var lastCoded Result // the last answer with a result code, which says more than a broken connection
 	for try := 0; ; try++ {
 		res := r.send(ctx, clients[(box+try)%len(clients)], a, key)
-		again := res.Code == code.AnswerInterrupted || res.Code == code.Draining || res.Code == code.NotReady || res.Code.Entry().SameKey
+		retryable := res.Code == code.AnswerInterrupted || res.Code == code.Draining || res.Code == code.NotReady || res.Code.Entry().SameKey
 		if res.Code != code.AnswerInterrupted {
-			told = res
+			lastCoded = res
 		}
-		if !r.ComeBack || !again || try == comeBackTries {
-			if res.Code == code.AnswerInterrupted && told.Key != "" {
-				res = told
+		if !r.Retry || !retryable || try == maxRetries {
+			if res.Code == code.AnswerInterrupted && lastCoded.Key != "" {
+				res = lastCoded
 			}
 			res.Took = time.Since(begun)
 			res.Late = res.Took > a.Pipeline.Deadline()
 			return res
 		}
-		time.Sleep(comeBackPause)
+		time.Sleep(retryPause)
 	}
 }
 
-// send makes one request and judges its answer.
+// send sends one request and checks its answer.
 func (r *Run) send(ctx context.Context, c pb.PipelinesClient, a Arrival, key string) Result {
 	res := Result{Arrival: a, Key: key}
 	deadline := a.Pipeline.Deadline()
-	ctx, cancel := context.WithTimeout(ctx, a.Pipeline.MaxDeadline()+patience)
+	ctx, cancel := context.WithTimeout(ctx, a.Pipeline.MaxDeadline()+answerGrace)
 	defer cancel()
 	begun := time.Now()
 	answer, err := Collect(func() (grpc.ServerStreamingClient[pb.RunEvent], error) {
@@ -185,10 +186,11 @@
 		return res
 	}
 	res.Stages = answer.Stages
-	res.Wrong = !bytes.Equal(answer.Data, standin.Whole(a.Pipeline, a.Input, 0))
+	res.WrongAnswer = !bytes.Equal(answer.Data, standin.ExpectedOutput(a.Pipeline, a.Input, 0))
 	return res
 }
 
+// outcomeOf returns the result code of an error and whether anything ran. An error without one is an interruption.
 func outcomeOf(err error) (code.Code, code.Ran) {
 	if d := rpc.ResultOf(err); d != nil {
 		return code.Code(d.GetCode()), code.Ran(d.GetRan())
@@ -196,16 +198,16 @@
 	return code.AnswerInterrupted, code.RanUnknown
 }
 
-// Answer is a whole answer.
+// Answer is a complete answer.
 type Answer struct {
 	Data   []byte
 	Stages []*pb.StageUse
-	Token  string
+	Token  string // attach token
 }
 
-var errCut = errors.New("the stream ended before the answer was whole")
+var errIncomplete = errors.New("the stream ended before the answer was complete")
 
-// Collect reads a stream to its end; first is called when output begins.
+// Collect reads a stream until the answer is complete. first, if not nil, is called when output begins.
 func Collect(open func() (grpc.ServerStreamingClient[pb.RunEvent], error), first func()) (Answer, error) {
 	var a Answer
 	s, err := open()
@@ -215,7 +217,7 @@
 	for {
 		ev, err := s.Recv()
 		if err == io.EOF {
-			return a, errCut
+			return a, errIncomplete
 		}
 		if err != nil {
 			return a, err
@@ -228,24 +230,24 @@
 				first()
 			}
 			if int(e.Chunk.GetOffset()) != len(a.Data) {
-				return a, errors.New("a piece of the answer is out of place")
+				return a, errors.New("a chunk of the answer has an unexpected offset")
 			}
 			a.Data = append(a.Data, e.Chunk.GetData()...)
 		case *pb.RunEvent_Finished:
 			a.Stages = e.Finished.GetStages()
 			if int(e.Finished.GetLength()) != len(a.Data) {
-				return a, errCut
+				return a, errIncomplete
 			}
 			return a, nil
 		}
 	}
 }
 
-// Config builds the checked form of an example document, for planning a load.
-func Config(d *config.Document) (*config.Config, error) {
+// ParseDocument validates a configuration document and returns the parsed configuration.
+func ParseDocument(d *config.Document) (*config.Config, error) {
 	raw, err := config.Marshal(d)
 	if err != nil {
-		return nil, eris.Wrap(err, "document can't be written")
+		return nil, eris.Wrap(err, "marshal document")
 	}
 	c, faults := config.Parse(raw)
 	if len(faults) > 0 {
@@ -254,19 +256,19 @@
 	return c, nil
 }
 
-// FetchRan asks every stand-in of a configuration what it ran.
-func FetchRan(ctx context.Context, c *config.Config) ([]standin.Ran, error) {
-	var all []standin.Ran
+// FetchRan fetches the calls that the stand-ins of all backend servers ran.
+func FetchRan(ctx context.Context, c *config.Config) ([]standin.Execution, error) {
+	var all []standin.Execution
 	for _, b := range c.BackendServers() {
-		resp, err := httpc.Do(ctx, http.MethodGet, "http://"+b.Address()+standin.PathRan, nil)
+		resp, err := httpc.Do(ctx, http.MethodGet, "http://"+b.Address()+standin.PathExecutions, nil)
 		if err != nil {
-			return nil, eris.Wrapf(err, "what %s ran", b.Name())
+			return nil, eris.Wrapf(err, "fetch calls that %s ran", b.Name())
 		}
-		var one []standin.Ran
+		var one []standin.Execution
 		err = json.NewDecoder(resp.Body).Decode(&one)
 		_ = resp.Body.Close()
 		if err != nil {
-			return nil, eris.Wrapf(err, "what %s ran", b.Name())
+			return nil, eris.Wrapf(err, "fetch calls that %s ran", b.Name())
 		}
 		all = append(all, one...)
 	}
--- a/src/local/local.go
+++ b/src/local/local.go
@@ -1,5 +1,5 @@
-// Package local runs a whole deployment inside one process on loopback: the platform, engines,
-// services and boxes, each on sockets of its own. The demo, the load tool and socket tests use it.
+// Package local runs a complete deployment inside one process for demos, load tests and integration tests: the
+// platform, engines, services and boxes, connected by loopback sockets.
 package local
 
 import (
@@ -20,18 +20,20 @@
 	"github.com/stilemast/stilemast/src/web"
 )
 
+// anyPort is a loopback address with a free port.
 const anyPort = "127.0.0.1:0"
 
-// readyWait bounds how long the boxes of a set may take to become ready.
-const readyWait = 15 * time.Second
+// readyTimeout is the timeout for a deployment to become ready.
+const readyTimeout = 15 * time.Second
 
-// Set is one deployment. Set the exported fields before Start.
-type Set struct {
-	Document *config.Document
-	Boxes    int
+// Deployment is a set of boxes, stand-ins for backend servers and a stand-in for the platform. Fill in Document, Boxes,
+// Log, Release and Adjust before Start.
+type Deployment struct {
+	Document *config.Document // Start fills in the addresses of the backend servers
+	Boxes    int              // number of boxes to start
 	Log      *slog.Logger
 	Release  string
-	Adjust   func(*config.Settings) // changes a box's settings; may be nil
+	Adjust   func(*config.Settings) // modifies the settings of each box; may be nil
 
 	Platform *standin.Platform
 	Engines  map[string]*standin.Engine
@@ -43,9 +45,9 @@
 	servers []*http.Server
 }
 
-// Start brings everything up and waits until each box is ready.
-func (s *Set) Start() error {
-	logging.Adopt(s.Log)
+// Start starts the deployment and waits until all boxes and engines are ready.
+func (s *Deployment) Start() error {
+	logging.RedirectGoZero(s.Log)
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
 	if err := s.startBackends(ctx); err != nil {
@@ -63,8 +65,8 @@
 	return s.waitReady()
 }
 
-// startBackends starts a stand-in for each server of the document and writes its address there.
-func (s *Set) startBackends(ctx context.Context) error {
+// startBackends starts a stand-in for each backend server of the document and stores its address there.
+func (s *Deployment) startBackends(ctx context.Context) error {
 	s.Engines, s.Services = map[string]*standin.Engine{}, map[string]*standin.Service{}
 	store := &standin.WeightStore{}
 	for i := range s.Document.BackendServers {
@@ -80,9 +82,10 @@
 	return nil
 }
 
-func (s *Set) startBackend(ctx context.Context, d *config.BackendServerDoc, store *standin.WeightStore) (http.Handler, error) {
+// startBackend creates the stand-in for a backend server: an engine if it has a model, else a service.
+func (s *Deployment) startBackend(ctx context.Context, d *config.BackendServerDoc, store *standin.WeightStore) (http.Handler, error) {
 	if d.Model == "" {
-		v := &standin.Service{Name: d.Name, Slots: d.Slots, Base: 10 * time.Millisecond}
+		v := &standin.Service{Name: d.Name, Slots: d.Slots, CallTime: 10 * time.Millisecond}
 		s.Services[d.Name] = v
 		return v.Handler()
 	}
@@ -96,17 +99,17 @@
 	return e.Handler()
 }
 
-// serve opens a loopback port for a handler and gives its address.
-func (s *Set) serve(h http.Handler) (string, error) {
+// serve serves a handler on a loopback port and returns its address.
+func (s *Deployment) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", anyPort)
 	if err != nil {
-		return "", eris.Wrap(err, "stand-in can't listen")
+		return "", eris.Wrap(err, "listen for stand-in")
 	}
 	s.servers = append(s.servers, web.Start(l, h, nil))
 	return l.Addr().String(), nil
 }
 
-func (s *Set) startPlatform() error {
+func (s *Deployment) startPlatform() error {
 	s.Platform = &standin.Platform{}
 	if err := s.Publish(); err != nil {
 		return err
@@ -119,39 +122,39 @@
 	return err
 }
 
-// Publish shows the document as it stands now.
-func (s *Set) Publish() error {
+// Publish publishes the current content of Document.
+func (s *Deployment) Publish() error {
 	raw, err := config.Marshal(s.Document)
 	if err != nil {
-		return eris.Wrap(err, "document can't be written")
+		return eris.Wrap(err, "marshal document")
 	}
 	s.Platform.Publish(raw)
 	return nil
 }
 
-// PlatformAddress is where the platform is served.
-func (s *Set) PlatformAddress() string { return s.address }
-
-// BoxSettings makes the settings of the i-th box.
-func (s *Set) BoxSettings(name string, i int) *config.Settings {
-	set := config.DefaultSettings()
-	set.Box = name
-	set.FailureDomain = s.Document.FailureDomains[i%len(s.Document.FailureDomains)].Name
-	set.Listen = config.ListenSettings{Callers: anyPort, Peers: anyPort}
-	set.Platform.Addresses = []string{s.address}
-	set.Platform.PollEvery = config.Duration(500 * time.Millisecond)
-	set.AtMostOnce.ListLag = config.Duration(time.Second)
-	set.AtMostOnce.FreshWithin = config.Duration(3 * time.Second)
-	set.AtMostOnce.ClockSkew = config.Duration(250 * time.Millisecond)
-	set.Callers.Anyone, set.Operators.Anyone = true, true
+// PlatformAddress returns the address of the platform's stand-in.
+func (s *Deployment) PlatformAddress() string { return s.address }
+
+// BoxSettings returns the settings of the i-th box. Boxes are spread over the failure domains in turn.
+func (s *Deployment) BoxSettings(name string, i int) *config.Settings {
+	settings := config.DefaultSettings()
+	settings.Box = name
+	settings.FailureDomain = s.Document.FailureDomains[i%len(s.Document.FailureDomains)].Name
+	settings.Listen = config.ListenSettings{Callers: anyPort, Peers: anyPort}
+	settings.Platform.Addresses = []string{s.address}
+	settings.Platform.PollEvery = config.Duration(500 * time.Millisecond)
+	settings.AtMostOnce.ListLag = config.Duration(time.Second)
+	settings.AtMostOnce.FreshWithin = config.Duration(3 * time.Second)
+	settings.AtMostOnce.ClockSkew = config.Duration(250 * time.Millisecond)
+	settings.Callers.Anyone, settings.Operators.Anyone = true, true
 	if s.Adjust != nil {
-		s.Adjust(&set)
+		s.Adjust(&settings)
 	}
-	return &set
+	return &settings
 }
 
-// StartBox starts one more box.
-func (s *Set) StartBox(name string, i int) (*node.Node, error) {
+// StartBox starts another box. Others do not know of it before ListBoxes.
+func (s *Deployment) StartBox(name string, i int) (*node.Node, error) {
 	n := &node.Node{Settings: s.BoxSettings(name, i), Log: s.Log, Release: s.Release}
 	if err := n.Start(); err != nil {
 		return nil, err
@@ -160,8 +163,8 @@
 	return n, nil
 }
 
-// ListBoxes shows the boxes as they are now on the platform's list.
-func (s *Set) ListBoxes() {
+// ListBoxes publishes the box list with all boxes started so far.
+func (s *Deployment) ListBoxes() {
 	boxes := make([]core.ListedBox, len(s.Nodes))
 	for i, n := range s.Nodes {
 		boxes[i] = core.ListedBox{Name: n.Settings.Box, Address: n.PeersAddress(), FailureDomain: n.Settings.FailureDomain}
@@ -169,20 +172,20 @@
 	s.Platform.SetBoxes(boxes)
 }
 
-// waitReady waits for the boxes, for the engines to hold their models, and for the window after
-// which the boxes can be homes of keys.
-func (s *Set) waitReady() error {
-	until := time.Now().Add(readyWait)
+// waitReady waits until the boxes are ready and the engines have loaded their models.
+func (s *Deployment) waitReady() error {
+	deadline := time.Now().Add(readyTimeout)
 	for !s.ready() {
-		if time.Now().After(until) {
-			return eris.New("the set did not become ready")
+		if time.Now().After(deadline) {
+			return eris.New("the deployment did not become ready in time")
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	return nil
 }
 
-func (s *Set) ready() bool {
+// ready reports whether the boxes are ready and the engines have loaded their models.
+func (s *Deployment) ready() bool {
 	for _, n := range s.Nodes {
 		if !n.Box().Ready() {
 			return false
@@ -196,8 +199,8 @@
 	return true
 }
 
-// Addresses lists where callers reach the boxes.
-func (s *Set) Addresses() []string {
+// Addresses returns the boxes' addresses for callers.
+func (s *Deployment) Addresses() []string {
 	out := make([]string, len(s.Nodes))
 	for i, n := range s.Nodes {
 		out[i] = n.CallersAddress()
@@ -205,9 +208,9 @@
 	return out
 }
 
-// Ran lists every call that any stand-in ran.
-func (s *Set) Ran() []standin.Ran {
-	var out []standin.Ran
+// Ran returns all calls that the stand-ins ran.
+func (s *Deployment) Ran() []standin.Execution {
+	var out []standin.Execution
 	for _, e := range s.Engines {
 		out = append(out, e.Log.All()...)
 	}
@@ -217,8 +220,8 @@
 	return out
 }
 
-// Close ends everything at once.
-func (s *Set) Close() {
+// Close stops all boxes and stand-ins immediately.
+func (s *Deployment) Close() {
 	for _, n := range s.Nodes {
 		n.Kill()
 	}
--- a/src/logging/logging.go
+++ b/src/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging writes JSON lines through log/slog, go-zero's own messages among them.
+// Package logging writes the process's log as JSON lines with log/slog, including go-zero's messages.
 package logging
 
 import (
@@ -8,8 +8,8 @@
 	"github.com/zeromicro/go-zero/core/logx"
 )
 
-// New makes a logger of JSON lines at a level ("debug", "info", "warn", "error"); an unknown level
-// means info.
+// New returns a logger that writes JSON lines of at least the given level ("debug", "info", "warn", "error"). An unknown
+// level means info.
 func New(w io.Writer, level string) *slog.Logger {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(level)); err != nil {
@@ -18,18 +18,19 @@
 	return slog.New(slog.NewJSONHandler(w, &slog.HandlerOptions{Level: l}))
 }
 
-// Adopt sends go-zero's own messages, errors and worse, through a logger. Its line for every HTTP
-// exchange and its periodic statistics stay off: metrics tell them better. go-zero sets its log up
-// once only, so that doing it here keeps its components from doing it later.
-func Adopt(l *slog.Logger) {
+// RedirectGoZero redirects go-zero's messages of severity error and above to a logger. Its access log and periodic
+// statistics stay off because metrics cover them. go-zero sets up its log only once, so its components cannot undo this
+// later.
+func RedirectGoZero(l *slog.Logger) {
 	_ = logx.SetUp(logx.LogConf{Mode: "console", Encoding: "json", Level: "severe"})
 	logx.DisableStat()
-	logx.SetWriter(&adopted{log: l.With("from", "go-zero")})
+	logx.SetWriter(&goZeroWriter{log: l.With("from", "go-zero")})
 }
 
-// adopted is go-zero's writer over a slog logger.
-type adopted struct{ log *slog.Logger }
+// goZeroWriter implements logx.Writer, go-zero's log output, with a slog logger.
+type goZeroWriter struct{ log *slog.Logger }
 
+// attrs converts go-zero's log fields to slog arguments.
 func attrs(fields []logx.LogField) []any {
 	out := make([]any, 0, 2*len(fields))
 	for _, f := range fields {
@@ -39,34 +40,38 @@
 }
 
 // Alert implements logx.Writer.
-func (a *adopted) Alert(v any) { a.log.Error("alert", "content", v) }
+func (a *goZeroWriter) Alert(v any) { a.log.Error("alert", "content", v) }
 
 // Close implements logx.Writer.
-func (a *adopted) Close() error { return nil }
+func (a *goZeroWriter) Close() error { return nil }
 
 // Debug implements logx.Writer.
-func (a *adopted) Debug(v any, f ...logx.LogField) {
+func (a *goZeroWriter) Debug(v any, f ...logx.LogField) {
 	a.log.With(attrs(f)...).Debug("debug", "content", v)
 }
 
 // Error implements logx.Writer.
-func (a *adopted) Error(v any, f ...logx.LogField) {
+func (a *goZeroWriter) Error(v any, f ...logx.LogField) {
 	a.log.With(attrs(f)...).Error("error", "content", v)
 }
 
 // Info implements logx.Writer.
-func (a *adopted) Info(v any, f ...logx.LogField) { a.log.With(attrs(f)...).Info("info", "content", v) }
+func (a *goZeroWriter) Info(v any, f ...logx.LogField) {
+	a.log.With(attrs(f)...).Info("info", "content", v)
+}
 
 // Severe implements logx.Writer.
-func (a *adopted) Severe(v any) { a.log.Error("severe", "content", v) }
+func (a *goZeroWriter) Severe(v any) { a.log.Error("severe", "content", v) }
 
 // Slow implements logx.Writer.
-func (a *adopted) Slow(v any, f ...logx.LogField) { a.log.With(attrs(f)...).Warn("slow", "content", v) }
+func (a *goZeroWriter) Slow(v any, f ...logx.LogField) {
+	a.log.With(attrs(f)...).Warn("slow", "content", v)
+}
 
 // Stack implements logx.Writer.
-func (a *adopted) Stack(v any) { a.log.Error("stack", "content", v) }
+func (a *goZeroWriter) Stack(v any) { a.log.Error("stack", "content", v) }
 
 // Stat implements logx.Writer.
-func (a *adopted) Stat(v any, f ...logx.LogField) {
+func (a *goZeroWriter) Stat(v any, f ...logx.LogField) {
 	a.log.With(attrs(f)...).Debug("stat", "content", v)
 }
--- a/src/metrics/metrics.go
+++ b/src/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics keeps the box's Prometheus metrics. Labels are pipelines, classes, pools, codes
-// and failures: their number is the configuration's and never grows with requests or workspaces.
+// Package metrics provides the Prometheus metrics of boxes and gateways. Labels are pipelines, classes, pools, codes
+// and failures, so that their number depends on the configuration but not on requests or workspaces.
 package metrics
 
 import (
@@ -18,48 +18,49 @@
 	"github.com/stilemast/stilemast/src/web"
 )
 
-// Set is one box's metrics.
+// Set holds the metrics of one box.
 type Set struct {
-	registry *prometheus.Registry
-	ended    *prometheus.CounterVec
-	took     *prometheus.HistogramVec
-	first    *prometheus.HistogramVec
-	calls    *prometheus.CounterVec
-	served   *prometheus.HistogramVec
-	waited   *prometheus.HistogramVec
-	stale    prometheus.Counter
-	reads    *prometheus.CounterVec
+	registry           *prometheus.Registry
+	requestsEnded      *prometheus.CounterVec
+	requestSeconds     *prometheus.HistogramVec
+	firstOutputSeconds *prometheus.HistogramVec
+	calls              *prometheus.CounterVec
+	callSeconds        *prometheus.HistogramVec
+	waitSeconds        *prometheus.HistogramVec
+	staleReplies       prometheus.Counter
+	platformReads      *prometheus.CounterVec
 }
 
+// buckets are the upper bounds of the histograms, 1 ms to 33 s.
 var buckets = prometheus.ExponentialBuckets(0.001, 2, 16)
 
-// New makes an empty set.
+// New returns an empty set.
 func New() *Set {
 	s := &Set{
-		registry: prometheus.NewRegistry(),
-		ended:    counters("requests_ended_total", "Requests that ended, by result code.", "pipeline", "class", "code"),
-		took:     histograms("request_seconds", "Time from acceptance to the final answer.", "pipeline"),
-		first:    histograms("first_output_seconds", "Time from acceptance to the first output.", "pipeline"),
-		calls:    counters("calls_total", "Calls to backend servers, by how they ended.", "pool", "failure"),
-		served:   histograms("call_seconds", "Time of one call to a backend server.", "pool"),
-		waited:   histograms("wait_seconds", "Time a call waited in its pool.", "pool"),
-		stale:    prometheus.NewCounter(prometheus.CounterOpts{Name: "stilemast_stale_replies_total", Help: "Replies discarded as late, repeated or foreign."}),
-		reads:    counters("platform_reads_total", "Reads of the platform's service.", "document", "ok"),
+		registry:           prometheus.NewRegistry(),
+		requestsEnded:      newCounterVec("requests_ended_total", "Requests that ended, by result code.", "pipeline", "class", "code"),
+		requestSeconds:     newHistogramVec("request_seconds", "Time from acceptance to the final answer.", "pipeline"),
+		firstOutputSeconds: newHistogramVec("first_output_seconds", "Time from acceptance to the first output.", "pipeline"),
+		calls:              newCounterVec("calls_total", "Calls to backend servers, by how they ended.", "pool", "failure"),
+		callSeconds:        newHistogramVec("call_seconds", "Time of one call to a backend server.", "pool"),
+		waitSeconds:        newHistogramVec("wait_seconds", "Time a call waited in its pool.", "pool"),
+		staleReplies:       prometheus.NewCounter(prometheus.CounterOpts{Name: "stilemast_stale_replies_total", Help: "Replies discarded as late, repeated or foreign."}),
+		platformReads:      newCounterVec("platform_reads_total", "Reads of the platform's service.", "document", "ok"),
 	}
-	s.registry.MustRegister(s.ended, s.took, s.first, s.calls, s.served, s.waited, s.stale, s.reads,
+	s.registry.MustRegister(s.requestsEnded, s.requestSeconds, s.firstOutputSeconds, s.calls, s.callSeconds, s.waitSeconds, s.staleReplies, s.platformReads,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return s
 }
 
-func counters(name, help string, labels ...string) *prometheus.CounterVec {
+func newCounterVec(name, help string, labels ...string) *prometheus.CounterVec {
 	return prometheus.NewCounterVec(prometheus.CounterOpts{Name: "stilemast_" + name, Help: help}, labels)
 }
 
-func histograms(name, help string, labels ...string) *prometheus.HistogramVec {
+func newHistogramVec(name, help string, labels ...string) *prometheus.HistogramVec {
 	return prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "stilemast_" + name, Help: help, Buckets: buckets}, labels)
 }
 
-// Watcher gives the hooks through which a box fills the set.
+// Watcher returns the hooks by which a box updates the set.
 func (s *Set) Watcher() box.Observer {
 	return box.Observer{
 		RequestEnded: func(p *config.Pipeline, err *code.Error, took, firstOut time.Duration) {
@@ -67,29 +68,29 @@
 			if err != nil {
 				name = err.Code.String()
 			}
-			s.ended.WithLabelValues(p.Name(), p.Class().String(), name).Inc()
-			s.took.WithLabelValues(p.Name()).Observe(took.Seconds())
+			s.requestsEnded.WithLabelValues(p.Name(), p.Class().String(), name).Inc()
+			s.requestSeconds.WithLabelValues(p.Name()).Observe(took.Seconds())
 			if firstOut > 0 {
-				s.first.WithLabelValues(p.Name()).Observe(firstOut.Seconds())
+				s.firstOutputSeconds.WithLabelValues(p.Name()).Observe(firstOut.Seconds())
 			}
 		},
 		CallEnded: func(pool string, f core.Failure, took time.Duration) {
 			s.calls.WithLabelValues(pool, f.String()).Inc()
-			s.served.WithLabelValues(pool).Observe(took.Seconds())
+			s.callSeconds.WithLabelValues(pool).Observe(took.Seconds())
 		},
-		Waited:       func(pool string, d time.Duration) { s.waited.WithLabelValues(pool).Observe(d.Seconds()) },
-		StaleReplies: func(n int) { s.stale.Add(float64(n)) },
+		Waited:       func(pool string, d time.Duration) { s.waitSeconds.WithLabelValues(pool).Observe(d.Seconds()) },
+		StaleReplies: func(n int) { s.staleReplies.Add(float64(n)) },
 		PlatformRead: func(document string, ok bool) {
 			word := "false"
 			if ok {
 				word = "true"
 			}
-			s.reads.WithLabelValues(document, word).Inc()
+			s.platformReads.WithLabelValues(document, word).Inc()
 		},
 	}
 }
 
-// WatchBox adds gauges of what a box holds, read when scraped.
+// WatchBox adds gauges of the box's state, which are read at each scrape. Call it only once.
 func (s *Set) WatchBox(b *box.Box) {
 	gauge := func(name, help string, read func(box.Status) float64) {
 		s.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "stilemast_" + name, Help: help},
@@ -103,7 +104,7 @@
 	gauge("config_confirmed_age_seconds", "Age of the last confirmation.", func(st box.Status) float64 { return st.Config.Age.Seconds() })
 }
 
-// Handler serves the metrics and the box's health.
+// Handler serves the metrics, and the box's liveness and readiness checks.
 func (s *Set) Handler(b *box.Box) (http.Handler, error) {
 	return web.Handler([]rest.Route{
 		{Method: http.MethodGet, Path: "/metrics", Handler: promhttp.HandlerFor(s.registry, promhttp.HandlerOpts{}).ServeHTTP},
--- a/src/node/node.go
+++ b/src/node/node.go
@@ -1,4 +1,4 @@
-// Package node assembles one process: a box, its listeners and its adapters.
+// Package node assembles the parts of one process: a box or gateway, its listeners and its adapters.
 package node
 
 import (
@@ -33,51 +33,51 @@
 	"github.com/stilemast/stilemast/src/web"
 )
 
-// Limits of the callers' listener.
+// Limits of the callers' gRPC server.
 const (
-	maxMessage   = 2 << 20
-	maxStreams   = 4096
-	healthEvery  = 200 * time.Millisecond
-	callersGrace = 2 * time.Second // for open answers to reach callers at the end of a planned stop
+	maxMessageBytes    = 2 << 20 // bytes
+	maxStreams         = 4096    // concurrent streams of one connection
+	healthInterval     = 200 * time.Millisecond
+	callerDrainTimeout = 2 * time.Second // for open answers to reach callers at the end of a graceful shutdown
 )
 
-// Node is one process of stilemast. Set the exported fields before Start.
+// Node is one process that runs a box. Set the exported fields before Start.
 type Node struct {
 	Settings *config.Settings
 	Log      *slog.Logger
 	Release  string
-	Adjust   func(*box.Box) // changes the box before it starts; may be nil
+	Adjust   func(*box.Box) // modifies the box before it starts; may be nil
 
-	box     *box.Box
-	peers   *peer.Client
-	callers net.Listener
-	beats   net.Listener
-	web     net.Listener
-	grpc    *grpc.Server
-	health  *health.Server
-	http    *http.Server
-	cancel  context.CancelFunc
-	done    sync.WaitGroup
-	stopped chan struct{}
-	once    sync.Once
+	box            *box.Box
+	peers          *peer.Client
+	callerListener net.Listener
+	peerListener   net.Listener
+	webListener    net.Listener
+	grpc           *grpc.Server
+	health         *health.Server
+	http           *http.Server
+	cancel         context.CancelFunc
+	wg             sync.WaitGroup
+	stopped        chan struct{}
+	stopOnce       sync.Once
 }
 
-// Box is the box inside, after Start.
+// Box returns the box that this node runs. Call it after Start.
 func (n *Node) Box() *box.Box { return n.box }
 
-// CallersAddress is where callers and operators reach the node, after Start.
-func (n *Node) CallersAddress() string { return n.callers.Addr().String() }
+// CallersAddress returns the address for callers and operators. Call it after Start.
+func (n *Node) CallersAddress() string { return n.callerListener.Addr().String() }
 
-// PeersAddress is where other boxes reach the node, after Start.
-func (n *Node) PeersAddress() string { return n.beats.Addr().String() }
+// PeersAddress returns the address for other boxes. Call it after Start.
+func (n *Node) PeersAddress() string { return n.peerListener.Addr().String() }
 
-// Stopped closes when a planned stop has ended.
+// Stopped returns a channel that is closed when a graceful shutdown has completed.
 func (n *Node) Stopped() <-chan struct{} { return n.stopped }
 
-// PeerBytes counts the bytes sent to other boxes.
+// PeerBytes returns the number of bytes sent to other boxes.
 func (n *Node) PeerBytes() int64 { return n.peers.BytesSent.Load() }
 
-// Start opens the listeners and begins to serve.
+// Start opens the listeners and starts serving. Errors name the setting that they concern.
 func (n *Node) Start() error {
 	n.stopped = make(chan struct{})
 	serverTLS, clientTLS, err := loadTLS(n.Settings.TLS)
@@ -87,22 +87,22 @@
 	if err := n.listen(); err != nil {
 		return err
 	}
-	n.Settings.Listen.Peers = n.beats.Addr().String()
+	n.Settings.Listen.Peers = n.peerListener.Addr().String()
 	n.peers = peer.NewClient(clientTLS)
-	reads := configservice.NewClient(n.Settings.Platform.Addresses, time.Duration(n.Settings.Platform.CallTimeout))
-	reads.Watch = time.Duration(n.Settings.Platform.Watch)
+	platform := configservice.NewClient(n.Settings.Platform.Addresses, time.Duration(n.Settings.Platform.CallTimeout))
+	platform.Watch = time.Duration(n.Settings.Platform.Watch)
 	n.box = &box.Box{
 		Settings: n.Settings,
 		ID:       core.BoxID{Name: n.Settings.Box, Incarnation: uint64(time.Now().UnixNano())},
 		Release:  n.Release,
 		Backends: backend.NewClient(backendTLS(n.Settings.TLS, clientTLS)).Ports(),
-		Platform: reads.Ports(),
+		Platform: platform.Ports(),
 		Peers:    n.peers.Ports(),
 		Log:      n.Log,
 		Clock:    clock.Now,
 		Wall:     time.Now,
 	}
-	logClock(n.Log)
+	checkClock(n.Log)
 	set := metrics.New()
 	n.box.Observer = set.Watcher()
 	if n.Adjust != nil {
@@ -118,52 +118,52 @@
 	n.servePeers(ctx, peersTLS(n.Settings.TLS, serverTLS))
 	n.serveCallers(serverTLS)
 	n.box.Start(ctx)
-	n.done.Add(1)
+	n.wg.Add(1)
 	go n.watchHealth(ctx)
 	return nil
 }
 
 func (n *Node) listen() error {
 	var err error
-	if n.callers, err = net.Listen("tcp", n.Settings.Listen.Callers); err != nil {
+	if n.callerListener, err = net.Listen("tcp", n.Settings.Listen.Callers); err != nil {
 		return eris.Wrap(err, "listen.callers")
 	}
-	if n.beats, err = net.Listen("tcp", n.Settings.Listen.Peers); err != nil {
+	if n.peerListener, err = net.Listen("tcp", n.Settings.Listen.Peers); err != nil {
 		return eris.Wrap(err, "listen.peers")
 	}
 	if n.Settings.Listen.Metrics == "" {
 		return nil
 	}
-	if n.web, err = net.Listen("tcp", n.Settings.Listen.Metrics); err != nil {
+	if n.webListener, err = net.Listen("tcp", n.Settings.Listen.Metrics); err != nil {
 		return eris.Wrap(err, "listen.metrics")
 	}
 	return nil
 }
 
 func (n *Node) serveWeb(set *metrics.Set, cfg *tls.Config) error {
-	if n.web == nil {
+	if n.webListener == nil {
 		return nil
 	}
 	h, err := set.Handler(n.box)
 	if err != nil {
 		return err
 	}
-	n.http = web.Start(n.web, h, cfg)
+	n.http = web.Start(n.webListener, h, cfg)
 	return nil
 }
 
 func (n *Node) servePeers(ctx context.Context, cfg *tls.Config) {
 	s := &peer.Server{TLS: cfg, Handlers: peer.Handlers{Beat: n.box.HandleBeat, Ask: n.box.HandleQuestion, Forward: n.box.HandleForward}}
-	n.done.Add(1)
+	n.wg.Add(1)
 	go func() {
-		defer n.done.Done()
-		s.Serve(ctx, n.beats)
+		defer n.wg.Done()
+		s.Serve(ctx, n.peerListener)
 	}()
 }
 
 func (n *Node) serveCallers(cfg *tls.Config) {
 	opts := []grpc.ServerOption{
-		grpc.MaxRecvMsgSize(maxMessage),
+		grpc.MaxRecvMsgSize(maxMessageBytes),
 		grpc.MaxConcurrentStreams(maxStreams),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 5 * time.Second, PermitWithoutStream: true}),
 	}
@@ -175,17 +175,17 @@
 	healthpb.RegisterHealthServer(n.grpc, n.health)
 	pb.RegisterPipelinesServer(n.grpc, &rpc.Pipelines{Box: n.box})
 	pb.RegisterOperationsServer(n.grpc, &rpc.Operations{Box: n.box, BeginStop: n.beginStop})
-	n.done.Add(1)
+	n.wg.Add(1)
 	go func() {
-		defer n.done.Done()
-		_ = n.grpc.Serve(n.callers)
+		defer n.wg.Done()
+		_ = n.grpc.Serve(n.callerListener)
 	}()
 }
 
-// watchHealth keeps the standard health service in step with the box.
+// watchHealth publishes the readiness of the box in the gRPC health service.
 func (n *Node) watchHealth(ctx context.Context) {
-	defer n.done.Done()
-	t := time.NewTicker(healthEvery)
+	defer n.wg.Done()
+	t := time.NewTicker(healthInterval)
 	defer t.Stop()
 	for {
 		state := healthpb.HealthCheckResponse_NOT_SERVING
@@ -201,22 +201,22 @@
 	}
 }
 
-// beginStop starts the planned stop and gives the requests that run.
+// beginStop starts a graceful shutdown and returns the number of running requests.
 func (n *Node) beginStop() int {
 	running := n.box.Status().Running
 	go n.Stop()
 	return running
 }
 
-// Stop is the planned stop; it gives the requests that were cut, 0 after a clean one. A second call
-// waits for the first.
+// Stop shuts the node down gracefully and returns the number of requests that were aborted. Further calls wait for the
+// first and return 0.
 func (n *Node) Stop() int {
 	cut := 0
-	n.once.Do(func() {
+	n.stopOnce.Do(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(n.Settings.StopWithin))
 		defer cancel()
 		cut = n.box.Drain(ctx)
-		n.endCallers()
+		n.finishCallers()
 		n.Kill()
 		close(n.stopped)
 	})
@@ -224,8 +224,8 @@
 	return cut
 }
 
-// endCallers lets open answers reach their callers, for a bounded time.
-func (n *Node) endCallers() {
+// finishCallers waits up to callerDrainTimeout for open answers to reach their callers.
+func (n *Node) finishCallers() {
 	ended := make(chan struct{})
 	go func() {
 		n.grpc.GracefulStop()
@@ -233,23 +233,24 @@
 	}()
 	select {
 	case <-ended:
-	case <-time.After(callersGrace):
+	case <-time.After(callerDrainTimeout):
 	}
 }
 
-// Kill ends the node at once, as a lost process would, but for the memory it leaves behind.
+// Kill stops the node immediately, as a crash of the process would, except that its memory is not freed.
 func (n *Node) Kill() {
 	n.cancel()
 	n.grpc.Stop()
-	_ = n.beats.Close()
+	_ = n.peerListener.Close()
 	n.peers.Close()
 	if n.http != nil {
 		_ = n.http.Close()
 	}
-	n.done.Wait()
+	n.wg.Wait()
 }
 
-// loadTLS reads the PEM files that the settings name; nil configurations mean plain TCP.
+// loadTLS reads the PEM files named by the settings. Without a certificate both configurations are nil, which means
+// plain TCP.
 func loadTLS(s config.TLSSettings) (server, client *tls.Config, err error) {
 	if s.Certificate == "" {
 		return nil, nil, nil
@@ -269,7 +270,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, nil, eris.New("tls.authority: holds no certificate")
+		return nil, nil, eris.New("tls.authority: no certificate found in the file")
 	}
 	server.ClientCAs, client.RootCAs = pool, pool
 	server.ClientAuth = tls.VerifyClientCertIfGiven
@@ -279,7 +280,7 @@
 	return server, client, nil
 }
 
-// peersTLS narrows a server's configuration to certificates of boxes.
+// peersTLS restricts a server's configuration to clients whose common name is listed in PeerNames, if there are any.
 func peersTLS(s config.TLSSettings, server *tls.Config) *tls.Config {
 	if server == nil || len(s.PeerNames) == 0 {
 		return server
@@ -289,12 +290,12 @@
 		if len(c.VerifiedChains) > 0 && slices.Contains(s.PeerNames, c.VerifiedChains[0][0].Subject.CommonName) {
 			return nil
 		}
-		return eris.New("not a box's certificate")
+		return eris.New("the certificate's common name is not in tls.peer_names")
 	}
 	return cfg
 }
 
-// backendTLS is how backend servers are called.
+// backendTLS returns the configuration for calls to backend servers, nil for plain TCP.
 func backendTLS(s config.TLSSettings, client *tls.Config) *tls.Config {
 	if !s.Backends {
 		return nil
@@ -302,10 +303,10 @@
 	return client
 }
 
-// logClock says at the start when sleeps of the machine can't be seen.
-func logClock(log *slog.Logger) {
+// checkClock warns if the clock cannot detect that the machine was suspended.
+func checkClock(log *slog.Logger) {
 	clock.Now()
 	if err := clock.Err(); err != nil {
-		log.Warn("sleeps of the machine can't be seen", "cause", err.Error())
+		log.Warn("suspension of the machine cannot be detected", "cause", err.Error())
 	}
 }
--- a/src/peer/frame_test.go
+++ b/src/peer/frame_test.go
@@ -56,7 +56,7 @@
 		t.Errorf("too long: %v", err)
 	}
 	cut := append(binary.BigEndian.AppendUint32(nil, 100), 1, 2, 3)
-	var broken *port.Interrupted
+	var broken *port.InterruptedError
 	_, err := ReadFrame(bytes.NewReader(cut))
 	if !errors.As(err, &broken) || broken.Got != 3 || broken.Want != 100 || broken.Cause != io.ErrUnexpectedEOF {
 		t.Errorf("cut off: %v", err)
@@ -96,7 +96,7 @@
 	}()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	var never *port.NotConnected
+	var never *port.NotConnectedError
 	err = c.Forward(ctx, address, port.Forward{}, func(port.ForwardEvent) {})
 	if err == nil || errorsAs(err, &never) {
 		t.Errorf("a forward that was received but not answered: %v", err)
@@ -107,8 +107,8 @@
 	}
 }
 
-func errorsAs(err error, target **port.NotConnected) bool {
-	e, ok := err.(*port.NotConnected)
+func errorsAs(err error, target **port.NotConnectedError) bool {
+	e, ok := err.(*port.NotConnectedError)
 	if ok {
 		*target = e
 	}
--- a/src/standin/http.go
+++ b/src/standin/http.go
@@ -18,28 +18,29 @@
 	"github.com/stilemast/stilemast/src/web"
 )
 
-// PathRan lists what a stand-in ran; it is no part of a real server's interface.
-const PathRan = "/ran"
+// PathExecutions serves the list of calls that a fake backend server ran. Real servers do not have it.
+const PathExecutions = "/ran"
 
-type caller func(context.Context, port.CallRequest, func(int, []byte)) (port.CallResult, *port.CallError)
+// callFunc is the signature of Engine.Call and Service.Call.
+type callFunc func(context.Context, port.CallRequest, func(int, []byte)) (port.CallResult, *port.CallError)
 
-// Handler serves the service's published interface.
+// Handler returns the service's HTTP interface.
 func (s *Service) Handler() (http.Handler, error) {
 	return web.Handler([]rest.Route{
 		{Method: http.MethodPost, Path: backend.PathCall, Handler: callHandler(s.Call)},
 		{Method: http.MethodPost, Path: backend.PathStop, Handler: func(http.ResponseWriter, *http.Request) {}},
 		{Method: http.MethodGet, Path: backend.PathLoad, Handler: func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Report()) }},
-		{Method: http.MethodGet, Path: PathRan, Handler: func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Log.All()) }},
+		{Method: http.MethodGet, Path: PathExecutions, Handler: func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Log.All()) }},
 	})
 }
 
-// Handler serves the engine's published interface.
+// Handler returns the engine's HTTP interface.
 func (e *Engine) Handler() (http.Handler, error) {
 	return web.Handler([]rest.Route{
 		{Method: http.MethodPost, Path: backend.PathCall, Handler: callHandler(e.Call)},
 		{Method: http.MethodPost, Path: backend.PathStop, Handler: e.serveStop},
 		{Method: http.MethodGet, Path: backend.PathLoad, Handler: func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Report()) }},
-		{Method: http.MethodGet, Path: PathRan, Handler: func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Log.All()) }},
+		{Method: http.MethodGet, Path: PathExecutions, Handler: func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Log.All()) }},
 		{Method: http.MethodGet, Path: backend.PathEvents, Handler: e.serveEvents},
 		{Method: http.MethodPost, Path: backend.PathOrders, Handler: e.serveOrder},
 		{Method: http.MethodPost, Path: backend.PathExport, Handler: e.serveExport},
@@ -65,8 +66,8 @@
 		return
 	}
 	o := core.Order{Fence: in.Fence, Model: in.Model, Version: in.Version, Adapters: in.Adapters, Role: in.Role, LoadTime: time.Duration(in.LoadTime)}
-	if !e.Take(o) {
-		http.Error(w, "fence is older than the last order's", http.StatusConflict)
+	if !e.AcceptOrder(o) {
+		http.Error(w, "fence is lower than that of the last order", http.StatusConflict)
 	}
 }
 
@@ -84,7 +85,7 @@
 	}
 }
 
-// Handler serves the platform's published interface.
+// Handler returns the HTTP interface of the configuration service.
 func (p *Platform) Handler() (http.Handler, error) {
 	return web.Handler([]rest.Route{
 		{Method: http.MethodGet, Path: configservice.PathConfig, Handler: p.serveConfig},
@@ -99,29 +100,29 @@
 		return
 	}
 	wait, _ := strconv.Atoi(r.URL.Query().Get(configservice.WaitQuery))
-	raw = p.changed(r.Context(), raw, r.Header.Get("If-None-Match"), time.Duration(min(wait, maxWatch))*time.Millisecond)
-	writeTagged(w, r, raw)
+	raw = p.waitForChange(r.Context(), raw, r.Header.Get("If-None-Match"), time.Duration(min(wait, maxWatchMillis))*time.Millisecond)
+	writeWithETag(w, r, raw)
 }
 
-// maxWatch is the longest a read may wait for a change, in milliseconds.
-const maxWatch = 30_000
+// maxWatchMillis bounds the time that a read of the configuration may wait for a change.
+const maxWatchMillis = 30_000
 
-// changed waits until the configuration is not the one that the reader has. It counts no call: the
-// waiting one was counted when it came.
-func (p *Platform) changed(ctx context.Context, raw []byte, tag string, wait time.Duration) []byte {
+// waitForChange returns the configuration once its entity tag differs from tag, or after wait. It does not
+// count in Calls: the read that waits was counted when it began.
+func (p *Platform) waitForChange(ctx context.Context, raw []byte, tag string, wait time.Duration) []byte {
 	until := time.Now().Add(wait)
-	for tagOf(raw) == tag && time.Now().Before(until) && ctx.Err() == nil {
+	for etagOf(raw) == tag && time.Now().Before(until) && ctx.Err() == nil {
 		time.Sleep(10 * time.Millisecond)
-		raw = p.shown()
+		raw = p.currentConfig()
 	}
 	return raw
 }
 
-func tagOf(b []byte) string { return `"` + config.Digest(b) + `"` }
+func etagOf(b []byte) string { return `"` + config.Digest(b) + `"` }
 
-// writeTagged answers with an entity tag, or that nothing changed since the asker's.
-func writeTagged(w http.ResponseWriter, r *http.Request, b []byte) {
-	tag := tagOf(b)
+// writeWithETag replies with the content and its entity tag, or with 304 if the request has the same tag.
+func writeWithETag(w http.ResponseWriter, r *http.Request, b []byte) {
+	tag := etagOf(b)
 	w.Header().Set("ETag", tag)
 	if r.Header.Get("If-None-Match") == tag {
 		w.WriteHeader(http.StatusNotModified)
@@ -139,8 +140,8 @@
 	writeJSON(w, list)
 }
 
-// callHandler serves calls, as an event stream where the kind generates.
-func callHandler(call caller) http.HandlerFunc {
+// callHandler serves calls; the reply is an event stream if the call emits output, else JSON.
+func callHandler(call callFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var in port.CallRequest
 		if !readJSON(w, r, &in) {
@@ -157,7 +158,7 @@
 		res, err := call(r.Context(), in, emit)
 		switch {
 		case err != nil && (begun || err.Failure == core.Broken):
-			panic(http.ErrAbortHandler) // breaks the connection, as a dying server would
+			panic(http.ErrAbortHandler) // closes the connection, like a crashing server
 		case err != nil:
 			writeFailure(w, err)
 		case res.Stream:
@@ -173,8 +174,8 @@
 	switch err.Failure {
 	case core.Busy, core.Leaving:
 		w.Header().Set(backend.NotRunHeader, err.Failure.String())
-		if err.Rest > 0 {
-			w.Header().Set("Retry-After", strconv.FormatFloat(err.Rest.Seconds(), 'f', 3, 64))
+		if err.RetryAfter > 0 {
+			w.Header().Set("Retry-After", strconv.FormatFloat(err.RetryAfter.Seconds(), 'f', 3, 64))
 		}
 		http.Error(w, err.Message, http.StatusServiceUnavailable)
 	case core.Wrong:
