--- a/src/backend/backend_test.go
+++ b/src/backend/backend_test.go
@@ -35,8 +35,8 @@
 
 func ignore(int, []byte) {}
 
-// A server that takes a call and closes without an answer: a call that may not be repeated must reach
-// it once, and the failure must not read as "not sent".
+// Guards against a repeated or misreported at-most-once call: when the server closes the connection without a
+// response, the call must not be sent again and the failure must not be NotSent.
 func TestOnceCallIsSentOnceWhenTheAnswerIsLost(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -46,7 +46,7 @@
 	var got atomic.Int32
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		if got.Add(1) > 1 { // the first call warms a kept connection
+		if got.Add(1) > 1 { // the first call leaves an idle connection for reuse
 			panic(http.ErrAbortHandler)
 		}
 		_, _ = w.Write([]byte(`{"length":0}`))
@@ -65,7 +65,7 @@
 		t.Errorf("failure = %v", cerr)
 	}
 	if n := got.Load(); n != 2 {
-		t.Errorf("the call reached the server %d times", n-1)
+		t.Errorf("the call reached the server %d times, want once", n-1)
 	}
 }
 
@@ -105,14 +105,14 @@
 			t.Errorf("%s: %s, want %s", name, got.Failure, c.want)
 		}
 		if want := map[bool]time.Duration{true: 1500 * time.Millisecond}[c.want == core.Busy]; got.Rest != want {
-			t.Errorf("%s: asks for a rest of %s, want %s", name, got.Rest, want)
+			t.Errorf("%s: Retry-After of %s, want %s", name, got.Rest, want)
 		}
 	}
 }
 
 func TestEventReader(t *testing.T) {
 	r := NewEventReader(strings.NewReader(":hello\n\nevent: text\ndata: a\ndata: b\n\nevent: done\ndata: c"))
-	if _, err := r.Next(); err != nil { // the comment is an event without content
+	if _, err := r.Next(); err != nil { // a comment is read as an empty event
 		t.Fatal(err)
 	}
 	ev, err := r.Next()
@@ -120,7 +120,7 @@
 		t.Errorf("event = %+v, %v", ev, err)
 	}
 	if _, err := r.Next(); err != io.ErrUnexpectedEOF {
-		t.Errorf("a cut event: %v", err)
+		t.Errorf("a truncated event: %v", err)
 	}
 	long := strings.NewReader("data: " + strings.Repeat("x", maxEvent+1) + "\n\n")
 	if _, err := NewEventReader(long).Next(); code.Of(err).Code != code.FrameInvalid {
@@ -148,7 +148,7 @@
 	})
 }
 
-// countingConn counts what goes over a connection, both ways.
+// countingConn counts the bytes in both directions.
 type countingConn struct {
 	net.Conn
 	n *atomic.Int64
@@ -176,7 +176,7 @@
 	return countingConn{c, l.n}, err
 }
 
-// BenchmarkReport is one load report over HTTP, with the bytes it takes both ways.
+// BenchmarkReport fetches load reports over HTTP and measures the bytes of each in both directions.
 func BenchmarkReport(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/src/backend/client.go
+++ b/src/backend/client.go
@@ -26,20 +26,21 @@
 	"github.com/stilemast/stilemast/src/port"
 )
 
-// Client calls backend servers. Set its fields before the first call.
+// Client calls backend servers. Its fields must be set before the first call.
 type Client struct {
-	TLS      *tls.Config   // nil speaks plain HTTP
-	DialWait time.Duration // how long a connection may take to open
+	TLS      *tls.Config   // nil means plain HTTP
+	DialWait time.Duration // connect timeout
 
-	kept   httpc.Service // keeps connections open between calls
-	single httpc.Service // a fresh connection for each call
+	kept   httpc.Service // reuses connections
+	single httpc.Service // opens a new connection for each call
 	scheme string
 }
 
-// serviceName names the breaker that httpc looks up, which is switched off: pools judge health.
+// serviceName identifies the circuit breaker of httpc. It is disabled, since the pools track the health of
+// servers.
 const serviceName = "stilemast-backend"
 
-// NewClient makes a client.
+// NewClient returns a client that uses TLS with the given configuration, or plain HTTP if it is nil.
 func NewClient(cfg *tls.Config) *Client {
 	breaker.NoBreakerFor(serviceName)
 	c := &Client{TLS: cfg, DialWait: time.Second, scheme: "http"}
@@ -54,7 +55,7 @@
 	return c
 }
 
-// Ports gives the client's calls as the box wants them.
+// Ports returns the client's methods as the interface that a box uses.
 func (c *Client) Ports() port.Backends {
 	return port.Backends{Call: c.Call, Stop: c.Stop, Load: c.Load, Events: c.Events, Order: c.Order}
 }
@@ -63,8 +64,9 @@
 	return c.scheme + "://" + b.Address() + path
 }
 
-// Call runs one attempt. A call that may not be repeated gets a fresh connection, since a kept one
-// may be closing under it, and no body that the transport could send a second time.
+// Call runs one attempt of a stage and passes streamed pieces to emit. A call that must not be repeated uses
+// a new connection, since the server may be closing a reused one, and a body that the transport can not send
+// again.
 func (c *Client) Call(ctx context.Context, b *config.BackendServer, r port.CallRequest, emit func(int, []byte)) (port.CallResult, *port.CallError) {
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -100,10 +102,10 @@
 	return res, nil
 }
 
-// onceReader hides that its bytes could be read again, so that net/http never resends them.
+// onceReader hides the concrete type of a reader, so that net/http can not rewind the body and resend it.
 type onceReader struct{ io.Reader }
 
-// sendFailure tells a call that never left from one that may have.
+// sendFailure distinguishes a call that was never sent from one that may have been.
 func sendFailure(ctx context.Context, connected bool) core.Failure {
 	if !connected {
 		return core.NotSent
@@ -111,6 +113,7 @@
 	return brokenOrLate(ctx)
 }
 
+// brokenOrLate returns TimedOut if the deadline of ctx has passed, otherwise Broken.
 func brokenOrLate(ctx context.Context) core.Failure {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return core.TimedOut
@@ -118,6 +121,7 @@
 	return core.Broken
 }
 
+// statusFailure converts a response with a status other than 200 to a failure.
 func statusFailure(resp *http.Response) *port.CallError {
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, 256))
 	e := &port.CallError{Failure: core.Broken, Message: fmt.Sprintf("status %d: %s", resp.StatusCode, bytes.TrimSpace(text))}
@@ -132,7 +136,7 @@
 	return e
 }
 
-// readStream hands on the pieces of a stream until its end event.
+// readStream passes the pieces of a stream to emit and returns the result in its done event.
 func readStream(ctx context.Context, body io.Reader, emit func(int, []byte)) (port.CallResult, *port.CallError) {
 	events := NewEventReader(body)
 	for {
@@ -144,75 +148,75 @@
 		case EventText:
 			var t TextEvent
 			if err := json.Unmarshal(ev.Data, &t); err != nil || t.Offset < 0 {
-				return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "unreadable text event"}
+				return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "invalid text event"}
 			}
 			emit(t.Offset, t.Text)
 		case EventDone:
 			var res port.CallResult
 			if err := json.Unmarshal(ev.Data, &res); err != nil {
-				return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "unreadable done event"}
+				return port.CallResult{}, &port.CallError{Failure: core.Broken, Message: "invalid done event"}
 			}
 			return res, nil
 		}
 	}
 }
 
-// Stop cancels an attempt; failures don't matter, the engine ends it by itself.
+// Stop cancels an attempt. Errors are ignored, since the engine also ends an abandoned attempt by itself.
 func (c *Client) Stop(ctx context.Context, b *config.BackendServer, attempt string) {
 	_ = c.exchange(ctx, http.MethodPost, c.url(b, PathStop), StopRequest{Attempt: attempt}, nil)
 }
 
-// Load fetches a load report.
+// Load fetches the load report of a server.
 func (c *Client) Load(ctx context.Context, b *config.BackendServer) (core.Report, error) {
 	var r core.Report
 	err := c.exchange(ctx, http.MethodGet, c.url(b, PathLoad), nil, &r)
 	return r, err
 }
 
-// Events fetches the cache events after a sequence number.
+// Events fetches the KV cache events after a sequence number.
 func (c *Client) Events(ctx context.Context, b *config.BackendServer, after uint64) ([]core.CacheEvent, error) {
 	var r EventsReply
 	err := c.exchange(ctx, http.MethodGet, c.url(b, PathEvents)+"?after="+strconv.FormatUint(after, 10), nil, &r)
 	return r.Events, err
 }
 
-// Order sends a fenced order unless it has become void.
+// Order sends an order with its fencing token, unless the order has expired.
 func (c *Client) Order(ctx context.Context, b *config.BackendServer, o core.Order) error {
 	if o.Void(time.Now()) {
-		return eris.New("the order waited too long and is void")
+		return eris.New("order expired before it was sent")
 	}
 	r := OrderRequest{Fence: o.Fence, Model: o.Model, Version: o.Version, Adapters: o.Adapters, Role: o.Role, LoadTime: int64(o.LoadTime)}
 	return c.exchange(ctx, http.MethodPost, c.url(b, PathOrders), r, nil)
 }
 
-// exchange sends and receives one JSON message.
+// exchange sends in as JSON, if it is not nil, and decodes the JSON response into out.
 func (c *Client) exchange(ctx context.Context, method, url string, in, out any) error {
 	var body io.Reader
 	if in != nil {
 		b, err := json.Marshal(in)
 		if err != nil {
-			return eris.Wrap(err, "message can't be encoded")
+			return eris.Wrap(err, "could not encode the request")
 		}
 		body = bytes.NewReader(b)
 	}
 	req, err := http.NewRequestWithContext(ctx, method, url, body)
 	if err != nil {
-		return eris.Wrap(err, "request can't be made")
+		return eris.Wrap(err, "could not create the request")
 	}
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.kept.DoRequest(req)
 	if err != nil {
-		return eris.Wrap(err, "exchange failed")
+		return eris.Wrap(err, "request failed")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return eris.Errorf("status %d", resp.StatusCode)
+		return eris.Errorf("unexpected status %d", resp.StatusCode)
 	}
 	if out == nil {
 		return nil
 	}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxEvent)).Decode(out); err != nil {
-		return eris.Wrap(err, "answer can't be decoded")
+		return eris.Wrap(err, "could not decode the response")
 	}
 	return nil
 }
--- a/src/backend/protocol.go
+++ b/src/backend/protocol.go
@@ -1,9 +1,10 @@
-// Package backend calls engines and plain services over HTTP, with server-sent events for tokens.
+// Package backend is the HTTP client for engines and plain services. Generated tokens arrive as server-sent
+// events.
 package backend
 
 import "github.com/stilemast/stilemast/src/core"
 
-// The paths that engines and services serve.
+// Paths of the HTTP API of engines and services.
 const (
 	PathCall   = "/v1/call"
 	PathStop   = "/v1/stop"
@@ -14,42 +15,42 @@
 	PathImport = "/v1/kv/import"
 )
 
-// NotRunHeader names why a 503 ran nothing: "busy" or "leaving".
+// NotRunHeader gives the reason why a 503 guarantees that nothing ran: "busy" or "leaving".
 const NotRunHeader = "Stilemast-Not-Run"
 
-// Names of the events of a streamed answer.
+// Event names in a streamed response.
 const (
 	EventText = "text"
 	EventDone = "done"
 )
 
-// TextEvent is a piece of a stream.
+// TextEvent is a piece of generated text and its offset in the answer.
 type TextEvent struct {
 	Offset int    `json:"offset"`
 	Text   []byte `json:"text"`
 }
 
-// StopRequest names an attempt to cancel.
+// StopRequest identifies the attempt to cancel.
 type StopRequest struct {
 	Attempt string `json:"attempt"`
 }
 
-// OrderRequest is a fenced order.
+// OrderRequest tells an engine which model, adapters and role to load. Fence is the fencing token.
 type OrderRequest struct {
 	Fence    uint64   `json:"fence"`
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters"`
 	Role     string   `json:"role"`
-	LoadTime int64    `json:"load_time_ns"` // what the weight store says a load takes
+	LoadTime int64    `json:"load_time_ns"` // expected load time, from the weight store
 }
 
-// Blocks names cache blocks to export or import.
+// Blocks lists KV cache blocks to export or import.
 type Blocks struct {
 	Blocks []uint64 `json:"blocks"`
 }
 
-// EventsReply holds cache events.
+// EventsReply is a list of KV cache events.
 type EventsReply struct {
 	Events []core.CacheEvent `json:"events"`
 }
--- a/src/backend/sse.go
+++ b/src/backend/sse.go
@@ -8,7 +8,7 @@
 	"github.com/stilemast/stilemast/src/code"
 )
 
-// maxEvent is the longest server-sent event that is read.
+// maxEvent is the maximum size of a server-sent event, in bytes.
 const maxEvent = 4 << 20
 
 // Event is one server-sent event.
@@ -17,14 +17,14 @@
 	Data []byte
 }
 
-// EventReader reads server-sent events with bounded memory.
+// EventReader reads server-sent events using bounded memory.
 type EventReader struct{ r *bufio.Reader }
 
-// NewEventReader reads from r.
+// NewEventReader returns a reader of the events in r.
 func NewEventReader(r io.Reader) *EventReader { return &EventReader{r: bufio.NewReader(r)} }
 
-// Next reads one event. The error is io.EOF between events, io.ErrUnexpectedEOF inside one, or a
-// numbered error for one that is too long.
+// Next reads one event. The error is io.EOF at the end of the input, io.ErrUnexpectedEOF within an event, and
+// FrameInvalid for an event that is too long.
 func (e *EventReader) Next() (Event, error) {
 	var ev Event
 	begun := false
@@ -57,7 +57,8 @@
 	}
 }
 
-// line reads up to a newline, at most max bytes; a last line without one is cut off input.
+// line reads a line of at most the given number of bytes and strips its end. A last line without a newline is
+// a truncated input.
 func (e *EventReader) line(most int) ([]byte, error) {
 	var out []byte
 	for {
--- a/src/code/code.go
+++ b/src/code/code.go
@@ -1,7 +1,7 @@
-// Package code holds the numbered result codes that callers, operators and boxes share.
+// Package code defines the numbered result codes shared by callers, operators and boxes.
 //
-// Each code says whether anything of the request ran and whether coming back can help;
-// docs/CODES.md is the same table for readers and a test keeps the two alike.
+// Each code says whether any part of the request ran and whether a retry can help. docs/CODES.md has the same
+// table; a test keeps both in step.
 package code
 
 import (
@@ -12,17 +12,17 @@
 	"google.golang.org/grpc/codes"
 )
 
-// Ran says whether anything of a request ran.
+// Ran tells whether any part of a request ran.
 type Ran uint8
 
-// The three answers to "did it run?".
+// Values of Ran.
 const (
-	RanNo      Ran = iota + 1 // nothing ran under this key and nothing will
-	RanUnknown                // it may have run
-	RanYes                    // it ran, at least in part
+	RanNo      Ran = iota + 1 // nothing ran or will run under this key
+	RanUnknown                // some of it may have run
+	RanYes                    // at least part of it ran
 )
 
-// String gives the answer as the docs write it.
+// String returns the value as documented.
 func (r Ran) String() string {
 	switch r {
 	case RanNo:
@@ -35,11 +35,11 @@
 	return "unspecified"
 }
 
-// Code is a numbered result.
+// Code is the number of a result.
 type Code uint32
 
-// Numbers are grouped: 1xxx input, 2xxx identity, 3xxx boundaries, 4xxx load and time,
-// 5xxx backend servers, 6xxx at most once, 7xxx configuration, 8xxx the box itself.
+// Result codes by group: 1xxx input, 2xxx identity, 3xxx boundaries, 4xxx load and time, 5xxx backend
+// servers, 6xxx at-most-once, 7xxx configuration, 8xxx the box itself.
 const (
 	OK Code = 0
 
@@ -104,65 +104,66 @@
 type Entry struct {
 	Code    Code
 	Name    string
-	Ran     Ran        // what the code means unless an Error overrides it
-	SameKey bool       // whether coming back with the same key can help
-	GRPC    codes.Code // how the code shows to gRPC clients
+	Ran     Ran        // default, an Error may override it
+	SameKey bool       // whether a retry with the same key can help
+	GRPC    codes.Code // status for gRPC clients
 	Meaning string
 }
 
-// Table lists every code, in order.
+// Table lists all codes in ascending order.
 var Table = []Entry{
 	{OK, "OK", RanYes, false, codes.OK, "The whole answer was delivered."},
-	{BadKey, "BAD_KEY", RanNo, false, codes.InvalidArgument, "The key is neither a UUID version 7 nor a ticket, or a pipeline that may not be repeated came without one."},
+	{BadKey, "BAD_KEY", RanNo, false, codes.InvalidArgument, "The key is neither a UUID version 7 nor a ticket, or it is missing for a pipeline that must not be repeated."},
 	{BadDeadline, "BAD_DEADLINE", RanNo, false, codes.InvalidArgument, "The deadline is negative or longer than the pipeline allows."},
-	{MessageTooLarge, "MESSAGE_TOO_LARGE", RanNo, false, codes.ResourceExhausted, "The input is longer than the pipeline or the box takes."},
+	{MessageTooLarge, "MESSAGE_TOO_LARGE", RanNo, false, codes.ResourceExhausted, "The input exceeds the limit of the pipeline or the box."},
 	{UnknownPipeline, "UNKNOWN_PIPELINE", RanNo, false, codes.NotFound, "The configuration in force has no such pipeline, or the workspace may not use it."},
-	{BadOffset, "BAD_OFFSET", RanYes, false, codes.OutOfRange, "The offset to attach at lies past the end of the answer."},
-	{BadAttachToken, "BAD_ATTACH_TOKEN", RanUnknown, false, codes.InvalidArgument, "The attach token can't be read."},
-	{BadField, "BAD_FIELD", RanNo, false, codes.InvalidArgument, "A field of the call is missing or out of range."},
+	{BadOffset, "BAD_OFFSET", RanYes, false, codes.OutOfRange, "The offset to attach at is beyond the end of the answer."},
+	{BadAttachToken, "BAD_ATTACH_TOKEN", RanUnknown, false, codes.InvalidArgument, "The attach token is malformed."},
+	{BadField, "BAD_FIELD", RanNo, false, codes.InvalidArgument, "A field of the request is missing or out of range."},
 	{KeyReusedOtherway, "KEY_REUSED", RanUnknown, false, codes.AlreadyExists, "The key was used before for another workspace, pipeline or input."},
 	{HeaderTooLarge, "HEADER_TOO_LARGE", RanNo, false, codes.ResourceExhausted, "The header is longer than the configuration allows."},
-	{Unauthenticated, "UNAUTHENTICATED", RanNo, false, codes.Unauthenticated, "No valid certificate or token came with the call."},
+	{Unauthenticated, "UNAUTHENTICATED", RanNo, false, codes.Unauthenticated, "The call has no valid certificate or token."},
 	{NotYourWorkspace, "NOT_YOUR_WORKSPACE", RanNo, false, codes.PermissionDenied, "The caller's credentials are bound to another workspace."},
 	{UnknownWorkspace, "UNKNOWN_WORKSPACE", RanNo, false, codes.NotFound, "The configuration in force has no such workspace."},
 	{NotAnOperator, "NOT_AN_OPERATOR", RanNo, false, codes.PermissionDenied, "The call needs an operator's credentials."},
-	{BoxOutsideBoundary, "BOX_OUTSIDE_BOUNDARY", RanNo, false, codes.FailedPrecondition, "The workspace may not be entered in this box's failure domain."},
+	{BoxOutsideBoundary, "BOX_OUTSIDE_BOUNDARY", RanNo, false, codes.FailedPrecondition, "The workspace does not admit requests in this box's failure domain."},
 	{NowhereToRun, "NOWHERE_TO_RUN", RanNo, false, codes.FailedPrecondition, "No backend server inside the boundary serves a stage of the pipeline."},
-	{BoundaryUnproven, "BOUNDARY_UNPROVEN", RanNo, true, codes.Unavailable, "The box can't confirm its configuration and the workspace asks to wait in that case."},
-	{QueueFull, "QUEUE_FULL", RanNo, false, codes.ResourceExhausted, "The waiting room of the first stage is full."},
-	{WorkspaceLimit, "WORKSPACE_LIMIT", RanNo, false, codes.ResourceExhausted, "The workspace is over its limit of requests."},
-	{CannotFinish, "CANNOT_FINISH", RanNo, false, codes.ResourceExhausted, "The request could not finish by its deadline, so it was not begun."},
+	{BoundaryUnproven, "BOUNDARY_UNPROVEN", RanNo, true, codes.Unavailable, "The box can't confirm its configuration and the workspace requires a confirmed one."},
+	{QueueFull, "QUEUE_FULL", RanNo, false, codes.ResourceExhausted, "The queue of the first stage is full."},
+	{WorkspaceLimit, "WORKSPACE_LIMIT", RanNo, false, codes.ResourceExhausted, "The workspace has reached its limit of concurrent requests."},
+	{CannotFinish, "CANNOT_FINISH", RanNo, false, codes.ResourceExhausted, "The request could not finish by its deadline, so it was not started."},
 	{DeadlinePassed, "DEADLINE_PASSED", RanYes, false, codes.DeadlineExceeded, "The deadline passed, or could no longer be met, after part of the request had run."},
-	{RetryBudgetSpent, "RETRY_BUDGET_SPENT", RanYes, false, codes.Unavailable, "A stage failed and its retry budget is spent."},
+	{RetryBudgetSpent, "RETRY_BUDGET_SPENT", RanYes, false, codes.Unavailable, "A stage failed and its retry budget is exhausted."},
 	{BackendFailed, "BACKEND_FAILED", RanYes, false, codes.Unavailable, "A stage failed on every backend server that was tried."},
 	{BackendsDown, "BACKENDS_DOWN", RanNo, false, codes.Unavailable, "Every backend server inside the boundary is down or leaving."},
-	{BackendRefused, "BACKEND_REFUSED", RanYes, false, codes.FailedPrecondition, "A backend server refused the call as wrong."},
+	{BackendRefused, "BACKEND_REFUSED", RanYes, false, codes.FailedPrecondition, "A backend server rejected the call as invalid."},
 	{AnswerInterrupted, "ANSWER_INTERRUPTED", RanYes, true, codes.Unavailable, "The answer stopped midway; attach again for the rest."},
-	{CrashesServers, "CRASHES_SERVERS", RanNo, false, codes.FailedPrecondition, "Backend servers ended while they ran this content, one after another; it is not sent to a further one until the time given."},
-	{BackendsResting, "BACKENDS_RESTING", RanNo, false, codes.Unavailable, "Every backend server that is left asked for rest, or takes no more requests, for longer than the request can wait."},
-	{OutcomeUnknown, "OUTCOME_UNKNOWN", RanUnknown, false, codes.Aborted, "A call that may not be repeated was sent and its outcome is not known."},
+	{CrashesServers, "CRASHES_SERVERS", RanNo, false, codes.FailedPrecondition, "Several backend servers in a row crashed while running this content; it is not sent to another one before retry_after."},
+	{BackendsResting, "BACKENDS_RESTING", RanNo, false, codes.Unavailable, "Every available backend server is in its Retry-After period or at its rate limit for longer than the request can wait."},
+	{OutcomeUnknown, "OUTCOME_UNKNOWN", RanUnknown, false, codes.Aborted, "A call that must not be repeated was sent and its outcome is unknown."},
 	{HomeUnreachable, "HOME_UNREACHABLE", RanUnknown, true, codes.Unavailable, "The key's home could not be reached from this box; another copy may have reached it."},
-	{HomeUnsettled, "HOME_UNSETTLED", RanUnknown, true, codes.Unavailable, "No box can prove to be the key's only home; take a ticket for new work."},
-	{KeyExpired, "KEY_EXPIRED", RanUnknown, false, codes.OutOfRange, "The key is older than the ledger keeps."},
-	{TicketHolderGone, "TICKET_HOLDER_GONE", RanUnknown, false, codes.Aborted, "The incarnation that issued the ticket is gone."},
-	{KeyFromFuture, "KEY_FROM_FUTURE", RanUnknown, true, codes.InvalidArgument, "The key's time lies ahead of this box's clock by more than the allowed skew."},
-	{NotFound, "NOT_FOUND", RanUnknown, false, codes.NotFound, "The box named by the attach token knows no such request any more."},
-	{ConfigMalformed, "CONFIG_MALFORMED", RanNo, false, codes.InvalidArgument, "The configuration or settings are not TOML."},
-	{ConfigUnknownKey, "CONFIG_UNKNOWN_KEY", RanNo, false, codes.InvalidArgument, "A key is unknown, misspelt perhaps."},
+	{HomeUnsettled, "HOME_UNSETTLED", RanUnknown, true, codes.Unavailable, "No box can prove that it is the only home of the key; use a ticket for new requests."},
+	{KeyExpired, "KEY_EXPIRED", RanUnknown, false, codes.OutOfRange, "The key is older than the retention time of the ledger."},
+	{TicketHolderGone, "TICKET_HOLDER_GONE", RanUnknown, false, codes.Aborted, "The box incarnation that issued the ticket no longer exists."},
+	{KeyFromFuture, "KEY_FROM_FUTURE", RanUnknown, true, codes.InvalidArgument, "The timestamp in the key is ahead of this box's clock by more than the allowed skew."},
+	{NotFound, "NOT_FOUND", RanUnknown, false, codes.NotFound, "The box named in the attach token no longer has the request."},
+	{ConfigMalformed, "CONFIG_MALFORMED", RanNo, false, codes.InvalidArgument, "The configuration or settings are not valid TOML."},
+	{ConfigUnknownKey, "CONFIG_UNKNOWN_KEY", RanNo, false, codes.InvalidArgument, "A key is unknown, perhaps misspelled."},
 	{ConfigBadValue, "CONFIG_BAD_VALUE", RanNo, false, codes.InvalidArgument, "A value is missing or out of range."},
-	{ConfigDangling, "CONFIG_DANGLING", RanNo, false, codes.InvalidArgument, "A name refers to nothing."},
-	{ConfigNowhere, "CONFIG_NOWHERE", RanNo, false, codes.InvalidArgument, "A stage has no backend server inside a boundary that uses it."},
-	{ConfigConflict, "CONFIG_CONFLICT", RanNo, false, codes.FailedPrecondition, "The version in force was published again with other content."},
+	{ConfigDangling, "CONFIG_DANGLING", RanNo, false, codes.InvalidArgument, "A name refers to something that is not defined."},
+	{ConfigNowhere, "CONFIG_NOWHERE", RanNo, false, codes.InvalidArgument, "A stage has no backend server within the boundary of a workspace that uses it."},
+	{ConfigConflict, "CONFIG_CONFLICT", RanNo, false, codes.FailedPrecondition, "The version in force was published again with different content."},
 	{ConfigOlder, "CONFIG_OLDER", RanNo, false, codes.FailedPrecondition, "The version is older than the one in force."},
 	{ConfigTooLarge, "CONFIG_TOO_LARGE", RanNo, false, codes.ResourceExhausted, "The configuration is larger than a megabyte."},
-	{Draining, "DRAINING", RanNo, false, codes.Unavailable, "The box is stopping as planned; come back at once and reach another."},
+	{Draining, "DRAINING", RanNo, false, codes.Unavailable, "The box is shutting down gracefully; retry at once to reach another."},
 	{NotReady, "NOT_READY", RanNo, false, codes.Unavailable, "The box has no configuration in force yet."},
 	{Cancelled, "CANCELLED", RanUnknown, false, codes.Canceled, "The caller cancelled the request."},
-	{FrameInvalid, "FRAME_INVALID", RanUnknown, false, codes.Internal, "A message between boxes could not be read."},
-	{PlatformFailed, "PLATFORM_FAILED", RanNo, false, codes.Unavailable, "The platform's service did not answer as published."},
-	{Internal, "INTERNAL", RanUnknown, false, codes.Internal, "A defect; the log has the cause."},
+	{FrameInvalid, "FRAME_INVALID", RanUnknown, false, codes.Internal, "A message between boxes could not be decoded."},
+	{PlatformFailed, "PLATFORM_FAILED", RanNo, false, codes.Unavailable, "The platform's service did not answer as specified."},
+	{Internal, "INTERNAL", RanUnknown, false, codes.Internal, "An internal error; the log has the cause."},
 }
 
+// byCode indexes Table.
 var byCode = indexTable()
 
 func indexTable() map[Code]Entry {
@@ -173,7 +174,7 @@
 	return m
 }
 
-// Entry gives the table's row; unknown numbers read as Internal.
+// Entry returns the row of the table. Unknown codes are treated as Internal.
 func (c Code) Entry() Entry {
 	if e, ok := byCode[c]; ok {
 		return e
@@ -181,38 +182,38 @@
 	return byCode[Internal]
 }
 
-// String gives the code's name.
+// String returns the name of the code.
 func (c Code) String() string { return c.Entry().Name }
 
-// Error is a numbered result with its particulars.
+// Error is a result code with details.
 type Error struct {
 	Code       Code
-	Ran        Ran // overrides the table when set
-	Field      string
+	Ran        Ran    // overrides the table if not 0
+	Field      string // the invalid field, if any
 	Message    string
-	RetryAfter time.Duration
+	RetryAfter time.Duration // 0 if unknown
 }
 
-// New makes an Error with a formatted message.
+// New returns an Error with a formatted message.
 func New(c Code, field, format string, args ...any) *Error {
 	return &Error{Code: c, Field: field, Message: fmt.Sprintf(format, args...)}
 }
 
-// After returns a copy that tells the caller when to come back.
+// After returns a copy with the time after which the caller may retry.
 func (e *Error) After(d time.Duration) *Error {
 	n := *e
 	n.RetryAfter = d
 	return &n
 }
 
-// WithRan returns a copy that overrides what the table says about running.
+// WithRan returns a copy that overrides the table's value of Ran.
 func (e *Error) WithRan(r Ran) *Error {
 	n := *e
 	n.Ran = r
 	return &n
 }
 
-// DidRun is the override or, without one, the table's answer.
+// DidRun returns whether the request ran: the override if set, otherwise the value in the table.
 func (e *Error) DidRun() Ran {
 	if e.Ran != 0 {
 		return e.Ran
@@ -220,10 +221,11 @@
 	return e.Code.Entry().Ran
 }
 
-// SameKey says whether the same key may help: an unknown outcome is asked again only so.
+// SameKey reports whether a retry with the same key can help. An unknown outcome can be queried only with the
+// same key.
 func (e *Error) SameKey() bool { return e.Code.Entry().SameKey }
 
-// Error implements error without any request content.
+// Error formats the code, field and message. It never contains request content.
 func (e *Error) Error() string {
 	if e.Field == "" {
 		return fmt.Sprintf("%d %s: %s", e.Code, e.Code, e.Message)
@@ -231,7 +233,7 @@
 	return fmt.Sprintf("%d %s: %s: %s", e.Code, e.Code, e.Field, e.Message)
 }
 
-// Of finds the Error in a chain, or wraps a foreign error as Internal.
+// Of returns the first Error in the chain of err, or wraps err as Internal.
 func Of(err error) *Error {
 	if err == nil {
 		return nil
--- a/src/config/boundary.go
+++ b/src/config/boundary.go
@@ -2,28 +2,28 @@
 
 import "maps"
 
-// Boundaries are checked in three places that share this file: when a configuration is compiled,
-// when the core places a stage, and again by the adapter just before the first byte goes out.
+// Boundaries are checked in three places with the functions of this file: when a configuration is compiled,
+// when the core places a stage, and by the adapter just before it sends the first byte.
 
-// MayRun says whether a stage of a workspace may run in a domain.
+// MayRun reports whether a stage of a workspace may run in a failure domain.
 func MayRun(w *Workspace, s *Stage, domain int) bool {
 	return (w.runIn & s.runIn).Has(domain)
 }
 
-// MayEnter says whether a box in a domain may accept, forward to or hold a workspace's requests.
-// A box holds a request and its answer in memory, so the data rests there as well.
+// MayEnter reports whether a box in a failure domain may accept, forward to or hold requests of a workspace.
+// Since a box keeps a request and its answer in memory, the data must be allowed to rest there too.
 func MayEnter(w *Workspace, domain int) bool {
 	return (w.entryIn & w.restIn).Has(domain)
 }
 
-// Holders says where boxes may hold each workspace's requests. It is small and keeps nothing of its
-// configuration alive, since a box remembers one for every change in the last minutes.
+// Holders holds, for each workspace, the failure domains whose boxes may hold its requests. It is small and
+// does not reference its Config: a box keeps one for each configuration change of the last minutes.
 type Holders struct {
 	domains map[string]int
 	may     map[string]DomainSet
 }
 
-// Holders gives this configuration's.
+// Holders returns the Holders of this configuration.
 func (c *Config) Holders() Holders {
 	h := Holders{domains: c.byDomain, may: make(map[string]DomainSet, len(c.workspaces))}
 	for name, w := range c.workspaces {
@@ -32,18 +32,18 @@
 	return h
 }
 
-// May says whether boxes in a failure domain may hold a workspace's requests.
+// May reports whether boxes in a failure domain may hold requests of a workspace.
 func (h Holders) May(workspace, failureDomain string) bool {
 	i, ok := h.domains[failureDomain]
 	return ok && h.may[workspace].Has(i)
 }
 
-// Same says whether two decide alike.
+// Same reports whether both allow the same domains for every workspace.
 func (h Holders) Same(o Holders) bool {
 	return maps.Equal(h.domains, o.domains) && maps.Equal(h.may, o.may)
 }
 
-// Eligible lists the servers a stage of a workspace may use, wherever they stand in health.
+// Eligible lists the servers that a stage of a workspace may use, whatever their health.
 func (c *Config) Eligible(w *Workspace, s *Stage) []*BackendServer {
 	var out []*BackendServer
 	for _, b := range c.pools[s.Pool()] {
@@ -54,7 +54,7 @@
 	return out
 }
 
-// fits says whether the server should hold the model and adapter that the stage needs.
+// fits reports whether the server is configured with the model and adapter that the stage needs.
 func (b *BackendServer) fits(s *Stage) bool {
 	if s.doc.Model != "" && b.doc.Model != s.doc.Model {
 		return false
--- a/src/config/check.go
+++ b/src/config/check.go
@@ -9,19 +9,19 @@
 	"github.com/stilemast/stilemast/src/code"
 )
 
-// Bounds that every configuration keeps.
+// Limits and defaults of a configuration.
 const (
 	maxDomains      = 64
-	minStages       = 3
+	minStages       = 3 // per pipeline
 	maxStages       = 6
-	maxSlots        = 4096
-	defaultInput    = 256 << 10
-	defaultInFlight = 2000
-	defaultTokens   = 256
-	LongestDeadline = time.Hour // the longest deadline any pipeline may have
+	maxSlots        = 4096      // per server
+	defaultInput    = 256 << 10 // max_input_bytes
+	defaultInFlight = 2000      // max_in_flight
+	defaultTokens   = 256       // max_tokens
+	LongestDeadline = time.Hour // upper limit of a pipeline's deadline
 )
 
-// checker compiles a document and collects every fault with its field.
+// checker compiles a document and collects every fault with its field. It also checks settings.
 type checker struct {
 	c  *Config
 	fs Faults
@@ -35,7 +35,7 @@
 	k.fault(code.ConfigBadValue, field, format, args...)
 }
 
-// compile checks a document and builds its Config.
+// compile checks a document and builds its Config, which is valid only without faults.
 func compile(d *Document) (*Config, Faults) {
 	k := &checker{c: &Config{
 		version:    d.Version,
@@ -63,7 +63,7 @@
 	return k.c, k.fs
 }
 
-// name checks that a name is given and new.
+// name checks that a name is not empty and not in seen.
 func name[T any](k *checker, field, n string, seen map[string]T) bool {
 	if n == "" {
 		k.bad(field+".name", "is missing")
@@ -76,6 +76,7 @@
 	return true
 }
 
+// at returns the path of a list entry, such as "models[2]".
 func at(list string, i int) string { return fmt.Sprintf("%s[%d]", list, i) }
 
 func (k *checker) domains(docs []FailureDomainDoc) {
@@ -120,7 +121,7 @@
 
 func (k *checker) server(f string, d BackendServerDoc) {
 	if _, err := netip.ParseAddrPort(d.Address); err != nil {
-		k.bad(f+".address", "%q is not an IP number with a port", d.Address)
+		k.bad(f+".address", "%q is not an IP address with a port", d.Address)
 	}
 	domain, ok := k.c.byDomain[d.FailureDomain]
 	if !ok {
@@ -237,7 +238,7 @@
 		k.bad(f+".kind", "%q is not encode, retrieve, rerank, generate or service", d.Kind)
 	}
 	if d.Once && Kind(d.Kind) == Generate {
-		k.bad(f+".once", "a generate stage can always be repeated")
+		k.bad(f+".once", "must not be set for a generate stage, which can always be repeated")
 	}
 	if len(k.c.pools[d.Pool]) == 0 {
 		k.fault(code.ConfigDangling, f+".pool", "no backend server is in pool %q", d.Pool)
@@ -257,7 +258,8 @@
 	return &Stage{doc: d, runIn: k.domainSet(f+".run_in", d.RunIn, true), index: index}
 }
 
-// domainSet resolves names; an absent list means everywhere where that is allowed.
+// domainSet resolves failure domain names. An empty list means all domains if absentIsAll is set and is a
+// fault otherwise.
 func (k *checker) domainSet(f string, names []string, absentIsAll bool) DomainSet {
 	if len(names) == 0 {
 		if absentIsAll {
@@ -320,7 +322,7 @@
 	w.runIn = k.domainSet(f+".run_in", d.RunIn, false)
 	w.restIn = k.domainSet(f+".rest_in", d.RestIn, false)
 	if w.entryIn&w.restIn == 0 {
-		k.fault(code.ConfigNowhere, f+".entry_in", "no failure domain is in both entry_in and rest_in, so no box may hold its requests")
+		k.fault(code.ConfigNowhere, f+".entry_in", "entry_in and rest_in have no failure domain in common, so no box may hold its requests")
 	}
 	for _, credential := range append(d.TokensSHA256, d.CertificateNames...) {
 		k.c.owners[credential] = d.Name
@@ -339,7 +341,7 @@
 			k.bad(f+".class", "%q is not %s or %s", l.Class, Prompt, MayWait)
 		}
 		if l.Objective <= 0 || l.Objective >= 1 {
-			k.bad(f+".objective", "must lie between 0 and 1")
+			k.bad(f+".objective", "must be above 0 and below 1")
 		}
 		switch l.Measure {
 		case "attainment":
@@ -353,7 +355,8 @@
 	}
 }
 
-// reachable faults each stage that has nowhere to run inside a boundary that uses it.
+// reachable reports each stage that no backend server may run within the boundary of a workspace that uses
+// it.
 func (k *checker) reachable(docs []WorkspaceDoc) {
 	for _, d := range docs {
 		w := k.c.workspaces[d.Name]
@@ -361,13 +364,14 @@
 			for _, s := range k.c.pipelines[pn].stages {
 				if !k.anywhere(w, s) {
 					k.fault(code.ConfigNowhere, "workspaces."+w.Name()+".pipelines."+pn+".stages."+s.Name(),
-						"no backend server of pool %q lies inside the boundary", s.Pool())
+						"no backend server of pool %q may run it within the boundary", s.Pool())
 				}
 			}
 		}
 	}
 }
 
+// anywhere reports whether any server may run a stage of a workspace.
 func (k *checker) anywhere(w *Workspace, s *Stage) bool {
 	for _, b := range k.c.pools[s.Pool()] {
 		if MayRun(w, s, b.domain) && b.fits(s) {
--- a/src/config/config_test.go
+++ b/src/config/config_test.go
@@ -23,7 +23,7 @@
 			t.Errorf("%s: %v", name, faults)
 		}
 		if len(raw) > MaxBytes {
-			t.Errorf("%s: %d bytes, more than the platform holds", name, len(raw))
+			t.Errorf("%s: %d bytes, more than the platform's limit", name, len(raw))
 		}
 	}
 }
@@ -117,11 +117,11 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		c, faults := Parse(raw)
 		if (c == nil) == (len(faults) == 0) {
-			t.Fatalf("neither or both of a configuration and faults")
+			t.Fatalf("got neither or both of a configuration and faults")
 		}
 		for _, e := range faults {
 			if e.Code < 7000 || e.Code > 7999 {
-				t.Fatalf("fault %v has no configuration code", e)
+				t.Fatalf("fault %v has a code outside 7000 to 7999", e)
 			}
 		}
 	})
--- a/src/config/document.go
+++ b/src/config/document.go
@@ -1,5 +1,5 @@
-// Package config reads what the platform publishes (pipelines, workspaces, backend servers) and the
-// settings of one process. A document is taken whole or refused whole.
+// Package config parses and validates what the platform publishes (pipelines, workspaces, backend servers)
+// and the settings of a process. A document is accepted or rejected as a whole.
 package config
 
 import (
@@ -16,23 +16,23 @@
 	"github.com/stilemast/stilemast/src/code"
 )
 
-// MaxBytes is the longest published document, the platform's own limit for a value.
+// MaxBytes is the maximum size of a published document, which is also the platform's limit for a value.
 const MaxBytes = 1 << 20
 
 // Duration is a time.Duration written as text, such as "1.5s".
 type Duration time.Duration
 
-// UnmarshalText reads a duration in Go's notation.
+// UnmarshalText parses a duration in Go's notation.
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	if err != nil {
-		return fmt.Errorf("not a duration: %q", string(b))
+		return fmt.Errorf("invalid duration %q", string(b))
 	}
 	*d = Duration(v)
 	return nil
 }
 
-// MarshalText writes a duration in Go's notation.
+// MarshalText formats a duration in Go's notation.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
 // Document is the published configuration as written. Config is its checked form.
@@ -46,13 +46,13 @@
 	Objectives     []ServiceLevelDoc  `toml:"service_levels,omitempty"`
 }
 
-// FailureDomainDoc is a place that fails as one.
+// FailureDomainDoc declares a part of the infrastructure that fails as a unit.
 type FailureDomainDoc struct {
 	Name   string `toml:"name"`
 	Region string `toml:"region"`
 }
 
-// ModelDoc is a model that engines can load from the weight store.
+// ModelDoc declares a model that engines can load from the weight store.
 type ModelDoc struct {
 	Name     string   `toml:"name"`
 	Version  string   `toml:"version"`
@@ -60,7 +60,7 @@
 	Adapters []string `toml:"adapters,omitempty"`
 }
 
-// BackendServerDoc is one engine or plain service.
+// BackendServerDoc declares an inference engine or a plain service.
 type BackendServerDoc struct {
 	Name          string   `toml:"name"`
 	Address       string   `toml:"address"`
@@ -74,7 +74,7 @@
 	Leaving       bool     `toml:"leaving,omitempty"`
 }
 
-// PipelineDoc is a chain of stages under one deadline.
+// PipelineDoc declares a sequence of stages with one deadline.
 type PipelineDoc struct {
 	Name          string     `toml:"name"`
 	Class         string     `toml:"class"`
@@ -86,7 +86,7 @@
 	Stages        []StageDoc `toml:"stages"`
 }
 
-// StageDoc is one step of a pipeline.
+// StageDoc declares one step of a pipeline.
 type StageDoc struct {
 	Name       string   `toml:"name"`
 	Kind       string   `toml:"kind"`
@@ -99,7 +99,7 @@
 	TypicalRun Duration `toml:"typical_run,omitempty"`
 }
 
-// WorkspaceDoc is one customer's space with its boundary.
+// WorkspaceDoc declares a customer's workspace and its boundary.
 type WorkspaceDoc struct {
 	Name             string   `toml:"name"`
 	Weight           float64  `toml:"weight,omitempty"`
@@ -113,7 +113,7 @@
 	CertificateNames []string `toml:"certificate_names,omitempty"`
 }
 
-// ServiceLevelDoc is an objective whose burn is reported.
+// ServiceLevelDoc declares a service level objective whose burn rate is reported.
 type ServiceLevelDoc struct {
 	Name      string   `toml:"name"`
 	Class     string   `toml:"class"`
@@ -122,10 +122,10 @@
 	Within    Duration `toml:"within,omitempty"`
 }
 
-// Faults is everything wrong with a document.
+// Faults lists all errors in a document.
 type Faults []*code.Error
 
-// Error joins the faults, a line each.
+// Error returns the faults, one per line.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, e := range f {
@@ -134,7 +134,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap gives the first fault, so that code.Of finds a number.
+// Unwrap returns the first fault, so that code.Of finds its code.
 func (f Faults) Unwrap() error {
 	if len(f) == 0 {
 		return nil
@@ -142,7 +142,7 @@
 	return f[0]
 }
 
-// decode reads TOML strictly into v: an unknown key is a fault of its own.
+// decode strictly parses TOML into v. Each unknown key is a fault.
 func decode(b []byte, v any) Faults {
 	dec := toml.NewDecoder(bytes.NewReader(b))
 	dec.DisallowUnknownFields()
@@ -176,7 +176,7 @@
 	return fs
 }
 
-// Digest names a document's content: 64 bits as hexadecimal.
+// Digest returns the 64-bit xxHash of a document in hexadecimal.
 func Digest(b []byte) string {
 	var sum [8]byte
 	h := xxhash.Sum64(b)
@@ -186,13 +186,13 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Marshal writes a document as TOML.
+// Marshal encodes a document as TOML.
 func Marshal(d *Document) ([]byte, error) { return toml.Marshal(d) }
 
-// Parse decodes and checks a published document. Either the Config or the Faults is nil.
+// Parse decodes and validates a published document. It returns either a Config or Faults.
 func Parse(b []byte) (*Config, Faults) {
 	if len(b) > MaxBytes {
-		return nil, Faults{code.New(code.ConfigTooLarge, "", "%d bytes, at most %d", len(b), MaxBytes)}
+		return nil, Faults{code.New(code.ConfigTooLarge, "", "document has %d bytes, the limit is %d", len(b), MaxBytes)}
 	}
 	var d Document
 	if fs := decode(b, &d); len(fs) > 0 {
--- a/src/config/example.go
+++ b/src/config/example.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// The example documents follow the users' own sizes. Addresses are loopback placeholders that a
-// deployment replaces.
+// The example documents have the sizes of the users' installations. Their addresses are loopback placeholders
+// for a deployment to replace.
 
 func ms(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
 
-// exampleServers makes n servers of a pool, dealt over the domains; size is the slots of each.
+// exampleServers adds n servers of a pool, distributed over the failure domains.
 func exampleServers(d *Document, pool, model string, n, slots int) {
 	for i := range n {
 		at := len(d.BackendServers)
@@ -30,7 +30,7 @@
 	return names
 }
 
-// chain makes the four stages, the last a generate stage.
+// chain returns four stages that end in a generate stage.
 func chain(encode, retrieve, rerank, generate, model string, tokens int) []StageDoc {
 	return []StageDoc{
 		{Name: "encode", Kind: "encode", Pool: encode, TypicalRun: ms(10)},
@@ -40,7 +40,7 @@
 	}
 }
 
-// onceChain ends in a plain service's call that may not be repeated.
+// onceChain returns three stages that end in a service call that must not be repeated.
 func onceChain(encode, retrieve, service string) []StageDoc {
 	return []StageDoc{
 		{Name: "encode", Kind: "encode", Pool: encode, TypicalRun: ms(10)},
@@ -58,7 +58,7 @@
 	}
 }
 
-// ExamplePageworks is Pageworks at its size of today.
+// ExamplePageworks returns a configuration of the size of the Pageworks installation.
 func ExamplePageworks() *Document {
 	d := &Document{Version: 1, Objectives: exampleLevels()}
 	for _, n := range []string{"nw-1", "nw-2", "nw-3", "nw-4"} {
@@ -93,8 +93,8 @@
 	return w
 }
 
-// ExampleGiftenregister is Giftenregister at its size of today. The auditors' workspace stays within
-// two of the three halls.
+// ExampleGiftenregister returns a configuration of the size of the Giftenregister installation. The workspace
+// of the auditors is limited to two of the three failure domains.
 func ExampleGiftenregister() *Document {
 	d := &Document{Version: 1, Objectives: exampleLevels()}
 	for _, n := range []string{"hal-a", "hal-b", "hal-c"} {
@@ -125,8 +125,8 @@
 	return d
 }
 
-// ExampleTarget is the size the users aim for: 2 regions, 5 failure domains, 600 engines, 4 models,
-// 16 pipelines, 1,300 workspaces.
+// ExampleTarget returns a configuration of the target size: 2 regions, 5 failure domains, 600 engines, 4
+// models, 16 pipelines, 1,300 workspaces.
 func ExampleTarget() *Document {
 	d := &Document{Version: 1, Objectives: exampleLevels()}
 	for i, n := range []string{"west-1", "west-2", "west-3", "east-1", "east-2"} {
--- a/src/config/gateway.go
+++ b/src/config/gateway.go
@@ -10,10 +10,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// ModeGateway is the mode of a process that serves opaque requests.
+// ModeGateway is the mode of a process that proxies opaque requests.
 const ModeGateway = "gateway"
 
-// GatewaySettings are what a process that serves opaque requests is told at its start.
+// GatewaySettings are the startup settings of a process in ModeGateway.
 type GatewaySettings struct {
 	Mode          string                `toml:"mode"`
 	Box           string                `toml:"box"`
@@ -24,13 +24,13 @@
 	Retry         GatewayRetry          `toml:"retry"`
 	Policy        GatewayPolicySettings `toml:"policy"`
 	Machine       GatewayMachine        `toml:"machine"`
-	Regions       map[string]string     `toml:"regions"`   // of the failure domains, by their names
-	MemoryMB      int                   `toml:"memory_mb"` // that the process may use, 0 for no limit
+	Regions       map[string]string     `toml:"regions"`   // region by failure domain
+	MemoryMB      int                   `toml:"memory_mb"` // memory limit of the process, 0 for none
 	StopWithin    Duration              `toml:"stop_within"`
 	LogLevel      string                `toml:"log_level"`
 }
 
-// GatewayListen are the process's own addresses, each an IP number with a port.
+// GatewayListen are the listen addresses of the process, each an IP address with a port.
 type GatewayListen struct {
 	Callers   string `toml:"callers"`
 	Readiness string `toml:"readiness"`
@@ -38,38 +38,38 @@
 	Metrics   string `toml:"metrics"`
 }
 
-// GatewayPlatform says where the platform publishes.
+// GatewayPlatform is the address of the platform's store.
 type GatewayPlatform struct {
 	Address string `toml:"address"`
 }
 
-// GatewayFleet names boxes to begin with; they may be gone.
+// GatewayFleet lists boxes to contact first; some may no longer exist.
 type GatewayFleet struct {
 	Seeds []string `toml:"seeds"`
 }
 
-// GatewayMachine tells what the process's machine can do, 0 where that is not known. Work that one box
-// does for all goes to boxes that can carry it.
+// GatewayMachine describes the capacity of the machine, 0 where unknown. Work that one box does for all of
+// them goes to boxes with enough capacity.
 type GatewayMachine struct {
-	CPU      float64 `toml:"cpu"`       // cores, as a part or a multiple of one
-	Speed    float64 `toml:"speed"`     // of such a core against an ordinary one
-	LinkMbps float64 `toml:"link_mbps"` // of its network link
+	CPU      float64 `toml:"cpu"`       // cores available, may be fractional
+	Speed    float64 `toml:"speed"`     // speed of a core relative to a reference core
+	LinkMbps float64 `toml:"link_mbps"` // bandwidth of the network link
 }
 
-// GatewayRetry bounds the repeated sends of all boxes together.
+// GatewayRetry is the retry budget shared by all boxes.
 type GatewayRetry struct {
 	Ratio  float64  `toml:"ratio"`
 	Slack  float64  `toml:"slack"`
 	Window Duration `toml:"window"`
 }
 
-// GatewayPolicySettings switch mechanisms off, for comparison.
+// GatewayPolicySettings can disable mechanisms, to compare runs without them.
 type GatewayPolicySettings struct {
 	Admission     bool `toml:"admission"`
 	SharedBatches bool `toml:"shared_batches"`
 }
 
-// DefaultGatewaySettings are what an absent field means.
+// DefaultGatewaySettings returns the values of absent settings.
 func DefaultGatewaySettings() GatewaySettings {
 	return GatewaySettings{
 		Mode:       ModeGateway,
@@ -81,16 +81,16 @@
 	}
 }
 
-// ReadMode tells which settings a file holds: ModeGateway or "".
+// ReadMode returns the mode of a settings file: ModeGateway or "".
 func ReadMode(path string) (string, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
-		return "", eris.Wrap(err, "settings can't be read")
+		return "", eris.Wrap(err, "could not read settings")
 	}
 	return modeOf(b), nil
 }
 
-// modeOf reads the mode without judging the rest.
+// modeOf reads the mode without validating the other settings.
 func modeOf(b []byte) string {
 	var m struct {
 		Mode string `toml:"mode"`
@@ -99,16 +99,17 @@
 	return m.Mode
 }
 
-// ReadGatewaySettings reads and checks a settings file.
+// ReadGatewaySettings reads and validates a settings file.
 func ReadGatewaySettings(path string) (*GatewaySettings, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
-		return nil, eris.Wrap(err, "settings can't be read")
+		return nil, eris.Wrap(err, "could not read settings")
 	}
 	return ParseGatewaySettings(b)
 }
 
-// ParseGatewaySettings decodes settings over the defaults; an unknown key or a bad value is an error.
+// ParseGatewaySettings decodes settings over the defaults and validates them. An unknown key or an invalid
+// value is an error.
 func ParseGatewaySettings(b []byte) (*GatewaySettings, error) {
 	s := DefaultGatewaySettings()
 	if fs := decode(b, &s); len(fs) > 0 {
@@ -120,7 +121,7 @@
 	return &s, nil
 }
 
-// Check faults each bad field.
+// Check validates the settings.
 func (s *GatewaySettings) Check() Faults {
 	k := &checker{}
 	if s.Mode != ModeGateway {
@@ -144,7 +145,7 @@
 		k.bad("retry.ratio", "%g is not from 0 to 1", s.Retry.Ratio)
 	}
 	if s.Retry.Slack < 0 {
-		k.bad("retry.slack", "must not be below 0")
+		k.bad("retry.slack", "must not be negative")
 	}
 	for _, domain := range slices.Sorted(maps.Keys(s.Regions)) {
 		if s.Regions[domain] == "" {
@@ -163,15 +164,15 @@
 	return k.fs
 }
 
-// Bounds of the settings of a process.
+// Limits of settings.
 const (
 	leastMemoryMB = 64
-	mostCores     = 4096 // above any machine; a larger figure is a wrong unit
+	mostCores     = 4096 // more than any machine has; a larger value is probably in another unit
 	mostSpeed     = 1000
 	mostLinkMbps  = 1e6
 )
 
-// within faults a figure that is not from 0 to a bound.
+// within adds a fault unless v is from 0 to most.
 func (k *checker) within(field string, v, most float64) {
 	if !(v >= 0 && v <= most) {
 		k.bad(field, "%g is not from 0 to %g", v, most)
--- a/src/config/gateway_test.go
+++ b/src/config/gateway_test.go
@@ -31,15 +31,15 @@
 		{"no peers", `peers = "127.0.0.1:3"`, ``, "listen.peers"},
 		{"a bad seed", `[platform]`, "[fleet]\nseeds = [\"x\"]\n[platform]", "fleet.seeds[0]"},
 		{"a ratio over one", `[platform]`, "[retry]\nratio = 1.5\n[platform]", "retry.ratio"},
-		{"slack below nothing", `[platform]`, "[retry]\nslack = -1.0\n[platform]", "retry.slack"},
+		{"negative slack", `[platform]`, "[retry]\nslack = -1.0\n[platform]", "retry.slack"},
 		{"no window", `[platform]`, "[retry]\nwindow = \"0s\"\n[platform]", "retry.window"},
 		{"too little memory", `[listen]`, "memory_mb = 10\n[listen]", "memory_mb"},
-		{"a bad level", `[listen]`, "log_level = \"loud\"\n[listen]", "log_level"},
-		{"a key nobody knows", `[listen]`, "colour = 1\n[listen]", "colour"},
+		{"an unknown level", `[listen]`, "log_level = \"loud\"\n[listen]", "log_level"},
+		{"an unknown key", `[listen]`, "colour = 1\n[listen]", "colour"},
 	} {
 		_, err := ParseGatewaySettings([]byte(strings.Replace(gatewayFile, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.field) {
-			t.Errorf("%s: %v does not name %s", c.name, err, c.field)
+			t.Errorf("%s: error %v does not name the field %s", c.name, err, c.field)
 		}
 	}
 }
@@ -56,6 +56,6 @@
 		}
 	}
 	if _, err := ReadMode(filepath.Join(dir, "none")); err == nil {
-		t.Error("a file that is not there has a mode")
+		t.Error("no error for a missing file")
 	}
 }
--- a/src/config/plan.go
+++ b/src/config/plan.go
@@ -6,15 +6,16 @@
 	"strings"
 )
 
-// PlannedChange is one effect that a new configuration would have.
+// PlannedChange is one effect of replacing a configuration. Before or After is empty if the subject is new or
+// removed.
 type PlannedChange struct {
 	Subject string
 	Before  string
 	After   string
 }
 
-// Plan lists what next would change against now, which may be nil: servers that come, go, leave or
-// move, and for each workspace and stage the servers that may take it.
+// Plan lists the effects of replacing now, which may be nil, by next: changed servers, pipelines and
+// workspaces, and for each stage of a workspace the servers that may run it.
 func Plan(now, next *Config) []PlannedChange {
 	before, after := map[string]string{}, facts(next)
 	if now != nil {
@@ -35,7 +36,7 @@
 	return out
 }
 
-// facts writes down what a configuration decides, a line for each subject.
+// facts describes what a configuration decides, by subject.
 func facts(c *Config) map[string]string {
 	f := map[string]string{}
 	for _, b := range c.servers {
--- a/src/config/settings.go
+++ b/src/config/settings.go
@@ -10,7 +10,7 @@
 	"github.com/stilemast/stilemast/src/code"
 )
 
-// Settings are what one process is told at its start; they never change while it runs.
+// Settings are the startup settings of a process. They do not change while it runs.
 type Settings struct {
 	Box           string           `toml:"box"`
 	FailureDomain string           `toml:"failure_domain"`
@@ -26,7 +26,7 @@
 	LogLevel      string           `toml:"log_level"`
 }
 
-// ListenSettings are the box's own addresses, each an IP number with a port.
+// ListenSettings are the addresses of the box, each an IP address with a port.
 type ListenSettings struct {
 	Callers   string `toml:"callers"`
 	Peers     string `toml:"peers"`
@@ -34,18 +34,19 @@
 	Advertise string `toml:"advertise_peers"`
 }
 
-// PlatformSettings say where the platform publishes and how stale it may be.
+// PlatformSettings describe how to read published configurations.
 type PlatformSettings struct {
 	Addresses   []string `toml:"addresses"`
 	PollEvery   Duration `toml:"poll_every"`
 	CallTimeout Duration `toml:"call_timeout"`
-	// Watch has readers wait at the service for the next configuration, up to this long; 0 polls. A
-	// confirmation is as old as its call's start, so a long watch unsettles homes of keys.
+	// Watch is the longest time that a read waits at the service for the next configuration; 0 polls
+	// instead. A confirmation counts from the start of its call, so a long watch makes boxes unsettled as
+	// homes of keys.
 	Watch Duration `toml:"watch"`
 }
 
-// OnceSettings bound clocks and lists for calls that may not be repeated.
-// A box is settled as a key's home only over the window FreshWithin + ListLag + ClockSkew.
+// OnceSettings are the clock and staleness bounds behind at-most-once calls. A box is settled as a key's home
+// only after the window FreshWithin + ListLag + ClockSkew.
 type OnceSettings struct {
 	ListLag     Duration `toml:"list_lag"`
 	FreshWithin Duration `toml:"fresh_within"`
@@ -53,13 +54,14 @@
 	LedgerKeep  Duration `toml:"ledger_keep"`
 }
 
-// AnswerSettings bound the finished answers kept for callers who come back.
+// AnswerSettings limit the finished answers kept for callers that attach again.
 type AnswerSettings struct {
 	Keep     Duration `toml:"keep"`
 	MaxBytes int      `toml:"max_bytes"`
 }
 
-// PolicySettings choose how backend servers are picked; all but "expected_finish" are baselines.
+// PolicySettings select how backend servers are picked. Placements other than "expected_finish" are baselines
+// for comparison.
 type PolicySettings struct {
 	Placement    string `toml:"placement"`
 	NoAdmission  bool   `toml:"no_admission"`
@@ -67,39 +69,39 @@
 	WatchServers int    `toml:"watch_servers"`
 }
 
-// TLSSettings name PEM files; without them listeners speak plain TCP.
+// TLSSettings name PEM files. Without them listeners use plain TCP.
 type TLSSettings struct {
 	Certificate   string `toml:"certificate"`
 	Key           string `toml:"key"`
 	Authority     string `toml:"authority"`
 	RequireClient bool   `toml:"require_client"`
-	// PeerNames are the certificate names of boxes: others, callers' among them, are turned away
-	// from the peers' listener.
+	// PeerNames are the certificate names of boxes. The peers' listener rejects all other certificates,
+	// including those of callers.
 	PeerNames []string `toml:"peer_names"`
-	// Backends has backend servers called over TLS, with the same authority.
+	// Backends makes calls to backend servers use TLS with the same certificate authority.
 	Backends bool `toml:"backends"`
 }
 
-// CallerSettings say who may call without credentials.
+// CallerSettings control calls without credentials.
 type CallerSettings struct {
-	// Anyone lets callers without credentials use workspaces that list none; for trials.
+	// Anyone lets callers without credentials use workspaces that list none. For testing only.
 	Anyone bool `toml:"anyone"`
 }
 
-// OperatorSettings say who may call Operations. They are settings rather than configuration so
-// that an operator can still look into a box that has no configuration.
+// OperatorSettings list who may call Operations. They are settings rather than configuration so that an
+// operator can inspect a box that has no configuration.
 type OperatorSettings struct {
 	TokensSHA256     []string `toml:"tokens_sha256"`
 	CertificateNames []string `toml:"certificate_names"`
 	Anyone           bool     `toml:"anyone"`
 }
 
-// Window is how long a box must have ranked first before it acts as a key's home.
+// Window returns how long a box must have ranked first for a key before it acts as its home.
 func (o OnceSettings) Window() time.Duration {
 	return time.Duration(o.FreshWithin) + time.Duration(o.ListLag) + time.Duration(o.ClockSkew)
 }
 
-// DefaultSettings are what an absent field means.
+// DefaultSettings returns the values of absent settings.
 func DefaultSettings() Settings {
 	return Settings{
 		Platform: PlatformSettings{
@@ -119,16 +121,17 @@
 	}
 }
 
-// ReadSettings reads and checks a settings file.
+// ReadSettings reads and validates a settings file.
 func ReadSettings(path string) (*Settings, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
-		return nil, eris.Wrap(err, "settings can't be read")
+		return nil, eris.Wrap(err, "could not read settings")
 	}
 	return ParseSettings(b)
 }
 
-// ParseSettings decodes settings over the defaults; an unknown key or a bad value is an error.
+// ParseSettings decodes settings over the defaults and validates them. An unknown key or an invalid value is
+// an error.
 func ParseSettings(b []byte) (*Settings, error) {
 	s := DefaultSettings()
 	if fs := decode(b, &s); len(fs) > 0 {
@@ -140,7 +143,7 @@
 	return &s, nil
 }
 
-// Check faults each bad field.
+// Check validates the settings.
 func (s *Settings) Check() Faults {
 	k := &checker{}
 	if s.Box == "" {
@@ -195,7 +198,7 @@
 		return
 	}
 	if _, err := netip.ParseAddrPort(a); err != nil {
-		k.bad(field, "%q is not an IP number with a port", a)
+		k.bad(field, "%q is not an IP address with a port", a)
 	}
 }
 
@@ -221,15 +224,15 @@
 
 func (k *checker) tls(t TLSSettings) {
 	if (t.Certificate == "") != (t.Key == "") {
-		k.fault(code.ConfigBadValue, "tls.key", "certificate and key come together")
+		k.fault(code.ConfigBadValue, "tls.key", "certificate and key must be set together")
 	}
 	if len(t.PeerNames) > 0 && !t.RequireClient {
-		k.bad("tls.peer_names", "needs require_client")
+		k.bad("tls.peer_names", "requires require_client")
 	}
 	if t.Backends && t.Authority == "" {
-		k.bad("tls.backends", "needs an authority")
+		k.bad("tls.backends", "requires an authority")
 	}
 	if t.RequireClient && (t.Authority == "" || t.Certificate == "") {
-		k.fault(code.ConfigBadValue, "tls.require_client", "needs certificate, key and authority")
+		k.fault(code.ConfigBadValue, "tls.require_client", "requires a certificate, a key and an authority")
 	}
 }
