--- a/src/config/check.go
+++ b/src/config/check.go
@@ -24,11 +24,11 @@
 // checker compiles a document and collects every fault with its field. It also checks settings.
 type checker struct {
 	c  *Config
-	fs Faults
+	faults Faults
 }
 
 func (k *checker) fault(c code.Code, field, format string, args ...any) {
-	k.fs = append(k.fs, code.New(c, field, format, args...))
+	k.faults = append(k.faults, code.New(c, field, format, args...))
 }
 
 func (k *checker) bad(field, format string, args ...any) {
@@ -57,10 +57,10 @@
 	k.pipelines(d.Pipelines)
 	k.workspaces(d.Workspaces)
 	k.levels(d.Objectives)
-	if len(k.fs) == 0 {
+	if len(k.faults) == 0 {
 		k.reachable(d.Workspaces)
 	}
-	return k.c, k.fs
+	return k.c, k.faults
 }
 
 // name checks that a name is not empty and not in seen.
--- a/src/config/gateway.go
+++ b/src/config/gateway.go
@@ -161,7 +161,7 @@
 	k.within("machine.speed", s.Machine.Speed, mostSpeed)
 	k.within("machine.link_mbps", s.Machine.LinkMbps, mostLinkMbps)
 	k.logLevel(s.LogLevel)
-	return k.fs
+	return k.faults
 }
 
 // Limits of settings.
--- a/src/config/settings.go
+++ b/src/config/settings.go
@@ -182,7 +182,7 @@
 	k.positive("stop_within", s.StopWithin)
 	k.tls(s.TLS)
 	k.logLevel(s.LogLevel)
-	return k.fs
+	return k.faults
 }
 
 func (k *checker) logLevel(level string) {
