--- a/src/config/check.go
+++ b/src/config/check.go
@@ -362,7 +362,7 @@
 		w := k.c.workspaces[d.Name]
 		for _, pn := range w.doc.Pipelines {
 			for _, s := range k.c.pipelines[pn].stages {
-				if !k.anywhere(w, s) {
+				if !k.hasCandidate(w, s) {
 					k.fault(code.ConfigNowhere, "workspaces."+w.Name()+".pipelines."+pn+".stages."+s.Name(),
 						"no backend server of pool %q may run it within the boundary", s.Pool())
 				}
@@ -371,8 +371,8 @@
 	}
 }
 
-// anywhere reports whether any server may run a stage of a workspace.
-func (k *checker) anywhere(w *Workspace, s *Stage) bool {
+// hasCandidate reports whether any server may run a stage of a workspace.
+func (k *checker) hasCandidate(w *Workspace, s *Stage) bool {
 	for _, b := range k.c.pools[s.Pool()] {
 		if MayRun(w, s, b.domain) && b.fits(s) {
 			return true
