--- a/src/config/check.go
+++ b/src/config/check.go
@@ -58,7 +58,7 @@
 	k.workspaces(d.Workspaces)
 	k.levels(d.Objectives)
 	if len(k.faults) == 0 {
-		k.reachable(d.Workspaces)
+		k.checkPlacement(d.Workspaces)
 	}
 	return k.c, k.faults
 }
@@ -355,9 +355,9 @@
 	}
 }
 
-// reachable reports each stage that no backend server may run within the boundary of a workspace that uses
+// checkPlacement reports each stage that no backend server may run within the boundary of a workspace that uses
 // it.
-func (k *checker) reachable(docs []WorkspaceDoc) {
+func (k *checker) checkPlacement(docs []WorkspaceDoc) {
 	for _, d := range docs {
 		w := k.c.workspaces[d.Name]
 		for _, pn := range w.doc.Pipelines {
