--- a/src/config/gateway.go
+++ b/src/config/gateway.go
@@ -154,8 +154,8 @@
 	}
 	k.positive("retry.window", s.Retry.Window)
 	k.positive("stop_within", s.StopWithin)
-	if s.MemoryMB < 0 || s.MemoryMB > 0 && s.MemoryMB < leastMemoryMB {
-		k.bad("memory_mb", "must be 0 or at least %d", leastMemoryMB)
+	if s.MemoryMB < 0 || s.MemoryMB > 0 && s.MemoryMB < minMemoryMB {
+		k.bad("memory_mb", "must be 0 or at least %d", minMemoryMB)
 	}
 	k.within("machine.cpu", s.Machine.CPU, mostCores)
 	k.within("machine.speed", s.Machine.Speed, mostSpeed)
@@ -166,7 +166,7 @@
 
 // Limits of settings.
 const (
-	leastMemoryMB = 64
+	minMemoryMB = 64
 	mostCores     = 4096 // more than any machine has; a larger value is probably in another unit
 	mostSpeed     = 1000
 	mostLinkMbps  = 1e6
