--- a/src/config/gateway.go
+++ b/src/config/gateway.go
@@ -157,7 +157,7 @@
 	if s.MemoryMB < 0 || s.MemoryMB > 0 && s.MemoryMB < minMemoryMB {
 		k.bad("memory_mb", "must be 0 or at least %d", minMemoryMB)
 	}
-	k.within("machine.cpu", s.Machine.CPU, mostCores)
+	k.within("machine.cpu", s.Machine.CPU, maxCores)
 	k.within("machine.speed", s.Machine.Speed, mostSpeed)
 	k.within("machine.link_mbps", s.Machine.LinkMbps, mostLinkMbps)
 	k.logLevel(s.LogLevel)
@@ -167,7 +167,7 @@
 // Limits of settings.
 const (
 	minMemoryMB = 64
-	mostCores     = 4096 // more than any machine has; a larger value is probably in another unit
+	maxCores     = 4096 // more than any machine has; a larger value is probably in another unit
 	mostSpeed     = 1000
 	mostLinkMbps  = 1e6
 )
