--- a/src/config/gateway.go
+++ b/src/config/gateway.go
@@ -158,7 +158,7 @@
 		k.bad("memory_mb", "must be 0 or at least %d", minMemoryMB)
 	}
 	k.within("machine.cpu", s.Machine.CPU, maxCores)
-	k.within("machine.speed", s.Machine.Speed, mostSpeed)
+	k.within("machine.speed", s.Machine.Speed, maxSpeed)
 	k.within("machine.link_mbps", s.Machine.LinkMbps, mostLinkMbps)
 	k.logLevel(s.LogLevel)
 	return k.faults
@@ -168,7 +168,7 @@
 const (
 	minMemoryMB = 64
 	maxCores     = 4096 // more than any machine has; a larger value is probably in another unit
-	mostSpeed     = 1000
+	maxSpeed     = 1000
 	mostLinkMbps  = 1e6
 )
 
