--- a/src/config/gateway.go
+++ b/src/config/gateway.go
@@ -159,7 +159,7 @@
 	}
 	k.within("machine.cpu", s.Machine.CPU, maxCores)
 	k.within("machine.speed", s.Machine.Speed, maxSpeed)
-	k.within("machine.link_mbps", s.Machine.LinkMbps, mostLinkMbps)
+	k.within("machine.link_mbps", s.Machine.LinkMbps, maxLinkMbps)
 	k.logLevel(s.LogLevel)
 	return k.faults
 }
@@ -169,7 +169,7 @@
 	minMemoryMB = 64
 	maxCores     = 4096 // more than any machine has; a larger value is probably in another unit
 	maxSpeed     = 1000
-	mostLinkMbps  = 1e6
+	maxLinkMbps  = 1e6
 )
 
 // within adds a fault unless v is from 0 to most.
