--- a/src/config/plan.go
+++ b/src/config/plan.go
@@ -17,9 +17,9 @@
 // Plan lists the effects of replacing now, which may be nil, by next: changed servers, pipelines and
 // workspaces, and for each stage of a workspace the servers that may run it.
 func Plan(now, next *Config) []PlannedChange {
-	before, after := map[string]string{}, facts(next)
+	before, after := map[string]string{}, describe(next)
 	if now != nil {
-		before = facts(now)
+		before = describe(now)
 	}
 	var out []PlannedChange
 	for k, b := range before {
@@ -36,8 +36,8 @@
 	return out
 }
 
-// facts describes what a configuration decides, by subject.
-func facts(c *Config) map[string]string {
+// describe describes what a configuration decides, by subject.
+func describe(c *Config) map[string]string {
 	f := map[string]string{}
 	for _, b := range c.servers {
 		f["backend server "+b.Name()] = fmt.Sprintf("%s in %s, pool %s, %d slots, model %q, leaving %t",
