--- a/src/config/example.go
+++ b/src/config/example.go
@@ -30,8 +30,8 @@
 	return names
 }
 
-// chain returns four stages that end in a generate stage.
-func chain(encode, retrieve, rerank, generate, model string, tokens int) []StageDoc {
+// exampleStages returns four stages that end in a generate stage.
+func exampleStages(encode, retrieve, rerank, generate, model string, tokens int) []StageDoc {
 	return []StageDoc{
 		{Name: "encode", Kind: "encode", Pool: encode, TypicalRun: ms(10)},
 		{Name: "retrieve", Kind: "retrieve", Pool: retrieve, TypicalRun: ms(20)},
@@ -71,7 +71,7 @@
 	exampleServers(d, "order-accounts", "", 5, 8)
 	exampleServers(d, "printer-handoff", "", 4, 8)
 	gen := func(tokens int) []StageDoc {
-		return chain("proofing", "photo-archive", "order-accounts", "engines", "layout-8b", tokens)
+		return exampleStages("proofing", "photo-archive", "order-accounts", "engines", "layout-8b", tokens)
 	}
 	d.Pipelines = []PipelineDoc{
 		{Name: "spread-draft", Class: "may_wait", MustFinish: true, Deadline: ms(30000), Weight: 2, Stages: gen(400)},
@@ -107,7 +107,7 @@
 	exampleServers(d, "audit-portal", "", 4, 8)
 	exampleServers(d, "donor-mail", "", 5, 8)
 	gen := func(tokens int) []StageDoc {
-		return chain("donor-desk", "audit-portal", "donor-mail", "engines", "dossier-24b", tokens)
+		return exampleStages("donor-desk", "audit-portal", "donor-mail", "engines", "dossier-24b", tokens)
 	}
 	d.Pipelines = []PipelineDoc{
 		{Name: "dossier-review", Class: "may_wait", MustFinish: true, Deadline: ms(60000), Weight: 4, Stages: gen(500)},
@@ -143,7 +143,7 @@
 	var names []string
 	for i := range 16 {
 		m := fmt.Sprintf("model-%d", i%4+1)
-		p := PipelineDoc{Name: fmt.Sprintf("pipeline-%02d", i+1), Class: "prompt", Deadline: ms(2000), Stages: chain("encoders", "retrievers", "rerankers", "engines-"+m, m, 200)}
+		p := PipelineDoc{Name: fmt.Sprintf("pipeline-%02d", i+1), Class: "prompt", Deadline: ms(2000), Stages: exampleStages("encoders", "retrievers", "rerankers", "engines-"+m, m, 200)}
 		if i%8 == 7 {
 			p.Stages = onceChain("encoders", "retrievers", "records")
 		}
