--- a/src/config/example.go
+++ b/src/config/example.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// onceChain returns three stages that end in a service call that must not be repeated.
-func onceChain(encode, retrieve, service string) []StageDoc {
+// exampleOnceStages returns three stages that end in a service call that must not be repeated.
+func exampleOnceStages(encode, retrieve, service string) []StageDoc {
 	return []StageDoc{
 		{Name: "encode", Kind: "encode", Pool: encode, TypicalRun: ms(10)},
 		{Name: "retrieve", Kind: "retrieve", Pool: retrieve, TypicalRun: ms(20)},
@@ -77,8 +77,8 @@
 		{Name: "spread-draft", Class: "may_wait", MustFinish: true, Deadline: ms(30000), Weight: 2, Stages: gen(400)},
 		{Name: "caption", Class: "prompt", Deadline: ms(2000), Weight: 2, Stages: gen(40)},
 		{Name: "tag-suggestion", Class: "prompt", Deadline: ms(1000), Weight: 1, Stages: gen(12)},
-		{Name: "proof-approval", Class: "prompt", Deadline: ms(1500), Weight: 1, Stages: onceChain("proofing", "order-accounts", "printer-handoff")},
-		{Name: "tag-stamp", Class: "prompt", Deadline: ms(1500), Weight: 1, Stages: onceChain("proofing", "order-accounts", "photo-archive")},
+		{Name: "proof-approval", Class: "prompt", Deadline: ms(1500), Weight: 1, Stages: exampleOnceStages("proofing", "order-accounts", "printer-handoff")},
+		{Name: "tag-stamp", Class: "prompt", Deadline: ms(1500), Weight: 1, Stages: exampleOnceStages("proofing", "order-accounts", "photo-archive")},
 	}
 	all := []string{"spread-draft", "caption", "tag-suggestion", "proof-approval", "tag-stamp"}
 	for i, n := range []string{"district-north", "district-south", "lakeside", "hillcrest", "riverview"} {
@@ -112,8 +112,8 @@
 	d.Pipelines = []PipelineDoc{
 		{Name: "dossier-review", Class: "may_wait", MustFinish: true, Deadline: ms(60000), Weight: 4, Stages: gen(500)},
 		{Name: "letter", Class: "may_wait", MustFinish: true, Deadline: ms(40000), Weight: 3, Stages: gen(250)},
-		{Name: "receipt", Class: "prompt", Deadline: ms(1500), Weight: 1, Stages: onceChain("donor-desk", "audit-portal", "public-register")},
-		{Name: "registration", Class: "prompt", Deadline: ms(2000), Weight: 1, Stages: onceChain("donor-desk", "donor-mail", "public-register")},
+		{Name: "receipt", Class: "prompt", Deadline: ms(1500), Weight: 1, Stages: exampleOnceStages("donor-desk", "audit-portal", "public-register")},
+		{Name: "registration", Class: "prompt", Deadline: ms(2000), Weight: 1, Stages: exampleOnceStages("donor-desk", "donor-mail", "public-register")},
 		{Name: "status-check", Class: "prompt", Deadline: ms(1200), Weight: 1, Stages: gen(16)},
 	}
 	all := []string{"dossier-review", "letter", "receipt", "registration", "status-check"}
@@ -145,7 +145,7 @@
 		m := fmt.Sprintf("model-%d", i%4+1)
 		p := PipelineDoc{Name: fmt.Sprintf("pipeline-%02d", i+1), Class: "prompt", Deadline: ms(2000), Stages: exampleStages("encoders", "retrievers", "rerankers", "engines-"+m, m, 200)}
 		if i%8 == 7 {
-			p.Stages = onceChain("encoders", "retrievers", "records")
+			p.Stages = exampleOnceStages("encoders", "retrievers", "records")
 		}
 		d.Pipelines = append(d.Pipelines, p)
 		names = append(names, p.Name)
