--- a/src/backend/client.go
+++ b/src/backend/client.go
@@ -97,7 +97,7 @@
 	}
 	var res port.CallResult
 	if err := json.NewDecoder(io.LimitReader(resp.Body, 2*maxEvent)).Decode(&res); err != nil {
-		return port.CallResult{}, &port.CallError{Failure: brokenOrLate(ctx), Message: err.Error()}
+		return port.CallResult{}, &port.CallError{Failure: brokenOrTimedOut(ctx), Message: err.Error()}
 	}
 	return res, nil
 }
@@ -110,11 +110,11 @@
 	if !connected {
 		return core.NotSent
 	}
-	return brokenOrLate(ctx)
+	return brokenOrTimedOut(ctx)
 }
 
-// brokenOrLate returns TimedOut if the deadline of ctx has passed, otherwise Broken.
-func brokenOrLate(ctx context.Context) core.Failure {
+// brokenOrTimedOut returns TimedOut if the deadline of ctx has passed, otherwise Broken.
+func brokenOrTimedOut(ctx context.Context) core.Failure {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return core.TimedOut
 	}
@@ -142,7 +142,7 @@
 	for {
 		ev, err := events.Next()
 		if err != nil {
-			return port.CallResult{}, &port.CallError{Failure: brokenOrLate(ctx), Message: err.Error()}
+			return port.CallResult{}, &port.CallError{Failure: brokenOrTimedOut(ctx), Message: err.Error()}
 		}
 		switch ev.Name {
 		case EventText:
