--- a/src/backend/client.go
+++ b/src/backend/client.go
@@ -74,7 +74,7 @@
 	}
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
-	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodPost, c.url(b, PathCall), onceReader{bytes.NewReader(body)})
+	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodPost, c.url(b, PathCall), nonRewindableReader{bytes.NewReader(body)})
 	if err != nil {
 		return port.CallResult{}, &port.CallError{Failure: core.NotSent, Message: err.Error()}
 	}
@@ -102,8 +102,8 @@
 	return res, nil
 }
 
-// onceReader hides the concrete type of a reader, so that net/http can not rewind the body and resend it.
-type onceReader struct{ io.Reader }
+// nonRewindableReader hides the concrete type of a reader, so that net/http can not rewind the body and resend it.
+type nonRewindableReader struct{ io.Reader }
 
 // sendFailure distinguishes a call that was never sent from one that may have been.
 func sendFailure(ctx context.Context, connected bool) core.Failure {
