--- a/src/backend/client.go
+++ b/src/backend/client.go
@@ -31,7 +31,7 @@
 	TLS      *tls.Config   // nil means plain HTTP
 	DialWait time.Duration // connect timeout
 
-	kept   httpc.Service // reuses connections
+	pooled   httpc.Service // reuses connections
 	single httpc.Service // opens a new connection for each call
 	scheme string
 }
@@ -50,7 +50,7 @@
 	dial := (&net.Dialer{Timeout: c.DialWait}).DialContext
 	keep := &http.Transport{DialContext: dial, TLSClientConfig: cfg, MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second}
 	once := &http.Transport{DialContext: dial, TLSClientConfig: cfg, DisableKeepAlives: true}
-	c.kept = httpc.NewServiceWithClient(serviceName, &http.Client{Transport: keep})
+	c.pooled = httpc.NewServiceWithClient(serviceName, &http.Client{Transport: keep})
 	c.single = httpc.NewServiceWithClient(serviceName, &http.Client{Transport: once})
 	return c
 }
@@ -80,7 +80,7 @@
 	}
 	req.ContentLength = int64(len(body))
 	req.Header.Set("Content-Type", "application/json")
-	service := c.kept
+	service := c.pooled
 	if r.Once {
 		service = c.single
 	}
@@ -204,7 +204,7 @@
 		return eris.Wrap(err, "could not create the request")
 	}
 	req.Header.Set("Content-Type", "application/json")
-	resp, err := c.kept.DoRequest(req)
+	resp, err := c.pooled.DoRequest(req)
 	if err != nil {
 		return eris.Wrap(err, "request failed")
 	}
