--- a/src/backend/client.go
+++ b/src/backend/client.go
@@ -32,7 +32,7 @@
 	DialWait time.Duration // connect timeout
 
 	pooled   httpc.Service // reuses connections
-	single httpc.Service // opens a new connection for each call
+	fresh httpc.Service // opens a new connection for each call
 	scheme string
 }
 
@@ -51,7 +51,7 @@
 	keep := &http.Transport{DialContext: dial, TLSClientConfig: cfg, MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second}
 	once := &http.Transport{DialContext: dial, TLSClientConfig: cfg, DisableKeepAlives: true}
 	c.pooled = httpc.NewServiceWithClient(serviceName, &http.Client{Transport: keep})
-	c.single = httpc.NewServiceWithClient(serviceName, &http.Client{Transport: once})
+	c.fresh = httpc.NewServiceWithClient(serviceName, &http.Client{Transport: once})
 	return c
 }
 
@@ -82,7 +82,7 @@
 	req.Header.Set("Content-Type", "application/json")
 	service := c.pooled
 	if r.Once {
-		service = c.single
+		service = c.fresh
 	}
 	resp, err := service.DoRequest(req)
 	if err != nil {
