--- a/src/config/gateway_test.go
+++ b/src/config/gateway_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestTheModeOfAFile(t *testing.T) {
+func TestModeOfSettingsFile(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "a.toml")
 	for text, want := range map[string]string{gatewayFile: ModeGateway, "box = \"a\"\n": "", "not TOML": ""} {
