--- a/src/code/code_test.go
+++ b/src/code/code_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestOfFindsTheNumberInAChain(t *testing.T) {
+func TestOfFindsErrorInChain(t *testing.T) {
 	e := New(QueueFull, "field", "text %d", 1).WithRan(RanYes)
 	if got := Of(eris.Wrap(e, "outer")); got != e || got.DidRun() != RanYes {
 		t.Errorf("Of = %v", got)
