--- a/src/code/code_test.go
+++ b/src/code/code_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestTableIsWhole(t *testing.T) {
+func TestTableIsComplete(t *testing.T) {
 	names := map[string]bool{}
 	last := Code(0)
 	for i, e := range Table {
