--- a/src/backend/client.go
+++ b/src/backend/client.go
@@ -31,8 +31,8 @@
 	TLS      *tls.Config   // nil means plain HTTP
 	DialWait time.Duration // connect timeout
 
-	pooled   httpc.Service // reuses connections
-	fresh httpc.Service // opens a new connection for each call
+	pooled httpc.Service // reuses connections
+	fresh  httpc.Service // opens a new connection for each call
 	scheme string
 }
 
--- a/src/config/check.go
+++ b/src/config/check.go
@@ -23,7 +23,7 @@
 
 // checker compiles a document and collects every fault with its field. It also checks settings.
 type checker struct {
-	c  *Config
+	c      *Config
 	faults Faults
 }
 
--- a/src/config/gateway.go
+++ b/src/config/gateway.go
@@ -167,9 +167,9 @@
 // Limits of settings.
 const (
 	minMemoryMB = 64
-	maxCores     = 4096 // more than any machine has; a larger value is probably in another unit
-	maxSpeed     = 1000
-	maxLinkMbps  = 1e6
+	maxCores    = 4096 // more than any machine has; a larger value is probably in another unit
+	maxSpeed    = 1000
+	maxLinkMbps = 1e6
 )
 
 // within adds a fault unless v is from 0 to most.
