--- a/src/code/code.go
+++ b/src/code/code.go
@@ -50,7 +50,7 @@
 	BadOffset         Code = 1005
 	BadAttachToken    Code = 1006
 	BadField          Code = 1007
-	KeyReusedOtherway Code = 1008
+	KeyReused Code = 1008
 	HeaderTooLarge    Code = 1009
 
 	Unauthenticated  Code = 2001
@@ -120,7 +120,7 @@
 	{BadOffset, "BAD_OFFSET", RanYes, false, codes.OutOfRange, "The offset to attach at is beyond the end of the answer."},
 	{BadAttachToken, "BAD_ATTACH_TOKEN", RanUnknown, false, codes.InvalidArgument, "The attach token is malformed."},
 	{BadField, "BAD_FIELD", RanNo, false, codes.InvalidArgument, "A field of the request is missing or out of range."},
-	{KeyReusedOtherway, "KEY_REUSED", RanUnknown, false, codes.AlreadyExists, "The key was used before for another workspace, pipeline or input."},
+	{KeyReused, "KEY_REUSED", RanUnknown, false, codes.AlreadyExists, "The key was used before for another workspace, pipeline or input."},
 	{HeaderTooLarge, "HEADER_TOO_LARGE", RanNo, false, codes.ResourceExhausted, "The header is longer than the configuration allows."},
 	{Unauthenticated, "UNAUTHENTICATED", RanNo, false, codes.Unauthenticated, "The call has no valid certificate or token."},
 	{NotYourWorkspace, "NOT_YOUR_WORKSPACE", RanNo, false, codes.PermissionDenied, "The caller's credentials are bound to another workspace."},
--- a/src/core/ledger.go
+++ b/src/core/ledger.go
@@ -99,7 +99,7 @@
 func (l *Ledger) Open(k Key, once bool, workspace, pipeline string, fingerprint uint64) (e *Entry, fresh bool, err *code.Error) {
 	if e := l.entries[k.ID]; e != nil {
 		if e.key != k || e.fingerprint != 0 && e.fingerprint != fingerprint {
-			return nil, false, code.New(code.KeyReusedOtherway, "key", "the key was used for another request")
+			return nil, false, code.New(code.KeyReused, "key", "the key was used for another request")
 		}
 		return e, false, nil
 	}
--- a/src/core/ledger_test.go
+++ b/src/core/ledger_test.go
@@ -84,7 +84,7 @@
 	if fresh || e.Err().Code != code.QueueFull {
 		t.Error("a key that was refused as not run may run later")
 	}
-	if _, _, err := l.Open(k, true, "w", "p", 2); err == nil || err.Code != code.KeyReusedOtherway {
+	if _, _, err := l.Open(k, true, "w", "p", 2); err == nil || err.Code != code.KeyReused {
 		t.Errorf("another request under the key: %v", err)
 	}
 }
--- a/src/faults/promises_test.go
+++ b/src/faults/promises_test.go
@@ -369,7 +369,7 @@
 		if a := f.send("b1", "receipt", key, []byte("one")); a.code != code.OK {
 			t.Fatal(a.code)
 		}
-		if a := f.send("b2", "receipt", key, []byte("two")); a.code != code.KeyReusedOtherway {
+		if a := f.send("b2", "receipt", key, []byte("two")); a.code != code.KeyReused {
 			t.Errorf("a key with another input: %s", a.code)
 		}
 		if a := f.send("b2", "receipt", "", []byte("x")); a.code != code.BadKey || a.ran != code.RanNo {
