--- a/src/config/config.go
+++ b/src/config/config.go
@@ -21,7 +21,7 @@
 const (
 	Prompt Class = iota
 	MayWait
-	Classes // number of classes
+	NumClasses // number of classes
 )
 
 // String returns the class as written in configurations.
--- a/src/core/call.go
+++ b/src/core/call.go
@@ -87,7 +87,7 @@
 // lane holds the waiting calls of one laneKey, a heap for each class.
 type lane struct {
 	key     laneKey
-	classes [config.Classes]callHeap
+	classes [config.NumClasses]callHeap
 	blocked uint64 // the round in which nothing more of it could be placed
 }
 
--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -44,7 +44,7 @@
 	virtual float64
 	seed    uint64
 	fifo    float64
-	backlog [config.Classes]backlog // expected seconds of slots that wait
+	backlog [config.NumClasses]backlog // expected seconds of slots that wait
 	stats   PoolStats
 	typical typical
 	prefix  *prefixIndex
@@ -298,7 +298,7 @@
 
 // head picks the call that is next in order over the lanes that are not blocked.
 func (p *Pool) head(now time.Time) *Call {
-	var best [config.Classes]*Call
+	var best [config.NumClasses]*Call
 	for _, l := range p.laneSeq {
 		if l.blocked == p.round {
 			continue
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -279,7 +279,7 @@
 // changed there, and otherwise now and then, so that a placement over many servers stays cheap.
 type rates struct {
 	tick    int64 // the ratesFor they were worked out in; 0 when something changed since
-	open    [config.Classes]bool
+	open    [config.NumClasses]bool
 	usable  bool    // neither leaving nor resting, for our reasons or its own
 	token   float64 // seconds of one token at the present load
 	run     float64 // seconds of one call that does not generate
