--- a/src/box/serve.go
+++ b/src/box/serve.go
@@ -72,7 +72,7 @@
 	if q.workspace = c.Workspace(r.Workspace); q.workspace == nil {
 		return nil, b.byConfig(code.New(code.UnknownWorkspace, "workspace", "no workspace %q in version %d", r.Workspace, c.Version()))
 	}
-	if q.pipeline = c.Pipeline(r.Pipeline); q.pipeline == nil || !q.workspace.May(r.Pipeline) {
+	if q.pipeline = c.Pipeline(r.Pipeline); q.pipeline == nil || !q.workspace.MayUse(r.Pipeline) {
 		return nil, b.byConfig(code.New(code.UnknownPipeline, "pipeline", "no pipeline %q for the workspace in version %d", r.Pipeline, c.Version()))
 	}
 	if err := b.checkKey(q, r.Key); err != nil {
--- a/src/config/config.go
+++ b/src/config/config.go
@@ -259,8 +259,8 @@
 // Weight returns its share of contended capacity.
 func (w *Workspace) Weight() float64 { return w.doc.Weight }
 
-// May reports whether the workspace may use a pipeline.
-func (w *Workspace) May(pipeline string) bool { return w.allowed[pipeline] }
+// MayUse reports whether the workspace may use a pipeline.
+func (w *Workspace) MayUse(pipeline string) bool { return w.allowed[pipeline] }
 
 // PipelineNames lists the pipelines that it may use.
 func (w *Workspace) PipelineNames() []string { return w.doc.Pipelines }
