--- a/src/config/config.go
+++ b/src/config/config.go
@@ -111,8 +111,8 @@
 // Workspaces returns all workspaces by name.
 func (c *Config) Workspaces() map[string]*Workspace { return c.workspaces }
 
-// Known reports whether any workspace lists a token hash or certificate name.
-func (c *Config) Known(credential string) bool { return c.owners[credential] != "" }
+// KnowsCredential reports whether any workspace lists a token hash or certificate name.
+func (c *Config) KnowsCredential(credential string) bool { return c.owners[credential] != "" }
 
 // ServiceLevels lists the service level objectives.
 func (c *Config) ServiceLevels() []ServiceLevelDoc { return c.levels }
--- a/src/rpc/auth.go
+++ b/src/rpc/auth.go
@@ -66,7 +66,7 @@
 	if anyone && open {
 		return nil
 	}
-	if !c.Known(p.tokenHash) && !c.Known(p.certificate) {
+	if !c.KnowsCredential(p.tokenHash) && !c.KnowsCredential(p.certificate) {
 		return code.New(code.Unauthenticated, "authorization", "no valid token or certificate")
 	}
 	if w == nil {
