--- a/src/box/documents.go
+++ b/src/box/documents.go
@@ -205,7 +205,7 @@
 	b.conf.Store(c)
 	if h := c.Holders(); !h.Same(d.holders) {
 		d.holders = h
-		d.views.Observe(b.wall(), d.boxes.Boxes, h.May)
+		d.views.Observe(b.wall(), d.boxes.Boxes, h.Allows)
 	}
 	d.mu.Unlock()
 	b.pools.setServers(c)
@@ -254,7 +254,7 @@
 		d.list.Adopt(l.Revision, digest, readAt)
 		d.boxes, d.rawList = l, raw
 		if d.box.Config() != nil { // without one nobody could be a home, which is no view of the fleet
-			d.views.Observe(d.box.wall(), l.Boxes, d.holders.May)
+			d.views.Observe(d.box.wall(), l.Boxes, d.holders.Allows)
 		}
 	}
 	d.mu.Unlock()
--- a/src/config/boundary.go
+++ b/src/config/boundary.go
@@ -32,8 +32,8 @@
 	return h
 }
 
-// May reports whether boxes in a failure domain may hold requests of a workspace.
-func (h Holders) May(workspace, failureDomain string) bool {
+// Allows reports whether boxes in a failure domain may hold requests of a workspace.
+func (h Holders) Allows(workspace, failureDomain string) bool {
 	i, ok := h.domains[failureDomain]
 	return ok && h.may[workspace].Has(i)
 }
