--- a/src/box/documents.go
+++ b/src/box/documents.go
@@ -203,7 +203,7 @@
 	d.refusal = ""
 	d.setRegion(c)
 	b.conf.Store(c)
-	if h := c.Holders(); !h.Same(d.holders) {
+	if h := c.Holders(); !h.Equal(d.holders) {
 		d.holders = h
 		d.views.Observe(b.wall(), d.boxes.Boxes, h.Allows)
 	}
--- a/src/config/boundary.go
+++ b/src/config/boundary.go
@@ -38,8 +38,8 @@
 	return ok && h.may[workspace].Has(i)
 }
 
-// Same reports whether both allow the same domains for every workspace.
-func (h Holders) Same(o Holders) bool {
+// Equal reports whether both allow the same domains for every workspace.
+func (h Holders) Equal(o Holders) bool {
 	return maps.Equal(h.domains, o.domains) && maps.Equal(h.may, o.may)
 }
 
