--- a/src/box/once.go
+++ b/src/box/once.go
@@ -110,7 +110,7 @@
 		}
 		var never *port.NotConnected
 		if errors.As(err, &never) && !reached {
-			return emit(refusal(code.New(code.HomeUnreachable, "key", "box %s can't be reached from here", name).After(comeBackAfter)))
+			return emit(refusal(code.New(code.HomeUnreachable, "key", "box %s can't be reached from here", name).WithRetryAfter(comeBackAfter)))
 		}
 		reached = true
 		select {
@@ -150,7 +150,7 @@
 // holderGone answers when no member answers to the name, or its incarnation is another one.
 func (b *Box) holderGone(k core.Key, name string, holder core.BoxID) port.ForwardEvent {
 	if holder.Incarnation == 0 {
-		return refusal(code.New(code.HomeUnreachable, "key", "box %s is not known here", name).After(comeBackAfter))
+		return refusal(code.New(code.HomeUnreachable, "key", "box %s is not known here", name).WithRetryAfter(comeBackAfter))
 	}
 	return refusal(code.New(code.TicketHolderGone, "key", "box %s is gone", holder))
 }
@@ -279,7 +279,7 @@
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	e := code.New(code.AnswerInterrupted, "attach_token", "box %s can't be heard", holder.Name).WithRan(code.RanUnknown).After(comeBackAfter)
+	e := code.New(code.AnswerInterrupted, "attach_token", "box %s can't be heard", holder.Name).WithRan(code.RanUnknown).WithRetryAfter(comeBackAfter)
 	if err == nil {
 		return e
 	}
--- a/src/box/serve.go
+++ b/src/box/serve.go
@@ -62,7 +62,7 @@
 func (b *Box) check(r Request) (*asked, *code.Error) {
 	c := b.Config()
 	if c == nil || !b.ready.Load() {
-		err := code.New(code.NotReady, "", "box %s has no configuration in force yet", b.ID.Name).After(time.Second)
+		err := code.New(code.NotReady, "", "box %s has no configuration in force yet", b.ID.Name).WithRetryAfter(time.Second)
 		if r.Key != "" {
 			err = err.WithRan(code.RanUnknown) // it may be a copy of a request that runs elsewhere
 		}
@@ -106,7 +106,7 @@
 		return b.byConfig(code.New(code.BoxOutsideBoundary, "workspace", "workspace %q may not be entered in failure domain %q", q.workspace.Name(), b.Settings.FailureDomain))
 	}
 	if q.workspace.RefuseUnconfirmed() && b.now().Sub(b.docs.confirmed()) > core.UnconfirmedAfter {
-		return b.byConfig(code.New(code.BoundaryUnproven, "workspace", "the configuration was last confirmed too long ago").After(time.Second))
+		return b.byConfig(code.New(code.BoundaryUnproven, "workspace", "the configuration was last confirmed too long ago").WithRetryAfter(time.Second))
 	}
 	return nil
 }
@@ -256,7 +256,7 @@
 		return emit(refusal(err))
 	}
 	if b.Config() == nil {
-		return emit(refusal(code.New(code.NotReady, "", "box %s has no configuration in force yet", b.ID.Name).WithRan(code.RanUnknown).After(time.Second)))
+		return emit(refusal(code.New(code.NotReady, "", "box %s has no configuration in force yet", b.ID.Name).WithRan(code.RanUnknown).WithRetryAfter(time.Second)))
 	}
 	if b.holds(t.Holder) {
 		return b.attachHere(ctx, workspace, t, offset, emit)
@@ -329,7 +329,7 @@
 func (b *Box) IssueTickets(workspace string, count int) ([]string, *code.Error) {
 	c := b.Config()
 	if c == nil || !b.ready.Load() {
-		return nil, code.New(code.NotReady, "", "box %s has no configuration in force yet", b.ID.Name).After(time.Second)
+		return nil, code.New(code.NotReady, "", "box %s has no configuration in force yet", b.ID.Name).WithRetryAfter(time.Second)
 	}
 	w := c.Workspace(workspace)
 	if w == nil {
--- a/src/box/suspects.go
+++ b/src/box/suspects.go
@@ -74,7 +74,7 @@
 	if !d.Barred {
 		return nil
 	}
-	return code.New(code.CrashesServers, "input", "%d servers of %s ended while they ran this content", d.Ends, s.Pool()).After(d.Left)
+	return code.New(code.CrashesServers, "input", "%d servers of %s ended while they ran this content", d.Ends, s.Pool()).WithRetryAfter(d.Left)
 }
 
 // barredAnywhere looks at all stages of a request, before anything of it runs.
--- a/src/code/code.go
+++ b/src/code/code.go
@@ -199,8 +199,8 @@
 	return &Error{Code: c, Field: field, Message: fmt.Sprintf(format, args...)}
 }
 
-// After returns a copy with the time after which the caller may retry.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter returns a copy with the time after which the caller may retry.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	n := *e
 	n.RetryAfter = d
 	return &n
--- a/src/core/admission.go
+++ b/src/core/admission.go
@@ -34,7 +34,7 @@
 	}
 	limit := int(math.Ceil(limitSlack * float64(w.MaxInFlight()) / float64(max(1, a.Boxes()))))
 	if a.inFlight[w.Name()] >= limit {
-		return code.New(code.WorkspaceLimit, "workspace", "%d requests are running on this box", limit).After(time.Second)
+		return code.New(code.WorkspaceLimit, "workspace", "%d requests are running on this box", limit).WithRetryAfter(time.Second)
 	}
 	need := a.need(now, p, deadline, est, waits)
 	have := deadline.Sub(now)
@@ -42,7 +42,7 @@
 		have = time.Duration(mustFinishReserve * float64(have))
 	}
 	if need > have {
-		return code.New(code.CannotFinish, "", "would take %s, has %s", need.Round(time.Millisecond), have.Round(time.Millisecond)).After(need - have)
+		return code.New(code.CannotFinish, "", "would take %s, has %s", need.Round(time.Millisecond), have.Round(time.Millisecond)).WithRetryAfter(need - have)
 	}
 	a.inFlight[w.Name()]++
 	return nil
--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -147,7 +147,7 @@
 	}
 	if len(p.waiting) >= p.Room && !c.Started {
 		p.stats.Dropped++
-		return code.New(code.QueueFull, "", "pool %s has %d calls waiting", p.Name, len(p.waiting)).After(p.comeBack(now))
+		return code.New(code.QueueFull, "", "pool %s has %d calls waiting", p.Name, len(p.waiting)).WithRetryAfter(p.comeBack(now))
 	}
 	if len(p.eligible(c)) == 0 {
 		return code.New(code.NowhereToRun, "", "pool %s has no backend server inside the boundary", p.Name)
@@ -183,7 +183,7 @@
 		p.stats.Hedges++
 	case c.Retry:
 		if !p.retries.spend() {
-			return code.New(code.RetryBudgetSpent, "", "pool %s is failing and its retry budget is spent", p.Name).After(time.Second)
+			return code.New(code.RetryBudgetSpent, "", "pool %s is failing and its retry budget is spent", p.Name).WithRetryAfter(time.Second)
 		}
 		p.stats.Retries++
 	default:
@@ -344,7 +344,7 @@
 	if c.slack(now, seconds(hopelessPart*c.cost)) >= 0 {
 		return nil
 	}
-	return code.New(code.CannotFinish, "", "stage %s could no longer finish by the deadline", c.Stage.Name()).After(p.comeBack(now))
+	return code.New(code.CannotFinish, "", "stage %s could no longer finish by the deadline", c.Stage.Name()).WithRetryAfter(p.comeBack(now))
 }
 
 // comeBack is when what waits now should have gone.
--- a/src/core/request.go
+++ b/src/core/request.go
@@ -375,7 +375,7 @@
 		return append(out, Finish{})
 	}
 	if err.Code == code.CannotFinish && (r.ran || r.maybe > 0) {
-		err = code.New(code.DeadlinePassed, err.Field, "%s", err.Message).After(err.RetryAfter)
+		err = code.New(code.DeadlinePassed, err.Field, "%s", err.Message).WithRetryAfter(err.RetryAfter)
 	}
 	return append(out, Finish{Err: err.WithRan(r.didRun(err))})
 }
