--- a/src/code/code.go
+++ b/src/code/code.go
@@ -1,7 +1,7 @@
 // Package code defines the numbered result codes shared by callers, operators and boxes.
 //
-// Each code says whether any part of the request ran and whether a retry can help. docs/CODES.md has the same
-// table; a test keeps both in step.
+// Each code tells whether any part of the request ran and whether a retry can help. docs/CODES.md has the
+// same table; a test keeps both in step.
 package code
 
 import (
@@ -43,15 +43,15 @@
 const (
 	OK Code = 0
 
-	BadKey            Code = 1001
-	BadDeadline       Code = 1002
-	MessageTooLarge   Code = 1003
-	UnknownPipeline   Code = 1004
-	BadOffset         Code = 1005
-	BadAttachToken    Code = 1006
-	BadField          Code = 1007
-	KeyReused Code = 1008
-	HeaderTooLarge    Code = 1009
+	BadKey          Code = 1001
+	BadDeadline     Code = 1002
+	MessageTooLarge Code = 1003
+	UnknownPipeline Code = 1004
+	BadOffset       Code = 1005
+	BadAttachToken  Code = 1006
+	BadField        Code = 1007
+	KeyReused       Code = 1008
+	HeaderTooLarge  Code = 1009
 
 	Unauthenticated  Code = 2001
 	NotYourWorkspace Code = 2002
--- a/src/config/plan.go
+++ b/src/config/plan.go
@@ -36,7 +36,7 @@
 	return out
 }
 
-// describe describes what a configuration decides, by subject.
+// describe returns what a configuration decides, as one text for each subject.
 func describe(c *Config) map[string]string {
 	f := map[string]string{}
 	for _, b := range c.servers {
