--- a/src/config/check.go
+++ b/src/config/check.go
@@ -23,7 +23,7 @@
 
 // checker compiles a document and collects every fault with its field. It also checks settings.
 type checker struct {
-	c      *Config
+	config      *Config
 	faults Faults
 }
 
@@ -37,7 +37,7 @@
 
 // compile checks a document and builds its Config, which is valid only without faults.
 func compile(d *Document) (*Config, Faults) {
-	k := &checker{c: &Config{
+	k := &checker{config: &Config{
 		version:    d.Version,
 		byDomain:   map[string]int{},
 		byServer:   map[string]*BackendServer{},
@@ -60,7 +60,7 @@
 	if len(k.faults) == 0 {
 		k.checkPlacement(d.Workspaces)
 	}
-	return k.c, k.faults
+	return k.config, k.faults
 }
 
 // name checks that a name is not empty and not in seen.
@@ -89,9 +89,9 @@
 		if d.Region == "" {
 			k.bad(f+".region", "is missing")
 		}
-		if name(k, f, d.Name, k.c.byDomain) {
-			k.c.byDomain[d.Name] = len(k.c.domains)
-			k.c.domains = append(k.c.domains, FailureDomain{name: d.Name, region: d.Region})
+		if name(k, f, d.Name, k.config.byDomain) {
+			k.config.byDomain[d.Name] = len(k.config.domains)
+			k.config.domains = append(k.config.domains, FailureDomain{name: d.Name, region: d.Region})
 		}
 	}
 }
@@ -99,20 +99,20 @@
 func (k *checker) models(docs []ModelDoc) {
 	for i, m := range docs {
 		f := at("models", i)
-		if !name(k, f, m.Name, k.c.models) {
+		if !name(k, f, m.Name, k.config.models) {
 			continue
 		}
 		if m.LoadTime < 0 {
 			k.bad(f+".load_time", "must not be negative")
 		}
-		k.c.models[m.Name] = m
+		k.config.models[m.Name] = m
 	}
 }
 
 func (k *checker) servers(docs []BackendServerDoc) {
 	for i, d := range docs {
 		f := at("backend_servers", i)
-		if !name(k, f, d.Name, k.c.byServer) {
+		if !name(k, f, d.Name, k.config.byServer) {
 			continue
 		}
 		k.server(f, d)
@@ -123,7 +123,7 @@
 	if _, err := netip.ParseAddrPort(d.Address); err != nil {
 		k.bad(f+".address", "%q is not an IP address with a port", d.Address)
 	}
-	domain, ok := k.c.byDomain[d.FailureDomain]
+	domain, ok := k.config.byDomain[d.FailureDomain]
 	if !ok {
 		k.fault(code.ConfigDangling, f+".failure_domain", "no failure domain %q", d.FailureDomain)
 		return
@@ -140,10 +140,10 @@
 		k.bad(f+".role", "%q is not mixed, prefill or decode", d.Role)
 	}
 	k.serverModel(f, d)
-	b := &BackendServer{doc: d, domain: domain, region: k.c.domains[domain].region}
-	k.c.servers = append(k.c.servers, b)
-	k.c.byServer[d.Name] = b
-	k.c.pools[d.Pool] = append(k.c.pools[d.Pool], b)
+	b := &BackendServer{doc: d, domain: domain, region: k.config.domains[domain].region}
+	k.config.servers = append(k.config.servers, b)
+	k.config.byServer[d.Name] = b
+	k.config.pools[d.Pool] = append(k.config.pools[d.Pool], b)
 }
 
 func (k *checker) serverModel(f string, d BackendServerDoc) {
@@ -153,7 +153,7 @@
 		}
 		return
 	}
-	m, ok := k.c.models[d.Model]
+	m, ok := k.config.models[d.Model]
 	if !ok {
 		k.fault(code.ConfigDangling, f+".model", "no model %q", d.Model)
 		return
@@ -177,7 +177,7 @@
 func (k *checker) pipelines(docs []PipelineDoc) {
 	for i, d := range docs {
 		f := at("pipelines", i)
-		if name(k, f, d.Name, k.c.pipelines) {
+		if name(k, f, d.Name, k.config.pipelines) {
 			k.pipeline(f, d)
 		}
 	}
@@ -228,7 +228,7 @@
 		p.stages = append(p.stages, st)
 		p.once = p.once || s.Once
 	}
-	k.c.pipelines[d.Name] = p
+	k.config.pipelines[d.Name] = p
 }
 
 func (k *checker) stage(f string, d StageDoc, index int) *Stage {
@@ -240,10 +240,10 @@
 	if d.Once && Kind(d.Kind) == Generate {
 		k.bad(f+".once", "must not be set for a generate stage, which can always be repeated")
 	}
-	if len(k.c.pools[d.Pool]) == 0 {
+	if len(k.config.pools[d.Pool]) == 0 {
 		k.fault(code.ConfigDangling, f+".pool", "no backend server is in pool %q", d.Pool)
 	}
-	if _, ok := k.c.models[d.Model]; d.Model != "" && !ok {
+	if _, ok := k.config.models[d.Model]; d.Model != "" && !ok {
 		k.fault(code.ConfigDangling, f+".model", "no model %q", d.Model)
 	}
 	if d.MaxTokens < 0 {
@@ -263,13 +263,13 @@
 func (k *checker) domainSet(f string, names []string, absentIsAll bool) DomainSet {
 	if len(names) == 0 {
 		if absentIsAll {
-			return DomainSet(1)<<uint(len(k.c.domains)) - 1
+			return DomainSet(1)<<uint(len(k.config.domains)) - 1
 		}
 		k.bad(f, "must name at least one failure domain")
 	}
 	var s DomainSet
 	for i, n := range names {
-		d, ok := k.c.byDomain[n]
+		d, ok := k.config.byDomain[n]
 		if !ok {
 			k.fault(code.ConfigDangling, at(f, i), "no failure domain %q", n)
 			continue
@@ -282,7 +282,7 @@
 func (k *checker) workspaces(docs []WorkspaceDoc) {
 	for i, d := range docs {
 		f := at("workspaces", i)
-		if name(k, f, d.Name, k.c.workspaces) {
+		if name(k, f, d.Name, k.config.workspaces) {
 			k.workspace(f, d)
 		}
 	}
@@ -308,7 +308,7 @@
 	}
 	w := &Workspace{allowed: map[string]bool{}}
 	for i, p := range d.Pipelines {
-		if k.c.pipelines[p] == nil {
+		if k.config.pipelines[p] == nil {
 			k.fault(code.ConfigDangling, at(f+".pipelines", i), "no pipeline %q", p)
 		}
 		w.allowed[p] = true
@@ -325,10 +325,10 @@
 		k.fault(code.ConfigNowhere, f+".entry_in", "entry_in and rest_in have no failure domain in common, so no box may hold its requests")
 	}
 	for _, credential := range append(d.TokensSHA256, d.CertificateNames...) {
-		k.c.owners[credential] = d.Name
+		k.config.owners[credential] = d.Name
 	}
 	w.doc = d
-	k.c.workspaces[d.Name] = w
+	k.config.workspaces[d.Name] = w
 }
 
 func (k *checker) levels(docs []ServiceLevelDoc) {
@@ -359,9 +359,9 @@
 // it.
 func (k *checker) checkPlacement(docs []WorkspaceDoc) {
 	for _, d := range docs {
-		w := k.c.workspaces[d.Name]
+		w := k.config.workspaces[d.Name]
 		for _, pn := range w.doc.Pipelines {
-			for _, s := range k.c.pipelines[pn].stages {
+			for _, s := range k.config.pipelines[pn].stages {
 				if !k.hasCandidate(w, s) {
 					k.fault(code.ConfigNowhere, "workspaces."+w.Name()+".pipelines."+pn+".stages."+s.Name(),
 						"no backend server of pool %q may run it within the boundary", s.Pool())
@@ -373,7 +373,7 @@
 
 // hasCandidate reports whether any server may run a stage of a workspace.
 func (k *checker) hasCandidate(w *Workspace, s *Stage) bool {
-	for _, b := range k.c.pools[s.Pool()] {
+	for _, b := range k.config.pools[s.Pool()] {
 		if MayRun(w, s, b.domain) && b.fits(s) {
 			return true
 		}
