--- a/src/config/check.go
+++ b/src/config/check.go
@@ -15,7 +15,7 @@
 	minStages       = 3 // per pipeline
 	maxStages       = 6
 	maxSlots        = 4096      // per server
-	defaultInput    = 256 << 10 // max_input_bytes
+	defaultInputBytes    = 256 << 10 // max_input_bytes
 	defaultInFlight = 2000      // max_in_flight
 	defaultTokens   = 256       // max_tokens
 	LongestDeadline = time.Hour // upper limit of a pipeline's deadline
@@ -208,7 +208,7 @@
 		k.bad(f+".weight", "must be above 0")
 	}
 	if d.MaxInputBytes == 0 {
-		d.MaxInputBytes = defaultInput
+		d.MaxInputBytes = defaultInputBytes
 	}
 	if d.MaxInputBytes < 0 || d.MaxInputBytes > MaxBytes {
 		k.bad(f+".max_input_bytes", "must be 1 to %d", MaxBytes)
