--- a/src/config/check.go
+++ b/src/config/check.go
@@ -76,8 +76,8 @@
 	return true
 }
 
-// at returns the path of a list entry, such as "models[2]".
-func at(list string, i int) string { return fmt.Sprintf("%s[%d]", list, i) }
+// entryPath returns the path of a list entry, such as "models[2]".
+func entryPath(list string, i int) string { return fmt.Sprintf("%s[%d]", list, i) }
 
 func (k *checker) domains(docs []FailureDomainDoc) {
 	if len(docs) == 0 || len(docs) > maxDomains {
@@ -85,7 +85,7 @@
 		return
 	}
 	for i, d := range docs {
-		f := at("failure_domains", i)
+		f := entryPath("failure_domains", i)
 		if d.Region == "" {
 			k.bad(f+".region", "is missing")
 		}
@@ -98,7 +98,7 @@
 
 func (k *checker) models(docs []ModelDoc) {
 	for i, m := range docs {
-		f := at("models", i)
+		f := entryPath("models", i)
 		if !name(k, f, m.Name, k.config.models) {
 			continue
 		}
@@ -111,7 +111,7 @@
 
 func (k *checker) servers(docs []BackendServerDoc) {
 	for i, d := range docs {
-		f := at("backend_servers", i)
+		f := entryPath("backend_servers", i)
 		if !name(k, f, d.Name, k.config.byServer) {
 			continue
 		}
@@ -160,7 +160,7 @@
 	}
 	for j, a := range d.Adapters {
 		if !contains(m.Adapters, a) {
-			k.fault(code.ConfigDangling, at(f+".adapters", j), "model %q has no adapter %q", m.Name, a)
+			k.fault(code.ConfigDangling, entryPath(f+".adapters", j), "model %q has no adapter %q", m.Name, a)
 		}
 	}
 }
@@ -176,7 +176,7 @@
 
 func (k *checker) pipelines(docs []PipelineDoc) {
 	for i, d := range docs {
-		f := at("pipelines", i)
+		f := entryPath("pipelines", i)
 		if name(k, f, d.Name, k.config.pipelines) {
 			k.pipeline(f, d)
 		}
@@ -219,7 +219,7 @@
 	p.doc = d
 	seen := map[string]bool{}
 	for i, s := range d.Stages {
-		sf := at(f+".stages", i)
+		sf := entryPath(f+".stages", i)
 		if !name(k, sf, s.Name, seen) {
 			continue
 		}
@@ -271,7 +271,7 @@
 	for i, n := range names {
 		d, ok := k.config.byDomain[n]
 		if !ok {
-			k.fault(code.ConfigDangling, at(f, i), "no failure domain %q", n)
+			k.fault(code.ConfigDangling, entryPath(f, i), "no failure domain %q", n)
 			continue
 		}
 		s |= 1 << uint(d)
@@ -281,7 +281,7 @@
 
 func (k *checker) workspaces(docs []WorkspaceDoc) {
 	for i, d := range docs {
-		f := at("workspaces", i)
+		f := entryPath("workspaces", i)
 		if name(k, f, d.Name, k.config.workspaces) {
 			k.workspace(f, d)
 		}
@@ -309,13 +309,13 @@
 	w := &Workspace{allowed: map[string]bool{}}
 	for i, p := range d.Pipelines {
 		if k.config.pipelines[p] == nil {
-			k.fault(code.ConfigDangling, at(f+".pipelines", i), "no pipeline %q", p)
+			k.fault(code.ConfigDangling, entryPath(f+".pipelines", i), "no pipeline %q", p)
 		}
 		w.allowed[p] = true
 	}
 	for i, t := range d.TokensSHA256 {
 		if b, err := hex.DecodeString(t); err != nil || len(b) != 32 {
-			k.bad(at(f+".tokens_sha256", i), "is not 64 hexadecimal digits")
+			k.bad(entryPath(f+".tokens_sha256", i), "is not 64 hexadecimal digits")
 		}
 	}
 	w.entryIn = k.domainSet(f+".entry_in", d.EntryIn, false)
@@ -333,7 +333,7 @@
 
 func (k *checker) levels(docs []ServiceLevelDoc) {
 	for i, l := range docs {
-		f := at("service_levels", i)
+		f := entryPath("service_levels", i)
 		if l.Name == "" {
 			k.bad(f+".name", "is missing")
 		}
--- a/src/config/gateway.go
+++ b/src/config/gateway.go
@@ -139,7 +139,7 @@
 	k.address("listen.metrics", s.Listen.Metrics, false)
 	k.address("platform.address", s.Platform.Address, true)
 	for i, a := range s.Fleet.Seeds {
-		k.address(at("fleet.seeds", i), a, true)
+		k.address(entryPath("fleet.seeds", i), a, true)
 	}
 	if s.Retry.Ratio < 0 || s.Retry.Ratio > 1 {
 		k.bad("retry.ratio", "%g is not from 0 to 1", s.Retry.Ratio)
--- a/src/config/settings.go
+++ b/src/config/settings.go
@@ -160,7 +160,7 @@
 		k.bad("platform.addresses", "is missing")
 	}
 	for i, a := range s.Platform.Addresses {
-		k.address(at("platform.addresses", i), a, true)
+		k.address(entryPath("platform.addresses", i), a, true)
 	}
 	k.positive("platform.poll_every", s.Platform.PollEvery)
 	k.positive("platform.call_timeout", s.Platform.CallTimeout)
