--- a/src/config/check.go
+++ b/src/config/check.go
@@ -63,8 +63,8 @@
 	return k.config, k.faults
 }
 
-// name checks that a name is not empty and not in seen.
-func name[T any](k *checker, field, n string, seen map[string]T) bool {
+// checkName checks that a checkName is not empty and not in seen.
+func checkName[T any](k *checker, field, n string, seen map[string]T) bool {
 	if n == "" {
 		k.bad(field+".name", "is missing")
 		return false
@@ -89,7 +89,7 @@
 		if d.Region == "" {
 			k.bad(f+".region", "is missing")
 		}
-		if name(k, f, d.Name, k.config.byDomain) {
+		if checkName(k, f, d.Name, k.config.byDomain) {
 			k.config.byDomain[d.Name] = len(k.config.domains)
 			k.config.domains = append(k.config.domains, FailureDomain{name: d.Name, region: d.Region})
 		}
@@ -99,7 +99,7 @@
 func (k *checker) models(docs []ModelDoc) {
 	for i, m := range docs {
 		f := entryPath("models", i)
-		if !name(k, f, m.Name, k.config.models) {
+		if !checkName(k, f, m.Name, k.config.models) {
 			continue
 		}
 		if m.LoadTime < 0 {
@@ -112,7 +112,7 @@
 func (k *checker) servers(docs []BackendServerDoc) {
 	for i, d := range docs {
 		f := entryPath("backend_servers", i)
-		if !name(k, f, d.Name, k.config.byServer) {
+		if !checkName(k, f, d.Name, k.config.byServer) {
 			continue
 		}
 		k.server(f, d)
@@ -177,7 +177,7 @@
 func (k *checker) pipelines(docs []PipelineDoc) {
 	for i, d := range docs {
 		f := entryPath("pipelines", i)
-		if name(k, f, d.Name, k.config.pipelines) {
+		if checkName(k, f, d.Name, k.config.pipelines) {
 			k.pipeline(f, d)
 		}
 	}
@@ -220,7 +220,7 @@
 	seen := map[string]bool{}
 	for i, s := range d.Stages {
 		sf := entryPath(f+".stages", i)
-		if !name(k, sf, s.Name, seen) {
+		if !checkName(k, sf, s.Name, seen) {
 			continue
 		}
 		seen[s.Name] = true
@@ -282,7 +282,7 @@
 func (k *checker) workspaces(docs []WorkspaceDoc) {
 	for i, d := range docs {
 		f := entryPath("workspaces", i)
-		if name(k, f, d.Name, k.config.workspaces) {
+		if checkName(k, f, d.Name, k.config.workspaces) {
 			k.workspace(f, d)
 		}
 	}
