--- a/src/config/check.go
+++ b/src/config/check.go
@@ -11,19 +11,19 @@
 
 // Limits and defaults of a configuration.
 const (
-	maxDomains      = 64
-	minStages       = 3 // per pipeline
-	maxStages       = 6
-	maxSlots        = 4096      // per server
-	defaultInputBytes    = 256 << 10 // max_input_bytes
-	defaultInFlight = 2000      // max_in_flight
-	defaultTokens   = 256       // max_tokens
-	LongestDeadline = time.Hour // upper limit of a pipeline's deadline
+	maxDomains        = 64
+	minStages         = 3 // per pipeline
+	maxStages         = 6
+	maxSlots          = 4096      // per server
+	defaultInputBytes = 256 << 10 // max_input_bytes
+	defaultInFlight   = 2000      // max_in_flight
+	defaultTokens     = 256       // max_tokens
+	LongestDeadline   = time.Hour // upper limit of a pipeline's deadline
 )
 
 // checker compiles a document and collects every fault with its field. It also checks settings.
 type checker struct {
-	config      *Config
+	config *Config
 	faults Faults
 }
 
@@ -63,7 +63,7 @@
 	return k.config, k.faults
 }
 
-// checkName checks that a checkName is not empty and not in seen.
+// checkName checks that a name is not empty and not in seen.
 func checkName[T any](k *checker, field, n string, seen map[string]T) bool {
 	if n == "" {
 		k.bad(field+".name", "is missing")
