--- a/src/box/at_most_once.go
+++ b/src/box/at_most_once.go
@@ -112,7 +112,7 @@
 		}
 		var never *port.NotConnectedError
 		if errors.As(err, &never) && !reached {
-			return emit(refusal(code.New(code.HomeUnreachable, "key", "box %s can't be reached from here", name).After(homeRetryAfter)))
+			return emit(refusal(code.New(code.HomeUnreachable, "key", "box %s can't be reached from here", name).WithRetryAfter(homeRetryAfter)))
 		}
 		reached = true
 		select {
@@ -152,7 +152,7 @@
 // holderGone answers a request whose box is not a member, or has another incarnation now.
 func (b *Box) holderGone(k core.Key, name string, holder core.BoxID) port.ForwardEvent {
 	if holder.Incarnation == 0 {
-		return refusal(code.New(code.HomeUnreachable, "key", "box %s is unknown", name).After(homeRetryAfter))
+		return refusal(code.New(code.HomeUnreachable, "key", "box %s is unknown", name).WithRetryAfter(homeRetryAfter))
 	}
 	return refusal(code.New(code.TicketHolderGone, "key", "box %s is gone", holder))
 }
@@ -283,7 +283,7 @@
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	e := code.New(code.AnswerInterrupted, "attach_token", "connection to box %s was lost", holder.Name).WithRan(code.RanUnknown).After(homeRetryAfter)
+	e := code.New(code.AnswerInterrupted, "attach_token", "connection to box %s was lost", holder.Name).WithRan(code.RanUnknown).WithRetryAfter(homeRetryAfter)
 	if err == nil {
 		return e
 	}
--- a/src/box/documents.go
+++ b/src/box/documents.go
@@ -207,9 +207,9 @@
 	d.refusal = ""
 	d.setRegion(c)
 	b.activeConfig.Store(c)
-	if h := c.Holders(); !h.Same(d.holders) {
+	if h := c.Holders(); !h.Equal(d.holders) {
 		d.holders = h
-		d.views.Observe(b.wall(), d.boxes.Boxes, h.May)
+		d.views.Observe(b.wall(), d.boxes.Boxes, h.Allows)
 	}
 	d.mu.Unlock()
 	b.pools.setServers(c)
@@ -259,7 +259,7 @@
 		d.list.Adopt(l.Revision, digest, readAt)
 		d.boxes, d.rawList = l, raw
 		if d.box.Config() != nil { // without a configuration no box could be a home
-			d.views.Observe(d.box.wall(), l.Boxes, d.holders.May)
+			d.views.Observe(d.box.wall(), l.Boxes, d.holders.Allows)
 		}
 	}
 	d.mu.Unlock()
--- a/src/box/serve.go
+++ b/src/box/serve.go
@@ -63,7 +63,7 @@
 func (b *Box) check(r Request) (*checkedRequest, *code.Error) {
 	c := b.Config()
 	if c == nil || !b.ready.Load() {
-		err := code.New(code.NotReady, "", "box %s has no configuration in force yet", b.ID.Name).After(time.Second)
+		err := code.New(code.NotReady, "", "box %s has no configuration in force yet", b.ID.Name).WithRetryAfter(time.Second)
 		if r.Key != "" {
 			err = err.WithRan(code.RanUnknown) // it may be a copy of a request that runs on another box
 		}
@@ -73,7 +73,7 @@
 	if q.workspace = c.Workspace(r.Workspace); q.workspace == nil {
 		return nil, b.withConfigAge(code.New(code.UnknownWorkspace, "workspace", "no workspace %q in version %d", r.Workspace, c.Version()))
 	}
-	if q.pipeline = c.Pipeline(r.Pipeline); q.pipeline == nil || !q.workspace.May(r.Pipeline) {
+	if q.pipeline = c.Pipeline(r.Pipeline); q.pipeline == nil || !q.workspace.MayUse(r.Pipeline) {
 		return nil, b.withConfigAge(code.New(code.UnknownPipeline, "pipeline", "no pipeline %q for the workspace in version %d", r.Pipeline, c.Version()))
 	}
 	if err := b.checkKey(q, r.Key); err != nil {
@@ -107,7 +107,7 @@
 		return b.withConfigAge(code.New(code.BoxOutsideBoundary, "workspace", "workspace %q does not allow boxes in failure domain %q", q.workspace.Name(), b.Settings.FailureDomain))
 	}
 	if q.workspace.RefuseUnconfirmed() && b.now().Sub(b.docs.confirmed()) > core.UnconfirmedAfter {
-		return b.withConfigAge(code.New(code.BoundaryUnproven, "workspace", "the configuration was last confirmed too long ago").After(time.Second))
+		return b.withConfigAge(code.New(code.BoundaryUnproven, "workspace", "the configuration was last confirmed too long ago").WithRetryAfter(time.Second))
 	}
 	return nil
 }
@@ -260,7 +260,7 @@
 		return emit(refusal(err))
 	}
 	if b.Config() == nil {
-		return emit(refusal(code.New(code.NotReady, "", "box %s has no configuration in force yet", b.ID.Name).WithRan(code.RanUnknown).After(time.Second)))
+		return emit(refusal(code.New(code.NotReady, "", "box %s has no configuration in force yet", b.ID.Name).WithRan(code.RanUnknown).WithRetryAfter(time.Second)))
 	}
 	if b.answersFor(t.Holder) {
 		return b.attachLocally(ctx, workspace, t, offset, emit)
@@ -333,7 +333,7 @@
 func (b *Box) IssueTickets(workspace string, count int) ([]string, *code.Error) {
 	c := b.Config()
 	if c == nil || !b.ready.Load() {
-		return nil, code.New(code.NotReady, "", "box %s has no configuration in force yet", b.ID.Name).After(time.Second)
+		return nil, code.New(code.NotReady, "", "box %s has no configuration in force yet", b.ID.Name).WithRetryAfter(time.Second)
 	}
 	w := c.Workspace(workspace)
 	if w == nil {
--- a/src/box/suspects.go
+++ b/src/box/suspects.go
@@ -77,7 +77,7 @@
 	if !d.Barred {
 		return nil
 	}
-	return code.New(code.CrashesServers, "input", "%d servers of pool %s crashed while they ran this content", d.Ends, s.Pool()).After(d.Left)
+	return code.New(code.CrashesServers, "input", "%d servers of pool %s crashed while they ran this content", d.Ends, s.Pool()).WithRetryAfter(d.Left)
 }
 
 // barredAnywhere checks all stages of a request before any of them runs.
--- a/src/config/check.go
+++ b/src/config/check.go
@@ -9,35 +9,35 @@
 	"github.com/stilemast/stilemast/src/code"
 )
 
-// Bounds that every configuration keeps.
+// Limits and defaults of a configuration.
 const (
-	maxDomains      = 64
-	minStages       = 3
-	maxStages       = 6
-	maxSlots        = 4096
-	defaultInput    = 256 << 10
-	defaultInFlight = 2000
-	defaultTokens   = 256
-	LongestDeadline = time.Hour // the longest deadline any pipeline may have
+	maxDomains        = 64
+	minStages         = 3 // per pipeline
+	maxStages         = 6
+	maxSlots          = 4096      // per server
+	defaultInputBytes = 256 << 10 // max_input_bytes
+	defaultInFlight   = 2000      // max_in_flight
+	defaultTokens     = 256       // max_tokens
+	LongestDeadline   = time.Hour // upper limit of a pipeline's deadline
 )
 
-// checker compiles a document and collects every fault with its field.
+// checker compiles a document and collects every fault with its field. It also checks settings.
 type checker struct {
-	c  *Config
-	fs Faults
+	config *Config
+	faults Faults
 }
 
 func (k *checker) fault(c code.Code, field, format string, args ...any) {
-	k.fs = append(k.fs, code.New(c, field, format, args...))
+	k.faults = append(k.faults, code.New(c, field, format, args...))
 }
 
 func (k *checker) bad(field, format string, args ...any) {
 	k.fault(code.ConfigBadValue, field, format, args...)
 }
 
-// compile checks a document and builds its Config.
+// compile checks a document and builds its Config, which is valid only without faults.
 func compile(d *Document) (*Config, Faults) {
-	k := &checker{c: &Config{
+	k := &checker{config: &Config{
 		version:    d.Version,
 		byDomain:   map[string]int{},
 		byServer:   map[string]*BackendServer{},
@@ -57,14 +57,14 @@
 	k.pipelines(d.Pipelines)
 	k.workspaces(d.Workspaces)
 	k.levels(d.Objectives)
-	if len(k.fs) == 0 {
-		k.reachable(d.Workspaces)
+	if len(k.faults) == 0 {
+		k.checkPlacement(d.Workspaces)
 	}
-	return k.c, k.fs
+	return k.config, k.faults
 }
 
-// name checks that a name is given and new.
-func name[T any](k *checker, field, n string, seen map[string]T) bool {
+// checkName checks that a name is not empty and not in seen.
+func checkName[T any](k *checker, field, n string, seen map[string]T) bool {
 	if n == "" {
 		k.bad(field+".name", "is missing")
 		return false
@@ -76,7 +76,8 @@
 	return true
 }
 
-func at(list string, i int) string { return fmt.Sprintf("%s[%d]", list, i) }
+// entryPath returns the path of a list entry, such as "models[2]".
+func entryPath(list string, i int) string { return fmt.Sprintf("%s[%d]", list, i) }
 
 func (k *checker) domains(docs []FailureDomainDoc) {
 	if len(docs) == 0 || len(docs) > maxDomains {
@@ -84,34 +85,34 @@
 		return
 	}
 	for i, d := range docs {
-		f := at("failure_domains", i)
+		f := entryPath("failure_domains", i)
 		if d.Region == "" {
 			k.bad(f+".region", "is missing")
 		}
-		if name(k, f, d.Name, k.c.byDomain) {
-			k.c.byDomain[d.Name] = len(k.c.domains)
-			k.c.domains = append(k.c.domains, FailureDomain{name: d.Name, region: d.Region})
+		if checkName(k, f, d.Name, k.config.byDomain) {
+			k.config.byDomain[d.Name] = len(k.config.domains)
+			k.config.domains = append(k.config.domains, FailureDomain{name: d.Name, region: d.Region})
 		}
 	}
 }
 
 func (k *checker) models(docs []ModelDoc) {
 	for i, m := range docs {
-		f := at("models", i)
-		if !name(k, f, m.Name, k.c.models) {
+		f := entryPath("models", i)
+		if !checkName(k, f, m.Name, k.config.models) {
 			continue
 		}
 		if m.LoadTime < 0 {
 			k.bad(f+".load_time", "must not be negative")
 		}
-		k.c.models[m.Name] = m
+		k.config.models[m.Name] = m
 	}
 }
 
 func (k *checker) servers(docs []BackendServerDoc) {
 	for i, d := range docs {
-		f := at("backend_servers", i)
-		if !name(k, f, d.Name, k.c.byServer) {
+		f := entryPath("backend_servers", i)
+		if !checkName(k, f, d.Name, k.config.byServer) {
 			continue
 		}
 		k.server(f, d)
@@ -120,9 +121,9 @@
 
 func (k *checker) server(f string, d BackendServerDoc) {
 	if _, err := netip.ParseAddrPort(d.Address); err != nil {
-		k.bad(f+".address", "%q is not an IP number with a port", d.Address)
+		k.bad(f+".address", "%q is not an IP address with a port", d.Address)
 	}
-	domain, ok := k.c.byDomain[d.FailureDomain]
+	domain, ok := k.config.byDomain[d.FailureDomain]
 	if !ok {
 		k.fault(code.ConfigDangling, f+".failure_domain", "no failure domain %q", d.FailureDomain)
 		return
@@ -139,10 +140,10 @@
 		k.bad(f+".role", "%q is not mixed, prefill or decode", d.Role)
 	}
 	k.serverModel(f, d)
-	b := &BackendServer{doc: d, domain: domain, region: k.c.domains[domain].region}
-	k.c.servers = append(k.c.servers, b)
-	k.c.byServer[d.Name] = b
-	k.c.pools[d.Pool] = append(k.c.pools[d.Pool], b)
+	b := &BackendServer{doc: d, domain: domain, region: k.config.domains[domain].region}
+	k.config.servers = append(k.config.servers, b)
+	k.config.byServer[d.Name] = b
+	k.config.pools[d.Pool] = append(k.config.pools[d.Pool], b)
 }
 
 func (k *checker) serverModel(f string, d BackendServerDoc) {
@@ -152,14 +153,14 @@
 		}
 		return
 	}
-	m, ok := k.c.models[d.Model]
+	m, ok := k.config.models[d.Model]
 	if !ok {
 		k.fault(code.ConfigDangling, f+".model", "no model %q", d.Model)
 		return
 	}
 	for j, a := range d.Adapters {
 		if !contains(m.Adapters, a) {
-			k.fault(code.ConfigDangling, at(f+".adapters", j), "model %q has no adapter %q", m.Name, a)
+			k.fault(code.ConfigDangling, entryPath(f+".adapters", j), "model %q has no adapter %q", m.Name, a)
 		}
 	}
 }
@@ -175,8 +176,8 @@
 
 func (k *checker) pipelines(docs []PipelineDoc) {
 	for i, d := range docs {
-		f := at("pipelines", i)
-		if name(k, f, d.Name, k.c.pipelines) {
+		f := entryPath("pipelines", i)
+		if checkName(k, f, d.Name, k.config.pipelines) {
 			k.pipeline(f, d)
 		}
 	}
@@ -207,7 +208,7 @@
 		k.bad(f+".weight", "must be above 0")
 	}
 	if d.MaxInputBytes == 0 {
-		d.MaxInputBytes = defaultInput
+		d.MaxInputBytes = defaultInputBytes
 	}
 	if d.MaxInputBytes < 0 || d.MaxInputBytes > MaxBytes {
 		k.bad(f+".max_input_bytes", "must be 1 to %d", MaxBytes)
@@ -218,8 +219,8 @@
 	p.doc = d
 	seen := map[string]bool{}
 	for i, s := range d.Stages {
-		sf := at(f+".stages", i)
-		if !name(k, sf, s.Name, seen) {
+		sf := entryPath(f+".stages", i)
+		if !checkName(k, sf, s.Name, seen) {
 			continue
 		}
 		seen[s.Name] = true
@@ -227,7 +228,7 @@
 		p.stages = append(p.stages, st)
 		p.once = p.once || s.Once
 	}
-	k.c.pipelines[d.Name] = p
+	k.config.pipelines[d.Name] = p
 }
 
 func (k *checker) stage(f string, d StageDoc, index int) *Stage {
@@ -237,12 +238,12 @@
 		k.bad(f+".kind", "%q is not encode, retrieve, rerank, generate or service", d.Kind)
 	}
 	if d.Once && Kind(d.Kind) == Generate {
-		k.bad(f+".once", "a generate stage can always be repeated")
+		k.bad(f+".once", "must not be set for a generate stage, which can always be repeated")
 	}
-	if len(k.c.pools[d.Pool]) == 0 {
+	if len(k.config.pools[d.Pool]) == 0 {
 		k.fault(code.ConfigDangling, f+".pool", "no backend server is in pool %q", d.Pool)
 	}
-	if _, ok := k.c.models[d.Model]; d.Model != "" && !ok {
+	if _, ok := k.config.models[d.Model]; d.Model != "" && !ok {
 		k.fault(code.ConfigDangling, f+".model", "no model %q", d.Model)
 	}
 	if d.MaxTokens < 0 {
@@ -257,19 +258,20 @@
 	return &Stage{doc: d, runIn: k.domainSet(f+".run_in", d.RunIn, true), index: index}
 }
 
-// domainSet resolves names; an absent list means everywhere where that is allowed.
+// domainSet resolves failure domain names. An empty list means all domains if absentIsAll is set and is a
+// fault otherwise.
 func (k *checker) domainSet(f string, names []string, absentIsAll bool) DomainSet {
 	if len(names) == 0 {
 		if absentIsAll {
-			return DomainSet(1)<<uint(len(k.c.domains)) - 1
+			return DomainSet(1)<<uint(len(k.config.domains)) - 1
 		}
 		k.bad(f, "must name at least one failure domain")
 	}
 	var s DomainSet
 	for i, n := range names {
-		d, ok := k.c.byDomain[n]
+		d, ok := k.config.byDomain[n]
 		if !ok {
-			k.fault(code.ConfigDangling, at(f, i), "no failure domain %q", n)
+			k.fault(code.ConfigDangling, entryPath(f, i), "no failure domain %q", n)
 			continue
 		}
 		s |= 1 << uint(d)
@@ -279,8 +281,8 @@
 
 func (k *checker) workspaces(docs []WorkspaceDoc) {
 	for i, d := range docs {
-		f := at("workspaces", i)
-		if name(k, f, d.Name, k.c.workspaces) {
+		f := entryPath("workspaces", i)
+		if checkName(k, f, d.Name, k.config.workspaces) {
 			k.workspace(f, d)
 		}
 	}
@@ -306,32 +308,32 @@
 	}
 	w := &Workspace{allowed: map[string]bool{}}
 	for i, p := range d.Pipelines {
-		if k.c.pipelines[p] == nil {
-			k.fault(code.ConfigDangling, at(f+".pipelines", i), "no pipeline %q", p)
+		if k.config.pipelines[p] == nil {
+			k.fault(code.ConfigDangling, entryPath(f+".pipelines", i), "no pipeline %q", p)
 		}
 		w.allowed[p] = true
 	}
 	for i, t := range d.TokensSHA256 {
 		if b, err := hex.DecodeString(t); err != nil || len(b) != 32 {
-			k.bad(at(f+".tokens_sha256", i), "is not 64 hexadecimal digits")
+			k.bad(entryPath(f+".tokens_sha256", i), "is not 64 hexadecimal digits")
 		}
 	}
 	w.entryIn = k.domainSet(f+".entry_in", d.EntryIn, false)
 	w.runIn = k.domainSet(f+".run_in", d.RunIn, false)
 	w.restIn = k.domainSet(f+".rest_in", d.RestIn, false)
 	if w.entryIn&w.restIn == 0 {
-		k.fault(code.ConfigNowhere, f+".entry_in", "no failure domain is in both entry_in and rest_in, so no box may hold its requests")
+		k.fault(code.ConfigNowhere, f+".entry_in", "entry_in and rest_in have no failure domain in common, so no box may hold its requests")
 	}
 	for _, credential := range append(d.TokensSHA256, d.CertificateNames...) {
-		k.c.owners[credential] = d.Name
+		k.config.owners[credential] = d.Name
 	}
 	w.doc = d
-	k.c.workspaces[d.Name] = w
+	k.config.workspaces[d.Name] = w
 }
 
 func (k *checker) levels(docs []ServiceLevelDoc) {
 	for i, l := range docs {
-		f := at("service_levels", i)
+		f := entryPath("service_levels", i)
 		if l.Name == "" {
 			k.bad(f+".name", "is missing")
 		}
@@ -339,7 +341,7 @@
 			k.bad(f+".class", "%q is not %s or %s", l.Class, Prompt, MayWait)
 		}
 		if l.Objective <= 0 || l.Objective >= 1 {
-			k.bad(f+".objective", "must lie between 0 and 1")
+			k.bad(f+".objective", "must be above 0 and below 1")
 		}
 		switch l.Measure {
 		case "attainment":
@@ -353,23 +355,25 @@
 	}
 }
 
-// reachable faults each stage that has nowhere to run inside a boundary that uses it.
-func (k *checker) reachable(docs []WorkspaceDoc) {
+// checkPlacement reports each stage that no backend server may run within the boundary of a workspace that uses
+// it.
+func (k *checker) checkPlacement(docs []WorkspaceDoc) {
 	for _, d := range docs {
-		w := k.c.workspaces[d.Name]
+		w := k.config.workspaces[d.Name]
 		for _, pn := range w.doc.Pipelines {
-			for _, s := range k.c.pipelines[pn].stages {
-				if !k.anywhere(w, s) {
+			for _, s := range k.config.pipelines[pn].stages {
+				if !k.hasCandidate(w, s) {
 					k.fault(code.ConfigNowhere, "workspaces."+w.Name()+".pipelines."+pn+".stages."+s.Name(),
-						"no backend server of pool %q lies inside the boundary", s.Pool())
+						"no backend server of pool %q may run it within the boundary", s.Pool())
 				}
 			}
 		}
 	}
 }
 
-func (k *checker) anywhere(w *Workspace, s *Stage) bool {
-	for _, b := range k.c.pools[s.Pool()] {
+// hasCandidate reports whether any server may run a stage of a workspace.
+func (k *checker) hasCandidate(w *Workspace, s *Stage) bool {
+	for _, b := range k.config.pools[s.Pool()] {
 		if MayRun(w, s, b.domain) && b.fits(s) {
 			return true
 		}
--- a/src/config/example.go
+++ b/src/config/example.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// The example documents follow the users' own sizes. Addresses are loopback placeholders that a
-// deployment replaces.
+// The example documents have the sizes of the users' installations. Their addresses are loopback placeholders
+// for a deployment to replace.
 
 func ms(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
 
-// exampleServers makes n servers of a pool, dealt over the domains; size is the slots of each.
+// exampleServers adds n servers of a pool, distributed over the failure domains.
 func exampleServers(d *Document, pool, model string, n, slots int) {
 	for i := range n {
 		at := len(d.BackendServers)
@@ -30,8 +30,8 @@
 	return names
 }
 
-// chain makes the four stages, the last a generate stage.
-func chain(encode, retrieve, rerank, generate, model string, tokens int) []StageDoc {
+// exampleStages returns four stages that end in a generate stage.
+func exampleStages(encode, retrieve, rerank, generate, model string, tokens int) []StageDoc {
 	return []StageDoc{
 		{Name: "encode", Kind: "encode", Pool: encode, TypicalRun: ms(10)},
 		{Name: "retrieve", Kind: "retrieve", Pool: retrieve, TypicalRun: ms(20)},
@@ -40,8 +40,8 @@
 	}
 }
 
-// onceChain ends in a plain service's call that may not be repeated.
-func onceChain(encode, retrieve, service string) []StageDoc {
+// exampleOnceStages returns three stages that end in a service call that must not be repeated.
+func exampleOnceStages(encode, retrieve, service string) []StageDoc {
 	return []StageDoc{
 		{Name: "encode", Kind: "encode", Pool: encode, TypicalRun: ms(10)},
 		{Name: "retrieve", Kind: "retrieve", Pool: retrieve, TypicalRun: ms(20)},
@@ -58,7 +58,7 @@
 	}
 }
 
-// ExamplePageworks is Pageworks at its size of today.
+// ExamplePageworks returns a configuration of the size of the Pageworks installation.
 func ExamplePageworks() *Document {
 	d := &Document{Version: 1, Objectives: exampleLevels()}
 	for _, n := range []string{"nw-1", "nw-2", "nw-3", "nw-4"} {
@@ -71,14 +71,14 @@
 	exampleServers(d, "order-accounts", "", 5, 8)
 	exampleServers(d, "printer-handoff", "", 4, 8)
 	gen := func(tokens int) []StageDoc {
-		return chain("proofing", "photo-archive", "order-accounts", "engines", "layout-8b", tokens)
+		return exampleStages("proofing", "photo-archive", "order-accounts", "engines", "layout-8b", tokens)
 	}
 	d.Pipelines = []PipelineDoc{
 		{Name: "spread-draft", Class: "may_wait", MustFinish: true, Deadline: ms(30000), Weight: 2, Stages: gen(400)},
 		{Name: "caption", Class: "prompt", Deadline: ms(2000), Weight: 2, Stages: gen(40)},
 		{Name: "tag-suggestion", Class: "prompt", Deadline: ms(1000), Weight: 1, Stages: gen(12)},
-		{Name: "proof-approval", Class: "prompt", Deadline: ms(1500), Weight: 1, Stages: onceChain("proofing", "order-accounts", "printer-handoff")},
-		{Name: "tag-stamp", Class: "prompt", Deadline: ms(1500), Weight: 1, Stages: onceChain("proofing", "order-accounts", "photo-archive")},
+		{Name: "proof-approval", Class: "prompt", Deadline: ms(1500), Weight: 1, Stages: exampleOnceStages("proofing", "order-accounts", "printer-handoff")},
+		{Name: "tag-stamp", Class: "prompt", Deadline: ms(1500), Weight: 1, Stages: exampleOnceStages("proofing", "order-accounts", "photo-archive")},
 	}
 	all := []string{"spread-draft", "caption", "tag-suggestion", "proof-approval", "tag-stamp"}
 	for i, n := range []string{"district-north", "district-south", "lakeside", "hillcrest", "riverview"} {
@@ -93,8 +93,8 @@
 	return w
 }
 
-// ExampleGiftenregister is Giftenregister at its size of today. The auditors' workspace stays within
-// two of the three halls.
+// ExampleGiftenregister returns a configuration of the size of the Giftenregister installation. The workspace
+// of the auditors is limited to two of the three failure domains.
 func ExampleGiftenregister() *Document {
 	d := &Document{Version: 1, Objectives: exampleLevels()}
 	for _, n := range []string{"hal-a", "hal-b", "hal-c"} {
@@ -107,13 +107,13 @@
 	exampleServers(d, "audit-portal", "", 4, 8)
 	exampleServers(d, "donor-mail", "", 5, 8)
 	gen := func(tokens int) []StageDoc {
-		return chain("donor-desk", "audit-portal", "donor-mail", "engines", "dossier-24b", tokens)
+		return exampleStages("donor-desk", "audit-portal", "donor-mail", "engines", "dossier-24b", tokens)
 	}
 	d.Pipelines = []PipelineDoc{
 		{Name: "dossier-review", Class: "may_wait", MustFinish: true, Deadline: ms(60000), Weight: 4, Stages: gen(500)},
 		{Name: "letter", Class: "may_wait", MustFinish: true, Deadline: ms(40000), Weight: 3, Stages: gen(250)},
-		{Name: "receipt", Class: "prompt", Deadline: ms(1500), Weight: 1, Stages: onceChain("donor-desk", "audit-portal", "public-register")},
-		{Name: "registration", Class: "prompt", Deadline: ms(2000), Weight: 1, Stages: onceChain("donor-desk", "donor-mail", "public-register")},
+		{Name: "receipt", Class: "prompt", Deadline: ms(1500), Weight: 1, Stages: exampleOnceStages("donor-desk", "audit-portal", "public-register")},
+		{Name: "registration", Class: "prompt", Deadline: ms(2000), Weight: 1, Stages: exampleOnceStages("donor-desk", "donor-mail", "public-register")},
 		{Name: "status-check", Class: "prompt", Deadline: ms(1200), Weight: 1, Stages: gen(16)},
 	}
 	all := []string{"dossier-review", "letter", "receipt", "registration", "status-check"}
@@ -125,8 +125,8 @@
 	return d
 }
 
-// ExampleTarget is the size the users aim for: 2 regions, 5 failure domains, 600 engines, 4 models,
-// 16 pipelines, 1,300 workspaces.
+// ExampleTarget returns a configuration of the target size: 2 regions, 5 failure domains, 600 engines, 4
+// models, 16 pipelines, 1,300 workspaces.
 func ExampleTarget() *Document {
 	d := &Document{Version: 1, Objectives: exampleLevels()}
 	for i, n := range []string{"west-1", "west-2", "west-3", "east-1", "east-2"} {
@@ -143,9 +143,9 @@
 	var names []string
 	for i := range 16 {
 		m := fmt.Sprintf("model-%d", i%4+1)
-		p := PipelineDoc{Name: fmt.Sprintf("pipeline-%02d", i+1), Class: "prompt", Deadline: ms(2000), Stages: chain("encoders", "retrievers", "rerankers", "engines-"+m, m, 200)}
+		p := PipelineDoc{Name: fmt.Sprintf("pipeline-%02d", i+1), Class: "prompt", Deadline: ms(2000), Stages: exampleStages("encoders", "retrievers", "rerankers", "engines-"+m, m, 200)}
 		if i%8 == 7 {
-			p.Stages = onceChain("encoders", "retrievers", "records")
+			p.Stages = exampleOnceStages("encoders", "retrievers", "records")
 		}
 		d.Pipelines = append(d.Pipelines, p)
 		names = append(names, p.Name)
--- a/src/core/admission.go
+++ b/src/core/admission.go
@@ -36,7 +36,7 @@
 	}
 	limit := int(math.Ceil(limitSlack * float64(w.MaxInFlight()) / float64(max(1, a.Boxes()))))
 	if a.inFlight[w.Name()] >= limit {
-		return code.New(code.WorkspaceLimit, "workspace", "%d requests are running on this box", limit).After(time.Second)
+		return code.New(code.WorkspaceLimit, "workspace", "%d requests are running on this box", limit).WithRetryAfter(time.Second)
 	}
 	need := a.expectedDuration(now, p, deadline, est, waits)
 	have := deadline.Sub(now)
@@ -44,7 +44,7 @@
 		have = time.Duration(mustFinishReserve * float64(have))
 	}
 	if need > have {
-		return code.New(code.CannotFinish, "", "expected to take %s, but only %s is left", need.Round(time.Millisecond), have.Round(time.Millisecond)).After(need - have)
+		return code.New(code.CannotFinish, "", "expected to take %s, but only %s is left", need.Round(time.Millisecond), have.Round(time.Millisecond)).WithRetryAfter(need - have)
 	}
 	a.inFlight[w.Name()]++
 	return nil
--- a/src/core/call.go
+++ b/src/core/call.go
@@ -87,7 +87,7 @@
 // lane holds the waiting calls of one laneKey, a heap for each class.
 type lane struct {
 	key     laneKey
-	classes [config.Classes]callHeap
+	classes [config.NumClasses]callHeap
 	blocked uint64 // the Next round in which none of its calls could be placed any more
 }
 
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -279,7 +279,7 @@
 // every ratesTTL, so that a placement over many servers stays cheap.
 type rates struct {
 	tick    int64 // number of the ratesTTL interval in which they were computed; 0 after a change
-	open    [config.Classes]bool
+	open    [config.NumClasses]bool
 	usable  bool    // neither leaving nor in backoff nor asking for rest
 	token   float64 // seconds per token at the present load
 	run     float64 // seconds per call that does not generate
