--- a/src/batch/ending.go
+++ b/src/batch/ending.go
@@ -119,7 +119,7 @@
 	case ItemGone:
 		s.end(now, t, Message{Failed: &Failed{ID: t.ID, Reason: Gone}}, out)
 		return
-	case ItemNoRoom: // doesn't count against the job; see refusedRoom
+	case ItemNoRoom: // doesn't count against the job; takeResults calls recordNoRoom
 	default:
 		t.failures++
 	}
--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -14,16 +14,16 @@
 	for _, t := range s.jobs {
 		list = append(list, t)
 	}
-	hopeless := func(t *job) bool { return s.cannotBeInTime(now, t) }
+	tooLate := func(t *job) bool { return s.cannotBeInTime(now, t) }
 	rank := func(t *job) time.Time {
-		if hopeless(t) {
+		if tooLate(t) {
 			return t.Deadline
 		}
 		return EffectiveDue(t.Due, t.Priority)
 	}
 	sort.Slice(list, func(i, j int) bool {
 		a, b := list[i], list[j]
-		if ha, hb := hopeless(a), hopeless(b); ha != hb {
+		if ha, hb := tooLate(a), tooLate(b); ha != hb {
 			return hb
 		}
 		if ra, rb := rank(a), rank(b); !ra.Equal(rb) {
--- a/src/catalog/registry.go
+++ b/src/catalog/registry.go
@@ -223,8 +223,8 @@
 // era, and must be ignored: for good if that incarnation announced that it leaves, otherwise until a lease
 // has expired.
 func (r *Registry) contradicts(now time.Time, s *Server, left Departure, t *Effects) bool {
-	sameLife := s.Incarnation == 0 || left.Incarnation == 0 || s.Incarnation <= left.Incarnation
-	if !s.AcceptsWork() || !sameLife || left.Revision.Era() == 0 || left.Revision.Era() == r.era {
+	sameIncarnation := s.Incarnation == 0 || left.Incarnation == 0 || s.Incarnation <= left.Incarnation
+	if !s.AcceptsWork() || !sameIncarnation || left.Revision.Era() == 0 || left.Revision.Era() == r.era {
 		return false
 	}
 	switch {
--- a/src/clock/boot.go
+++ b/src/clock/boot.go
@@ -110,7 +110,7 @@
 	c.measured.Store(int64(steady))
 }
 
-// readClocks reads the boot clock and then the monotonic clock, as close readClocks as a few tries achieve.
+// readClocks reads the boot clock and then the monotonic clock, a few times if the two reads are far apart.
 func (c *Boot) readClocks() (boot, after time.Duration, err error) {
 	for range tries {
 		_, before := c.Read()
--- a/src/core/rumour.go
+++ b/src/core/rumour.go
@@ -113,7 +113,7 @@
 }
 
 // ClosureNote reports that a failure domain was evacuated in an earlier era of the store, or that such an
-// evacuation ended (catalog.ClosureNote).
+// evacuation ended (catalog.EvacuationNote).
 type ClosureNote struct {
 	Domain   string `msgpack:"d"`
 	Closed   bool   `msgpack:"c"`
@@ -209,8 +209,8 @@
 		return false
 	}
 	m.markChanged()
-	newLife := r.ID.Incarnation > e.id.Incarnation
-	if newLife {
+	newIncarnation := r.ID.Incarnation > e.id.Incarnation
+	if newIncarnation {
 		e.started = now.Add(-r.Up)
 		e.left = false
 	} else if e.state == MemberDead && r.State < MemberDead {
@@ -223,7 +223,7 @@
 	}
 	e.id, e.address, e.domain, e.round = r.ID, r.Address, r.Domain, r.Round
 	e.capacity, e.claims = r.Capacity, r.Claims
-	if newLife || r.State != MemberSuspect && r.State != MemberDead {
+	if newIncarnation || r.State != MemberSuspect && r.State != MemberDead {
 		e.unansweredSince = time.Time{}
 	}
 	if e.state != r.State {
--- a/src/exchange/exchange.go
+++ b/src/exchange/exchange.go
@@ -72,7 +72,7 @@
 	// error, nothing is sent. May be nil.
 	BeforeSend func() error
 	// ReadTimeout is the maximum time without receiving a byte of the response, 0 for no limit. While waiting
-	// for the header, HeaderTimeout applies if it is longer.
+	// for the response header, the limit is HeaderTimeout if that is longer.
 	ReadTimeout, HeaderTimeout time.Duration
 }
 
--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -246,7 +246,7 @@
 	return nil
 }
 
-// recordBreak records that the exchange with a server recordBreak, unless the caller ended it.
+// recordBreak records that the exchange with a server broke, unless the caller ended it.
 func (v *requestRun) recordBreak(ctx context.Context, s catalog.Server) {
 	if !v.callerLeft(ctx) || errors.Is(context.Cause(ctx), errSilent) {
 		v.gateway.brokeAt(s, v.content.At(v.pool))
--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -11,7 +11,7 @@
 	lateFactor         = 1.1                    // share of the time left to the objective that the forecast may take
 	minRetryAfter      = 300 * time.Millisecond // minimum retry-after
 	maxRetryAfter      = 3 * time.Second        // maximum retry-after
-	returnPart         = 1.0                    // share of the excess over the objective that becomes the retry-after
+	returnPart         = 1.0                    // retry-after as a share of the excess over the objective
 	notReadyAfter      = 300 * time.Millisecond // retry-after while this box has no confirmed configuration
 	otherBoxRetryAfter = 30 * time.Millisecond  // retry-after when another box can take the request at once
 )
@@ -62,7 +62,7 @@
 // Membership and load notes.
 const (
 	waitLife     = 1500 * time.Millisecond // validity of a scheduler's note on its waiting times
-	seenLately   = 60 * time.Second        // for which a box last heard of counts as possibly alive for the shared retry budget
+	seenLately   = 60 * time.Second        // time for which a box counts as possibly alive in the shared retry budget after its last heartbeat
 	notesPerBeat = 64                      // load notes in one heartbeat
 	readsPerBeat = 48                      // notes on reads of prompt parts in one heartbeat, 18 bytes each
 	namesPerLine = 8                       // names in one log line
--- a/src/gateway/links_test.go
+++ b/src/gateway/links_test.go
@@ -18,7 +18,7 @@
 // Parameters of the link model.
 const (
 	linkChunk      = 16 << 10               // bytes that a flow has in flight, as with a small window
-	connectTimeout = 200 * time.Millisecond // as peer.connectWait
+	connectTimeout = 200 * time.Millisecond // the timeout for connections between boxes in src/peer
 	storeName      = "store"
 	storeRate      = 1000 // Mbit/s
 	storeFactor    = 2.2  // size of a catalog in the store's answer relative to that between boxes: 1.05 MB to 0.486 MB for 4,249 pipelines
--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -36,7 +36,7 @@
 	at   time.Time
 }
 
-// redirect is a scheduler's redirect of its pool to another box. It overrides this box's own view, which learns
+// redirect names the box that a pool's scheduler has handed the pool over to. It overrides this box's own view, which learns
 // of a change later in a large fleet.
 type redirect struct {
 	box   string
--- a/src/gateway/store_reader.go
+++ b/src/gateway/store_reader.go
@@ -81,9 +81,9 @@
 	living := g.fleet.usable()
 	p := &g.published
 	p.mu.Lock()
-	plea := p.feed(document).ReadUnanswered(now, living)
+	relief := p.feed(document).ReadUnanswered(now, living)
 	p.mu.Unlock()
-	g.notifyReaders(now, document, plea)
+	g.notifyReaders(now, document, relief)
 }
 
 // handleUnanswered handles another reader's notice that it gets no answers; if it is the last of the readers,
@@ -96,24 +96,24 @@
 	living := g.fleet.usable()
 	p := &g.published
 	p.mu.Lock()
-	plea := p.feed(u.Document).PeerUnanswered(now, living)
+	relief := p.feed(u.Document).PeerUnanswered(now, living)
 	p.mu.Unlock()
-	g.notifyReaders(now, u.Document, plea)
+	g.notifyReaders(now, u.Document, relief)
 }
 
 // notifyReaders notifies other boxes that reads of a document get no answer.
-func (g *Gateway) notifyReaders(now time.Time, document string, plea catalog.ReliefRequest) {
-	if len(plea.Readers)+len(plea.Next) == 0 {
+func (g *Gateway) notifyReaders(now time.Time, document string, relief catalog.ReliefRequest) {
+	if len(relief.Readers)+len(relief.Next) == 0 {
 		return
 	}
-	if plea.First {
-		g.Log.Warn("others are asked to read the store", "document", document, "round", plea.Round, "boxes", len(plea.Next), "names", firstNames(plea.Next))
+	if relief.First {
+		g.Log.Warn("others are asked to read the store", "document", document, "round", relief.Round, "boxes", len(relief.Next), "names", firstNames(relief.Next))
 	}
 	b := g.newsBeat(now)
 	b.Unanswered = &core.Unanswered{Document: document}
-	g.sendBeatTo(plea.Readers, b)
-	b.Unanswered = &core.Unanswered{Document: document, Round: uint8(plea.Round)}
-	g.sendBeatTo(plea.Next, b)
+	g.sendBeatTo(relief.Readers, b)
+	b.Unanswered = &core.Unanswered{Document: document, Round: uint8(relief.Round)}
+	g.sendBeatTo(relief.Next, b)
 }
 
 // sendBeatTo sends a heartbeat that needs no answer to boxes.
--- a/src/pushback/limits.go
+++ b/src/pushback/limits.go
@@ -59,7 +59,7 @@
 
 // RecordLimit records the limit given in a response, 0 if it gives none. sent is when the request was sent: a response to a
 // request sent before the limit was known may be older than the limit and doesn't end it. RecordLimit reports whether other
-// boxes should be told at once.
+// boxes should be notified at once.
 func (r *Register) RecordLimit(now, sent time.Time, s Server, perSecond float64) bool {
 	l, known := r.limits[s.ID]
 	if known && l.incarnation > 0 && s.Incarnation > l.incarnation {
