--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -110,7 +110,7 @@
 	listPausePerServer  = 100 * time.Microsecond // pause of a reader after a change of the list, per server in it
 	maxListPause        = 250 * time.Millisecond // maximum of that pause
 	namedLists          = 6                      // base lists that a pull offers for a difference
-	notReading          = 150 * time.Millisecond // interval at which a box checks whether it should read
+	readCheckInterval          = 150 * time.Millisecond // interval at which a box checks whether it should read
 	// trustFor is the age of a confirmation up to which a missing pipeline or token is reported as nonexistent.
 	trustFor = 2500 * time.Millisecond
 )
--- a/src/gateway/store_reader.go
+++ b/src/gateway/store_reader.go
@@ -41,7 +41,7 @@
 		if reads {
 			return true
 		}
-		sleep(ctx, notReading)
+		sleep(ctx, readCheckInterval)
 	}
 	return false
 }
