--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -367,7 +367,7 @@
 	defer f.mu.Unlock()
 	n := 1
 	for b, at := range f.seen {
-		if now.Sub(at) > seenLately {
+		if now.Sub(at) > possiblyAliveFor {
 			delete(f.seen, b)
 			continue
 		}
--- a/src/gateway/permits.go
+++ b/src/gateway/permits.go
@@ -211,7 +211,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := max(1, len(f.usableNow))
-	return float64(n) / float64(n+f.core.RecentlyLost(now, seenLately))
+	return float64(n) / float64(n+f.core.RecentlyLost(now, possiblyAliveFor))
 }
 
 // markUnsupported excludes a box without limit support from the choice of coordinators.
