--- a/src/gateway/claim_test.go
+++ b/src/gateway/claim_test.go
@@ -151,7 +151,7 @@
 		time.Sleep(5 * time.Second)
 		g := f.box("box0")
 		f.setLost("box1", true)
-		time.Sleep(2 * heardLately)
+		time.Sleep(2 * recentContact)
 		g.fleet.handleSilenceReport(g.now(), "box1", "box2")
 		g.fleet.handleSilenceReport(g.now(), "box1", "box2")
 		if !g.fleet.mayAsk(g.now(), "box1") {
--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -157,7 +157,7 @@
 	reportValidity    = time.Second             // validity of the first report
 	formingFor        = time.Second             // maximum wait of a new box to meet one that may schedule
 	formingPace       = 10 * time.Millisecond   // polling interval of that wait
-	heardLately       = 2 * core.LoadNotesEvery // a box heard of within this time is not silent, whatever others report
+	recentContact       = 2 * core.LoadNotesEvery // a box heard of within this time is not silent, whatever others report
 	redirectValidity  = 1500 * time.Millisecond // validity of a scheduler's redirect to its successor
 	avoidFor          = 3 * time.Second         // for which a box that did not answer is not chosen
 	minRosterValidity = 100 * time.Millisecond  // minimum validity of the chosen schedulers while members change
--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -179,7 +179,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	r := &f.roster
-	if box == "" || box == f.gateway.ID.Name || now.Sub(f.seen[box]) < heardLately || now.Before(r.silent[box]) {
+	if box == "" || box == f.gateway.ID.Name || now.Sub(f.seen[box]) < recentContact || now.Before(r.silent[box]) {
 		return
 	}
 	last, reported := r.silenceReports[box]
--- a/src/gateway/roster_test.go
+++ b/src/gateway/roster_test.go
@@ -236,7 +236,7 @@
 			t.Error("a box that was heard from a moment ago is skipped after another's report")
 		}
 		f.setLost("box1", true)
-		time.Sleep(2 * heardLately)
+		time.Sleep(2 * recentContact)
 		g.fleet.handleSilenceReport(g.now(), "box1", "box2")
 		if g.fleet.mayAsk(g.now(), "box1") {
 			t.Error("a box that is not heard from is asked though another reported it as unresponsive")
