--- a/src/gateway/relay.go
+++ b/src/gateway/relay.go
@@ -79,7 +79,7 @@
 			if resumed {
 				whole = newer(whole, v.lastEvent)
 			}
-			if e := v.pass(whole, reply, e, s, began); e != nil {
+			if e := v.sendEvents(whole, reply, e, s, began); e != nil {
 				reply.Close(false)
 				v.recordOutcome(g.pools.get(v.pool), s, balance.Dropped, began, "caller gone", why)
 				v.ended("cancelled", "cause", "the caller left during the stream", "server", s.ID)
@@ -117,8 +117,8 @@
 	}
 }
 
-// pass sends whole events to the caller; the first of them also releases the stage results.
-func (v *requestRun) pass(whole []byte, reply *Reply, e *pool, s catalog.Server, began time.Time) error {
+// sendEvents sends whole events to the caller; the first of them also releases the stage results.
+func (v *requestRun) sendEvents(whole []byte, reply *Reply, e *pool, s catalog.Server, began time.Time) error {
 	if len(whole) == 0 {
 		return nil
 	}
