--- a/src/gateway/holdings.go
+++ b/src/gateway/holdings.go
@@ -79,7 +79,7 @@
 	}
 	h.mu.Unlock()
 	for l := range lost {
-		l.of.lose(l.stage)
+		l.of.recordLost(l.stage)
 	}
 	return results
 }
--- a/src/gateway/stages.go
+++ b/src/gateway/stages.go
@@ -25,9 +25,9 @@
 	onLoss  func()      // cancels the later stages; set before any stage is made
 }
 
-// lose records that the results of a stage are lost with their server. Stages that still need them are made
+// recordLost records that the results of a stage are lost with their server. Stages that still need them are made
 // again.
-func (r *results) lose(stage int) {
+func (r *results) recordLost(stage int) {
 	r.mu.Lock()
 	gone := !r.freed[stage]
 	r.freed[stage] = true
