--- a/src/gateway/limits.go
+++ b/src/gateway/limits.go
@@ -164,6 +164,6 @@
 		return true
 	}
 	v.permitRequests++
-	v.wish.AvoidLimited = v.permitRequests >= limitsTried
+	v.wish.AvoidLimited = v.permitRequests >= maxLimitedTries
 	return false
 }
