--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -141,7 +141,7 @@
 	askAgain      = 500 * time.Millisecond // interval at which an owner asks for an accepted job
 	handoverWait  = 60 * time.Millisecond  // for which a scheduler new to a pool waits for the previous one's handover
 	handoverAgain = time.Second            // minimum interval between such waits
-	handoverKeeps = time.Second            // for which a scheduler keeps a pool handed over to it, whichever box it would choose
+	minHoldAfterHandover = time.Second            // for which a scheduler keeps a pool handed over to it, whichever box it would choose
 	maxSilentAsks = 2                      // unanswered questions after which another box is asked
 )
 
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -33,7 +33,7 @@
 }
 
 // justReceived reports whether another box has just handed the pool over to this one.
-func (s *scheduler) justReceived(now time.Time) bool { return now.Sub(s.receivedAt) < handoverKeeps }
+func (s *scheduler) justReceived(now time.Time) bool { return now.Sub(s.receivedAt) < minHoldAfterHandover }
 
 func (d *schedulers) init(g *Gateway) {
 	d.gateway = g
--- a/src/gateway/scheduling_test.go
+++ b/src/gateway/scheduling_test.go
@@ -218,11 +218,11 @@
 			pieces, _ := s.core.Pending()
 			return pieces
 		}
-		time.Sleep(handoverKeeps / 2)
+		time.Sleep(minHoldAfterHandover / 2)
 		if waiting() == 0 {
 			t.Error("the pool was handed back at once")
 		}
-		time.Sleep(handoverKeeps)
+		time.Sleep(minHoldAfterHandover)
 		if waiting() == 0 {
 			t.Error("the pool was handed back later")
 		}
