--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -54,7 +54,7 @@
 	unableFor           = time.Minute            // for which a box whose release has no limit support is not chosen as coordinator
 	maxLimitedTries         = 2                      // servers without a free permit before servers without a limit are preferred
 	maxPermitRequests   = 4                      // questions for permits that one request may cause
-	lateWaitPart        = 0.25                   // share of its remaining time that a late request waits for a permit
+	lateWaitShare        = 0.25                   // share of its remaining time that a late request waits for a permit
 	urgencyStep         = 0.5                    // added to the divisor of the waiting time for each step of lower urgency
 	limitsTogether      = 30 * time.Millisecond  // for which changes of limits are batched into one message
 )
