--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -147,7 +147,7 @@
 
 // Choice of schedulers.
 const (
-	introduceEvery    = 50 * time.Millisecond   // interval at which a newly started box contacts seeds that it has not met
+	seedContactInterval    = 50 * time.Millisecond   // interval at which a newly started box contacts seeds that it has not met
 	introduceFor      = 2 * time.Second         // after the start
 	settledAfter      = 20 * time.Second        // uptime before a box takes a pool over from another
 	cohortSpread      = 3 * time.Second         // boxes that started within this time of the oldest may schedule at once
--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -99,7 +99,7 @@
 	g.every(ctx, tickEvery, g.tick)
 	g.every(ctx, core.HeartbeatEvery, g.sendHeartbeats)
 	g.every(ctx, core.LoadNotesEvery, g.sendNews)
-	g.every(ctx, introduceEvery, g.contactSeeds)
+	g.every(ctx, seedContactInterval, g.contactSeeds)
 	g.every(ctx, scheduleTick, g.schedulers.tick)
 	g.every(ctx, tickEvery, g.pullPublished)
 	g.background.Add(2)
