--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -148,7 +148,7 @@
 // Choice of schedulers.
 const (
 	seedContactInterval    = 50 * time.Millisecond   // interval at which a newly started box contacts seeds that it has not met
-	introduceFor      = 2 * time.Second         // after the start
+	seedContactPeriod      = 2 * time.Second         // after the start
 	settledAfter      = 20 * time.Second        // uptime before a box takes a pool over from another
 	cohortSpread      = 3 * time.Second         // boxes that started within this time of the oldest may schedule at once
 	formedAfter       = 2 * time.Second         // uptime of the oldest box by which all know one another: twice the time of 1,000 boxes
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -76,7 +76,7 @@
 	}
 	f.core.Expect = g.beatFiller(now)
 	out := f.core.FormingProbe(now)
-	if now.Sub(g.startedAt) <= introduceFor {
+	if now.Sub(g.startedAt) <= seedContactPeriod {
 		out = append(out, f.seedBeats(now)...)
 	}
 	f.mu.Unlock()
