--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -195,7 +195,7 @@
 		switch {
 		case exchange.ConnectionRefused(err):
 			outcome = balance.Absent
-			g.suspects.RecordCrash(lifeOf(s), suspects.Refused)
+			g.suspects.RecordCrash(serverIncarnation(s), suspects.Refused)
 		case errors.Is(err, ErrServerRests):
 			outcome, v.uncounted, v.restingServers = balance.Dropped, true, append(v.restingServers, s.ID)
 		case errors.Is(err, ErrServerLeft), errors.Is(err, errOutside):
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -346,7 +346,7 @@
 	case batch.CallBroken:
 		g.brokeAt(c.Server, contentsOf(c.Items)...)
 	case batch.CallAbsent:
-		g.suspects.RecordCrash(lifeOf(c.Server), suspects.Refused)
+		g.suspects.RecordCrash(serverIncarnation(c.Server), suspects.Refused)
 	case batch.CallDone:
 		var made []batch.Item
 		for i, r := range results[:min(len(results), len(c.Items))] {
--- a/src/gateway/suspects.go
+++ b/src/gateway/suspects.go
@@ -33,15 +33,15 @@
 	}
 }
 
-// lifeOf returns a server's incarnation for the tracker.
-func lifeOf(s catalog.Server) suspects.Server {
+// serverIncarnation returns a server's incarnation for the tracker.
+func serverIncarnation(s catalog.Server) suspects.Server {
 	return suspects.Server{ID: s.ID, Address: s.Address, Life: crasher.LifeOf(s.ID, int64(s.Incarnation))}
 }
 
 // brokeAt records that exchanges of contents with a server broke, unless the server left as planned.
 func (g *Gateway) brokeAt(s catalog.Server, keys ...crasher.Key) {
 	if !g.hasLeft(s) {
-		g.suspects.RecordBroken(lifeOf(s), keys...)
+		g.suspects.RecordBroken(serverIncarnation(s), keys...)
 	}
 }
 
@@ -54,11 +54,11 @@
 	}
 	for _, id := range change.Gone {
 		if s := change.Before[id]; !lapsed[id] && s.AcceptsWork() && !g.leaves(*s) {
-			g.suspects.RecordCrash(lifeOf(*s), suspects.Listed)
+			g.suspects.RecordCrash(serverIncarnation(*s), suspects.Listed)
 		}
 	}
 	for _, r := range effects.Restarted {
-		g.suspects.RecordCrash(lifeOf(r.Before), suspects.Listed)
+		g.suspects.RecordCrash(serverIncarnation(r.Before), suspects.Listed)
 	}
 }
 
