--- a/src/gateway/stages.go
+++ b/src/gateway/stages.go
@@ -203,9 +203,9 @@
 	}
 	s.results.mu.Lock()
 	s.results.handles[i], s.results.domains[i] = done.Handles, done.Domain
-	s.results.expires[i] = g.now().Add(s.lifeOf(i))
+	s.results.expires[i] = g.now().Add(s.resultLifetime(i))
 	s.results.mu.Unlock()
-	g.holdings.add(st.Pool, done, j.ResultBytes, g.now().Add(s.lifeOf(i)), s.results, i)
+	g.holdings.add(st.Pool, done, j.ResultBytes, g.now().Add(s.resultLifetime(i)), s.results, i)
 	s.freeRead(i)
 	g.Log.Info("stage made", "request", s.request.ID, "stage", i, "pool", st.Pool, "pieces", j.Pieces, "domain", done.Domain, "took_ms", g.now().Sub(began).Milliseconds(), "held_ms", began.Sub(ready).Milliseconds(), "slack_ms", j.Due.Sub(g.now()).Milliseconds())
 	return 0
@@ -280,8 +280,8 @@
 	}
 }
 
-// lifeOf returns the remaining lifetime of new results of a stage, less a margin for messages and queueing.
-func (s *stageRun) lifeOf(i int) time.Duration {
+// resultLifetime returns the remaining lifetime of new results of a stage, less a margin for messages and queueing.
+func (s *stageRun) resultLifetime(i int) time.Duration {
 	p := s.gateway.index.Load().Pool(s.pipeline.Stages[i].Pool)
 	if p == nil || p.Batch == nil || p.Batch.ResultTTL == 0 {
 		return time.Hour
