--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -29,7 +29,7 @@
 	usedAt     time.Time
 	delayedAt  time.Time // when calls were last delayed for a handover
 	receivedAt time.Time // when another box last handed the pool over to this one
-	foreign    bool      // another box was the pool's scheduler at the last check
+	scheduledElsewhere    bool      // another box was the pool's scheduler at the last check
 }
 
 // justReceived reports whether another box has just handed the pool over to this one.
@@ -56,7 +56,7 @@
 		d.mu.Unlock()
 		return s
 	}
-	s = &scheduler{core: batch.NewScheduler(d.gateway.ID.Name, *p), pool: pool, foreign: true}
+	s = &scheduler{core: batch.NewScheduler(d.gateway.ID.Name, *p), pool: pool, scheduledElsewhere: true}
 	s.core.VerdictOf, s.core.RestsUntil, s.core.LimitOf = d.gateway.suspects.Verdict, d.gateway.restsUntil, d.gateway.limitRate
 	d.all[pool] = s
 	d.mu.Unlock()
@@ -165,7 +165,7 @@
 		s.mu.Unlock()
 		return
 	}
-	s.foreign = true
+	s.scheduledElsewhere = true
 	h, a := s.core.HandOver(now, next)
 	s.mu.Unlock()
 	g.fleet.disclaim(s.pool)
@@ -184,7 +184,7 @@
 	}
 	now := d.gateway.now()
 	s.mu.Lock()
-	s.receivedAt, s.foreign = now, false
+	s.receivedAt, s.scheduledElsewhere = now, false
 	s.core.TakeOver(now, h)
 	s.mu.Unlock()
 	d.gateway.fleet.claim(h.Pool)
@@ -225,11 +225,11 @@
 	if s.justReceived(now) && !d.gateway.Draining() {
 		elsewhere = ""
 	}
-	if elsewhere == "" && s.foreign && now.Sub(s.delayedAt) > handoverAgain {
+	if elsewhere == "" && s.scheduledElsewhere && now.Sub(s.delayedAt) > handoverAgain {
 		s.delayedAt = now
 		s.core.HoldUntil(now.Add(handoverWait))
 	}
-	s.foreign = elsewhere != ""
+	s.scheduledElsewhere = elsewhere != ""
 	a := s.core.Submit(now, j.Job(now), elsewhere)
 	s.mu.Unlock()
 	if elsewhere == "" {
