--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -61,7 +61,7 @@
 
 // Membership and load notes.
 const (
-	waitLife     = 1500 * time.Millisecond // validity of a scheduler's note on its waiting times
+	waitNoteValidity     = 1500 * time.Millisecond // validity of a scheduler's note on its waiting times
 	possiblyAliveFor   = 60 * time.Second        // time for which a box counts as possibly alive in the shared retry budget after its last heartbeat
 	notesPerBeat = 64                      // load notes in one heartbeat
 	readsPerBeat = 48                      // notes on reads of prompt parts in one heartbeat, 18 bytes each
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -433,7 +433,7 @@
 func (f *fleet) waitsIn(now time.Time, pool string) backlog.Waits {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if n := f.waits[catalog.Hash(pool)]; now.Sub(n.at) < waitLife {
+	if n := f.waits[catalog.Hash(pool)]; now.Sub(n.at) < waitNoteValidity {
 		return n.waits
 	}
 	return backlog.Waits{}
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -377,7 +377,7 @@
 	var out []core.WaitNote
 	for _, s := range d.list() {
 		s.mu.Lock()
-		if now.Sub(s.usedAt) < waitLife {
+		if now.Sub(s.usedAt) < waitNoteValidity {
 			w := s.core.Waits(now)
 			out = append(out, core.WaitNote{Pool: catalog.Hash(s.pool), Wait: w.All, Steps: w.Steps})
 		}
