--- a/src/gateway/eras.go
+++ b/src/gateway/eras.go
@@ -60,7 +60,7 @@
 	b.List.Version = catalog.ListToWire(p.lists.AsOf(), base)
 	b.Settled = p.registry.Settled(now)
 	b.Closures, b.Doubts = nil, nil
-	for _, n := range p.closures.Notes(now, p.configEra(), pushback.MaxNotes) {
+	for _, n := range p.evacuations.Notes(now, p.configEra(), pushback.MaxNotes) {
 		b.Closures = append(b.Closures, core.ClosureNote{Domain: n.Domain, Closed: n.Evacuated, Revision: n.At.ToWire(base)})
 	}
 	for _, n := range p.registry.DoubtNotes(now, pushback.MaxNotes) {
@@ -132,7 +132,7 @@
 	base, closed := p.messageBase(b.Era), false
 	for _, n := range b.Closures[:min(len(b.Closures), pushback.MaxNotes)] {
 		note := catalog.EvacuationNote{Domain: n.Domain, Evacuated: n.Closed, At: catalog.RevisionFromWire(n.Revision, base)}
-		if p.closures.ApplyNote(now, note, p.configEra()) {
+		if p.evacuations.ApplyNote(now, note, p.configEra()) {
 			closed = true
 			g.Log.Warn("evacuation learned from a peer is missing in the store", "domain", n.Domain, "evacuated", n.Closed, "revision", note.At, "from", b.From.ID.Name)
 		}
@@ -160,7 +160,7 @@
 	}
 	p := &g.published
 	p.mu.Lock()
-	changed := p.closures.End(g.now(), domains, at)
+	changed := p.evacuations.End(g.now(), domains, at)
 	p.mu.Unlock()
 	if changed {
 		g.Log.Info("evacuations ended", "domains", domains, "revision", at)
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -24,7 +24,7 @@
 	held     *catalog.Catalog
 	list     *catalog.List    // of servers, as published
 	registry catalog.Registry // this box's view of the servers
-	closures catalog.Evacuations
+	evacuations catalog.Evacuations
 	eras     eras
 	known    bool // a list of servers has been received
 	source   catalogSource
@@ -190,8 +190,8 @@
 		raw = g.encode(c)
 	}
 	p.held = c
-	evacuations := p.closures.ApplyConfig(now, c.Evacuated, revision, heldRevision.Era())
-	kept := p.closures.Unlisted()
+	evacuations := p.evacuations.ApplyConfig(now, c.Evacuated, revision, heldRevision.Era())
+	kept := p.evacuations.Unlisted()
 	p.source.setCurrent(digest, raw)
 	g.index.Store(catalog.NewIndex(c))
 	p.mu.Unlock()
