--- a/src/gateway/signals.go
+++ b/src/gateway/signals.go
@@ -32,8 +32,8 @@
 	w.any.Store(!w.register.Empty())
 }
 
-// judge returns what a server's signals allow now.
-func (w *serverSignals) judge(now time.Time, s catalog.Server) pushback.Verdict {
+// check returns what a server's signals allow now.
+func (w *serverSignals) check(now time.Time, s catalog.Server) pushback.Verdict {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.register.Check(now, signalServer(s))
@@ -68,12 +68,12 @@
 	if !g.signals.any.Load() {
 		return time.Time{}
 	}
-	return g.signals.judge(g.now(), *s).Until
+	return g.signals.check(g.now(), *s).Until
 }
 
 // leaves reports whether a listed server signalled that it leaves.
 func (g *Gateway) leaves(s catalog.Server) bool {
-	return g.signals.any.Load() && g.signals.judge(g.now(), s).State == pushback.Leaving
+	return g.signals.any.Load() && g.signals.check(g.now(), s).State == pushback.Leaving
 }
 
 // recordSignals records the signals in a server's answer. what names the exchange in logs; sent is when it began, zero
