--- a/src/core/order.go
+++ b/src/core/order.go
@@ -21,12 +21,12 @@
 	Decided  time.Time     // the order expires orderLife after this
 }
 
-// orderLife bounds the time between the decision and the sending of an order. A box that paused in between
+// orderValidity bounds the time between the decision and the sending of an order. A box that paused in between
 // drops it and decides again from what it observes then.
-const orderLife = time.Second
+const orderValidity = time.Second
 
 // Expired reports whether the order has expired.
-func (o Order) Expired(now time.Time) bool { return now.Sub(o.Decided) > orderLife }
+func (o Order) Expired(now time.Time) bool { return now.Sub(o.Decided) > orderValidity }
 
 // Orders compares what the configuration requires of an engine with what the engine reports.
 //
