--- a/src/batch/room.go
+++ b/src/batch/room.go
@@ -4,12 +4,12 @@
 
 // room returns the estimated bytes of results that a server can still store.
 func (s *Scheduler) room(now time.Time, v *serverState) float64 {
-	return s.pool.Batch.RoomBytes*usableRoomFraction - v.used - s.unknown(now, v)
+	return s.pool.Batch.RoomBytes*usableRoomFraction - v.used - s.untrackedBytes(now, v)
 }
 
-// unknown estimates the bytes of results at a server that this scheduler has no handles for, because they belong to
+// untrackedBytes estimates the bytes of results at a server that this scheduler has no handles for, because they belong to
 // another scheduler. The estimate decays, since those results are freed or expire too.
-func (s *Scheduler) unknown(now time.Time, v *serverState) float64 {
+func (s *Scheduler) untrackedBytes(now time.Time, v *serverState) float64 {
 	left := unknownDecay - now.Sub(v.unknownAt)
 	if v.unknown <= 0 || left <= 0 {
 		return 0
