--- a/src/batch/room.go
+++ b/src/batch/room.go
@@ -11,16 +11,16 @@
 // another scheduler. The estimate decays, since those results are freed or expire too.
 func (s *Scheduler) untrackedBytes(now time.Time, v *serverState) float64 {
 	left := unknownDecay - now.Sub(v.unknownAt)
-	if v.unknown <= 0 || left <= 0 {
+	if v.untracked <= 0 || left <= 0 {
 		return 0
 	}
-	return v.unknown * float64(left) / float64(unknownDecay)
+	return v.untracked * float64(left) / float64(unknownDecay)
 }
 
 // recordNoRoom records that a server had no room for a result of the given bytes, so results that this scheduler doesn't
 // account for are stored there.
 func (s *Scheduler) recordNoRoom(now time.Time, v *serverState, size float64) {
-	v.unknown = max(0, s.pool.Batch.RoomBytes-v.used-size)
+	v.untracked = max(0, s.pool.Batch.RoomBytes-v.used-size)
 	v.unknownAt = now
 }
 
--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -36,7 +36,7 @@
 	freedAt     time.Time // when results were last freed there
 	handedTo    string    // scheduler that was told of the running call
 	used        float64   // bytes of known results stored there
-	unknown     float64   // bytes of results there without known handles, as estimated at unknownAt
+	untracked     float64   // bytes of results there without known handles, as estimated at unknownAt
 	unknownAt   time.Time
 	listed      bool // takes new work
 }
@@ -219,7 +219,7 @@
 		}
 		s.freedEarly[r.Handle] = now
 		if v := s.servers[r.Server]; v != nil {
-			v.unknown = max(0, v.unknown-r.Bytes)
+			v.untracked = max(0, v.untracked-r.Bytes)
 			s.freeing[r.Server] = append(s.freeing[r.Server], r.Handle)
 		}
 	}
@@ -236,7 +236,7 @@
 		}
 		s.handles[r.Handle] = held{server: r.Server, incarnation: v.Incarnation, bytes: r.Bytes, until: now.Add(r.Left)}
 		v.used += r.Bytes
-		v.unknown = max(0, v.unknown-r.Bytes)
+		v.untracked = max(0, v.untracked-r.Bytes)
 	}
 }
 
