--- a/src/batch/room.go
+++ b/src/batch/room.go
@@ -10,7 +10,7 @@
 // untrackedBytes estimates the bytes of results at a server that this scheduler has no handles for, because they belong to
 // another scheduler. The estimate decays, since those results are freed or expire too.
 func (s *Scheduler) untrackedBytes(now time.Time, v *serverState) float64 {
-	left := unknownDecay - now.Sub(v.unknownAt)
+	left := unknownDecay - now.Sub(v.untrackedAt)
 	if v.untracked <= 0 || left <= 0 {
 		return 0
 	}
@@ -21,11 +21,11 @@
 // account for are stored there.
 func (s *Scheduler) recordNoRoom(now time.Time, v *serverState, size float64) {
 	v.untracked = max(0, s.pool.Batch.RoomBytes-v.used-size)
-	v.unknownAt = now
+	v.untrackedAt = now
 }
 
 // roomUncertain reports whether a server may have less room than estimated: it refused a result recently, and the results
 // stored then may not have expired yet.
 func (s *Scheduler) roomUncertain(now time.Time, v *serverState) bool {
-	return now.Sub(v.unknownAt) < s.pool.Batch.ResultTTL
+	return now.Sub(v.untrackedAt) < s.pool.Batch.ResultTTL
 }
--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -37,7 +37,7 @@
 	handedTo    string    // scheduler that was told of the running call
 	used        float64   // bytes of known results stored there
 	untracked     float64   // bytes of results there without known handles, as estimated at unknownAt
-	unknownAt   time.Time
+	untrackedAt   time.Time
 	listed      bool // takes new work
 }
 
