--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -142,8 +142,8 @@
 	s.next++
 	c.N = s.next
 	if s.mayFree(now, v) {
-		c.Free = s.freeing[v.ID]
-		delete(s.freeing, v.ID)
+		c.Free = s.toFree[v.ID]
+		delete(s.toFree, v.ID)
 		v.freedAt = now
 	}
 	expected := time.Duration(float64(rc.expected) * max(1, v.ratio))
--- a/src/batch/incarnation.go
+++ b/src/batch/incarnation.go
@@ -21,7 +21,7 @@
 	if before == nil && !lost {
 		return
 	}
-	delete(s.freeing, v.ID)
+	delete(s.toFree, v.ID)
 	if before != nil && before.call != 0 {
 		rc := s.calls[before.call]
 		delete(s.calls, before.call)
--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -86,7 +86,7 @@
 	servers    map[string]*serverState
 	calls      map[uint64]*runningCall
 	handles    map[string]held
-	freeing    map[string][]string  // handles to free, by server
+	toFree    map[string][]string  // handles to free, by server
 	holdUntil  time.Time            // no call before, to wait for a handover
 	idle       []string             // servers whose handed-over calls have ended since
 	freedEarly map[string]time.Time // handles that were freed before this scheduler knew them, by time
@@ -99,7 +99,7 @@
 func NewScheduler(self string, pool catalog.Pool) *Scheduler {
 	return &Scheduler{
 		Self: self, pool: pool, jobs: map[JobID]*job{}, ended: map[JobID]endedJob{}, servers: map[string]*serverState{},
-		calls: map[uint64]*runningCall{}, handles: map[string]held{}, freeing: map[string][]string{}, freedEarly: map[string]time.Time{}, pieces: map[string]float64{},
+		calls: map[uint64]*runningCall{}, handles: map[string]held{}, toFree: map[string][]string{}, freedEarly: map[string]time.Time{}, pieces: map[string]float64{},
 	}
 }
 
@@ -220,7 +220,7 @@
 		s.freedEarly[r.Handle] = now
 		if v := s.servers[r.Server]; v != nil {
 			v.untracked = max(0, v.untracked-r.Bytes)
-			s.freeing[r.Server] = append(s.freeing[r.Server], r.Handle)
+			s.toFree[r.Server] = append(s.toFree[r.Server], r.Handle)
 		}
 	}
 }
@@ -260,7 +260,7 @@
 		delete(s.handles, h)
 		if v := s.servers[r.server]; v != nil {
 			v.used = max(0, v.used-r.bytes)
-			s.freeing[r.server] = append(s.freeing[r.server], h)
+			s.toFree[r.server] = append(s.toFree[r.server], h)
 		}
 	}
 }
@@ -310,7 +310,7 @@
 // frees returns requests that free the queued handles at servers that accept them now.
 func (s *Scheduler) frees(now time.Time) []FreeCall {
 	var out []FreeCall
-	for id, hs := range s.freeing {
+	for id, hs := range s.toFree {
 		v := s.servers[id]
 		if v != nil && (s.restLeft(now, v) > 0 || !s.mayFree(now, v)) {
 			continue // freed later, when the server accepts requests
@@ -319,7 +319,7 @@
 			v.freedAt = now
 			out = append(out, FreeCall{Server: v.Server, Handles: hs})
 		}
-		delete(s.freeing, id)
+		delete(s.toFree, id)
 	}
 	return out
 }
