--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -83,7 +83,7 @@
 	Boxes  int // number of boxes including this one; 0 to count only those that send reports
 
 	reports     map[string]boxReport // reports of other boxes, by name
-	names       map[uint64]*server   // servers by the hash of their ids
+	byHash       map[uint64]*server   // servers by the hash of their ids
 	busy        map[string]*server   // servers with requests of this box
 	paused      map[string]*server   // servers that are paused or were until recently
 	scale       float64              // factor from the reported loads to those of all boxes
@@ -101,7 +101,7 @@
 
 // NewPool returns a pool without servers for a box in a failure domain.
 func NewPool(box, domain string) *Pool {
-	return &Pool{Box: box, Domain: domain, salt: catalog.Hash(box), reports: map[string]boxReport{}, names: map[uint64]*server{}, busy: map[string]*server{}, paused: map[string]*server{}, servers: map[string]*server{}, domains: map[string]int{}, cached: map[uint64]map[uint64]time.Time{}, popularity: newPopularity()}
+	return &Pool{Box: box, Domain: domain, salt: catalog.Hash(box), reports: map[string]boxReport{}, byHash: map[uint64]*server{}, busy: map[string]*server{}, paused: map[string]*server{}, servers: map[string]*server{}, domains: map[string]int{}, cached: map[uint64]map[uint64]time.Time{}, popularity: newPopularity()}
 }
 
 // Configure sets the complete list of servers that take new work.
@@ -131,7 +131,7 @@
 		if st == nil {
 			st = &server{pace: 1, hash: catalog.Hash(v.ID)}
 			p.servers[v.ID] = st
-			p.names[st.hash] = st
+			p.byHash[st.hash] = st
 		} else {
 			p.domains[st.Domain]--
 		}
@@ -148,7 +148,7 @@
 // drop removes a server.
 func (p *Pool) drop(v *server) {
 	delete(p.servers, v.ID)
-	delete(p.names, v.hash)
+	delete(p.byHash, v.hash)
 	delete(p.busy, v.ID)
 	delete(p.paused, v.ID)
 	p.domains[v.Domain]--
@@ -204,7 +204,7 @@
 // dropReport removes a box's report and subtracts it from the sums.
 func (p *Pool) dropReport(box string) {
 	for _, n := range p.reports[box].notes {
-		if v := p.names[n.Server]; v != nil {
+		if v := p.byHash[n.Server]; v != nil {
 			v.peers.Requests = max(0, v.peers.Requests-n.Load.Requests)
 			v.peers.Tokens = max(0, v.peers.Tokens-n.Load.Tokens)
 		}
@@ -218,7 +218,7 @@
 	p.dropReport(box)
 	w := boxReport{at: now}
 	for _, n := range notes {
-		v := p.names[n.Server]
+		v := p.byHash[n.Server]
 		if v == nil {
 			continue
 		}
--- a/src/balance/prompt.go
+++ b/src/balance/prompt.go
@@ -155,7 +155,7 @@
 // RecordReads records prompt parts that servers have processed, as reported by another box.
 func (p *Pool) RecordReads(now time.Time, reads []Read) {
 	for _, r := range reads {
-		if p.names[r.Server] != nil {
+		if p.byHash[r.Server] != nil {
 			p.markCached(now, r.Server, r.Part)
 		}
 	}
--- a/src/balance/source.go
+++ b/src/balance/source.go
@@ -32,7 +32,7 @@
 	deepest := kept[len(w.Parts)-2]
 	var best *server
 	for hash, at := range deepest {
-		s := p.names[hash]
+		s := p.byHash[hash]
 		if s == nil || s.ID == id || !w.Within.Allow(s.Domain) || !s.healthy(now) || p.wantsRest(now, s) || p.limited(s) || now.Sub(at) >= cacheLifetime {
 			continue
 		}
