--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -256,7 +256,7 @@
 func (p *Pool) Pick(now time.Time, w *Request) (catalog.Server, string, bool) {
 	var best *server
 	bestCost, why := 0.0, ""
-	p.popularity.note(now, w)
+	p.popularity.add(now, w)
 	p.scale = p.dropExpiredReports(now)
 	p.picks++
 	home, kept := p.home(w), p.cachedParts(w)
--- a/src/balance/balance_test.go
+++ b/src/balance/balance_test.go
@@ -261,7 +261,7 @@
 	for i := range pools {
 		pools[i] = testPool(fmt.Sprint("box", i), 64)
 	}
-	ask := func(p *Pool, first string) { p.popularity.note(start, &Request{Parts: prompt(first, "book", "own")}) }
+	ask := func(p *Pool, first string) { p.popularity.add(start, &Request{Parts: prompt(first, "book", "own")}) }
 	for i, p := range pools { // half of the requests have the same first part
 		for n := range 3 {
 			ask(p, "common")
--- a/src/balance/popularity.go
+++ b/src/balance/popularity.go
@@ -44,8 +44,8 @@
 	return popularity{own: map[uint64]float64{}, reports: map[string]popularityReport{}, reported: map[uint64]float64{}}
 }
 
-// note adds the tokens of a request to its first prompt part.
-func (a *popularity) note(now time.Time, w *Request) {
+// add adds the tokens of a request to its first prompt part.
+func (a *popularity) add(now time.Time, w *Request) {
 	if len(w.Parts) == 0 {
 		return
 	}
