--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -24,8 +24,8 @@
 	AvoidLimited bool   // prefer servers without a request limit
 }
 
-// barred reports whether the request excludes a server, whatever the server's load.
-func (w *Request) barred(v *server) bool {
+// excludes reports whether the request excludes a server, whatever the server's load.
+func (w *Request) excludes(v *server) bool {
 	return w.Exclude[v.ID] || !w.Within.Allow(v.Domain) || w.Only != "" && w.Only != v.ID
 }
 
@@ -263,7 +263,7 @@
 	sparing := p.fewCold(now)
 	for pass := range 2 {
 		for _, v := range p.servers {
-			if w.barred(v) || w.Only == "" && p.wantsRest(now, v) || pass == 0 && (!v.usable(now) || sparing && v.cold(now)) {
+			if w.excludes(v) || w.Only == "" && p.wantsRest(now, v) || pass == 0 && (!v.usable(now) || sparing && v.cold(now)) {
 				continue
 			}
 			c := p.cost(now, v, w, kept, home) + p.jitter(v)
@@ -308,7 +308,7 @@
 		return true
 	}
 	for _, v := range p.servers {
-		if !w.barred(v) && !p.wantsRest(now, v) {
+		if !w.excludes(v) && !p.wantsRest(now, v) {
 			return true
 		}
 	}
