--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -38,13 +38,13 @@
 
 // entry is a content with at least one crash.
 type entry struct {
-	ends    []end     // sorted by time
+	ends    []crash     // sorted by time
 	goodAt  time.Time // latest good response
 	changed time.Time // last change that other boxes must be told of
 }
 
-// end is the crash of a server while it ran a content.
-type end struct {
+// crash is the crash of a server while it ran a content.
+type crash struct {
 	life Life
 	at   time.Time
 }
@@ -105,7 +105,7 @@
 func (r *Register) addEnds(now time.Time, life Life, list []brokenExchange) []Counted {
 	var out []Counted
 	for _, b := range list {
-		if now.Sub(b.at) > proofWindow || !r.addEnd(now, b.key, end{life: life, at: b.at}) {
+		if now.Sub(b.at) > proofWindow || !r.addEnd(now, b.key, crash{life: life, at: b.at}) {
 			continue
 		}
 		out = append(out, Counted{Key: b.key, Verdict: r.Verdict(now, b.key)})
@@ -114,16 +114,16 @@
 }
 
 // addEnd adds a crash to a content and reports whether it is new. Of two times for one incarnation the earlier one is kept.
-func (r *Register) addEnd(now time.Time, k Key, x end) bool {
+func (r *Register) addEnd(now time.Time, k Key, x crash) bool {
 	e := r.entryFor(now, k)
-	known := slices.IndexFunc(e.ends, func(o end) bool { return o.life == x.life })
+	known := slices.IndexFunc(e.ends, func(o crash) bool { return o.life == x.life })
 	switch {
 	case known < 0:
 		e.ends = append(e.ends, x)
 	case x.at.Before(e.ends[known].at):
 		e.ends[known].at = x.at
 	}
-	slices.SortFunc(e.ends, func(a, b end) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.life, b.life)) })
+	slices.SortFunc(e.ends, func(a, b crash) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.life, b.life)) })
 	if known >= 0 {
 		return false
 	}
