--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -75,7 +75,7 @@
 		return nil
 	}
 	list = append(list, brokenExchangesAt(now, keys)...)
-	r.broken[life] = list[:min(len(list), keysPerLife)]
+	r.broken[life] = list[:min(len(list), keysPerIncarnation)]
 	return nil
 }
 
--- a/src/crasher/register_test.go
+++ b/src/crasher/register_test.go
@@ -156,7 +156,7 @@
 	crashWith(&r, began, 1, guilty)
 	crashWith(&r, began, 2, guilty)
 	for i := range maxEntries + 500 {
-		crashWith(&r, began, Life(100+i/keysPerLife), keyOf(i))
+		crashWith(&r, began, Life(100+i/keysPerIncarnation), keyOf(i))
 	}
 	if len(r.entries) > maxEntries || r.Verdict(began, guilty).Ends != 2 {
 		t.Errorf("%d entries, the verdict on the guilty one: %+v", len(r.entries), r.Verdict(began, guilty))
