--- a/src/box/suspects.go
+++ b/src/box/suspects.go
@@ -40,7 +40,7 @@
 		return suspects.Present
 	}
 	r, err := b.Backends.Load(ctx, server)
-	if err == nil && serverLife(s.ID, r.Incarnation).Life != s.Life {
+	if err == nil && serverIncarnation(s.ID, r.Incarnation).Life != s.Life {
 		return suspects.Absent
 	}
 	return suspects.PresenceOf(err)
@@ -110,17 +110,17 @@
 	if p := b.pools.get(pool); p != nil {
 		p.locked(func(c *core.Pool) { r = c.LastReport(server) })
 	}
-	return serverLife(server, r.Incarnation)
+	return serverIncarnation(server, r.Incarnation)
 }
 
-// serverLife returns the identity of one incarnation of a server.
-func serverLife(server string, incarnation uint64) suspects.Server {
+// serverIncarnation returns the identity of one incarnation of a server.
+func serverIncarnation(server string, incarnation uint64) suspects.Server {
 	return suspects.Server{ID: server, Life: crasher.LifeOf(server, int64(incarnation))}
 }
 
 // noteRestart notes that the previous incarnation of a server ended, if its report shows a new one.
 func (b *Box) noteRestart(server string, before, now core.Report) {
 	if before.Incarnation != 0 && now.Incarnation > before.Incarnation {
-		b.suspects.RecordCrash(serverLife(server, before.Incarnation), suspects.Report)
+		b.suspects.RecordCrash(serverIncarnation(server, before.Incarnation), suspects.Report)
 	}
 }
