--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -83,7 +83,7 @@
 	Boxes  int // number of boxes including this one; 0 to count only those that send reports
 
 	reports     map[string]boxReport // reports of other boxes, by name
-	byHash       map[uint64]*server   // servers by the hash of their ids
+	byHash      map[uint64]*server   // servers by the hash of their ids
 	busy        map[string]*server   // servers with requests of this box
 	paused      map[string]*server   // servers that are paused or were until recently
 	scale       float64              // factor from the reported loads to those of all boxes
--- a/src/batch/constants.go
+++ b/src/batch/constants.go
@@ -11,7 +11,7 @@
 	smallCrossBytes       = 200_000.0               // a job that reads fewer bytes from another domain doesn't wait for its own
 	splitAfter            = 200 * time.Millisecond  // wait after which a job may be split across calls
 	usableRoomFraction    = 0.97                    // fraction of a server's result memory that is used
-	untrackedDecay          = time.Second             // decay time of the estimate of unknown results; the lifetime of results (4 s) gave worse results
+	untrackedDecay        = time.Second             // decay time of the estimate of unknown results; the lifetime of results (4 s) gave worse results
 	fullPause             = 60 * time.Millisecond   // after a server reported that it is full
 	failurePause          = 400 * time.Millisecond  // after a failed call; doubled with each further one
 	maxDoublings          = 4                       // of failurePause
--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -36,8 +36,8 @@
 	freedAt     time.Time // when results were last freed there
 	handedTo    string    // scheduler that was told of the running call
 	used        float64   // bytes of known results stored there
-	untracked     float64   // bytes of results there without known handles, as estimated at unknownAt
-	untrackedAt   time.Time
+	untracked   float64   // bytes of results there without known handles, as estimated at unknownAt
+	untrackedAt time.Time
 	listed      bool // takes new work
 }
 
@@ -86,7 +86,7 @@
 	servers    map[string]*serverState
 	calls      map[uint64]*runningCall
 	handles    map[string]held
-	toFree    map[string][]string  // handles to free, by server
+	toFree     map[string][]string  // handles to free, by server
 	holdUntil  time.Time            // no call before, to wait for a handover
 	idle       []string             // servers whose handed-over calls have ended since
 	freedEarly map[string]time.Time // handles that were freed before this scheduler knew them, by time
--- a/src/crasher/constants.go
+++ b/src/crasher/constants.go
@@ -28,12 +28,12 @@
 
 // Limits of what is stored and reported.
 const (
-	maxEnds        = 16                   // latest crashes kept for one content
-	maxEntries     = 4096                 // contents kept: those running in two full failure domains of the largest fleet seen; 0.8 MB
-	maxBroken      = 1024                 // incarnations kept with broken exchanges but without proof of a crash
-	keysPerIncarnation    = 256                  // broken exchanges kept for one incarnation
-	maxGood        = 8192                 // contents with recent good responses in each of two generations; 0.5 MB each
-	generationTime = suspectRetention / 2 // duration of a generation: a good response between two crashes is still known at the second
+	maxEnds            = 16                   // latest crashes kept for one content
+	maxEntries         = 4096                 // contents kept: those running in two full failure domains of the largest fleet seen; 0.8 MB
+	maxBroken          = 1024                 // incarnations kept with broken exchanges but without proof of a crash
+	keysPerIncarnation = 256                  // broken exchanges kept for one incarnation
+	maxGood            = 8192                 // contents with recent good responses in each of two generations; 0.5 MB each
+	generationTime     = suspectRetention / 2 // duration of a generation: a good response between two crashes is still known at the second
 
 	counterBoxes     = 2                      // counter boxes of a content
 	newsPeriod       = 600 * time.Millisecond // time for which a change is in every message: three gossip rounds of a small fleet, one heartbeat
--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -38,7 +38,7 @@
 
 // entry is a content with at least one crash.
 type entry struct {
-	ends    []crash     // sorted by time
+	ends    []crash   // sorted by time
 	goodAt  time.Time // latest good response
 	changed time.Time // last change that other boxes must be told of
 }
--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -11,7 +11,7 @@
 	lateFactor         = 1.1                    // share of the time left to the objective that the forecast may take
 	minRetryAfter      = 300 * time.Millisecond // minimum retry-after
 	maxRetryAfter      = 3 * time.Second        // maximum retry-after
-	retryAfterShare         = 1.0                    // retry-after as a share of the excess over the objective
+	retryAfterShare    = 1.0                    // retry-after as a share of the excess over the objective
 	notReadyAfter      = 300 * time.Millisecond // retry-after while this box has no confirmed configuration
 	otherBoxRetryAfter = 30 * time.Millisecond  // retry-after when another box can take the request at once
 )
@@ -52,21 +52,21 @@
 	coordinatorPause    = 500 * time.Millisecond // before a coordinator that did not answer, or named another, is asked again
 	coordinatorsAsked   = 3                      // boxes asked for one permit: the first, and the next after boxes without limit support
 	unableFor           = time.Minute            // for which a box whose release has no limit support is not chosen as coordinator
-	maxLimitedTries         = 2                      // servers without a free permit before servers without a limit are preferred
+	maxLimitedTries     = 2                      // servers without a free permit before servers without a limit are preferred
 	maxPermitRequests   = 4                      // questions for permits that one request may cause
-	lateWaitShare        = 0.25                   // share of its remaining time that a late request waits for a permit
+	lateWaitShare       = 0.25                   // share of its remaining time that a late request waits for a permit
 	urgencyStep         = 0.5                    // added to the divisor of the waiting time for each step of lower urgency
 	limitsTogether      = 30 * time.Millisecond  // for which changes of limits are batched into one message
 )
 
 // Membership and load notes.
 const (
-	waitNoteValidity     = 1500 * time.Millisecond // validity of a scheduler's note on its waiting times
-	possiblyAliveFor   = 60 * time.Second        // time for which a box counts as possibly alive in the shared retry budget after its last heartbeat
-	notesPerBeat = 64                      // load notes in one heartbeat
-	readsPerBeat = 48                      // notes on reads of prompt parts in one heartbeat, 18 bytes each
-	namesPerLine = 8                       // names in one log line
-	serverLines  = 32                      // changed servers logged one by one: the largest failure domain, but not a first list
+	waitNoteValidity = 1500 * time.Millisecond // validity of a scheduler's note on its waiting times
+	possiblyAliveFor = 60 * time.Second        // time for which a box counts as possibly alive in the shared retry budget after its last heartbeat
+	notesPerBeat     = 64                      // load notes in one heartbeat
+	readsPerBeat     = 48                      // notes on reads of prompt parts in one heartbeat, 18 bytes each
+	namesPerLine     = 8                       // names in one log line
+	serverLines      = 32                      // changed servers logged one by one: the largest failure domain, but not a first list
 
 	membersLogEvery  = time.Second     // minimum interval between logs of membership changes
 	announceTo       = 6               // boxes of a large fleet that an announcement goes to
@@ -110,7 +110,7 @@
 	listPausePerServer  = 100 * time.Microsecond // pause of a reader after a change of the list, per server in it
 	maxListPause        = 250 * time.Millisecond // maximum of that pause
 	namedLists          = 6                      // base lists that a pull offers for a difference
-	readCheckInterval          = 150 * time.Millisecond // interval at which a box checks whether it should read
+	readCheckInterval   = 150 * time.Millisecond // interval at which a box checks whether it should read
 	// trustFor is the age of a confirmation up to which a missing pipeline or token is reported as nonexistent.
 	trustFor = 2500 * time.Millisecond
 )
@@ -137,31 +137,31 @@
 
 // Jobs and their schedulers.
 const (
-	ackPatience   = 250 * time.Millisecond // for a scheduler to accept a job
-	askAgain      = 500 * time.Millisecond // interval at which an owner asks for an accepted job
-	handoverWait  = 60 * time.Millisecond  // for which a scheduler new to a pool waits for the previous one's handover
-	handoverAgain = time.Second            // minimum interval between such waits
+	ackPatience          = 250 * time.Millisecond // for a scheduler to accept a job
+	askAgain             = 500 * time.Millisecond // interval at which an owner asks for an accepted job
+	handoverWait         = 60 * time.Millisecond  // for which a scheduler new to a pool waits for the previous one's handover
+	handoverAgain        = time.Second            // minimum interval between such waits
 	minHoldAfterHandover = time.Second            // for which a scheduler keeps a pool handed over to it, whichever box it would choose
-	maxSilentAsks = 2                      // unanswered questions after which another box is asked
+	maxSilentAsks        = 2                      // unanswered questions after which another box is asked
 )
 
 // Choice of schedulers.
 const (
-	seedContactInterval    = 50 * time.Millisecond   // interval at which a newly started box contacts seeds that it has not met
-	seedContactPeriod      = 2 * time.Second         // after the start
-	settledAfter      = 20 * time.Second        // uptime before a box takes a pool over from another
-	cohortSpread      = 3 * time.Second         // boxes that started within this time of the oldest may schedule at once
-	formedAfter       = 2 * time.Second         // uptime of the oldest box by which all know one another: twice the time of 1,000 boxes
-	minCapacityShare  = 0.5                     // minimum capacity of a scheduler as a share of the largest machine's
-	twoReportsFrom    = 16                      // in fleets larger than this, two boxes must report a scheduler as silent
-	reportValidity    = time.Second             // validity of the first report
-	formingFor        = time.Second             // maximum wait of a new box to meet one that may schedule
-	formingPace       = 10 * time.Millisecond   // polling interval of that wait
+	seedContactInterval = 50 * time.Millisecond   // interval at which a newly started box contacts seeds that it has not met
+	seedContactPeriod   = 2 * time.Second         // after the start
+	settledAfter        = 20 * time.Second        // uptime before a box takes a pool over from another
+	cohortSpread        = 3 * time.Second         // boxes that started within this time of the oldest may schedule at once
+	formedAfter         = 2 * time.Second         // uptime of the oldest box by which all know one another: twice the time of 1,000 boxes
+	minCapacityShare    = 0.5                     // minimum capacity of a scheduler as a share of the largest machine's
+	twoReportsFrom      = 16                      // in fleets larger than this, two boxes must report a scheduler as silent
+	reportValidity      = time.Second             // validity of the first report
+	formingFor          = time.Second             // maximum wait of a new box to meet one that may schedule
+	formingPace         = 10 * time.Millisecond   // polling interval of that wait
 	recentContact       = 2 * core.LoadNotesEvery // a box heard of within this time is not silent, whatever others report
-	redirectValidity  = 1500 * time.Millisecond // validity of a scheduler's redirect to its successor
-	avoidFor          = 3 * time.Second         // for which a box that did not answer is not chosen
-	minRosterValidity = 100 * time.Millisecond  // minimum validity of the chosen schedulers while members change
-	maxRosterValidity = 5 * time.Second         // maximum validity while no member changes
+	redirectValidity    = 1500 * time.Millisecond // validity of a scheduler's redirect to its successor
+	avoidFor            = 3 * time.Second         // for which a box that did not answer is not chosen
+	minRosterValidity   = 100 * time.Millisecond  // minimum validity of the chosen schedulers while members change
+	maxRosterValidity   = 5 * time.Second         // maximum validity while no member changes
 )
 
 // resultsPerMessage is the maximum number of held results reported to a scheduler in one message.
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -18,17 +18,17 @@
 
 	applying sync.Mutex // held while pools and schedulers get their servers, so that the newest change wins
 
-	mu       sync.Mutex
-	catalogs *catalog.Feed
-	lists    *catalog.Feed
-	held     *catalog.Catalog
-	list     *catalog.List    // of servers, as published
-	registry catalog.Registry // this box's view of the servers
+	mu          sync.Mutex
+	catalogs    *catalog.Feed
+	lists       *catalog.Feed
+	held        *catalog.Catalog
+	list        *catalog.List    // of servers, as published
+	registry    catalog.Registry // this box's view of the servers
 	evacuations catalog.Evacuations
-	eras     eras
-	known    bool // a list of servers has been received
-	source   catalogSource
-	partial  partialDocument
+	eras        eras
+	known       bool // a list of servers has been received
+	source      catalogSource
+	partial     partialDocument
 }
 
 func (p *published) init(g *Gateway) {
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -23,17 +23,19 @@
 
 // scheduler is the scheduler of one pool.
 type scheduler struct {
-	mu         sync.Mutex
-	core       *batch.Scheduler
-	pool       string
-	usedAt     time.Time
-	delayedAt  time.Time // when calls were last delayed for a handover
-	receivedAt time.Time // when another box last handed the pool over to this one
-	scheduledElsewhere    bool      // another box was the pool's scheduler at the last check
+	mu                 sync.Mutex
+	core               *batch.Scheduler
+	pool               string
+	usedAt             time.Time
+	delayedAt          time.Time // when calls were last delayed for a handover
+	receivedAt         time.Time // when another box last handed the pool over to this one
+	scheduledElsewhere bool      // another box was the pool's scheduler at the last check
 }
 
 // justReceived reports whether another box has just handed the pool over to this one.
-func (s *scheduler) justReceived(now time.Time) bool { return now.Sub(s.receivedAt) < minHoldAfterHandover }
+func (s *scheduler) justReceived(now time.Time) bool {
+	return now.Sub(s.receivedAt) < minHoldAfterHandover
+}
 
 func (d *schedulers) init(g *Gateway) {
 	d.gateway = g
