--- a/src/gateway/signals.go
+++ b/src/gateway/signals.go
@@ -145,15 +145,15 @@
 	defer p.mu.Unlock()
 	var out []core.LeavingNote
 	g.signals.with(func(r *pushback.Register) {
-		for _, s := range r.LeavingServers(p.named) {
+		for _, s := range r.LeavingServers(p.listedOrInUse) {
 			out = append(out, core.LeavingNote{Server: s.ID, Incarnation: uint64(s.Incarnation)})
 		}
 	})
 	return out
 }
 
-// named reports whether a server is listed as working, or used without an entry. p.mu is held.
-func (p *published) named(id string) bool {
+// listedOrInUse reports whether a server is listed as working, or used without an entry. p.mu is held.
+func (p *published) listedOrInUse(id string) bool {
 	if s := p.list.Get(id); s != nil && s.AcceptsWork() {
 		return true
 	}
