--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -36,7 +36,7 @@
 	freedAt     time.Time // when results were last freed there
 	handedTo    string    // scheduler that was told of the running call
 	used        float64   // bytes of known results stored there
-	untracked   float64   // bytes of results there without known handles, as estimated at unknownAt
+	untracked   float64   // bytes of results there without known handles, as estimated at untrackedAt
 	untrackedAt time.Time
 	listed      bool // takes new work
 }
--- a/src/core/order.go
+++ b/src/core/order.go
@@ -18,7 +18,7 @@
 	Adapters []string
 	Role     string
 	LoadTime time.Duration // configured loading time of the model
-	Decided  time.Time     // the order expires orderLife after this
+	Decided  time.Time     // the order expires orderValidity after this
 }
 
 // orderValidity bounds the time between the decision and the sending of an order. A box that paused in between
--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -52,7 +52,7 @@
 	coordinatorPause    = 500 * time.Millisecond // before a coordinator that did not answer, or named another, is asked again
 	coordinatorsAsked   = 3                      // boxes asked for one permit: the first, and the next after boxes without limit support
 	unableFor           = time.Minute            // for which a box whose release has no limit support is not chosen as coordinator
-	maxLimitedTries     = 2                      // servers without a free permit before servers without a limit are preferred
+	maxLimitedTries     = 2                      // servers without a free permit that a request tries before it prefers servers without a limit
 	maxPermitRequests   = 4                      // questions for permits that one request may cause
 	lateWaitShare       = 0.25                   // share of its remaining time that a late request waits for a permit
 	urgencyStep         = 0.5                    // added to the divisor of the waiting time for each step of lower urgency
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -361,7 +361,7 @@
 	return f.usableNow
 }
 
-// boxes counts the boxes that may be alive, including those heard of within seenLately.
+// boxes counts the boxes that may be alive, including those heard of within possiblyAliveFor.
 func (f *fleet) boxes(now time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/src/gateway/limits.go
+++ b/src/gateway/limits.go
@@ -151,7 +151,7 @@
 }
 
 // permitted reports whether a request got a permit at the chosen server, and waits for its begin. After
-// limitsTried servers without a free permit, servers without a limit are preferred, and a permit in advance
+// maxLimitedTries servers without a free permit, servers without a limit are preferred, and a permit in advance
 // is requested at the next server with a limit.
 func (v *requestRun) permitted(ctx context.Context, s catalog.Server) bool {
 	now, patience := v.gateway.now(), time.Duration(0)
