--- a/src/box/suspects.go
+++ b/src/box/suspects.go
@@ -93,7 +93,7 @@
 // noteCall reports the end of a call to the tracker of suspect contents.
 func (f *flight) noteCall(server *config.BackendServer, stage *config.Stage, err *port.CallError) {
 	b := f.box
-	life := b.lifeOf(stage.Pool(), server.Name())
+	life := b.reportedIncarnation(stage.Pool(), server.Name())
 	switch {
 	case err == nil:
 		b.suspects.RecordGood(f.content.At(stage.Pool()))
@@ -104,8 +104,8 @@
 	}
 }
 
-// lifeOf returns the incarnation of a server according to its last report.
-func (b *Box) lifeOf(pool, server string) suspects.Server {
+// reportedIncarnation returns the incarnation of a server according to its last report.
+func (b *Box) reportedIncarnation(pool, server string) suspects.Server {
 	var r core.Report
 	if p := b.pools.get(pool); p != nil {
 		p.locked(func(c *core.Pool) { r = c.LastReport(server) })
