--- a/src/crasher/note.go
+++ b/src/crasher/note.go
@@ -95,7 +95,7 @@
 		e := r.entries[k]
 		n := Note{Key: k, Ends: make([]EndNote, len(e.ends))}
 		for i, x := range e.ends {
-			n.Ends[i] = EndNote{Life: x.life, Age: now.Sub(x.at)}
+			n.Ends[i] = EndNote{Life: x.incarnation, Age: now.Sub(x.at)}
 		}
 		if !e.goodAt.IsZero() {
 			n.Good = max(1, now.Sub(e.goodAt))
@@ -121,7 +121,7 @@
 func (r *Register) mergeNote(now time.Time, n Note) bool {
 	changed := false
 	for _, x := range n.Ends[:min(len(n.Ends), maxEnds)] {
-		if x.Age >= 0 && x.Age < maxBarTime && r.addEnd(now, n.Key, crash{life: x.Life, at: now.Add(-x.Age)}) {
+		if x.Age >= 0 && x.Age < maxBarTime && r.addEnd(now, n.Key, crash{incarnation: x.Life, at: now.Add(-x.Age)}) {
 			changed = true
 		}
 	}
--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -45,7 +45,7 @@
 
 // crash is the crash of a server while it ran a content.
 type crash struct {
-	life Life
+	incarnation Life
 	at   time.Time
 }
 
@@ -105,7 +105,7 @@
 func (r *Register) addEnds(now time.Time, life Life, list []brokenExchange) []Counted {
 	var out []Counted
 	for _, b := range list {
-		if now.Sub(b.at) > proofWindow || !r.addEnd(now, b.key, crash{life: life, at: b.at}) {
+		if now.Sub(b.at) > proofWindow || !r.addEnd(now, b.key, crash{incarnation: life, at: b.at}) {
 			continue
 		}
 		out = append(out, Counted{Key: b.key, Verdict: r.Verdict(now, b.key)})
@@ -116,14 +116,14 @@
 // addEnd adds a crash to a content and reports whether it is new. Of two times for one incarnation the earlier one is kept.
 func (r *Register) addEnd(now time.Time, k Key, x crash) bool {
 	e := r.entryFor(now, k)
-	known := slices.IndexFunc(e.ends, func(o crash) bool { return o.life == x.life })
+	known := slices.IndexFunc(e.ends, func(o crash) bool { return o.incarnation == x.incarnation })
 	switch {
 	case known < 0:
 		e.ends = append(e.ends, x)
 	case x.at.Before(e.ends[known].at):
 		e.ends[known].at = x.at
 	}
-	slices.SortFunc(e.ends, func(a, b crash) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.life, b.life)) })
+	slices.SortFunc(e.ends, func(a, b crash) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.incarnation, b.incarnation)) })
 	if known >= 0 {
 		return false
 	}
