--- a/src/crasher/note.go
+++ b/src/crasher/note.go
@@ -111,7 +111,7 @@
 	var out []Counted
 	for _, n := range notes[:min(len(notes), MaxNotes)] {
 		if r.mergeNote(now, n) {
-			out = append(out, Counted{Key: n.Key, Verdict: r.Verdict(now, n.Key)})
+			out = append(out, Counted{Key: n.Key, Verdict: r.Check(now, n.Key)})
 		}
 	}
 	return out
--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -108,7 +108,7 @@
 		if now.Sub(b.at) > proofWindow || !r.addEnd(now, b.key, crash{incarnation: life, at: b.at}) {
 			continue
 		}
-		out = append(out, Counted{Key: b.key, Verdict: r.Verdict(now, b.key)})
+		out = append(out, Counted{Key: b.key, Verdict: r.Check(now, b.key)})
 	}
 	return out
 }
@@ -179,8 +179,8 @@
 	return cleared
 }
 
-// Verdict returns the current verdict on a content.
-func (r *Register) Verdict(now time.Time, k Key) Verdict {
+// Check returns the current verdict on a content.
+func (r *Register) Check(now time.Time, k Key) Verdict {
 	e := r.entries[k]
 	if e == nil {
 		return Verdict{}
--- a/src/crasher/register_test.go
+++ b/src/crasher/register_test.go
@@ -24,23 +24,23 @@
 	var r Register
 	k, now := keyOf(1), began
 	for i := range 3 {
-		if v := r.Verdict(now, k); v.Barred || v.Ends != i {
+		if v := r.Check(now, k); v.Barred || v.Ends != i {
 			t.Fatalf("after %d crashes: %+v", i, v)
 		}
 		now = now.Add(time.Minute)
 		crashWith(&r, now, Life(i), k)
 	}
-	v := r.Verdict(now, k)
+	v := r.Check(now, k)
 	if !v.Barred || v.Left != firstBarTime {
 		t.Errorf("after the third crash: %+v", v)
 	}
 	now = now.Add(firstBarTime + time.Second)
 	r.Sweep(now)
-	if v := r.Verdict(now, k); v.Barred || v.Ends != 3 {
+	if v := r.Check(now, k); v.Barred || v.Ends != 3 {
 		t.Errorf("after the bar: %+v, want no bar and the same crashes", v)
 	}
 	crashWith(&r, now, 9, k)
-	if v := r.Verdict(now, k); !v.Barred || v.Left != 2*firstBarTime {
+	if v := r.Check(now, k); !v.Barred || v.Left != 2*firstBarTime {
 		t.Errorf("after another crash: %+v, want twice the time", v)
 	}
 }
@@ -51,14 +51,14 @@
 	for i := range 5 {
 		r.RecordBroken(began, Life(i), k)
 	}
-	if v := r.Verdict(began, k); v.Ends != 0 {
+	if v := r.Check(began, k); v.Ends != 0 {
 		t.Errorf("broken exchanges alone: %+v", v)
 	}
 	later := began.Add(proofWindow + time.Second)
 	for i := range 5 {
 		r.RecordCrash(later, Life(i))
 	}
-	if v := r.Verdict(later, k); v.Ends != 0 {
+	if v := r.Check(later, k); v.Ends != 0 {
 		t.Errorf("servers that crashed long after: %+v", v)
 	}
 }
@@ -71,7 +71,7 @@
 	a.RecordBroken(began.Add(2*time.Millisecond), 7, k, k) // a second attempt there
 	a.Merge(began.Add(3*time.Millisecond), b.News(began.Add(3*time.Millisecond)))
 	a.Merge(began.Add(4*time.Millisecond), b.NotesOf(began.Add(4*time.Millisecond), []Key{k}))
-	if v := a.Verdict(began, k); v.Ends != 1 {
+	if v := a.Check(began, k); v.Ends != 1 {
 		t.Errorf("%+v, want one crash", v)
 	}
 }
@@ -97,7 +97,7 @@
 		if goodAt > 0 {
 			r.RecordGood(began.Add(goodAt), k)
 		}
-		if v := r.Verdict(began.Add(6*time.Second), k); v.Ends != 0 || v.Barred {
+		if v := r.Check(began.Add(6*time.Second), k); v.Ends != 0 || v.Barred {
 			t.Errorf("a good response %s: %+v", name, v)
 		}
 	}
@@ -110,7 +110,7 @@
 	for i := range 3 {
 		crashWith(&r, began.Add(goodPeriod+time.Duration(i+1)*time.Second), Life(i), k)
 	}
-	if v := r.Verdict(began.Add(goodPeriod+5*time.Second), k); !v.Barred {
+	if v := r.Check(began.Add(goodPeriod+5*time.Second), k); !v.Barred {
 		t.Errorf("%+v", v)
 	}
 }
@@ -127,8 +127,8 @@
 	if changed := answered.Merge(now, saw.News(now)); len(changed) != 1 || changed[0].Verdict.Ends != 0 {
 		t.Fatalf("%+v", changed)
 	}
-	if changed := saw.Merge(now, answered.News(now)); len(changed) != 1 || saw.Verdict(now, k).Barred {
-		t.Errorf("%+v %+v", changed, saw.Verdict(now, k))
+	if changed := saw.Merge(now, answered.News(now)); len(changed) != 1 || saw.Check(now, k).Barred {
+		t.Errorf("%+v %+v", changed, saw.Check(now, k))
 	}
 }
 
@@ -158,8 +158,8 @@
 	for i := range maxEntries + 500 {
 		crashWith(&r, began, Life(100+i/keysPerIncarnation), keyOf(i))
 	}
-	if len(r.entries) > maxEntries || r.Verdict(began, guilty).Ends != 2 {
-		t.Errorf("%d entries, the verdict on the guilty one: %+v", len(r.entries), r.Verdict(began, guilty))
+	if len(r.entries) > maxEntries || r.Check(began, guilty).Ends != 2 {
+		t.Errorf("%d entries, the verdict on the guilty one: %+v", len(r.entries), r.Check(began, guilty))
 	}
 	if news := r.News(began); len(news) != 1 || news[0].Key != guilty {
 		t.Errorf("%d notes, the first of %s", len(news), news[0].Key)
@@ -202,7 +202,7 @@
 		}
 		for n := range 3 {
 			for i := 1; i < len(boxes); i++ {
-				if a, b := boxes[0].Verdict(now, keyOf(n)), boxes[i].Verdict(now, keyOf(n)); a != b {
+				if a, b := boxes[0].Check(now, keyOf(n)), boxes[i].Check(now, keyOf(n)); a != b {
 					t.Fatalf("content %d: box 0 has %+v, box %d %+v", n, a, i, b)
 				}
 			}
--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -102,7 +102,7 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.register.Verdict(u.Now(), k)
+	return u.register.Check(u.Now(), k)
 }
 
 // RecordBroken records that exchanges of contents with a server broke, and probes whether the server has crashed.
@@ -205,7 +205,7 @@
 	var cleared []crasher.Counted
 	for _, k := range keys {
 		if u.register.RecordGood(u.Now(), k) {
-			cleared = append(cleared, crasher.Counted{Key: k, Verdict: u.register.Verdict(u.Now(), k)})
+			cleared = append(cleared, crasher.Counted{Key: k, Verdict: u.register.Check(u.Now(), k)})
 		}
 	}
 	u.mu.Unlock()
