--- a/src/box/suspects.go
+++ b/src/box/suspects.go
@@ -73,7 +73,7 @@
 
 // barred returns an error if the request's content crashes the servers of a stage, nil if it may run there.
 func (f *flight) barred(s *config.Stage) *code.Error {
-	d := f.box.suspects.Verdict(f.content.At(s.Pool()))
+	d := f.box.suspects.Check(f.content.At(s.Pool()))
 	if !d.Barred {
 		return nil
 	}
--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -238,7 +238,7 @@
 	if err := g.barredAt(v.content, v.pool); err != nil {
 		return err
 	}
-	d := g.suspects.Verdict(v.content.At(v.pool))
+	d := g.suspects.Check(v.content.At(v.pool))
 	v.wish.LeastLoaded = d.Ends > 0
 	if d.Ends >= crasher.IsolationThreshold && v.attempts > 0 {
 		return code.New(code.CrashesServers, "body", "%d servers of %s ended while they ran this content", d.Ends, v.pool)
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -59,7 +59,7 @@
 		return s
 	}
 	s = &scheduler{core: batch.NewScheduler(d.gateway.ID.Name, *p), pool: pool, scheduledElsewhere: true}
-	s.core.VerdictOf, s.core.RestsUntil, s.core.LimitOf = d.gateway.suspects.Verdict, d.gateway.restsUntil, d.gateway.limitRate
+	s.core.VerdictOf, s.core.RestsUntil, s.core.LimitOf = d.gateway.suspects.Check, d.gateway.restsUntil, d.gateway.limitRate
 	d.all[pool] = s
 	d.mu.Unlock()
 	d.open(s, *p)
--- a/src/gateway/suspects.go
+++ b/src/gateway/suspects.go
@@ -94,7 +94,7 @@
 // barredAt returns the refusal of a content at a pool, nil if it may run there. The retry-after is the
 // remaining time of the bar, after which a fixed server may be there.
 func (g *Gateway) barredAt(c crasher.Content, pool string) *code.Error {
-	d := g.suspects.Verdict(c.At(pool))
+	d := g.suspects.Check(c.At(pool))
 	if !d.Barred {
 		return nil
 	}
--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -95,8 +95,8 @@
 	due    time.Time // time of the next probe; zero while one is running
 }
 
-// Verdict returns the crashes attributed to a content at a pool.
-func (u *Tracker) Verdict(k crasher.Key) crasher.Verdict {
+// Check returns the crashes attributed to a content at a pool.
+func (u *Tracker) Check(k crasher.Key) crasher.Verdict {
 	if !u.any.Load() {
 		return crasher.Verdict{}
 	}
--- a/src/suspects/tracker_test.go
+++ b/src/suspects/tracker_test.go
@@ -44,7 +44,7 @@
 			u := singleBox(map[string]Presence{"a": c.presence})
 			u.RecordBroken(server("a", 1), key)
 			runFor(u, time.Second)
-			if v := u.Verdict(key); v.Ends != c.ends {
+			if v := u.Check(key); v.Ends != c.ends {
 				t.Errorf("presence %d: %+v, want %d ends", c.presence, v, c.ends)
 			}
 		})
@@ -59,7 +59,7 @@
 			u.RecordBroken(server(id, uint64(i)), key)
 		}
 		runFor(u, 2*time.Second)
-		if v := u.Verdict(key); v.Ends != 0 {
+		if v := u.Check(key); v.Ends != 0 {
 			t.Errorf("%+v", v)
 		}
 	})
@@ -110,7 +110,7 @@
 		if len(told) < 2 {
 			t.Errorf("reported to %v", told)
 		}
-		if v := u.Verdict(key); v.Ends != 2 || announced.Load() == 0 {
+		if v := u.Check(key); v.Ends != 2 || announced.Load() == 0 {
 			t.Errorf("%+v, announced %d times: want the crash known to another box, announced to all", v, announced.Load())
 		}
 	})
