--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -59,7 +59,7 @@
 type Server struct {
 	ID      string
 	Address string
-	Life    crasher.Life
+	Incarnation    crasher.Life
 }
 
 // Tracker is the register of one box. It is safe for concurrent use; set the exported fields before.
@@ -111,13 +111,13 @@
 		return
 	}
 	u.mu.Lock()
-	counted := u.register.RecordBroken(u.Now(), s.Life, keys...)
-	ask := len(counted) == 0 && u.probing[s.Life] == nil && u.Probe != nil
+	counted := u.register.RecordBroken(u.Now(), s.Incarnation, keys...)
+	ask := len(counted) == 0 && u.probing[s.Incarnation] == nil && u.Probe != nil
 	if ask {
 		if u.probing == nil {
 			u.probing = map[crasher.Life]*probing{}
 		}
-		u.probing[s.Life] = &probing{server: s}
+		u.probing[s.Incarnation] = &probing{server: s}
 	}
 	u.mu.Unlock()
 	u.logCounted(counted, s.ID, "known before")
@@ -150,9 +150,9 @@
 		if u.silent == nil {
 			u.silent = map[crasher.Life]time.Time{}
 		}
-		u.silent[s.Life] = now
+		u.silent[s.Incarnation] = now
 	}
-	a := u.probing[s.Life]
+	a := u.probing[s.Incarnation]
 	if a == nil {
 		return true
 	}
@@ -160,7 +160,7 @@
 	a.due = now.Add(probeInterval)
 	last = p == Absent || a.tries >= probeTries
 	if last {
-		delete(u.probing, s.Life)
+		delete(u.probing, s.Incarnation)
 	}
 	return last
 }
@@ -171,7 +171,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for life, at := range u.silent {
-		if life != s.Life && u.Now().Sub(at) < silentTogether {
+		if life != s.Incarnation && u.Now().Sub(at) < silentTogether {
 			return false
 		}
 	}
@@ -194,7 +194,7 @@
 // RecordCrash records that an incarnation of a server ended unplanned.
 func (u *Tracker) RecordCrash(s Server, proof Proof) {
 	u.mu.Lock()
-	counted := u.register.RecordCrash(u.Now(), s.Life)
+	counted := u.register.RecordCrash(u.Now(), s.Incarnation)
 	u.mu.Unlock()
 	u.logCounted(counted, s.ID, proof)
 }
