--- a/src/box/suspects.go
+++ b/src/box/suspects.go
@@ -115,7 +115,7 @@
 
 // serverIncarnation returns the identity of one incarnation of a server.
 func serverIncarnation(server string, incarnation uint64) suspects.Server {
-	return suspects.Server{ID: server, Incarnation: crasher.LifeOf(server, int64(incarnation))}
+	return suspects.Server{ID: server, Incarnation: crasher.NewIncarnation(server, int64(incarnation))}
 }
 
 // noteRestart notes that the previous incarnation of a server ended, if its report shows a new one.
--- a/src/crasher/content.go
+++ b/src/crasher/content.go
@@ -43,8 +43,8 @@
 // Life identifies one incarnation of a server, so that a crash that several boxes observe counts once.
 type Life uint64
 
-// LifeOf returns the identifier of a server's incarnation.
-func LifeOf(server string, incarnation int64) Life {
+// NewIncarnation returns the identifier of a server's incarnation.
+func NewIncarnation(server string, incarnation int64) Life {
 	sum := sha256.Sum256(binary.BigEndian.AppendUint64([]byte(server), uint64(incarnation)))
 	return Life(binary.BigEndian.Uint64(sum[:]))
 }
--- a/src/gateway/suspects.go
+++ b/src/gateway/suspects.go
@@ -35,7 +35,7 @@
 
 // serverIncarnation returns a server's incarnation for the tracker.
 func serverIncarnation(s catalog.Server) suspects.Server {
-	return suspects.Server{ID: s.ID, Address: s.Address, Incarnation: crasher.LifeOf(s.ID, int64(s.Incarnation))}
+	return suspects.Server{ID: s.ID, Address: s.Address, Incarnation: crasher.NewIncarnation(s.ID, int64(s.Incarnation))}
 }
 
 // brokeAt records that exchanges of contents with a server broke, unless the server left as planned.
