--- a/src/crasher/content.go
+++ b/src/crasher/content.go
@@ -40,11 +40,11 @@
 // String returns a prefix of the key, for logs.
 func (k Key) String() string { return hex.EncodeToString(k[:4]) }
 
-// Life identifies one incarnation of a server, so that a crash that several boxes observe counts once.
-type Life uint64
+// Incarnation identifies one incarnation of a server, so that a crash that several boxes observe counts once.
+type Incarnation uint64
 
 // NewIncarnation returns the identifier of a server's incarnation.
-func NewIncarnation(server string, incarnation int64) Life {
+func NewIncarnation(server string, incarnation int64) Incarnation {
 	sum := sha256.Sum256(binary.BigEndian.AppendUint64([]byte(server), uint64(incarnation)))
-	return Life(binary.BigEndian.Uint64(sum[:]))
+	return Incarnation(binary.BigEndian.Uint64(sum[:]))
 }
--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -30,8 +30,8 @@
 // Register holds what one box knows about contents that may crash servers. The zero value is ready to use.
 type Register struct {
 	entries  map[Key]*entry
-	broken   map[Life][]brokenExchange // broken exchanges without proof of a crash
-	ended    map[Life]time.Time        // crashes, and when they were proven
+	broken   map[Incarnation][]brokenExchange // broken exchanges without proof of a crash
+	ended    map[Incarnation]time.Time        // crashes, and when they were proven
 	goods    recentGood
 	rotation int // position in the rotation of Notes
 }
@@ -45,7 +45,7 @@
 
 // crash is the crash of a server while it ran a content.
 type crash struct {
-	incarnation Life
+	incarnation Incarnation
 	at   time.Time
 }
 
@@ -63,12 +63,12 @@
 
 // RecordBroken records that exchanges of contents with an incarnation of a server broke. If the incarnation is known to have
 // crashed it counts the crash against the contents and returns them.
-func (r *Register) RecordBroken(now time.Time, life Life, keys ...Key) []Counted {
+func (r *Register) RecordBroken(now time.Time, life Incarnation, keys ...Key) []Counted {
 	if at, known := r.ended[life]; known && now.Sub(at) <= proofWindow {
 		return r.addEnds(now, life, brokenExchangesAt(now, keys))
 	}
 	if r.broken == nil {
-		r.broken = map[Life][]brokenExchange{}
+		r.broken = map[Incarnation][]brokenExchange{}
 	}
 	list, known := r.broken[life]
 	if !known && len(r.broken) >= maxBroken {
@@ -89,9 +89,9 @@
 }
 
 // RecordCrash records that an incarnation of a server has ended unplanned. It returns the contents that this counts against.
-func (r *Register) RecordCrash(now time.Time, life Life) []Counted {
+func (r *Register) RecordCrash(now time.Time, life Incarnation) []Counted {
 	if r.ended == nil {
-		r.ended = map[Life]time.Time{}
+		r.ended = map[Incarnation]time.Time{}
 	}
 	if _, known := r.ended[life]; !known {
 		r.ended[life] = now
@@ -102,7 +102,7 @@
 }
 
 // addEnds counts a crash against the contents of recent broken exchanges and returns them.
-func (r *Register) addEnds(now time.Time, life Life, list []brokenExchange) []Counted {
+func (r *Register) addEnds(now time.Time, life Incarnation, list []brokenExchange) []Counted {
 	var out []Counted
 	for _, b := range list {
 		if now.Sub(b.at) > proofWindow || !r.addEnd(now, b.key, crash{incarnation: life, at: b.at}) {
--- a/src/crasher/register_test.go
+++ b/src/crasher/register_test.go
@@ -15,7 +15,7 @@
 }
 
 // crashWith records the crash of a server while it ran contents.
-func crashWith(r *Register, now time.Time, life Life, keys ...Key) {
+func crashWith(r *Register, now time.Time, life Incarnation, keys ...Key) {
 	r.RecordBroken(now, life, keys...)
 	r.RecordCrash(now, life)
 }
@@ -28,7 +28,7 @@
 			t.Fatalf("after %d crashes: %+v", i, v)
 		}
 		now = now.Add(time.Minute)
-		crashWith(&r, now, Life(i), k)
+		crashWith(&r, now, Incarnation(i), k)
 	}
 	v := r.Check(now, k)
 	if !v.Barred || v.Left != firstBarTime {
@@ -49,14 +49,14 @@
 	var r Register
 	k := keyOf(1)
 	for i := range 5 {
-		r.RecordBroken(began, Life(i), k)
+		r.RecordBroken(began, Incarnation(i), k)
 	}
 	if v := r.Check(began, k); v.Ends != 0 {
 		t.Errorf("broken exchanges alone: %+v", v)
 	}
 	later := began.Add(proofWindow + time.Second)
 	for i := range 5 {
-		r.RecordCrash(later, Life(i))
+		r.RecordCrash(later, Incarnation(i))
 	}
 	if v := r.Check(later, k); v.Ends != 0 {
 		t.Errorf("servers that crashed long after: %+v", v)
@@ -92,7 +92,7 @@
 			r.RecordGood(began.Add(goodAt), k)
 		}
 		for i := range 4 {
-			crashWith(&r, began.Add(time.Duration(i)*time.Second), Life(i), k)
+			crashWith(&r, began.Add(time.Duration(i)*time.Second), Incarnation(i), k)
 		}
 		if goodAt > 0 {
 			r.RecordGood(began.Add(goodAt), k)
@@ -108,7 +108,7 @@
 	k := keyOf(1)
 	r.RecordGood(began, k)
 	for i := range 3 {
-		crashWith(&r, began.Add(goodPeriod+time.Duration(i+1)*time.Second), Life(i), k)
+		crashWith(&r, began.Add(goodPeriod+time.Duration(i+1)*time.Second), Incarnation(i), k)
 	}
 	if v := r.Check(began.Add(goodPeriod+5*time.Second), k); !v.Barred {
 		t.Errorf("%+v", v)
@@ -121,7 +121,7 @@
 	k := keyOf(1)
 	answered.RecordGood(began, k)
 	for i := range 3 {
-		crashWith(&saw, began.Add(time.Second), Life(i), k)
+		crashWith(&saw, began.Add(time.Second), Incarnation(i), k)
 	}
 	now := began.Add(1100 * time.Millisecond)
 	if changed := answered.Merge(now, saw.News(now)); len(changed) != 1 || changed[0].Verdict.Ends != 0 {
@@ -156,7 +156,7 @@
 	crashWith(&r, began, 1, guilty)
 	crashWith(&r, began, 2, guilty)
 	for i := range maxEntries + 500 {
-		crashWith(&r, began, Life(100+i/keysPerIncarnation), keyOf(i))
+		crashWith(&r, began, Incarnation(100+i/keysPerIncarnation), keyOf(i))
 	}
 	if len(r.entries) > maxEntries || r.Check(began, guilty).Ends != 2 {
 		t.Errorf("%d entries, the verdict on the guilty one: %+v", len(r.entries), r.Check(began, guilty))
@@ -179,7 +179,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond)
 			r := &boxes[rapid.IntRange(0, 2).Draw(t, "box")]
-			k, life := keyOf(rapid.IntRange(0, 2).Draw(t, "content")), Life(rapid.IntRange(0, 9).Draw(t, "life"))
+			k, life := keyOf(rapid.IntRange(0, 2).Draw(t, "content")), Incarnation(rapid.IntRange(0, 9).Draw(t, "life"))
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
 				r.RecordBroken(now, life, k)
--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -59,7 +59,7 @@
 type Server struct {
 	ID      string
 	Address string
-	Incarnation    crasher.Life
+	Incarnation    crasher.Incarnation
 }
 
 // Tracker is the register of one box. It is safe for concurrent use; set the exported fields before.
@@ -80,8 +80,8 @@
 
 	mu              sync.Mutex
 	register        crasher.Register
-	probing         map[crasher.Life]*probing
-	silent          map[crasher.Life]time.Time // servers that didn't respond, and when last
+	probing         map[crasher.Incarnation]*probing
+	silent          map[crasher.Incarnation]time.Time // servers that didn't respond, and when last
 	reportScheduled bool                       // a report to other boxes is scheduled
 	news            bool                       // it includes changes for all boxes
 	single          []crasher.Key              // contents with one crash, to report to their counter boxes
@@ -115,7 +115,7 @@
 	ask := len(counted) == 0 && u.probing[s.Incarnation] == nil && u.Probe != nil
 	if ask {
 		if u.probing == nil {
-			u.probing = map[crasher.Life]*probing{}
+			u.probing = map[crasher.Incarnation]*probing{}
 		}
 		u.probing[s.Incarnation] = &probing{server: s}
 	}
@@ -148,7 +148,7 @@
 	now := u.Now()
 	if p == NoAnswer {
 		if u.silent == nil {
-			u.silent = map[crasher.Life]time.Time{}
+			u.silent = map[crasher.Incarnation]time.Time{}
 		}
 		u.silent[s.Incarnation] = now
 	}
@@ -357,6 +357,6 @@
 	defer u.mu.Unlock()
 	now := u.Now()
 	u.register.Sweep(now)
-	maps.DeleteFunc(u.silent, func(_ crasher.Life, at time.Time) bool { return now.Sub(at) >= silentTogether })
+	maps.DeleteFunc(u.silent, func(_ crasher.Incarnation, at time.Time) bool { return now.Sub(at) >= silentTogether })
 	u.any.Store(!u.register.Empty())
 }
--- a/src/suspects/tracker_test.go
+++ b/src/suspects/tracker_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func server(id string, life uint64) Server { return Server{ID: id, Incarnation: crasher.Life(life)} }
+func server(id string, life uint64) Server { return Server{ID: id, Incarnation: crasher.Incarnation(life)} }
 
 var key = crasher.Key{1}
 
