--- a/src/backend/backend_test.go
+++ b/src/backend/backend_test.go
@@ -91,7 +91,7 @@
 		"busy":    {http.StatusServiceUnavailable, "busy", core.Busy},
 		"leaving": {http.StatusServiceUnavailable, "leaving", core.Leaving},
 		"plain":   {http.StatusServiceUnavailable, "", core.Broken},
-		"wrong":   {http.StatusUnprocessableEntity, "", core.Wrong},
+		"wrong":   {http.StatusUnprocessableEntity, "", core.InvalidCall},
 		"failed":  {http.StatusInternalServerError, "", core.Broken},
 	}
 	for name, c := range cases {
--- a/src/backend/client.go
+++ b/src/backend/client.go
@@ -127,7 +127,7 @@
 	case resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(NotRunHeader) == "leaving":
 		e.Failure = core.Leaving
 	case resp.StatusCode >= 400 && resp.StatusCode < 500:
-		e.Failure = core.Wrong
+		e.Failure = core.InvalidCall
 	}
 	return e
 }
--- a/src/core/message.go
+++ b/src/core/message.go
@@ -15,7 +15,7 @@
 	Busy                        // the server answered that it takes no work at present
 	Leaving                     // the server answered that it is leaving
 	Broken                      // the connection or the answer failed after sending
-	Wrong                       // the server answered that the call itself is invalid
+	InvalidCall                       // the server answered that the call itself is invalid
 	TimedOut                    // no answer within the timeout of the attempt
 )
 
@@ -30,7 +30,7 @@
 		return "leaving"
 	case Broken:
 		return "broken"
-	case Wrong:
+	case InvalidCall:
 		return "wrong"
 	case TimedOut:
 		return "timed_out"
--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -418,7 +418,7 @@
 		if p.pushback.Check(now, pushback.Server{ID: name}).State != pushback.Resting { // the server's own rest time replaces our backoff
 			s.failed(now)
 		}
-	case Wrong:
+	case InvalidCall:
 		s.succeeded()
 	default:
 		s.failed(now)
--- a/src/core/recovery.go
+++ b/src/core/recovery.go
@@ -74,7 +74,7 @@
 	if s.Once() {
 		return append(out, r.handleOnceFailure(now, a, f)...)
 	}
-	if f == Wrong {
+	if f == InvalidCall {
 		return append(out, r.finish(now, code.New(code.BackendRefused, "", "stage %s: the server rejected the call as invalid", s.Name()))...)
 	}
 	r.failed = append(r.failed, a.server)
@@ -93,7 +93,7 @@
 		r.onceSent = false
 		r.failed = append(r.failed, a.server)
 		return r.retry(now)
-	case Wrong:
+	case InvalidCall:
 		return r.finish(now, code.New(code.BackendRefused, "", "stage %s: the server rejected the call as invalid", s.Name()))
 	case Busy, Leaving:
 		// By the protocol nothing ran, but a call that was sent is still not moved to another server.
--- a/src/core/request_test.go
+++ b/src/core/request_test.go
@@ -113,7 +113,7 @@
 		{NotSent, 0, true, true},
 		{Broken, code.OutcomeUnknown, false, false},
 		{TimedOut, code.OutcomeUnknown, false, false},
-		{Wrong, code.BackendRefused, false, false},
+		{InvalidCall, code.BackendRefused, false, false},
 		{Busy, code.BackendRefused, false, true},
 		{Leaving, code.BackendRefused, false, true},
 	} {
--- a/src/standin/http.go
+++ b/src/standin/http.go
@@ -178,7 +178,7 @@
 			w.Header().Set("Retry-After", strconv.FormatFloat(err.Rest.Seconds(), 'f', 3, 64))
 		}
 		http.Error(w, err.Message, http.StatusServiceUnavailable)
-	case core.Wrong:
+	case core.InvalidCall:
 		http.Error(w, err.Message, http.StatusBadRequest)
 	default:
 		http.Error(w, err.Message, http.StatusInternalServerError)
--- a/src/standin/service.go
+++ b/src/standin/service.go
@@ -118,7 +118,7 @@
 	case Refuse:
 		return &port.CallError{Failure: core.NotSent, Message: "injected fault: connection refused"}
 	case BadRequest:
-		return &port.CallError{Failure: core.Wrong, Message: "injected fault: invalid request"}
+		return &port.CallError{Failure: core.InvalidCall, Message: "injected fault: invalid request"}
 	case Hang:
 		<-ctx.Done()
 		return &port.CallError{Failure: core.Broken, Message: "injected fault: hung until the caller's context ended"}
