--- a/src/core/heartbeats.go
+++ b/src/core/heartbeats.go
@@ -65,7 +65,7 @@
 }
 
 // ask builds a heartbeat to a member and records it as pending.
-func (m *Members) ask(now time.Time, name string) BeatTo {
+func (m *Members) ask(now time.Time, name string) OutgoingBeat {
 	e := m.all[name]
 	if e.unansweredSince.IsZero() {
 		e.unansweredSince = now
@@ -75,12 +75,12 @@
 		b.Rumours = append(b.Rumours, m.rumourOf(e))
 	}
 	m.sent[b.Seq] = sentBeat{to: name, at: now}
-	return BeatTo{Address: e.address, Beat: b}
+	return OutgoingBeat{Address: e.address, Beat: b}
 }
 
 // Introduce builds a heartbeat to an address whose box is not known yet.
-func (m *Members) Introduce(now time.Time, address string) BeatTo {
-	return BeatTo{Address: address, Beat: m.beat(now)}
+func (m *Members) Introduce(now time.Time, address string) OutgoingBeat {
+	return OutgoingBeat{Address: address, Beat: m.beat(now)}
 }
 
 // beat builds a heartbeat with the next sequence number, the pending rumours and the news of the rest of
@@ -108,8 +108,8 @@
 
 // IndirectProbes builds heartbeats that ask other members to probe the members that became suspects within the
 // last HeartbeatEvery.
-func (m *Members) IndirectProbes(now time.Time) []BeatTo {
-	var out []BeatTo
+func (m *Members) IndirectProbes(now time.Time) []OutgoingBeat {
+	var out []OutgoingBeat
 	for _, name := range m.names {
 		e := m.all[name]
 		if e.state != MemberSuspect || now.Sub(e.since) > HeartbeatEvery {
--- a/src/core/members.go
+++ b/src/core/members.go
@@ -103,9 +103,9 @@
 }
 
 // Tick applies the timeouts and returns the heartbeats to send now.
-func (m *Members) Tick(now time.Time) []BeatTo {
+func (m *Members) Tick(now time.Time) []OutgoingBeat {
 	m.checkTimeouts(now)
-	var out []BeatTo
+	var out []OutgoingBeat
 	for _, name := range m.targets() {
 		out = append(out, m.ask(now, name))
 	}
@@ -198,7 +198,7 @@
 
 // ReceiveResult is the result of a received heartbeat for the rest of the box.
 type ReceiveResult struct {
-	Reply   []BeatTo
+	Reply   []OutgoingBeat
 	From    BoxID
 	AskedAt time.Time // send time of the heartbeat that this one answers; zero if it is no answer
 }
@@ -223,7 +223,7 @@
 	}
 	if b.Table != nil {
 		if next := m.reconcile(now, b.Table); next != nil {
-			h.Reply = append(h.Reply, BeatTo{Address: b.From.Address, Beat: Beat{From: m.self(now), News: true, Table: next}})
+			h.Reply = append(h.Reply, OutgoingBeat{Address: b.From.Address, Beat: Beat{From: m.self(now), News: true, Table: next}})
 		}
 	}
 	if b.News {
@@ -245,7 +245,7 @@
 	if e.id == b.From.ID && e.state >= MemberSuspect || e.id.Incarnation > b.From.ID.Incarnation { // so that the sender can refute it
 		reply.Rumours = append(reply.Rumours, m.rumourOf(e))
 	}
-	h.Reply = append(h.Reply, BeatTo{Address: b.From.Address, Beat: reply})
+	h.Reply = append(h.Reply, OutgoingBeat{Address: b.From.Address, Beat: reply})
 	if t := m.all[b.AskFor]; b.AskFor != "" && t != nil && t.address != "" {
 		h.Reply = append(h.Reply, m.ask(now, b.AskFor))
 	}
--- a/src/core/members_test.go
+++ b/src/core/members_test.go
@@ -29,7 +29,7 @@
 	return x
 }
 
-func (x *net) deliver(from string, out []BeatTo) {
+func (x *net) deliver(from string, out []OutgoingBeat) {
 	for _, o := range out {
 		x.sent++
 		if to := x.nodes[o.Address]; to != nil && !x.cut(from, o.Address) {
--- a/src/core/rumour.go
+++ b/src/core/rumour.go
@@ -134,8 +134,8 @@
 	Round    uint8  `msgpack:"r,omitempty"` // round in which the receiver is asked to read, 0 if it is not asked
 }
 
-// BeatTo is a heartbeat to be sent to an address.
-type BeatTo struct {
+// OutgoingBeat is a heartbeat to be sent to an address.
+type OutgoingBeat struct {
 	Address string
 	Beat    Beat
 }
--- a/src/core/table.go
+++ b/src/core/table.go
@@ -263,7 +263,7 @@
 
 // FormingProbe returns a heartbeat to a random member while the fleet is forming. It is called more often than
 // Tick.
-func (m *Members) FormingProbe(now time.Time) []BeatTo {
+func (m *Members) FormingProbe(now time.Time) []OutgoingBeat {
 	if !m.Forming(now) || len(m.names) == 0 {
 		return nil
 	}
@@ -271,7 +271,7 @@
 	for i := range m.names {
 		name := m.names[(from+i)%len(m.names)]
 		if e := m.all[name]; e.state != MemberDead && e.address != "" {
-			return []BeatTo{m.ask(now, name)}
+			return []OutgoingBeat{m.ask(now, name)}
 		}
 	}
 	return nil
--- a/src/core/table_test.go
+++ b/src/core/table_test.go
@@ -53,7 +53,7 @@
 	return m
 }
 
-func (x *tableNet) deliver(from string, out []BeatTo) {
+func (x *tableNet) deliver(from string, out []OutgoingBeat) {
 	for _, o := range out {
 		x.sent++
 		if o.Beat.Table != nil {
@@ -88,8 +88,8 @@
 }
 
 // introductions returns heartbeats to the seeds that a box does not know yet, as gateways send them.
-func (x *tableNet) introductions(m *Members) []BeatTo {
-	var out []BeatTo
+func (x *tableNet) introductions(m *Members) []OutgoingBeat {
+	var out []OutgoingBeat
 	if !m.Forming(x.now) {
 		return nil
 	}
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -84,14 +84,14 @@
 }
 
 // seedBeats returns heartbeats to the seeds that belong to no known living member.
-func (f *fleet) seedBeats(now time.Time) []core.BeatTo {
+func (f *fleet) seedBeats(now time.Time) []core.OutgoingBeat {
 	known := map[string]bool{f.gateway.Settings.Address: true}
 	for _, m := range f.core.All() {
 		if m.State() != core.MemberDead {
 			known[m.Address()] = true
 		}
 	}
-	var out []core.BeatTo
+	var out []core.OutgoingBeat
 	for _, s := range f.gateway.Settings.Seeds {
 		if !known[s] {
 			out = append(out, f.core.Introduce(now, s))
@@ -100,7 +100,7 @@
 	return out
 }
 
-func (g *Gateway) send(beats []core.BeatTo) {
+func (g *Gateway) send(beats []core.OutgoingBeat) {
 	for _, o := range beats {
 		g.Peers.Beat(o.Address, o.Beat)
 	}
