--- a/src/box/documents.go
+++ b/src/box/documents.go
@@ -272,8 +272,8 @@
 func (d *documents) handleBeat(now time.Time, from string, b core.Beat, askedAt time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.config.ReceiveStatement(now, from, b.Config, askedAt)
-	d.list.ReceiveStatement(now, from, b.List, askedAt)
+	d.config.HandleStatement(now, from, b.Config, askedAt)
+	d.list.HandleStatement(now, from, b.List, askedAt)
 	if b.From.State == core.MemberAlive {
 		d.views.ObserveHeartbeat(d.box.wall(), from, b.From.Domain)
 	}
--- a/src/core/docsync.go
+++ b/src/core/docsync.go
@@ -82,8 +82,8 @@
 	return version > s.held.Version
 }
 
-// ReceiveStatement takes another box's statement. askedAt is when the heartbeat that it answers was sent, or zero.
-func (s *DocumentSync) ReceiveStatement(now time.Time, from string, st Statement, askedAt time.Time) {
+// HandleStatement takes another box's statement. askedAt is when the heartbeat that it answers was sent, or zero.
+func (s *DocumentSync) HandleStatement(now time.Time, from string, st Statement, askedAt time.Time) {
 	s.told[from] = st
 	if s.Offer(st.Version, st.Digest) && st.Version > s.wanted.Version {
 		s.wanted = st
