--- a/src/box/documents.go
+++ b/src/box/documents.go
@@ -292,7 +292,7 @@
 	d.mu.Lock()
 	from, want := "", core.Statement{}
 	if !d.pulling[i] {
-		from, want = s.Pull(d.box.now())
+		from, want = s.NextPull(d.box.now())
 	}
 	have := s.Held().Digest
 	d.pulling[i] = d.pulling[i] || from != ""
--- a/src/core/docsync.go
+++ b/src/core/docsync.go
@@ -151,8 +151,8 @@
 // ReadFailed records a failed read of the service.
 func (s *DocumentSync) ReadFailed(at time.Time) { s.lastRead = at }
 
-// Pull returns the box to fetch the wanted document from now, or "".
-func (s *DocumentSync) Pull(now time.Time) (from string, want Statement) {
+// NextPull returns the box to fetch the wanted document from now, or "".
+func (s *DocumentSync) NextPull(now time.Time) (from string, want Statement) {
 	if s.wanted.Version <= s.held.Version || s.refused[s.wanted.Digest] {
 		return "", Statement{}
 	}
