--- a/src/box/documents.go
+++ b/src/box/documents.go
@@ -160,11 +160,11 @@
 	d.mu.Lock()
 	held := d.config.Held()
 	if digest == held.Digest {
-		d.config.ReadSucceeded(readAt, held.Version, digest)
+		d.config.ApplyRead(readAt, held.Version, digest)
 		d.mu.Unlock()
 		return
 	}
-	d.config.ReadSucceeded(readAt, 0, "")
+	d.config.ApplyRead(readAt, 0, "")
 	refused := d.config.Refused(digest) || digest == d.olderDigest
 	d.mu.Unlock()
 	if refused {
@@ -253,7 +253,7 @@
 	d.mu.Lock()
 	fresh := d.list.Offer(l.Revision, digest)
 	if !readAt.IsZero() {
-		d.list.ReadSucceeded(readAt, l.Revision, digest)
+		d.list.ApplyRead(readAt, l.Revision, digest)
 	}
 	if fresh {
 		d.list.Adopt(l.Revision, digest, readAt)
--- a/src/core/docsync.go
+++ b/src/core/docsync.go
@@ -105,9 +105,9 @@
 // Forget removes the statement of a box that is gone.
 func (s *DocumentSync) Forget(box string) { delete(s.told, box) }
 
-// ReadSucceeded takes the result of a read of the service that began at the given time, and reports whether the
+// ApplyRead takes the result of a read of the service that began at the given time, and reports whether the
 // document is newer than the held one and must be adopted. An older document confirms nothing.
-func (s *DocumentSync) ReadSucceeded(at time.Time, version uint64, digest string) bool {
+func (s *DocumentSync) ApplyRead(at time.Time, version uint64, digest string) bool {
 	if at.IsZero() {
 		return s.Offer(version, digest)
 	}
--- a/src/core/docsync_test.go
+++ b/src/core/docsync_test.go
@@ -12,7 +12,7 @@
 	if !s.Offer(5, "five") || !s.Adopt(5, "five", now) {
 		t.Fatal("the first version was not taken")
 	}
-	if s.Offer(4, "four") || s.ReadSucceeded(now, 4, "four") || s.Adopt(4, "four", now) {
+	if s.Offer(4, "four") || s.ApplyRead(now, 4, "four") || s.Adopt(4, "four", now) {
 		t.Error("an older version was taken")
 	}
 	if s.Adopt(5, "five", now.Add(time.Second)) || s.Held().Version != 5 {
