--- a/src/box/suspects.go
+++ b/src/box/suspects.go
@@ -93,14 +93,14 @@
 // noteCall reports the end of a call to the tracker of suspect contents.
 func (f *flight) noteCall(server *config.BackendServer, stage *config.Stage, err *port.CallError) {
 	b := f.box
-	life := b.reportedIncarnation(stage.Pool(), server.Name())
+	incarnation := b.reportedIncarnation(stage.Pool(), server.Name())
 	switch {
 	case err == nil:
 		b.suspects.RecordGood(f.content.At(stage.Pool()))
 	case err.Refused:
-		b.suspects.RecordCrash(life, suspects.Refused)
+		b.suspects.RecordCrash(incarnation, suspects.Refused)
 	case err.Failure == core.Broken && !server.Leaving():
-		b.suspects.RecordBroken(life, f.content.At(stage.Pool()))
+		b.suspects.RecordBroken(incarnation, f.content.At(stage.Pool()))
 	}
 }
 
--- a/src/core/message.go
+++ b/src/core/message.go
@@ -11,12 +11,12 @@
 
 // Kinds of failure. Only NotSent proves that nothing ran.
 const (
-	NotSent  Failure = iota + 1 // no byte of the call left this box
-	Busy                        // the server answered that it takes no work at present
-	Leaving                     // the server answered that it is leaving
-	Broken                      // the connection or the answer failed after sending
-	InvalidCall                       // the server answered that the call itself is invalid
-	TimedOut                    // no answer within the timeout of the attempt
+	NotSent     Failure = iota + 1 // no byte of the call left this box
+	Busy                           // the server answered that it takes no work at present
+	Leaving                        // the server answered that it is leaving
+	Broken                         // the connection or the answer failed after sending
+	InvalidCall                    // the server answered that the call itself is invalid
+	TimedOut                       // no answer within the timeout of the attempt
 )
 
 // String returns the name of the failure for logs and traces.
--- a/src/crasher/note.go
+++ b/src/crasher/note.go
@@ -18,7 +18,7 @@
 
 // EndNote reports a crash of a server while it ran a content.
 type EndNote struct {
-	Life Incarnation          `msgpack:"l"`
+	Life Incarnation   `msgpack:"l"`
 	Age  time.Duration `msgpack:"a"`
 }
 
--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -46,7 +46,7 @@
 // crash is the crash of a server while it ran a content.
 type crash struct {
 	incarnation Incarnation
-	at   time.Time
+	at          time.Time
 }
 
 // brokenExchange is a broken exchange whose server is not known to have crashed.
@@ -63,19 +63,19 @@
 
 // RecordBroken records that exchanges of contents with an incarnation of a server broke. If the incarnation is known to have
 // crashed it counts the crash against the contents and returns them.
-func (r *Register) RecordBroken(now time.Time, life Incarnation, keys ...Key) []Counted {
-	if at, known := r.ended[life]; known && now.Sub(at) <= proofWindow {
-		return r.addEnds(now, life, brokenExchangesAt(now, keys))
+func (r *Register) RecordBroken(now time.Time, incarnation Incarnation, keys ...Key) []Counted {
+	if at, known := r.ended[incarnation]; known && now.Sub(at) <= proofWindow {
+		return r.addEnds(now, incarnation, brokenExchangesAt(now, keys))
 	}
 	if r.broken == nil {
 		r.broken = map[Incarnation][]brokenExchange{}
 	}
-	list, known := r.broken[life]
+	list, known := r.broken[incarnation]
 	if !known && len(r.broken) >= maxBroken {
 		return nil
 	}
 	list = append(list, brokenExchangesAt(now, keys)...)
-	r.broken[life] = list[:min(len(list), keysPerIncarnation)]
+	r.broken[incarnation] = list[:min(len(list), keysPerIncarnation)]
 	return nil
 }
 
@@ -89,23 +89,23 @@
 }
 
 // RecordCrash records that an incarnation of a server has ended unplanned. It returns the contents that this counts against.
-func (r *Register) RecordCrash(now time.Time, life Incarnation) []Counted {
+func (r *Register) RecordCrash(now time.Time, incarnation Incarnation) []Counted {
 	if r.ended == nil {
 		r.ended = map[Incarnation]time.Time{}
 	}
-	if _, known := r.ended[life]; !known {
-		r.ended[life] = now
+	if _, known := r.ended[incarnation]; !known {
+		r.ended[incarnation] = now
 	}
-	list := r.broken[life]
-	delete(r.broken, life)
-	return r.addEnds(now, life, list)
+	list := r.broken[incarnation]
+	delete(r.broken, incarnation)
+	return r.addEnds(now, incarnation, list)
 }
 
 // addEnds counts a crash against the contents of recent broken exchanges and returns them.
-func (r *Register) addEnds(now time.Time, life Incarnation, list []brokenExchange) []Counted {
+func (r *Register) addEnds(now time.Time, incarnation Incarnation, list []brokenExchange) []Counted {
 	var out []Counted
 	for _, b := range list {
-		if now.Sub(b.at) > proofWindow || !r.addEnd(now, b.key, crash{incarnation: life, at: b.at}) {
+		if now.Sub(b.at) > proofWindow || !r.addEnd(now, b.key, crash{incarnation: incarnation, at: b.at}) {
 			continue
 		}
 		out = append(out, Counted{Key: b.key, Verdict: r.Check(now, b.key)})
@@ -231,14 +231,14 @@
 			delete(r.entries, k)
 		}
 	}
-	for life, at := range r.ended {
+	for incarnation, at := range r.ended {
 		if now.Sub(at) > proofWindow {
-			delete(r.ended, life)
+			delete(r.ended, incarnation)
 		}
 	}
-	for life, list := range r.broken {
+	for incarnation, list := range r.broken {
 		if now.Sub(list[len(list)-1].at) > proofWindow {
-			delete(r.broken, life)
+			delete(r.broken, incarnation)
 		}
 	}
 	r.goods.sweep(now)
--- a/src/crasher/register_test.go
+++ b/src/crasher/register_test.go
@@ -15,9 +15,9 @@
 }
 
 // crashWith records the crash of a server while it ran contents.
-func crashWith(r *Register, now time.Time, life Incarnation, keys ...Key) {
-	r.RecordBroken(now, life, keys...)
-	r.RecordCrash(now, life)
+func crashWith(r *Register, now time.Time, incarnation Incarnation, keys ...Key) {
+	r.RecordBroken(now, incarnation, keys...)
+	r.RecordCrash(now, incarnation)
 }
 
 func TestThirdCrashBarsContentForATime(t *testing.T) {
@@ -179,18 +179,18 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond)
 			r := &boxes[rapid.IntRange(0, 2).Draw(t, "box")]
-			k, life := keyOf(rapid.IntRange(0, 2).Draw(t, "content")), Incarnation(rapid.IntRange(0, 9).Draw(t, "life"))
+			k, incarnation := keyOf(rapid.IntRange(0, 2).Draw(t, "content")), Incarnation(rapid.IntRange(0, 9).Draw(t, "life"))
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				r.RecordBroken(now, life, k)
+				r.RecordBroken(now, incarnation, k)
 			case 1:
-				r.RecordCrash(now, life)
+				r.RecordCrash(now, incarnation)
 			case 2:
 				r.RecordGood(now, k)
 			case 3:
 				r.Merge(now, boxes[rapid.IntRange(0, 2).Draw(t, "other")].Notes(now))
 			case 4:
-				crashWith(r, now, life, k)
+				crashWith(r, now, incarnation, k)
 			}
 		}
 		for range 3 {
--- a/src/pushback/limits_test.go
+++ b/src/pushback/limits_test.go
@@ -40,11 +40,11 @@
 	var r Register
 	r.RecordLimit(start, start, server("a", 7), 4)
 	for _, c := range []struct {
-		life int64
-		want bool
+		incarnation int64
+		want        bool
 	}{{7, true}, {0, true}, {8, false}, {6, true}} {
-		if _, ok := r.LimitOf(start, server("a", c.life)); ok != c.want {
-			t.Errorf("incarnation %d: limited %v, want %v", c.life, ok, c.want)
+		if _, ok := r.LimitOf(start, server("a", c.incarnation)); ok != c.want {
+			t.Errorf("incarnation %d: limited %v, want %v", c.incarnation, ok, c.want)
 		}
 	}
 	if r.RecordLimit(start, start, server("a", 6), 1); r.limits["a"].perSecond != 4 {
--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -57,9 +57,9 @@
 
 // Server is one incarnation of a backend server.
 type Server struct {
-	ID      string
-	Address string
-	Incarnation    crasher.Incarnation
+	ID          string
+	Address     string
+	Incarnation crasher.Incarnation
 }
 
 // Tracker is the register of one box. It is safe for concurrent use; set the exported fields before.
@@ -82,10 +82,10 @@
 	register        crasher.Register
 	probing         map[crasher.Incarnation]*probing
 	silent          map[crasher.Incarnation]time.Time // servers that didn't respond, and when last
-	reportScheduled bool                       // a report to other boxes is scheduled
-	news            bool                       // it includes changes for all boxes
-	single          []crasher.Key              // contents with one crash, to report to their counter boxes
-	any             atomic.Bool                // the register isn't empty; most of the time it is
+	reportScheduled bool                              // a report to other boxes is scheduled
+	news            bool                              // it includes changes for all boxes
+	single          []crasher.Key                     // contents with one crash, to report to their counter boxes
+	any             atomic.Bool                       // the register isn't empty; most of the time it is
 }
 
 // probing is a server that is being probed after broken exchanges.
@@ -170,8 +170,8 @@
 func (u *Tracker) onlySilent(s Server) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for life, at := range u.silent {
-		if life != s.Incarnation && u.Now().Sub(at) < silentTogether {
+	for incarnation, at := range u.silent {
+		if incarnation != s.Incarnation && u.Now().Sub(at) < silentTogether {
 			return false
 		}
 	}
--- a/src/suspects/tracker_test.go
+++ b/src/suspects/tracker_test.go
@@ -31,7 +31,9 @@
 	}
 }
 
-func server(id string, life uint64) Server { return Server{ID: id, Incarnation: crasher.Incarnation(life)} }
+func server(id string, incarnation uint64) Server {
+	return Server{ID: id, Incarnation: crasher.Incarnation(incarnation)}
+}
 
 var key = crasher.Key{1}
 
