--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -76,7 +76,7 @@
 type Pool struct {
 	Box    string
 	Domain string // of this box
-	// RestsUntil returns until when a server wants no requests from this box, as it said itself; nil if none rests.
+	// RestsUntil returns the end of the rest that a server asked for (pushback.Resting); nil if none rests.
 	RestsUntil func(*catalog.Server) time.Time
 	// Limits reports whether a server limits its request rate; nil if none does.
 	Limits func(*catalog.Server) bool
--- a/src/batch/handover.go
+++ b/src/batch/handover.go
@@ -5,7 +5,7 @@
 )
 
 // HandOver ends the jobs that have no piece in a call, since box next schedules the pool now, and returns the results
-// and running calls that next has not been told of yet. This scheduler keeps accounting for them: if next is
+// and running calls that next has not been notified of yet. This scheduler keeps accounting for them: if next is
 // unreachable, the owners come back here.
 func (s *Scheduler) HandOver(now time.Time, next string) (Handover, Actions) {
 	h := Handover{Pool: s.pool.Name, Idle: s.idle}
--- a/src/batch/resting.go
+++ b/src/batch/resting.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// restLeft returns for how long a server still wants no calls, as the server itself said. With an estimate of our own
-// instead, calls were sent during 172 of 172 such rests.
+// restLeft returns what is left of the rest that a server asked for. With an estimate of this box instead, calls were
+// sent during 172 of 172 such rests.
 func (s *Scheduler) restLeft(now time.Time, v *serverState) time.Duration {
 	if s.RestsUntil == nil {
 		return 0
--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -20,7 +20,7 @@
 	ended         bool
 	resubmitted   bool      // stays here even if another box schedules the pool
 	sent          time.Time // when a piece was last put in a call
-	read          bool      // its owner was told that the inputs have been read
+	read          bool      // its owner was notified that the inputs have been read
 	roomUncertain bool      // some of its pieces are at a server that may lack room for them
 }
 
@@ -34,7 +34,7 @@
 	ratio       float64   // moving average of measured over expected call time
 	probed      time.Time // when it last got a call although slow
 	freedAt     time.Time // when results were last freed there
-	handedTo    string    // scheduler that was told of the running call
+	handedTo    string    // scheduler that was notified of the running call
 	used        float64   // bytes of known results stored there
 	untracked   float64   // bytes of results there without known handles, as estimated at untrackedAt
 	untrackedAt time.Time
@@ -74,7 +74,7 @@
 	Self      string                            // name of this box
 	VerdictOf func(crasher.Key) crasher.Verdict // returns the crashes attributed to a content; nil for none
 
-	// RestsUntil returns until when a server wants no calls, as it said itself; nil if no server rests.
+	// RestsUntil returns the end of the rest that a server asked for (pushback.Resting); nil if no server rests.
 	RestsUntil func(*catalog.Server) time.Time
 
 	// LimitOf returns a server's limit in requests per second, 0 for none; nil if no server has a limit.
@@ -300,7 +300,7 @@
 }
 
 // hasRead reports whether every piece of a job is in a call that must have read its inputs by now, and the owner has
-// not been told yet. The inputs are freed then rather than at the end of the call, since result memory is what limits
+// not been notified yet. The inputs are freed then rather than at the end of the call, since result memory is what limits
 // the throughput of pools that produce inputs. If a server may refuse pieces for lack of room the inputs are kept:
 // without them all earlier stages would have to run again for the refused pieces.
 func (t *job) hasRead(now time.Time) bool {
--- a/src/box/at_most_once.go
+++ b/src/box/at_most_once.go
@@ -14,7 +14,7 @@
 // Parameters of forwarding requests that must run at most once.
 const (
 	forwardRetryDelay = 100 * time.Millisecond // delay before retrying after a connection broke
-	renounceTimeout   = time.Second            // timeout for the promises of all boxes that a key never ran
+	renounceTimeout   = time.Second            // timeout for the confirmations of all boxes that a key never ran
 	homeRetryAfter    = 500 * time.Millisecond // retry-after time for callers if the home box can't be reached
 )
 
@@ -207,8 +207,8 @@
 	return err == nil && a.Renounced
 }
 
-// renounce promises that a key never ran and never will run on this box. A box that started after the key was
-// made can't speak for its previous incarnation, unless it took over that one's ledger.
+// renounce records that a key never ran on this box and ensures that it never will. A box that started after the key was
+// made can't vouch for its previous incarnation, unless it took over that one's ledger.
 func (b *Box) renounce(r port.Renounce) bool {
 	if r.Key.CreatedAt().Before(b.startedAt().Add(time.Duration(b.Settings.AtMostOnce.ClockSkew))) && !b.importedLedgers.hasName(b.ID.Name) {
 		return false
--- a/src/box/stop.go
+++ b/src/box/stop.go
@@ -144,7 +144,7 @@
 	}
 }
 
-// announceSuccessor tells the other boxes which box answers for this incarnation from now on.
+// announceSuccessor notifies the other boxes which box answers for this incarnation from now on.
 func (b *Box) announceSuccessor(successor string) {
 	b.fleet.mu.Lock()
 	b.fleet.core.Leave(successor)
--- a/src/catalog/evacuations.go
+++ b/src/catalog/evacuations.go
@@ -34,7 +34,7 @@
 	endedAt time.Time // when this box last learned that the end needs to be announced, zero if it has not ended
 }
 
-// EvacuationNote tells another box the newest state of a failure domain that no document contains.
+// EvacuationNote reports to another box the newest evacuation state of a failure domain that no document contains.
 type EvacuationNote struct {
 	Domain    string
 	Evacuated bool
--- a/src/catalog/feed.go
+++ b/src/catalog/feed.go
@@ -217,7 +217,7 @@
 // PlatformAnswering reports whether the platform is known to have answered any box recently.
 func (f *Feed) PlatformAnswering(now time.Time) bool { return now.Sub(f.lastAnswer) < answeringWindow }
 
-// NotePause notes that this process was paused since a time. Having heard of no answer meanwhile does not
+// NotePause records that this process was paused since a time. Having heard of no answer meanwhile does not
 // mean an outage.
 func (f *Feed) NotePause(now, since time.Time) {
 	if f.returned.After(since) {
--- a/src/catalog/holders.go
+++ b/src/catalog/holders.go
@@ -10,7 +10,7 @@
 const (
 	pullTimeout    = time.Second            // timeout for progress of a pull; longer than the timeout of each request for a part
 	defaultLink    = 10                     // Mbit/s assumed for a box whose link is unknown: the slowest seen on any site
-	maxBusy        = time.Second            // longest time that a box is skipped because it says that it is busy
+	maxBusy        = time.Second            // longest time that a box is skipped after it answered that it is busy
 	failureBackoff = 300 * time.Millisecond // time that a box is skipped after a failure; longer than it takes to find another one dead
 )
 
--- a/src/catalog/registry.go
+++ b/src/catalog/registry.go
@@ -303,7 +303,7 @@
 	}
 }
 
-// DoubtNote tells another box for how much longer an incarnation is not used.
+// DoubtNote reports to another box for how much longer an incarnation is not used.
 type DoubtNote struct {
 	Server      string
 	Incarnation Incarnation
--- a/src/catalog/relief.go
+++ b/src/catalog/relief.go
@@ -17,7 +17,7 @@
 
 // relief is the state of a Feed about readers that the platform does not answer.
 //
-// A reader that gets no answer tells the other readers of its round. Once all of them have reported the same,
+// A reader that gets no answer notifies the other readers of its round. Once all of them have reported the same,
 // they ask the next round in rank, which doubles the number of readers; those read at once and do the same if
 // they get no answer either. Without relief a box would take over only after its content was unconfirmed for
 // a time that grows with the fleet.
--- a/src/core/docsync.go
+++ b/src/core/docsync.go
@@ -28,7 +28,7 @@
 // Reads are a constant per region. A document spreads in a few heartbeat intervals times log of the fleet
 // size.
 //
-// A document that only a reader holds is lost with it if no other box has heard of it; the next reader
+// A document that only a reader holds is lost with it if no other box has learned of it; the next reader
 // finds it again. Not safe for concurrent use.
 type DocumentSync struct {
 	Self   string
--- a/src/core/heartbeats.go
+++ b/src/core/heartbeats.go
@@ -71,7 +71,7 @@
 		e.unansweredSince = now
 	}
 	b := m.beat(now)
-	if e.state >= MemberSuspect && e.id.Incarnation != 0 { // the member can only refute a suspicion that it hears of
+	if e.state >= MemberSuspect && e.id.Incarnation != 0 { // the member can only refute a suspicion that reaches it
 		b.Rumours = append(b.Rumours, m.rumourOf(e))
 	}
 	m.sent[b.Seq] = sentBeat{to: name, at: now}
@@ -103,7 +103,7 @@
 	return r
 }
 
-// News builds a one-way message with the state of this box that wants no answer.
+// News builds a one-way message with the state of this box that needs no answer.
 func (m *Members) News(now time.Time) Beat { return Beat{From: m.self(now), News: true} }
 
 // IndirectProbes builds heartbeats that ask other members to probe the members that became suspects within the
--- a/src/core/ledger.go
+++ b/src/core/ledger.go
@@ -13,7 +13,7 @@
 // refused key stays refused. There is one ledger per shard of keys; it is not safe for concurrent use.
 //
 // A key whose pipeline must not be repeated is kept for Keep, also when it was refused: a copy that arrives
-// after the caller was told "not run" must not run. Other keys are removed together with their answer.
+// after the caller got the answer "not run" must not run. Other keys are removed together with their answer.
 type Ledger struct {
 	Keep       time.Duration // time for which keys that must not be repeated are kept
 	AnswerKeep time.Duration // time for which finished answers are kept
@@ -67,7 +67,7 @@
 // MayRepeat reports whether the caller may send the request again under a new key.
 func (e Entry) MayRepeat() bool { return e.mayRepeat }
 
-// Renounced reports whether this box only promised never to run the key. That says nothing about other
+// Renounced reports whether the entry only records that this box will never run the key. It is no evidence about other
 // boxes, so such an entry must not be given to a caller as the outcome.
 func (e Entry) Renounced() bool { return e.renounced }
 
--- a/src/core/member.go
+++ b/src/core/member.go
@@ -28,7 +28,7 @@
 	return "unknown"
 }
 
-// Member is what this box knows of another one.
+// Member is this box's view of another box.
 type Member struct {
 	id              BoxID
 	address         string
@@ -45,7 +45,7 @@
 	capacity Capacity
 	claims   []Claim
 	version  uint64    // of the configuration it last reported in force
-	started  time.Time // start of this incarnation, as far as rumours tell; later than the true start by their delay at most
+	started  time.Time // start of this incarnation as reported by rumours; at most their delay after the true start
 }
 
 // ID returns the name and incarnation of the member.
@@ -63,7 +63,7 @@
 // LastAnswer returns the time of its last direct answer to this box.
 func (m *Member) LastAnswer() time.Time { return m.lastAnswer }
 
-// Up returns how long this incarnation of the member has been running, as far as rumours tell.
+// Up returns how long this incarnation of the member has been running, as reported by rumours.
 func (m *Member) Up(now time.Time) time.Duration { return now.Sub(m.started) }
 
 // Listed reports whether the member is on the platform's box list.
--- a/src/core/members.go
+++ b/src/core/members.go
@@ -20,7 +20,7 @@
 // n) times. It keeps one Member per box.
 //
 // Two boxes may disagree for some intervals, so nothing that must hold may rely on agreement. The
-// platform's list only tells whom to contact, not who is alive. Not safe for concurrent use.
+// platform's list only lists the boxes to contact, not which are alive. Not safe for concurrent use.
 type Members struct {
 	Self   Rumour
 	Rand   *rand.Rand
@@ -78,7 +78,7 @@
 	m.gossip(m.Self)
 }
 
-// SetList takes the platform's box list, which tells whom to contact but not who is alive.
+// SetList takes the platform's box list, which lists the boxes to contact, not which are alive.
 func (m *Members) SetList(now time.Time, boxes []ListedBox) {
 	for _, e := range m.all {
 		e.listed = false
--- a/src/core/message.go
+++ b/src/core/message.go
@@ -6,7 +6,7 @@
 	"github.com/stilemast/stilemast/src/code"
 )
 
-// Failure is how a dispatched call failed, as far as the adapter can tell.
+// Failure is how a dispatched call failed, as observed by the adapter.
 type Failure uint8
 
 // Kinds of failure. Only NotSent proves that nothing ran.
--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -405,7 +405,7 @@
 	switch f {
 	case 0:
 		if wasted && u == (Use{}) {
-			return true // cancelled by this box, which tells nothing about the server
+			return true // cancelled by this box, so no evidence about the server
 		}
 		s.succeeded()
 		s.learn(now, r, u)
--- a/src/core/request.go
+++ b/src/core/request.go
@@ -365,7 +365,7 @@
 }
 
 // finish gives the final answer and ends every attempt, except for a running call that must not be
-// repeated: its late answer still tells whether it ran.
+// repeated: its late answer still shows whether it ran.
 func (r *Request) finish(now time.Time, err *code.Error) []Action {
 	r.finished = true
 	var out []Action
--- a/src/core/rumour.go
+++ b/src/core/rumour.go
@@ -89,7 +89,7 @@
 	Digest   uint64        `msgpack:"d,omitempty"` // of the sender's table of members
 	Table    *TableNote    `msgpack:"m,omitempty"` // a step of a table exchange
 	Answer   bool          `msgpack:"a,omitempty"`
-	News     bool          `msgpack:"w,omitempty"` // one-way message that wants no answer
+	News     bool          `msgpack:"w,omitempty"` // one-way message that needs no answer
 	AskFor   string        `msgpack:"k,omitempty"` // box to be probed on behalf of the sender
 	Rumours  []Rumour      `msgpack:"r,omitempty"`
 	Config   Statement     `msgpack:"c"`
--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -40,7 +40,7 @@
 type entry struct {
 	ends    []crash   // sorted by time
 	goodAt  time.Time // latest good response
-	changed time.Time // last change that other boxes must be told of
+	changed time.Time // last change to report to other boxes
 }
 
 // crash is the crash of a server while it ran a content.
--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -88,7 +88,7 @@
 	Unusable  func(document, reason string) // an unusable server entry or configuration was read
 	Withheld  func(pool string)             // a chosen server stopped taking new work before the first byte was sent
 	Suspected func(contents int)            // a server ended while it ran so many contents
-	// Signalled: a server leaves, wants rest or limits its requests, or another box reported that it leaves.
+	// Signalled: a server leaves, asks for rest or limits its requests, or another box reported that it leaves.
 	Signalled func(pool, signal string)
 	Permitted func(pool string, ok bool) // a permit of a server with a limit was requested
 }
--- a/src/pushback/register.go
+++ b/src/pushback/register.go
@@ -43,12 +43,13 @@
 // Open reports whether a request may be sent to the server.
 func (v Verdict) Open() bool { return v.State == Open }
 
-// Register holds what servers have said about themselves to one box, and decides by it: Check is used when a server is
-// chosen, and Begin just before the first byte of a request is sent.
+// Register records what servers have announced about themselves to one box, and decides by it: Check is used when a server
+// is chosen, and Begin just before the first byte of a request is sent.
 //
 // A server's own statements take precedence over any list of servers. They are stored separately, so that a rewritten
 // entry, a full read after an outage or a list from another box doesn't replace them. A departure applies to the
-// incarnation that announced it, at all boxes. A rest applies to this box only, for any incarnation. A request limit
+// incarnation that announced it, at all boxes. A rest, the time for which a server asks
+// for no requests in a response, applies to this box only, for any incarnation. A request limit
 // applies to the incarnation that set it and to all boxes together: each request needs a permit from the server's
 // coordinator (package quota).
 //
--- a/src/quota/limiter.go
+++ b/src/quota/limiter.go
@@ -8,11 +8,11 @@
 // at a given time or shortly after. A box asks for permits just before it would send, and uses another
 // server at once when there is none. Permits are granted at a rate with a small burst (the generic cell
 // rate algorithm, ITU-T I.371), also ahead of time to boxes that can wait: the time of the next free permit
-// acts as the queue of all boxes, so a box that can't be served in time learns it at once.
+// acts as the queue of all boxes, so a box that can't be served in time is refused at once.
 //
-// Unknown use counts as use. A permit that is not used in time is lost. A limiter that takes over from
+// Unknown use counts as use. A permit that is not used in time is lost. A coordinator that takes over from
 // another grants only a part of the limit at first, because the other may still grant permits, and so does
-// a substitute for a limiter that does not answer. A limiter that can't reach some boxes reserves their
+// a substitute for a coordinator that does not answer. A coordinator that can't reach some boxes reserves their
 // part.
 //
 // A request to such a server costs one additional round trip of a millisecond or two; with a large limit,
@@ -33,7 +33,7 @@
 	Known       time.Duration // time for which boxes have known of the limit
 	Patience    time.Duration // longest acceptable time until the first permit begins
 	Wants       int           // number of permits wanted
-	Substitute  bool          // the asked box is a substitute for a limiter that does not answer
+	Substitute  bool          // the asked box is a substitute for a coordinator that does not answer
 }
 
 // Grant answers a PermitRequest.
@@ -56,7 +56,7 @@
 	next        time.Time // when the next permit begins by the rate alone, without the burst
 	sharesUntil time.Time // until when the previous limiter may still grant permits
 	usedAt      time.Time
-	lastTurn    time.Time // latest time at which a box that got no permit was told to ask again
+	lastTurn    time.Time // latest time given to a box without a permit for its next request
 }
 
 // Take grants permits, or returns when to ask again. part is the part of the limit for the boxes that this
