--- a/src/gateway/forecast.go
+++ b/src/gateway/forecast.go
@@ -12,7 +12,7 @@
 	// Queueing time of a piece of each stage at its place in the queue; 0 for a stage without pieces.
 	waits []time.Duration
 	calls []time.Duration // duration of each stage's calls; 0 for a stage without pieces
-	rests []time.Duration // from the end of each stage to the first output
+	remaining []time.Duration // from the end of each stage to the first output
 	first time.Duration   // from the end of the last stage to the first output
 }
 
@@ -20,14 +20,14 @@
 // the stages after it.
 func (s *stageRun) forecast(now time.Time) forecast {
 	n := len(s.pipeline.Stages)
-	f := forecast{run: s, waits: make([]time.Duration, n), calls: make([]time.Duration, n), rests: make([]time.Duration, n), first: s.gateway.estimates.get(s.pipeline.Name)}
+	f := forecast{run: s, waits: make([]time.Duration, n), calls: make([]time.Duration, n), remaining: make([]time.Duration, n), first: s.gateway.estimates.get(s.pipeline.Name)}
 	for i := n - 1; i >= 0; i-- {
-		f.rests[i] = f.first
+		f.remaining[i] = f.first
 		for _, k := range s.followers[i] {
-			f.rests[i] = max(f.rests[i], f.waits[k]+f.calls[k]+f.rests[k])
+			f.remaining[i] = max(f.remaining[i], f.waits[k]+f.calls[k]+f.remaining[k])
 		}
 		if s.request.Pieces[i] > 0 {
-			due := batch.EffectiveDue(s.objective.Add(-f.rests[i]), s.priority)
+			due := batch.EffectiveDue(s.objective.Add(-f.remaining[i]), s.priority)
 			w := s.gateway.waitsIn(now, s.pipeline.Stages[i].Pool)
 			f.waits[i], f.calls[i] = w.At(due.Sub(now)), s.underLoad(i, w.All)
 		}
