--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -35,11 +35,11 @@
 
 // Requests whose servers have all asked for rest.
 const (
-	// restPart is the share of its time that a request may wait for a rest to end; the remainder lets its
+	// restWaitShare is the share of its time that a request may wait for a rest to end; the remainder lets its
 	// caller retry. With 6 boxes and all servers resting, 2,437 of 2,500 callers are served; with 0.5 of the
 	// time 1,612, with none 929. With all of it 2,470 are, but refusals then come up to 2.9 s later than
 	// necessary.
-	restPart         = 0.75
+	restWaitShare         = 0.75
 	restPollInterval = 20 * time.Millisecond  // maximum polling interval of a waiting request; one answer of a fast service
 	restPolls        = 16                     // polls in the remaining waiting time: requests near their end poll more often
 	restStep         = time.Millisecond       // added to the polling interval for each step of lower urgency
--- a/src/gateway/rest.go
+++ b/src/gateway/rest.go
@@ -96,7 +96,7 @@
 
 // startBy returns until when a request may wait for a rest to end.
 func (v *requestRun) startBy() time.Time {
-	return v.began.Add(time.Duration(restPart * float64(v.deadline.Sub(v.began))))
+	return v.began.Add(time.Duration(restWaitShare * float64(v.deadline.Sub(v.began))))
 }
 
 // checkRest refuses a request before any stage runs if all its servers want rest for longer than it can wait.
