--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -156,7 +156,7 @@
 	twoReportsFrom      = 16                      // in fleets larger than this, two boxes must report a scheduler as silent
 	reportValidity      = time.Second             // validity of the first report
 	formingFor          = time.Second             // maximum wait of a new box to meet one that may schedule
-	formingPace         = 10 * time.Millisecond   // polling interval of that wait
+	formingPollInterval         = 10 * time.Millisecond   // polling interval of that wait
 	recentContact       = 2 * core.LoadNotesEvery // a box heard of within this time is not silent, whatever others report
 	redirectValidity    = 1500 * time.Millisecond // validity of a scheduler's redirect to its successor
 	avoidFor            = 3 * time.Second         // for which a box that did not answer is not chosen
--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -362,7 +362,7 @@
 // awaitFormed holds a job while this box does not know who schedules, for at most formingFor.
 func (g *Gateway) awaitFormed(ctx context.Context) {
 	for g.Settings.SharedBatches && g.fleet.forming(g.now()) && ctx.Err() == nil {
-		sleep(ctx, formingPace)
+		sleep(ctx, formingPollInterval)
 	}
 }
 
