--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -39,7 +39,7 @@
 	// caller retry. With 6 boxes and all servers resting, 2,437 of 2,500 callers are served; with 0.5 of the
 	// time 1,612, with none 929. With all of it 2,470 are, but refusals then come up to 2.9 s later than
 	// necessary.
-	restWaitShare         = 0.75
+	restWaitShare    = 0.75
 	restPollInterval = 20 * time.Millisecond  // maximum polling interval of a waiting request; one answer of a fast service
 	restPolls        = 16                     // polls in the remaining waiting time: requests near their end poll more often
 	restStep         = time.Millisecond       // added to the polling interval for each step of lower urgency
@@ -105,7 +105,7 @@
 	readBackoff         = 150 * time.Millisecond // after the first failed read, doubled with each further one
 	maxBackoff          = time.Second            // for the boxes that read first
 	overdueAfter        = 350 * time.Millisecond // a watch this much late is reported to others; exceeds a slow store's latency (240 ms)
-	backoffBoxes        = 8                      // every so many boxes ranked ahead add maxBackoff, so that a fleet of any size makes 10 to 20 calls/s
+	backoffBoxes        = 8                      // maxBackoff is added for each group of this many boxes ranked ahead: a fleet of any size makes 10 to 20 calls/s
 	maxBackoffDoublings = 8                      // maximum doublings
 	listPausePerServer  = 100 * time.Microsecond // pause of a reader after a change of the list, per server in it
 	maxListPause        = 250 * time.Millisecond // maximum of that pause
@@ -156,7 +156,7 @@
 	twoReportsFrom      = 16                      // in fleets larger than this, two boxes must report a scheduler as silent
 	reportValidity      = time.Second             // validity of the first report
 	formingFor          = time.Second             // maximum wait of a new box to meet one that may schedule
-	formingPollInterval         = 10 * time.Millisecond   // polling interval of that wait
+	formingPollInterval = 10 * time.Millisecond   // polling interval of that wait
 	recentContact       = 2 * core.LoadNotesEvery // a box heard of within this time is not silent, whatever others report
 	redirectValidity    = 1500 * time.Millisecond // validity of a scheduler's redirect to its successor
 	avoidFor            = 3 * time.Second         // for which a box that did not answer is not chosen
--- a/src/gateway/forecast.go
+++ b/src/gateway/forecast.go
@@ -10,10 +10,10 @@
 type forecast struct {
 	run *stageRun
 	// Queueing time of a piece of each stage at its place in the queue; 0 for a stage without pieces.
-	waits []time.Duration
-	calls []time.Duration // duration of each stage's calls; 0 for a stage without pieces
+	waits     []time.Duration
+	calls     []time.Duration // duration of each stage's calls; 0 for a stage without pieces
 	remaining []time.Duration // from the end of each stage to the first output
-	first time.Duration   // from the end of the last stage to the first output
+	first     time.Duration   // from the end of the last stage to the first output
 }
 
 // forecast works backwards from the objective: the due time of a stage, and so its queueing time, depends on
