--- a/src/balance/prompt.go
+++ b/src/balance/prompt.go
@@ -77,14 +77,14 @@
 // domainWeight returns the weight of a domain's servers in the choice of a home: the domain's share of the servers that
 // produce the request's large inputs, or 1 if it has none.
 func (p *Pool) domainWeight(w *Request, domain string) float64 {
-	makers := 0
+	producers := 0
 	for _, n := range w.Producers {
-		makers += n
+		producers += n
 	}
-	if makers == 0 {
+	if producers == 0 {
 		return 1
 	}
-	return (float64(w.Producers[domain]) + minProducerWeight) / float64(makers)
+	return (float64(w.Producers[domain]) + minProducerWeight) / float64(producers)
 }
 
 // exponential maps a hash to an exponentially distributed number, for weighted rendezvous hashing.
