--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -290,7 +290,7 @@
 func (g *Gateway) HandleBatch(m batch.Message) {
 	g.fleet.recordSender(m.From, m.Address)
 	if m.Submit != nil || m.Withdraw != nil || m.Free != nil || m.Held != nil || m.Handover != nil {
-		g.schedulers.take(m)
+		g.schedulers.handleMessage(m)
 		return
 	}
 	g.ownedJobs.take(m)
--- a/src/gateway/jobs.go
+++ b/src/gateway/jobs.go
@@ -96,7 +96,7 @@
 func (g *Gateway) sendBatch(box string, m batch.Message) {
 	m.From, m.Address = g.ID.Name, g.Settings.Address
 	if box == g.ID.Name {
-		g.schedulers.take(m)
+		g.schedulers.handleMessage(m)
 		return
 	}
 	if a := g.fleet.addressOf(box); a != "" {
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -192,8 +192,8 @@
 	d.gateway.fleet.claim(h.Pool)
 }
 
-// take handles a message of a job's owner or of another scheduler.
-func (d *schedulers) take(m batch.Message) {
+// handleMessage handles a message of a job's owner or of another scheduler.
+func (d *schedulers) handleMessage(m batch.Message) {
 	switch {
 	case m.Submit != nil:
 		d.submit(m.Submit)
