--- a/src/core/rumour.go
+++ b/src/core/rumour.go
@@ -199,7 +199,7 @@
 		}
 		m.add(e)
 		m.changed = true
-		m.passOn(now, r, by)
+		m.queueGossip(now, r, by)
 		return true
 	}
 	if started := now.Add(-r.Up); r.ID == e.id && started.Before(e.started) {
@@ -230,13 +230,13 @@
 		e.state, e.since = r.State, now
 		m.changed = true
 	}
-	m.passOn(now, r, by)
+	m.queueGossip(now, r, by)
 	return true
 }
 
-// passOn gossips an entry with the next heartbeats, except while the fleet is forming, when table exchanges
+// queueGossip gossips an entry with the next heartbeats, except while the fleet is forming, when table exchanges
 // spread it.
-func (m *Members) passOn(now time.Time, r Rumour, by source) {
+func (m *Members) queueGossip(now time.Time, r Rumour, by source) {
 	if by == byHeartbeat && !m.Forming(now) {
 		m.gossip(r)
 	}
