--- a/src/core/rumour.go
+++ b/src/core/rumour.go
@@ -252,7 +252,7 @@
 	case e.state == MemberDead || r.State == MemberDead:
 		// After a partition, a report that a member is alive wins over its death: each side had
 		// declared the other side's boxes dead.
-		return (r.State > e.state) != m.healing(now) && r.State != e.state
+		return (r.State > e.state) != m.recentlyHealed(now) && r.State != e.state
 	}
 	return r.State > e.state
 }
--- a/src/core/table.go
+++ b/src/core/table.go
@@ -188,7 +188,7 @@
 // recentDeaths lists the members that the other box believes alive and that died recently in this box's view.
 // While a partition heals it lists none, because both sides consider the other's boxes dead.
 func (m *Members) recentDeaths(now time.Time, theirs map[uint32]uint64) []string {
-	if m.healing(now) {
+	if m.recentlyHealed(now) {
 		return nil
 	}
 	var out []string
@@ -277,8 +277,8 @@
 	return nil
 }
 
-// healing reports whether a partition seems to have ended recently.
-func (m *Members) healing(now time.Time) bool {
+// recentlyHealed reports whether a partition seems to have ended recently.
+func (m *Members) recentlyHealed(now time.Time) bool {
 	return !m.healedAt.IsZero() && now.Sub(m.healedAt) < healingPeriod
 }
 
