--- a/src/box/at_most_once.go
+++ b/src/box/at_most_once.go
@@ -171,7 +171,7 @@
 	if err.Code != code.HomeUnsettled {
 		return refusal(err)
 	}
-	names, ok := b.docs.witnesses(q.key, q.workspace.Name())
+	names, ok := b.docs.possibleHomes(q.key, q.workspace.Name())
 	if !ok || !b.allRenounce(ctx, q.key, names) {
 		return refusal(err)
 	}
--- a/src/box/documents.go
+++ b/src/box/documents.go
@@ -64,9 +64,9 @@
 	return d.views.Resolve(d.box.wall(), k, workspace)
 }
 
-// witnesses returns the boxes that might consider themselves the home of a key; false if this box can't name
+// possibleHomes returns the boxes that might consider themselves the home of a key; false if this box can't name
 // them all.
-func (d *documents) witnesses(k core.Key, workspace string) ([]string, bool) {
+func (d *documents) possibleHomes(k core.Key, workspace string) ([]string, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.views.PossibleHomes(k, workspace)
