--- a/src/catalog/relief.go
+++ b/src/catalog/relief.go
@@ -61,7 +61,7 @@
 	if !reads {
 		return ReliefRequest{}
 	}
-	order := f.order(live)
+	order := f.rankReaders(live)
 	p := ReliefRequest{Readers: slices.DeleteFunc(roundOf(order, round), func(box string) bool { return box == f.Self }), Round: round + 1}
 	answered := func(box string) bool { return now.Sub(f.relief.unanswered[box]) > reliefDuration }
 	if round == maxReliefRounds || slices.ContainsFunc(p.Readers, answered) {
@@ -95,8 +95,8 @@
 	return f.ReadsForOthers(now)
 }
 
-// order returns the live boxes, including this one, by rank as counted by ReadersAhead.
-func (f *Feed) order(live []string) []string {
+// rankReaders returns the live boxes, including this one, by rank as counted by ReadersAhead.
+func (f *Feed) rankReaders(live []string) []string {
 	type ranked struct {
 		box  string
 		rank uint64
