--- a/src/catalog/holders.go
+++ b/src/catalog/holders.go
@@ -60,16 +60,16 @@
 
 // PullFailed skips a peer for a short time; NextPull may return another peer at once.
 func (f *Feed) PullFailed(now time.Time, from string) {
-	f.skip(from, now.Add(failureBackoff))
+	f.skipUntil(from, now.Add(failureBackoff))
 }
 
 // PullBusy skips a peer that is busy with other transfers; NextPull may return another peer at once.
 func (f *Feed) PullBusy(now time.Time, from string, wait time.Duration) {
-	f.skip(from, now.Add(min(max(wait, 0), maxBusy)))
+	f.skipUntil(from, now.Add(min(max(wait, 0), maxBusy)))
 }
 
-// skip excludes a peer from pulls until a time.
-func (f *Feed) skip(from string, until time.Time) {
+// skipUntil excludes a peer from pulls until a time.
+func (f *Feed) skipUntil(from string, until time.Time) {
 	f.skippedUntil[from] = until
 	if f.pulling == from {
 		f.pulling = ""
