--- a/src/catalog/feed.go
+++ b/src/catalog/feed.go
@@ -257,15 +257,15 @@
 func (f *Feed) ShouldRead(now time.Time, live []string) bool {
 	ahead := f.ReadersAhead(live)
 	if f.asOf == 0 {
-		return f.First || now.Sub(f.Started) > firstReadAfter+f.spread()
+		return f.First || now.Sub(f.Started) > firstReadAfter+f.readOffset()
 	}
 	if _, relieves := f.ReadsForOthers(now); ahead < readers || relieves {
 		return true
 	}
-	if since, _ := f.Behind(); !since.IsZero() && now.Sub(since) > behindAfter+f.spread() {
+	if since, _ := f.Behind(); !since.IsZero() && now.Sub(since) > behindAfter+f.readOffset() {
 		return true
 	}
-	timeout := selfReadAfter + f.spread()
+	timeout := selfReadAfter + f.readOffset()
 	timeout += time.Duration(doublings(len(live)/smallFleet)+min(maxReadStages, doublings(ahead/readers))) * selfReadStep
 	last := f.confirmed
 	if f.reportedNewest.After(last) {
@@ -294,8 +294,8 @@
 	return ahead
 }
 
-// spread returns an offset derived from the box's name, so that boxes don't all read at the same time.
-func (f *Feed) spread() time.Duration {
+// readOffset returns an offset derived from the box's name, so that boxes don't all read at the same time.
+func (f *Feed) readOffset() time.Duration {
 	return time.Duration(Hash("reader", f.Self) % uint64(selfReadSpread))
 }
 
