--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -181,7 +181,7 @@
 		v.refuse(err)
 		return
 	}
-	v.wish = balance.Request{Parts: v.request.Parts, Exclude: map[string]bool{}, Producers: g.makersOf(p), Within: v.confines}
+	v.wish = balance.Request{Parts: v.request.Parts, Exclude: map[string]bool{}, Producers: g.producersOf(p), Within: v.confines}
 	if err := v.checkRest(e); err != nil {
 		v.refuse(err)
 		return
@@ -284,9 +284,9 @@
 	return status >= http.StatusOK && status < http.StatusMultipleChoices
 }
 
-// makersOf counts, by failure domain, the servers of the pool that makes the largest results that the request
+// producersOf counts, by failure domain, the servers of the pool that makes the largest results that the request
 // itself reads; nil if the results are small.
-func (g *Gateway) makersOf(p *catalog.Pipeline) map[string]int {
+func (g *Gateway) producersOf(p *catalog.Pipeline) map[string]int {
 	pool, most := "", 0
 	for _, i := range p.FinalStages() {
 		if n := p.Stages[i].ResultBytes; n >= largeResults && n > most {
