--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -249,7 +249,7 @@
 // recordBreak records that the exchange with a server broke, unless the caller ended it.
 func (v *requestRun) recordBreak(ctx context.Context, s catalog.Server) {
 	if !v.callerLeft(ctx) || errors.Is(context.Cause(ctx), errSilent) {
-		v.gateway.brokeAt(s, v.content.At(v.pool))
+		v.gateway.recordBrokenExchanges(s, v.content.At(v.pool))
 	}
 }
 
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -346,7 +346,7 @@
 	g := d.gateway
 	switch outcome {
 	case batch.CallBroken:
-		g.brokeAt(c.Server, contentsOf(c.Items)...)
+		g.recordBrokenExchanges(c.Server, contentsOf(c.Items)...)
 	case batch.CallAbsent:
 		g.suspects.RecordCrash(serverIncarnation(c.Server), suspects.Refused)
 	case batch.CallDone:
--- a/src/gateway/suspects.go
+++ b/src/gateway/suspects.go
@@ -38,8 +38,8 @@
 	return suspects.Server{ID: s.ID, Address: s.Address, Incarnation: crasher.NewIncarnation(s.ID, int64(s.Incarnation))}
 }
 
-// brokeAt records that exchanges of contents with a server broke, unless the server left as planned.
-func (g *Gateway) brokeAt(s catalog.Server, keys ...crasher.Key) {
+// recordBrokenExchanges records that exchanges of contents with a server broke, unless the server left as planned.
+func (g *Gateway) recordBrokenExchanges(s catalog.Server, keys ...crasher.Key) {
 	if !g.hasLeft(s) {
 		g.suspects.RecordBroken(serverIncarnation(s), keys...)
 	}
