--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -235,7 +235,7 @@
 // possible is lost with it, and is not retried from the second end on.
 func (v *requestRun) checkContent() *code.Error {
 	g := v.gateway
-	if err := g.barredAt(v.content, v.pool); err != nil {
+	if err := g.contentRefusal(v.content, v.pool); err != nil {
 		return err
 	}
 	d := g.suspects.Check(v.content.At(v.pool))
--- a/src/gateway/suspects.go
+++ b/src/gateway/suspects.go
@@ -78,12 +78,12 @@
 // sent or queued.
 func (v *requestRun) checkBarred() *code.Error {
 	g := v.gateway
-	if err := g.barredAt(v.content, v.pool); err != nil {
+	if err := g.contentRefusal(v.content, v.pool); err != nil {
 		return err
 	}
 	for i, st := range v.pipeline.Stages {
 		if v.request.Pieces[i] > 0 {
-			if err := g.barredAt(v.content, st.Pool); err != nil {
+			if err := g.contentRefusal(v.content, st.Pool); err != nil {
 				return err
 			}
 		}
@@ -91,9 +91,9 @@
 	return nil
 }
 
-// barredAt returns the refusal of a content at a pool, nil if it may run there. The retry-after is the
+// contentRefusal returns the refusal of a content at a pool, nil if it may run there. The retry-after is the
 // remaining time of the bar, after which a fixed server may be there.
-func (g *Gateway) barredAt(c crasher.Content, pool string) *code.Error {
+func (g *Gateway) contentRefusal(c crasher.Content, pool string) *code.Error {
 	d := g.suspects.Check(c.At(pool))
 	if !d.Barred {
 		return nil
