--- a/src/gateway/serverlist.go
+++ b/src/gateway/serverlist.go
@@ -225,7 +225,7 @@
 // signal overrides the list: while the store accepts no writes, the list keeps naming leaving servers as
 // ready. p.mu is held.
 func (p *published) inUse(s *catalog.Server) bool {
-	return !p.evacuations.IsEvacuated(s.Domain) && !p.gateway.leaves(*s)
+	return !p.evacuations.IsEvacuated(s.Domain) && !p.gateway.isLeaving(*s)
 }
 
 // applyDifference applies a list of servers sent as a difference to another. If that other list is no longer
--- a/src/gateway/signals.go
+++ b/src/gateway/signals.go
@@ -71,8 +71,8 @@
 	return g.signals.check(g.now(), *s).Until
 }
 
-// leaves reports whether a listed server signalled that it leaves.
-func (g *Gateway) leaves(s catalog.Server) bool {
+// isLeaving reports whether a listed server signalled that it isLeaving.
+func (g *Gateway) isLeaving(s catalog.Server) bool {
 	return g.signals.any.Load() && g.signals.check(g.now(), s).State == pushback.Leaving
 }
 
--- a/src/gateway/suspects.go
+++ b/src/gateway/suspects.go
@@ -53,7 +53,7 @@
 		lapsed[id] = true
 	}
 	for _, id := range change.Gone {
-		if s := change.Before[id]; !lapsed[id] && s.AcceptsWork() && !g.leaves(*s) {
+		if s := change.Before[id]; !lapsed[id] && s.AcceptsWork() && !g.isLeaving(*s) {
 			g.suspects.RecordCrash(serverIncarnation(*s), suspects.Listed)
 		}
 	}
@@ -64,7 +64,7 @@
 
 // hasLeft reports whether a server, as it was chosen, has left as far as this box knows.
 func (g *Gateway) hasLeft(s catalog.Server) bool {
-	if g.leaves(s) {
+	if g.isLeaving(s) {
 		return true
 	}
 	p := &g.published
