--- a/src/gateway/forecast.go
+++ b/src/gateway/forecast.go
@@ -39,7 +39,7 @@
 // to full calls when one call's duration of work waits. Assuming half-full calls under load would admit
 // chains of three pools that are late and delay others.
 func (s *stageRun) underLoad(stage int, wait time.Duration) time.Duration {
-	usual, full := s.typical(stage), s.callTime(stage, 1)
+	usual, full := s.typicalCallTime(stage), s.callTime(stage, 1)
 	if full == 0 {
 		return 0
 	}
--- a/src/gateway/stages.go
+++ b/src/gateway/stages.go
@@ -106,8 +106,8 @@
 	ends      []time.Time // expected completion of submitted stages
 }
 
-// typical returns the duration of a stage's calls at typical fill; calls also hold pieces of other requests.
-func (s *stageRun) typical(stage int) time.Duration { return s.callTime(stage, typicalFill) }
+// typicalCallTime returns the duration of a stage's calls at typicalCallTime fill; calls also hold pieces of other requests.
+func (s *stageRun) typicalCallTime(stage int) time.Duration { return s.callTime(stage, typicalFill) }
 
 // callTime returns the duration of a stage's calls at a fill, as a share of the batch size.
 func (s *stageRun) callTime(stage int, fill float64) time.Duration {
