--- a/src/gateway/partners.go
+++ b/src/gateway/partners.go
@@ -23,11 +23,11 @@
 			before = max(before, s.remaining(now, a))
 		}
 	}
-	return before + s.ahead(now, stage)
+	return before + s.timeToResults(now, stage)
 }
 
-// ahead estimates the time from a stage's submission to its results.
-func (s *stageRun) ahead(now time.Time, stage int) time.Duration {
+// timeToResults estimates the time from a stage's submission to its results.
+func (s *stageRun) timeToResults(now time.Time, stage int) time.Duration {
 	return s.forecast(now).waits[stage] + s.typicalCallTime(stage)
 }
 
@@ -58,7 +58,7 @@
 		for _, k := range s.partners(stage) {
 			others = max(others, s.remaining(now, k))
 		}
-		early := others - s.ahead(now, stage) - partnerMargin
+		early := others - s.timeToResults(now, stage) - partnerMargin
 		if early <= 0 {
 			return
 		}
--- a/src/gateway/stages.go
+++ b/src/gateway/stages.go
@@ -192,7 +192,7 @@
 	g, ready := s.gateway, s.gateway.now()
 	s.awaitPartners(ctx, i)
 	began := g.now()
-	s.expectEnd(i, began.Add(s.ahead(began, i)))
+	s.expectEnd(i, began.Add(s.timeToResults(began, i)))
 	j := s.job(i)
 	done, reason := g.runJob(ctx, j, func() { s.freeRead(i) })
 	if done == nil {
