--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -190,7 +190,7 @@
 	reply, err := g.Backends.Send(ctx, c)
 	var notSent *exchange.NotSent
 	if errors.As(err, &notSent) {
-		g.signals.giveBack(s.ID, v.request.ID)
+		g.signals.returnPermit(s.ID, v.request.ID)
 		outcome := balance.Broken
 		switch {
 		case exchange.ConnectionRefused(err):
--- a/src/gateway/signals.go
+++ b/src/gateway/signals.go
@@ -49,8 +49,8 @@
 	return w.register.Begin(now, signalServer(s), owner)
 }
 
-// giveBack returns the permit of a request that was not sent.
-func (w *serverSignals) giveBack(id, owner string) {
+// returnPermit returns the permit of a request that was not sent.
+func (w *serverSignals) returnPermit(id, owner string) {
 	if w.any.Load() {
 		w.with(func(r *pushback.Register) { r.ReleasePermit(id, owner) })
 	}
