--- a/src/gateway/pushback_test.go
+++ b/src/gateway/pushback_test.go
@@ -225,7 +225,7 @@
 		g.recordSignals(catalog.Server{ID: "piece0", Pool: "encode"}, pushback.Signals{Leaving: true}, "pieces", time.Now())
 		for range 3 {
 			for _, id := range []string{"piece0", "piece1"} {
-				g.schedulers.releaseResults(f.ctx, catalog.Server{ID: id, Pool: "encode"}, []string{"h"})
+				g.schedulers.freeResults(f.ctx, catalog.Server{ID: id, Pool: "encode"}, []string{"h"})
 			}
 		}
 		if freed["piece0"] != 0 || freed["piece1"] != 1 {
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -287,13 +287,13 @@
 func (d *schedulers) freeAt(f batch.FreeCall) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	d.releaseResults(ctx, f.Server, f.Handles)
+	d.freeResults(ctx, f.Server, f.Handles)
 }
 
-// releaseResults releases results at a server, unless it wants no requests now; the results then expire there. The
+// freeResults releases results at a server, unless it wants no requests now; the results then expire there. The
 // scheduler keeps results while it knows that the server wants rest, so this only happens for a signal
 // received since.
-func (d *schedulers) releaseResults(ctx context.Context, s catalog.Server, handles []string) {
+func (d *schedulers) freeResults(ctx context.Context, s catalog.Server, handles []string) {
 	g := d.gateway
 	owner, v := "results of "+handles[0], pushback.Verdict{State: pushback.Full}
 	if _, ok := g.takePermit(ctx, s, owner, 0); ok {
@@ -315,7 +315,7 @@
 	r := PieceReply{Outcome: batch.CallWithheld}
 	if _, ok := g.takePermit(ctx, c.Server, owner, 0); ok {
 		if len(c.Free) > 0 {
-			d.releaseResults(ctx, c.Server, c.Free)
+			d.freeResults(ctx, c.Server, c.Free)
 		}
 		r = g.Backends.RunPieces(ctx, PieceCall{Server: c.Server, Items: c.Items, Start: g.startCheck(ctx, c.Server, "pieces", owner, began)})
 	}
