--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -185,7 +185,7 @@
 	defer watch.Stop()
 	c.Start = v.startInBoundary(s, g.startCheck(ctx, s, "request "+v.request.ID, v.request.ID, now))
 	began := g.now()
-	stop := v.releaseInputs(e, len(handles) > 0)
+	stop := v.freeInputs(e, len(handles) > 0)
 	defer stop()
 	reply, err := g.Backends.Send(ctx, c)
 	var notSent *exchange.NotSent
--- a/src/gateway/inputs.go
+++ b/src/gateway/inputs.go
@@ -6,9 +6,9 @@
 // comes only after that. The results are released at their servers after the time that fetching takes. That
 // time is learned: it doubles when a request finds its inputs gone.
 
-// releaseInputs releases the inputs of a request that is being sent once its engine should have fetched them.
+// freeInputs releases the inputs of a request that is being sent once its engine should have fetched them.
 // The returned function cancels the release.
-func (v *requestRun) releaseInputs(e *pool, any bool) func() {
+func (v *requestRun) freeInputs(e *pool, any bool) func() {
 	if !any {
 		return func() {}
 	}
