--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -214,8 +214,8 @@
 	return slices.ContainsFunc(f.core.Self.Claims, func(c core.Claim) bool { return c.Pool == hash })
 }
 
-// disclaim withdraws a claim.
-func (f *fleet) disclaim(pool string) {
+// releaseClaim withdraws a claim.
+func (f *fleet) releaseClaim(pool string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	claimed := f.claims(pool)
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -170,7 +170,7 @@
 	s.scheduledElsewhere = true
 	h, a := s.core.HandOver(now, next)
 	s.mu.Unlock()
-	g.fleet.disclaim(s.pool)
+	g.fleet.releaseClaim(s.pool)
 	d.execute(s, a)
 	if !h.Empty() {
 		g.Log.Info("scheduler handed over", "pool", s.pool, "to", next, "results", len(h.Held), "calls", len(h.Busy), "jobs", len(a.Replies))
