--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -7,9 +7,9 @@
 	"github.com/stilemast/stilemast/src/crasher"
 )
 
-// sorted returns the jobs in the order in which to serve them: those that can still be in time by due time, then
+// orderedJobs returns the jobs in the order in which to serve them: those that can still be in time by due time, then
 // the others by deadline.
-func (s *Scheduler) sorted(now time.Time) []*job {
+func (s *Scheduler) orderedJobs(now time.Time) []*job {
 	list := make([]*job, 0, len(s.jobs))
 	for _, t := range s.jobs {
 		list = append(list, t)
@@ -69,7 +69,7 @@
 	if len(free) == 0 {
 		return out
 	}
-	queue, patience := s.sorted(now), s.patience(now)
+	queue, patience := s.orderedJobs(now), s.patience(now)
 	for _, v := range free {
 		if v.ratio > slowRatio && !s.useSlowServer(now, v) {
 			continue
--- a/src/batch/handover.go
+++ b/src/batch/handover.go
@@ -11,7 +11,7 @@
 	h := Handover{Pool: s.pool.Name, Idle: s.idle}
 	s.idle = nil
 	var out Actions
-	for _, t := range s.sorted(now) {
+	for _, t := range s.orderedJobs(now) {
 		if t.running == 0 && len(t.pending) == t.Pieces && !t.resubmitted {
 			s.end(now, t, Message{Failed: &Failed{ID: t.ID, Reason: Moved, To: next}}, &out)
 		}
--- a/src/batch/incarnation.go
+++ b/src/batch/incarnation.go
@@ -27,7 +27,7 @@
 		delete(s.calls, before.call)
 		s.requeue(now, rc, nil, CallWithheld, out)
 	}
-	for _, t := range s.sorted(now) {
+	for _, t := range s.orderedJobs(now) {
 		s.requeueLost(now, t, v.ID, out)
 	}
 }
--- a/src/batch/resting.go
+++ b/src/batch/resting.go
@@ -36,7 +36,7 @@
 	if !all {
 		return
 	}
-	for _, t := range s.sorted(now) {
+	for _, t := range s.orderedJobs(now) {
 		if t.running == 0 && now.Add(least+s.pool.Batch.CallTime).After(t.Deadline) {
 			s.end(now, t, Message{Failed: &Failed{ID: t.ID, Reason: Late}}, out)
 		}
@@ -67,7 +67,7 @@
 		return
 	}
 	ahead, timely := 0, 0
-	for _, t := range s.sorted(now) {
+	for _, t := range s.orderedJobs(now) {
 		ends := now.Add(time.Duration(float64(ahead)/perSecond*float64(time.Second)) + s.pool.Batch.CallTime)
 		late := ends.After(t.Due)
 		if t.running == 0 && (ends.After(t.Deadline) || late && timely >= s.pool.Batch.Size) {
--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -283,7 +283,7 @@
 			delete(s.freedEarly, h)
 		}
 	}
-	for _, t := range s.sorted(now) {
+	for _, t := range s.orderedJobs(now) {
 		if now.After(t.Deadline) {
 			s.end(now, t, Message{Failed: &Failed{ID: t.ID, Reason: Late}}, &out)
 		} else if t.hasRead(now) {
