--- a/src/batch/ending.go
+++ b/src/batch/ending.go
@@ -81,7 +81,7 @@
 		if r.Handle != "" {
 			s.handles[r.Handle] = held{server: rc.server, incarnation: rc.incarnation, bytes: t.ResultBytes, until: now.Add(s.pool.Batch.ResultTTL)}
 			if t.ended {
-				s.release(now, []string{r.Handle})
+				s.queueFree(now, []string{r.Handle})
 				continue
 			}
 			t.handles[rc.pieces[i]], t.resultServers[rc.pieces[i]] = r.Handle, rc.server
--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -205,7 +205,7 @@
 		return out
 	}
 	if e, ok := s.ended[id]; ok && e.message.Done != nil {
-		s.release(now, e.message.Done.Handles)
+		s.queueFree(now, e.message.Done.Handles)
 	}
 	return out
 }
@@ -214,7 +214,7 @@
 func (s *Scheduler) Free(now time.Time, results []HeldResult) {
 	for _, r := range results {
 		if _, known := s.handles[r.Handle]; known {
-			s.release(now, []string{r.Handle})
+			s.queueFree(now, []string{r.Handle})
 			continue
 		}
 		s.freedEarly[r.Handle] = now
@@ -249,9 +249,9 @@
 	}
 }
 
-// release queues handles to be freed. Their memory counts as free at once, since the server frees them before its next
+// queueFree queues handles to be freed. Their memory counts as free at once, since the server frees them before its next
 // call.
-func (s *Scheduler) release(now time.Time, handles []string) {
+func (s *Scheduler) queueFree(now time.Time, handles []string) {
 	for _, h := range handles {
 		r, ok := s.handles[h]
 		if !ok {
@@ -331,7 +331,7 @@
 	s.ended[t.ID] = endedJob{message: m, at: now}
 	out.Replies = append(out.Replies, Reply{Box: t.ID.Box, Message: m})
 	if m.Done == nil {
-		s.release(now, t.handles)
+		s.queueFree(now, t.handles)
 	}
 }
 
