--- a/src/box/polling.go
+++ b/src/box/polling.go
@@ -65,7 +65,7 @@
 		}
 		return
 	}
-	b.noteRestart(v.Name, v.Report, r)
+	b.recordRestart(v.Name, v.Report, r)
 	var fresh bool
 	p.locked(func(c *core.Pool) { fresh = c.Report(now, v.Name, r) })
 	if fresh && r.Leaving && !v.Leaving {
