--- a/src/box/flight.go
+++ b/src/box/flight.go
@@ -171,7 +171,7 @@
 		f.post(core.Chunk{Attempt: a.Attempt, Offset: offset, Data: data})
 	}
 	res, err := f.box.Backends.Call(ctx, server, f.request(a, stage), emit)
-	f.noteCall(server, stage, err)
+	f.recordCall(server, stage, err)
 	if err != nil {
 		f.noteRest(server, stage, err)
 		f.post(core.Failed{Attempt: a.Attempt, Failure: err.Failure, Message: err.Message})
--- a/src/box/suspects.go
+++ b/src/box/suspects.go
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// noteCall reports the end of a call to the tracker of suspect contents.
-func (f *flight) noteCall(server *config.BackendServer, stage *config.Stage, err *port.CallError) {
+// recordCall reports the end of a call to the tracker of suspect contents.
+func (f *flight) recordCall(server *config.BackendServer, stage *config.Stage, err *port.CallError) {
 	b := f.box
 	incarnation := b.reportedIncarnation(stage.Pool(), server.Name())
 	switch {
