--- a/src/box/flight.go
+++ b/src/box/flight.go
@@ -173,7 +173,7 @@
 	res, err := f.box.Backends.Call(ctx, server, f.request(a, stage), emit)
 	f.recordCall(server, stage, err)
 	if err != nil {
-		f.noteRest(server, stage, err)
+		f.recordRest(server, stage, err)
 		f.post(core.Failed{Attempt: a.Attempt, Failure: err.Failure, Message: err.Message})
 		return
 	}
@@ -183,8 +183,8 @@
 	f.post(core.Done{Attempt: a.Attempt, Output: res.Output, Length: res.Length, Stream: res.Stream, Use: res.Use})
 }
 
-// noteRest applies the time for which a server that rejected a call asks for no further calls.
-func (f *flight) noteRest(s *config.BackendServer, stage *config.Stage, err *port.CallError) {
+// recordRest applies the time for which a server that rejected a call asks for no further calls.
+func (f *flight) recordRest(s *config.BackendServer, stage *config.Stage, err *port.CallError) {
 	if p := f.box.pools.get(stage.Pool()); p != nil && err.Rest > 0 {
 		f.box.Log.Info("server asks for rest", "server", s.Name(), "pool", stage.Pool(), "asks_ms", err.Rest.Milliseconds())
 		p.locked(func(c *core.Pool) { c.RecordRest(f.box.now(), s.Name(), err.Rest) })
