--- a/src/crasher/note.go
+++ b/src/crasher/note.go
@@ -121,7 +121,7 @@
 func (r *Register) mergeNote(now time.Time, n Note) bool {
 	changed := false
 	for _, x := range n.Ends[:min(len(n.Ends), maxEnds)] {
-		if x.Age >= 0 && x.Age < maxBarTime && r.addEnd(now, n.Key, crash{incarnation: x.Life, at: now.Add(-x.Age)}) {
+		if x.Age >= 0 && x.Age < maxBarTime && r.addCrash(now, n.Key, crash{incarnation: x.Life, at: now.Add(-x.Age)}) {
 			changed = true
 		}
 	}
--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -105,7 +105,7 @@
 func (r *Register) addEnds(now time.Time, incarnation Incarnation, list []brokenExchange) []Counted {
 	var out []Counted
 	for _, b := range list {
-		if now.Sub(b.at) > proofWindow || !r.addEnd(now, b.key, crash{incarnation: incarnation, at: b.at}) {
+		if now.Sub(b.at) > proofWindow || !r.addCrash(now, b.key, crash{incarnation: incarnation, at: b.at}) {
 			continue
 		}
 		out = append(out, Counted{Key: b.key, Verdict: r.Check(now, b.key)})
@@ -113,8 +113,8 @@
 	return out
 }
 
-// addEnd adds a crash to a content and reports whether it is new. Of two times for one incarnation the earlier one is kept.
-func (r *Register) addEnd(now time.Time, k Key, x crash) bool {
+// addCrash adds a crash to a content and reports whether it is new. Of two times for one incarnation the earlier one is kept.
+func (r *Register) addCrash(now time.Time, k Key, x crash) bool {
 	e := r.entryFor(now, k)
 	known := slices.IndexFunc(e.ends, func(o crash) bool { return o.incarnation == x.incarnation })
 	switch {
