--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -65,7 +65,7 @@
 // crashed it counts the crash against the contents and returns them.
 func (r *Register) RecordBroken(now time.Time, incarnation Incarnation, keys ...Key) []Counted {
 	if at, known := r.ended[incarnation]; known && now.Sub(at) <= proofWindow {
-		return r.addEnds(now, incarnation, brokenExchangesAt(now, keys))
+		return r.addCrashes(now, incarnation, brokenExchangesAt(now, keys))
 	}
 	if r.broken == nil {
 		r.broken = map[Incarnation][]brokenExchange{}
@@ -98,11 +98,11 @@
 	}
 	list := r.broken[incarnation]
 	delete(r.broken, incarnation)
-	return r.addEnds(now, incarnation, list)
+	return r.addCrashes(now, incarnation, list)
 }
 
-// addEnds counts a crash against the contents of recent broken exchanges and returns them.
-func (r *Register) addEnds(now time.Time, incarnation Incarnation, list []brokenExchange) []Counted {
+// addCrashes counts a crash against the contents of recent broken exchanges and returns them.
+func (r *Register) addCrashes(now time.Time, incarnation Incarnation, list []brokenExchange) []Counted {
 	var out []Counted
 	for _, b := range list {
 		if now.Sub(b.at) > proofWindow || !r.addCrash(now, b.key, crash{incarnation: incarnation, at: b.at}) {
