--- a/src/crasher/note.go
+++ b/src/crasher/note.go
@@ -30,7 +30,7 @@
 	if len(r.entries) == 0 {
 		return nil
 	}
-	keys := r.keys(func(e *entry) bool { return len(e.ends) >= IsolationThreshold && now.Sub(e.changed) < newsPeriod })
+	keys := r.keys(func(e *entry) bool { return len(e.crashes) >= IsolationThreshold && now.Sub(e.changed) < newsPeriod })
 	return r.notes(now, keys[:min(len(keys), maxNews)])
 }
 
@@ -93,8 +93,8 @@
 	var out []Note
 	for _, k := range keys {
 		e := r.entries[k]
-		n := Note{Key: k, Ends: make([]EndNote, len(e.ends))}
-		for i, x := range e.ends {
+		n := Note{Key: k, Ends: make([]EndNote, len(e.crashes))}
+		for i, x := range e.crashes {
 			n.Ends[i] = EndNote{Life: x.incarnation, Age: now.Sub(x.at)}
 		}
 		if !e.goodAt.IsZero() {
--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -38,7 +38,7 @@
 
 // entry is a content with at least one crash.
 type entry struct {
-	ends    []crash   // sorted by time
+	crashes    []crash   // sorted by time
 	goodAt  time.Time // latest good response
 	changed time.Time // last change to report to other boxes
 }
@@ -116,18 +116,18 @@
 // addCrash adds a crash to a content and reports whether it is new. Of two times for one incarnation the earlier one is kept.
 func (r *Register) addCrash(now time.Time, k Key, x crash) bool {
 	e := r.entryFor(now, k)
-	known := slices.IndexFunc(e.ends, func(o crash) bool { return o.incarnation == x.incarnation })
+	known := slices.IndexFunc(e.crashes, func(o crash) bool { return o.incarnation == x.incarnation })
 	switch {
 	case known < 0:
-		e.ends = append(e.ends, x)
-	case x.at.Before(e.ends[known].at):
-		e.ends[known].at = x.at
+		e.crashes = append(e.crashes, x)
+	case x.at.Before(e.crashes[known].at):
+		e.crashes[known].at = x.at
 	}
-	slices.SortFunc(e.ends, func(a, b crash) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.incarnation, b.incarnation)) })
+	slices.SortFunc(e.crashes, func(a, b crash) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.incarnation, b.incarnation)) })
 	if known >= 0 {
 		return false
 	}
-	e.ends = e.ends[max(0, len(e.ends)-maxEnds):]
+	e.crashes = e.crashes[max(0, len(e.crashes)-maxEnds):]
 	if at, ok := r.goods.at(k); ok && at.After(e.goodAt) {
 		e.goodAt = at
 	}
@@ -186,7 +186,7 @@
 		return Verdict{}
 	}
 	n := e.uncleared()
-	v := Verdict{Ends: n, Seen: len(e.ends)}
+	v := Verdict{Ends: n, Seen: len(e.crashes)}
 	if left := e.last().Add(barFor(n)).Sub(now); n >= barThreshold && left > 0 {
 		v.Barred, v.Left = true, left
 	}
@@ -200,7 +200,7 @@
 func (e *entry) uncleared() int {
 	from := e.goodAt.Add(goodPeriod)
 	n := 0
-	for _, x := range e.ends {
+	for _, x := range e.crashes {
 		if e.goodAt.IsZero() || x.at.After(from) {
 			n++
 		}
@@ -210,10 +210,10 @@
 
 // last returns the time of the latest crash.
 func (e *entry) last() time.Time {
-	if len(e.ends) == 0 {
+	if len(e.crashes) == 0 {
 		return e.goodAt
 	}
-	return e.ends[len(e.ends)-1].at
+	return e.crashes[len(e.crashes)-1].at
 }
 
 // barFor returns how long a content with a number of crashes is refused after the last one.
