--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -38,7 +38,7 @@
 
 // entry is a content with at least one crash.
 type entry struct {
-	crashes    []crash   // sorted by time
+	crashes []crash   // sorted by time
 	goodAt  time.Time // latest good response
 	changed time.Time // last change to report to other boxes
 }
