--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -1,5 +1,5 @@
 // Package crasher identifies requests that crash the servers that run them. Register records what boxes observe (broken
-// exchanges, crashed servers, good responses) and gives a verdict on a content before it is sent.
+// exchanges, crashed servers, good responses) and decides whether a content may be sent.
 //
 // A broken exchange is not a crash, and every request running at a crashed server is a suspect. So a crash counts against a
 // content only if it is proven, by a refused connection or by the list of servers, and each incarnation counts once, however
--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// needsStages reports whether results that were released are needed again.
+// needsStages reports whether results that were freed are needed again.
 func (v *requestRun) needsStages() bool {
 	if v.stageResults == nil {
 		return false
--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -185,7 +185,7 @@
 	partnerPace   = 40 * time.Millisecond // interval of new estimates; a scheduler's tick
 )
 
-// Time after which a request's inputs are released; see inputs.go.
+// Time after which a request's inputs are freed; see inputs.go.
 const (
 	minFetch   = 60 * time.Millisecond // minimum; 25 ms brings no gain, and the fetch itself takes about 5 ms
 	maxFetch   = 2 * time.Second       // maximum
--- a/src/gateway/holdings.go
+++ b/src/gateway/holdings.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// take removes released results and returns them for their scheduler.
+// take removes freed results and returns them for their scheduler.
 func (h *holdings) take(now time.Time, pool string, handles []string) []batch.HeldResult {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/src/gateway/inputs.go
+++ b/src/gateway/inputs.go
@@ -3,11 +3,11 @@
 import "time"
 
 // An engine fetches the stage results that a request needs before it reads the prompt, and the first output
-// comes only after that. The results are released at their servers after the time that fetching takes. That
+// comes only after that. The results are freed at their servers after the time that fetching takes. That
 // time is learned: it doubles when a request finds its inputs gone.
 
-// freeInputs releases the inputs of a request that is being sent once its engine should have fetched them.
-// The returned function cancels the release.
+// freeInputs frees the inputs of a request that is being sent once its engine should have fetched them.
+// The returned function cancels that.
 func (v *requestRun) freeInputs(e *pool, any bool) func() {
 	if !any {
 		return func() {}
--- a/src/gateway/ports.go
+++ b/src/gateway/ports.go
@@ -95,7 +95,7 @@
 	Send func(ctx context.Context, c *Call) (*Reply, error)
 	// RunPieces runs one call that makes pieces of stages.
 	RunPieces func(ctx context.Context, c PieceCall) PieceReply
-	// FreePieces releases results.
+	// FreePieces frees results at their server.
 	FreePieces func(ctx context.Context, s catalog.Server, handles []string) pushback.Signals
 	// Probe opens a connection to an address, closes it and returns the error of opening. nil disables probes.
 	Probe func(ctx context.Context, address string) error
--- a/src/gateway/relay.go
+++ b/src/gateway/relay.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// sendEvents sends whole events to the caller; the first of them also releases the stage results.
+// sendEvents sends whole events to the caller; the first of them also frees the stage results.
 func (v *requestRun) sendEvents(whole []byte, reply *Reply, e *pool, s catalog.Server, began time.Time) error {
 	if len(whole) == 0 {
 		return nil
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -290,7 +290,7 @@
 	d.freeResults(ctx, f.Server, f.Handles)
 }
 
-// freeResults releases results at a server, unless it wants no requests now; the results then expire there. The
+// freeResults frees results at a server, unless it wants no requests now; the results then expire there. The
 // scheduler keeps results while it knows that the server wants rest, so this only happens for a signal
 // received since.
 func (d *schedulers) freeResults(ctx context.Context, s catalog.Server, handles []string) {
@@ -300,7 +300,7 @@
 		v = g.signals.begin(g.now(), s, owner)
 	}
 	if !v.Open() {
-		g.Log.Info("results not released, server wants no requests", "server", s.ID, "state", v.State.String(), "results", len(handles))
+		g.Log.Info("results not freed, server accepts no requests now", "server", s.ID, "state", v.State.String(), "results", len(handles))
 		return
 	}
 	g.recordSignals(s, g.Backends.FreePieces(ctx, s, handles), "results given up", time.Time{})
--- a/src/gateway/stages.go
+++ b/src/gateway/stages.go
@@ -65,7 +65,7 @@
 	return handles, domain, size
 }
 
-// free releases the results of one stage, once.
+// free frees the results of one stage, once.
 func (r *results) free(stage int) {
 	r.mu.Lock()
 	handles := r.handles[stage]
@@ -79,7 +79,7 @@
 	g.sendBatch(g.schedulerOf(pool, nil), batch.Message{Free: &batch.Free{Pool: pool, Results: g.holdings.take(g.now(), pool, handles)}})
 }
 
-// freeAll releases all results still held.
+// freeAll frees all results still held.
 func (r *results) freeAll() {
 	if r == nil {
 		return
@@ -258,7 +258,7 @@
 	return handles, domain, size, expires
 }
 
-// freeRead releases the results that a stage was the last to read.
+// freeRead frees the results that a stage was the last to read.
 func (s *stageRun) freeRead(i int) {
 	r := s.results
 	r.mu.Lock()
