--- a/src/core/poolreports.go
+++ b/src/core/poolreports.go
@@ -113,7 +113,7 @@
 		out = append(out, ServerView{
 			Name: s.cfg.Name(), Config: s.cfg, Report: s.report, ReportAt: s.reportAt,
 			InFlight: len(s.inFlight), Others: s.peerCalls(now), Window: int(max(s.window, s.share())),
-			FailShare: s.failureRate, Leaving: s.leaving(), Resting: s.resting(now),
+			FailShare: s.failureRate, Leaving: s.leaving(), Resting: s.backingOff(now),
 		})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
--- a/src/core/server.go
+++ b/src/core/server.go
@@ -208,9 +208,9 @@
 	s.leavingUntil = now.Add(leavingHold)
 }
 
-// resting reports whether the server is in backoff after failures. After the backoff one call at a time
+// backingOff reports whether the server is in backoff after failures. After the backoff one call at a time
 // probes it.
-func (s *server) resting(now time.Time) bool {
+func (s *server) backingOff(now time.Time) bool {
 	if s.backoff == 0 {
 		return false
 	}
@@ -243,7 +243,7 @@
 		return "leaving"
 	case !fits(s, c):
 		return "other model or adapter"
-	case s.resting(now):
+	case s.backingOff(now):
 		return "resting after failures"
 	}
 	return ""
