--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -38,7 +38,7 @@
 func (s *Scheduler) freeServers(now time.Time) []*serverState {
 	var out []*serverState
 	for _, v := range s.servers {
-		if v.listed && v.call == 0 && !now.Before(v.pausedUntil) && s.restLeft(now, v) == 0 {
+		if v.listed && v.call == 0 && !now.Before(v.pausedUntil) && s.restRemaining(now, v) == 0 {
 			out = append(out, v)
 		}
 	}
@@ -185,7 +185,7 @@
 		return true
 	}
 	for _, o := range s.servers {
-		if o.healthy() && o.Domain == t.InputDomain && t.Within.Allow(o.Domain) && s.restLeft(now, o) == 0 {
+		if o.healthy() && o.Domain == t.InputDomain && t.Within.Allow(o.Domain) && s.restRemaining(now, o) == 0 {
 			return false
 		}
 	}
@@ -196,7 +196,7 @@
 func (s *Scheduler) healthyServers(now time.Time) int {
 	n := 0
 	for _, v := range s.servers {
-		if v.healthy() && s.restLeft(now, v) == 0 {
+		if v.healthy() && s.restRemaining(now, v) == 0 {
 			n++
 		}
 	}
--- a/src/batch/pace.go
+++ b/src/batch/pace.go
@@ -60,7 +60,7 @@
 	}
 	for _, v := range s.servers {
 		limit := s.limitOf(v)
-		if !v.healthy() || !allRest && limit == 0 && s.restLeft(now, v) > 0 {
+		if !v.healthy() || !allRest && limit == 0 && s.restRemaining(now, v) > 0 {
 			continue
 		}
 		part := 1.0
@@ -68,7 +68,7 @@
 			part = min(1, limit*float64(s.pool.Batch.Size)/rate)
 		}
 		sound += part
-		left := max(least, s.restLeft(now, v))
+		left := max(least, s.restRemaining(now, v))
 		if v.call != 0 {
 			left = max(left, v.expectedEnd.Sub(now))
 		}
--- a/src/batch/resting.go
+++ b/src/batch/resting.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// restLeft returns what is left of the rest that a server asked for. With an estimate of this box instead, calls were
+// restRemaining returns what is left of the rest that a server asked for. With an estimate of this box instead, calls were
 // sent during 172 of 172 such rests.
-func (s *Scheduler) restLeft(now time.Time, v *serverState) time.Duration {
+func (s *Scheduler) restRemaining(now time.Time, v *serverState) time.Duration {
 	if s.RestsUntil == nil {
 		return 0
 	}
@@ -18,7 +18,7 @@
 		if !v.listed {
 			continue
 		}
-		left := s.restLeft(now, v)
+		left := s.restRemaining(now, v)
 		if left == 0 {
 			return 0, false
 		}
--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -312,7 +312,7 @@
 	var out []FreeCall
 	for id, hs := range s.toFree {
 		v := s.servers[id]
-		if v != nil && (s.restLeft(now, v) > 0 || !s.mayFree(now, v)) {
+		if v != nil && (s.restRemaining(now, v) > 0 || !s.mayFree(now, v)) {
 			continue // freed later, when the server accepts requests
 		}
 		if v != nil {
