--- a/src/balance/constants.go
+++ b/src/balance/constants.go
@@ -16,7 +16,7 @@
 	minCopyTokens            = 512                     // fewest shared tokens that are worth copying from another server
 	reportReadsFor           = 450 * time.Millisecond  // time for which a read is reported to other boxes: two gossip rounds
 	minProducerWeight        = 0.05                    // minimum weight of a domain without producers, so that it can have homes if it is the only one
-	homesFactor              = 2.0                     // a popular prompt part gets this times its share of all tokens as its share of the servers
+	homesFactor              = 2.0                     // share of the servers that hold a popular prompt part, as a multiple of its share of all tokens
 	popularityDecay          = 5 * time.Second         // decay time of the token counts
 	popularityReportLifetime = 10 * time.Second        // lifetime of another box's token counts; in a fleet of 300 a box hears from half of the others in that time
 	popularityReportParts    = 16                      // prompt parts in one message; a box of such a fleet gets requests for about ten in popularityDecay
--- a/src/batch/room_test.go
+++ b/src/batch/room_test.go
@@ -23,8 +23,8 @@
 	return j
 }
 
-// Results that another scheduler left at a server use room that this one doesn't know about. The server's response allows to
-// estimate it, and small results still fit.
+// Results that another scheduler left at a server use room that this one doesn't know about. This scheduler must
+// estimate it from the server's response and still place small results.
 func TestServerWithoutRoomStillGetsSmallResults(t *testing.T) {
 	s := testScheduler(1)
 	c := s.Submit(start, jobOfSize("a", 1, 4, 200), "").Calls[0]
--- a/src/catalog/relief.go
+++ b/src/catalog/relief.go
@@ -33,11 +33,11 @@
 type ReliefRequest struct {
 	Readers []string // the other readers of the same round
 	Next    []string // the boxes asked to read now; none while another reader of this round may still get answers
-	Round   int      // of Next
-	First   bool     // Next were not asked before, or not recently
+	Round   int      // round of the boxes in Next
+	First   bool     // the boxes in Next were not asked before, or not recently
 }
 
-// ReadUnanswered notes that a read of this box failed and returns the boxes to notify. A box that reads only
+// ReadUnanswered records that a read of this box failed and returns the boxes to notify. A box that reads only
 // because its content was not confirmed notifies none.
 func (f *Feed) ReadUnanswered(now time.Time, live []string) ReliefRequest {
 	f.relief.failed = now
--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -63,7 +63,8 @@
 	mayWaitSince time.Time
 }
 
-// PoolStats holds the counters of a pool.
+// PoolStats holds the counters of a pool: retries, hedged calls, and calls dropped or refused because the queue was full or
+// their time was over. Unsettled is never incremented.
 type PoolStats struct {
 	Retries   int
 	Hedges    int
--- a/src/core/rumour.go
+++ b/src/core/rumour.go
@@ -54,7 +54,7 @@
 	Server   uint64 `msgpack:"s"`
 	Requests uint16 `msgpack:"n"`
 	Tokens   uint32 `msgpack:"t"` // prompt tokens not processed yet
-	Resting  bool   `msgpack:"r"` // it failed there recently
+	Resting  bool   `msgpack:"r"` // the box has paused the server after failures; not a rest that the server asked for
 	Limited  bool   `msgpack:"l,omitempty"`
 	Held     uint16 `msgpack:"h,omitempty"` // requests, if Limited
 }
--- a/src/gateway/stages.go
+++ b/src/gateway/stages.go
@@ -10,7 +10,7 @@
 	"github.com/stilemast/stilemast/src/crasher"
 )
 
-// results are what the stages of one request made.
+// results tracks the results of the stages of one request, which are held at servers.
 type results struct {
 	gateway  *Gateway
 	pipeline *catalog.Pipeline
