--- a/src/box/suspects.go
+++ b/src/box/suspects.go
@@ -118,7 +118,7 @@
 	return suspects.Server{ID: server, Incarnation: crasher.NewIncarnation(server, int64(incarnation))}
 }
 
-// recordRestart notes that the previous incarnation of a server ended, if its report shows a new one.
+// recordRestart records that the previous incarnation of a server ended, if its report shows a new one.
 func (b *Box) recordRestart(server string, before, now core.Report) {
 	if before.Incarnation != 0 && now.Incarnation > before.Incarnation {
 		b.suspects.RecordCrash(serverIncarnation(server, before.Incarnation), suspects.Report)
--- a/src/gateway/signals.go
+++ b/src/gateway/signals.go
@@ -71,7 +71,7 @@
 	return g.signals.check(g.now(), *s).Until
 }
 
-// isLeaving reports whether a listed server signalled that it isLeaving.
+// isLeaving reports whether a listed server signalled that it leaves.
 func (g *Gateway) isLeaving(s catalog.Server) bool {
 	return g.signals.any.Load() && g.signals.check(g.now(), s).State == pushback.Leaving
 }
--- a/src/gateway/stages.go
+++ b/src/gateway/stages.go
@@ -106,7 +106,7 @@
 	ends      []time.Time // expected completion of submitted stages
 }
 
-// typicalCallTime returns the duration of a stage's calls at typicalCallTime fill; calls also hold pieces of other requests.
+// typicalCallTime returns the duration of a stage's calls at typical fill; calls also hold pieces of other requests.
 func (s *stageRun) typicalCallTime(stage int) time.Duration { return s.callTime(stage, typicalFill) }
 
 // callTime returns the duration of a stage's calls at a fill, as a share of the batch size.
