--- a/src/batch/constants.go
+++ b/src/batch/constants.go
@@ -6,8 +6,8 @@
 const (
 	priorityStep          = 250 * time.Millisecond  // added to a job's due time for each step of its priority number
 	leaveDomainAfter      = 160 * time.Millisecond  // wait after which a job may run outside the domain of its inputs
-	leaveDomainSlack      = 500 * time.Millisecond  // a job with this much time until due, beyond a call's time,
-	leaveDomainAfterSlack = 900 * time.Millisecond  // waits this long for the domain of its inputs
+	leaveDomainSlack      = 500 * time.Millisecond  // time until due, beyond that of a call, from which leaveDomainAfterSlack applies instead
+	leaveDomainAfterSlack = 900 * time.Millisecond  // leaveDomainAfter of jobs with more slack than leaveDomainSlack
 	smallCrossBytes       = 200_000.0               // a job that reads fewer bytes from another domain doesn't wait for its own
 	splitAfter            = 200 * time.Millisecond  // wait after which a job may be split across calls
 	usableRoomFraction    = 0.97                    // fraction of a server's result memory that is used
--- a/src/core/constants.go
+++ b/src/core/constants.go
@@ -60,7 +60,7 @@
 // Membership.
 const (
 	HeartbeatEvery    = 500 * time.Millisecond // heartbeat interval
-	LoadNotesEvery    = 200 * time.Millisecond // interval at which the boxes of a small fleet tell each other their loads
+	LoadNotesEvery    = 200 * time.Millisecond // interval at which the boxes of a small fleet exchange their loads
 	LoadRepeatEvery   = 600 * time.Millisecond // interval at which unchanged loads are sent again
 	smallFleet        = 15                     // largest number of other boxes that counts as a small fleet; in larger ones few boxes share a server
 	heartbeatFanout   = 3                      // members that each heartbeat goes to, whatever the fleet size
--- a/src/gateway/first_configuration_test.go
+++ b/src/gateway/first_configuration_test.go
@@ -47,7 +47,7 @@
 	})
 }
 
-// Without a configuration callers are refused after a bounded time and told when to retry.
+// Without a configuration callers are refused after a bounded time with a retry-after.
 func TestCallersAreRefusedWithoutConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, a := range startWithCallers(t, 5*time.Second) {
--- a/src/gateway/pushback_site_test.go
+++ b/src/gateway/pushback_site_test.go
@@ -33,7 +33,7 @@
 	lateByBox    map[string]int              // late, by box
 	late         int                         // requests sent later than allowed after the box was notified
 	arrived      int
-	lateFrees    int // calls to free results that reached a server after it had told the box that it is leaving
+	lateFrees    int // calls to free results that reached a server after it had signalled to the box that it is leaving
 	limits       limitRecord
 	down         map[string]bool // boxes without callers
 }
--- a/src/gateway/signals.go
+++ b/src/gateway/signals.go
@@ -152,7 +152,7 @@
 	return out
 }
 
-// listedOrInUse reports whether a server is listed as working, or used without an entry. p.mu is held.
+// listedOrInUse reports whether a server is listed as taking work, or used without an entry. p.mu is held.
 func (p *published) listedOrInUse(id string) bool {
 	if s := p.list.Get(id); s != nil && s.AcceptsWork() {
 		return true
--- a/src/quota/limiter_test.go
+++ b/src/quota/limiter_test.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// Many boxes that get no permit are told to ask later, so that the load of a limiter follows the limit.
+// Boxes that get no permit get a later time to ask again, so that the load of a coordinator follows the limit.
 func TestAsksPerSecondAreBounded(t *testing.T) {
 	for _, boxes := range []int{6, 61, 985, 2000} {
 		var k Limiter
