--- a/src/batch/constants.go
+++ b/src/batch/constants.go
@@ -6,12 +6,12 @@
 const (
 	priorityStep          = 250 * time.Millisecond  // added to a job's due time for each step of its priority number
 	leaveDomainAfter      = 160 * time.Millisecond  // wait after which a job may run outside the domain of its inputs
-	leaveDomainSlack      = 500 * time.Millisecond  // a job with this much time until due, beyond a call's time,
-	leaveDomainAfterSlack = 900 * time.Millisecond  // waits this long for the domain of its inputs
+	leaveDomainSlack      = 500 * time.Millisecond  // time until due, beyond that of a call, from which leaveDomainAfterSlack applies instead
+	leaveDomainAfterSlack = 900 * time.Millisecond  // leaveDomainAfter of jobs with more slack than leaveDomainSlack
 	smallCrossBytes       = 200_000.0               // a job that reads fewer bytes from another domain doesn't wait for its own
 	splitAfter            = 200 * time.Millisecond  // wait after which a job may be split across calls
 	usableRoomFraction    = 0.97                    // fraction of a server's result memory that is used
-	unknownDecay          = time.Second             // decay time of the estimate of unknown results; the lifetime of results (4 s) gave worse results
+	untrackedDecay        = time.Second             // decay time of the estimate of unknown results; the lifetime of results (4 s) gave worse results
 	fullPause             = 60 * time.Millisecond   // after a server reported that it is full
 	failurePause          = 400 * time.Millisecond  // after a failed call; doubled with each further one
 	maxDoublings          = 4                       // of failurePause
--- a/src/batch/forming.go
+++ b/src/batch/forming.go
@@ -7,23 +7,23 @@
 	"github.com/stilemast/stilemast/src/crasher"
 )
 
-// sorted returns the jobs in the order in which to serve them: those that can still be in time by due time, then
+// orderedJobs returns the jobs in the order in which to serve them: those that can still be in time by due time, then
 // the others by deadline.
-func (s *Scheduler) sorted(now time.Time) []*job {
+func (s *Scheduler) orderedJobs(now time.Time) []*job {
 	list := make([]*job, 0, len(s.jobs))
 	for _, t := range s.jobs {
 		list = append(list, t)
 	}
-	hopeless := func(t *job) bool { return s.cannotBeInTime(now, t) }
+	tooLate := func(t *job) bool { return s.cannotBeInTime(now, t) }
 	rank := func(t *job) time.Time {
-		if hopeless(t) {
+		if tooLate(t) {
 			return t.Deadline
 		}
 		return EffectiveDue(t.Due, t.Priority)
 	}
 	sort.Slice(list, func(i, j int) bool {
 		a, b := list[i], list[j]
-		if ha, hb := hopeless(a), hopeless(b); ha != hb {
+		if ha, hb := tooLate(a), tooLate(b); ha != hb {
 			return hb
 		}
 		if ra, rb := rank(a), rank(b); !ra.Equal(rb) {
@@ -38,7 +38,7 @@
 func (s *Scheduler) freeServers(now time.Time) []*serverState {
 	var out []*serverState
 	for _, v := range s.servers {
-		if v.listed && v.call == 0 && !now.Before(v.pausedUntil) && s.restLeft(now, v) == 0 {
+		if v.listed && v.call == 0 && !now.Before(v.pausedUntil) && s.restRemaining(now, v) == 0 {
 			out = append(out, v)
 		}
 	}
@@ -69,7 +69,7 @@
 	if len(free) == 0 {
 		return out
 	}
-	queue, patience := s.sorted(now), s.patience(now)
+	queue, patience := s.orderedJobs(now), s.patience(now)
 	for _, v := range free {
 		if v.ratio > slowRatio && !s.useSlowServer(now, v) {
 			continue
@@ -142,8 +142,8 @@
 	s.next++
 	c.N = s.next
 	if s.mayFree(now, v) {
-		c.Free = s.freeing[v.ID]
-		delete(s.freeing, v.ID)
+		c.Free = s.toFree[v.ID]
+		delete(s.toFree, v.ID)
 		v.freedAt = now
 	}
 	expected := time.Duration(float64(rc.expected) * max(1, v.ratio))
@@ -185,7 +185,7 @@
 		return true
 	}
 	for _, o := range s.servers {
-		if o.healthy() && o.Domain == t.InputDomain && t.Within.Allow(o.Domain) && s.restLeft(now, o) == 0 {
+		if o.healthy() && o.Domain == t.InputDomain && t.Within.Allow(o.Domain) && s.restRemaining(now, o) == 0 {
 			return false
 		}
 	}
@@ -196,7 +196,7 @@
 func (s *Scheduler) healthyServers(now time.Time) int {
 	n := 0
 	for _, v := range s.servers {
-		if v.healthy() && s.restLeft(now, v) == 0 {
+		if v.healthy() && s.restRemaining(now, v) == 0 {
 			n++
 		}
 	}
--- a/src/batch/resting.go
+++ b/src/batch/resting.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// restLeft returns for how long a server still wants no calls, as the server itself said. With an estimate of our own
-// instead, calls were sent during 172 of 172 such rests.
-func (s *Scheduler) restLeft(now time.Time, v *serverState) time.Duration {
+// restRemaining returns what is left of the rest that a server asked for. With an estimate of this box instead, calls were
+// sent during 172 of 172 such rests.
+func (s *Scheduler) restRemaining(now time.Time, v *serverState) time.Duration {
 	if s.RestsUntil == nil {
 		return 0
 	}
@@ -18,7 +18,7 @@
 		if !v.listed {
 			continue
 		}
-		left := s.restLeft(now, v)
+		left := s.restRemaining(now, v)
 		if left == 0 {
 			return 0, false
 		}
@@ -36,7 +36,7 @@
 	if !all {
 		return
 	}
-	for _, t := range s.sorted(now) {
+	for _, t := range s.orderedJobs(now) {
 		if t.running == 0 && now.Add(least+s.pool.Batch.CallTime).After(t.Deadline) {
 			s.end(now, t, Message{Failed: &Failed{ID: t.ID, Reason: Late}}, out)
 		}
@@ -67,7 +67,7 @@
 		return
 	}
 	ahead, timely := 0, 0
-	for _, t := range s.sorted(now) {
+	for _, t := range s.orderedJobs(now) {
 		ends := now.Add(time.Duration(float64(ahead)/perSecond*float64(time.Second)) + s.pool.Batch.CallTime)
 		late := ends.After(t.Due)
 		if t.running == 0 && (ends.After(t.Deadline) || late && timely >= s.pool.Batch.Size) {
--- a/src/batch/room_test.go
+++ b/src/batch/room_test.go
@@ -23,8 +23,8 @@
 	return j
 }
 
-// Results that another scheduler left at a server use room that this one doesn't know about. The server's response allows to
-// estimate it, and small results still fit.
+// Results that another scheduler left at a server use room that this one doesn't know about. This scheduler must
+// estimate it from the server's response and still place small results.
 func TestServerWithoutRoomStillGetsSmallResults(t *testing.T) {
 	s := testScheduler(1)
 	c := s.Submit(start, jobOfSize("a", 1, 4, 200), "").Calls[0]
@@ -38,7 +38,7 @@
 	if len(a.Calls) != 1 || len(a.Calls[0].Items) != 1 {
 		t.Fatalf("a quarter of the decay time later one large result may be tried, not all: %+v", a.Calls)
 	}
-	a = s.CallEnded(now.Add(unknownDecay), a.Calls[0].N, CallDone, successResults(a.Calls[0]))
+	a = s.CallEnded(now.Add(untrackedDecay), a.Calls[0].N, CallDone, successResults(a.Calls[0]))
 	if len(a.Calls) != 1 || len(a.Calls[0].Items) != 2 {
 		t.Fatalf("the rest was not tried when the estimate had decayed: %+v", a.Calls)
 	}
--- a/src/box/documents.go
+++ b/src/box/documents.go
@@ -64,9 +64,9 @@
 	return d.views.Resolve(d.box.wall(), k, workspace)
 }
 
-// witnesses returns the boxes that might consider themselves the home of a key; false if this box can't name
+// possibleHomes returns the boxes that might consider themselves the home of a key; false if this box can't name
 // them all.
-func (d *documents) witnesses(k core.Key, workspace string) ([]string, bool) {
+func (d *documents) possibleHomes(k core.Key, workspace string) ([]string, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.views.PossibleHomes(k, workspace)
@@ -160,11 +160,11 @@
 	d.mu.Lock()
 	held := d.config.Held()
 	if digest == held.Digest {
-		d.config.ReadSucceeded(readAt, held.Version, digest)
+		d.config.ApplyRead(readAt, held.Version, digest)
 		d.mu.Unlock()
 		return
 	}
-	d.config.ReadSucceeded(readAt, 0, "")
+	d.config.ApplyRead(readAt, 0, "")
 	refused := d.config.Refused(digest) || digest == d.olderDigest
 	d.mu.Unlock()
 	if refused {
@@ -253,7 +253,7 @@
 	d.mu.Lock()
 	fresh := d.list.Offer(l.Revision, digest)
 	if !readAt.IsZero() {
-		d.list.ReadSucceeded(readAt, l.Revision, digest)
+		d.list.ApplyRead(readAt, l.Revision, digest)
 	}
 	if fresh {
 		d.list.Adopt(l.Revision, digest, readAt)
@@ -272,8 +272,8 @@
 func (d *documents) handleBeat(now time.Time, from string, b core.Beat, askedAt time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.config.ReceiveStatement(now, from, b.Config, askedAt)
-	d.list.ReceiveStatement(now, from, b.List, askedAt)
+	d.config.HandleStatement(now, from, b.Config, askedAt)
+	d.list.HandleStatement(now, from, b.List, askedAt)
 	if b.From.State == core.MemberAlive {
 		d.views.ObserveHeartbeat(d.box.wall(), from, b.From.Domain)
 	}
@@ -292,7 +292,7 @@
 	d.mu.Lock()
 	from, want := "", core.Statement{}
 	if !d.pulling[i] {
-		from, want = s.Pull(d.box.now())
+		from, want = s.NextPull(d.box.now())
 	}
 	have := s.Held().Digest
 	d.pulling[i] = d.pulling[i] || from != ""
--- a/src/catalog/relief.go
+++ b/src/catalog/relief.go
@@ -17,7 +17,7 @@
 
 // relief is the state of a Feed about readers that the platform does not answer.
 //
-// A reader that gets no answer tells the other readers of its round. Once all of them have reported the same,
+// A reader that gets no answer notifies the other readers of its round. Once all of them have reported the same,
 // they ask the next round in rank, which doubles the number of readers; those read at once and do the same if
 // they get no answer either. Without relief a box would take over only after its content was unconfirmed for
 // a time that grows with the fleet.
@@ -33,11 +33,11 @@
 type ReliefRequest struct {
 	Readers []string // the other readers of the same round
 	Next    []string // the boxes asked to read now; none while another reader of this round may still get answers
-	Round   int      // of Next
-	First   bool     // Next were not asked before, or not recently
+	Round   int      // round of the boxes in Next
+	First   bool     // the boxes in Next were not asked before, or not recently
 }
 
-// ReadUnanswered notes that a read of this box failed and returns the boxes to notify. A box that reads only
+// ReadUnanswered records that a read of this box failed and returns the boxes to notify. A box that reads only
 // because its content was not confirmed notifies none.
 func (f *Feed) ReadUnanswered(now time.Time, live []string) ReliefRequest {
 	f.relief.failed = now
@@ -61,7 +61,7 @@
 	if !reads {
 		return ReliefRequest{}
 	}
-	order := f.order(live)
+	order := f.rankReaders(live)
 	p := ReliefRequest{Readers: slices.DeleteFunc(roundOf(order, round), func(box string) bool { return box == f.Self }), Round: round + 1}
 	answered := func(box string) bool { return now.Sub(f.relief.unanswered[box]) > reliefDuration }
 	if round == maxReliefRounds || slices.ContainsFunc(p.Readers, answered) {
@@ -95,8 +95,8 @@
 	return f.ReadsForOthers(now)
 }
 
-// order returns the live boxes, including this one, by rank as counted by ReadersAhead.
-func (f *Feed) order(live []string) []string {
+// rankReaders returns the live boxes, including this one, by rank as counted by ReadersAhead.
+func (f *Feed) rankReaders(live []string) []string {
 	type ranked struct {
 		box  string
 		rank uint64
--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -63,7 +63,8 @@
 	mayWaitSince time.Time
 }
 
-// PoolStats holds the counters of a pool.
+// PoolStats holds the counters of a pool: retries, hedged calls, and calls dropped or refused because the queue was full or
+// their time was over. Unsettled is never incremented.
 type PoolStats struct {
 	Retries   int
 	Hedges    int
@@ -405,7 +406,7 @@
 	switch f {
 	case 0:
 		if wasted && u == (Use{}) {
-			return true // cancelled by this box, which tells nothing about the server
+			return true // cancelled by this box, so no evidence about the server
 		}
 		s.succeeded()
 		s.learn(now, r, u)
@@ -418,7 +419,7 @@
 		if p.pushback.Check(now, pushback.Server{ID: name}).State != pushback.Resting { // the server's own rest time replaces our backoff
 			s.failed(now)
 		}
-	case Wrong:
+	case InvalidCall:
 		s.succeeded()
 	default:
 		s.failed(now)
--- a/src/core/rumour.go
+++ b/src/core/rumour.go
@@ -54,7 +54,7 @@
 	Server   uint64 `msgpack:"s"`
 	Requests uint16 `msgpack:"n"`
 	Tokens   uint32 `msgpack:"t"` // prompt tokens not processed yet
-	Resting  bool   `msgpack:"r"` // it failed there recently
+	Resting  bool   `msgpack:"r"` // the box has paused the server after failures; not a rest that the server asked for
 	Limited  bool   `msgpack:"l,omitempty"`
 	Held     uint16 `msgpack:"h,omitempty"` // requests, if Limited
 }
@@ -89,7 +89,7 @@
 	Digest   uint64        `msgpack:"d,omitempty"` // of the sender's table of members
 	Table    *TableNote    `msgpack:"m,omitempty"` // a step of a table exchange
 	Answer   bool          `msgpack:"a,omitempty"`
-	News     bool          `msgpack:"w,omitempty"` // one-way message that wants no answer
+	News     bool          `msgpack:"w,omitempty"` // one-way message that needs no answer
 	AskFor   string        `msgpack:"k,omitempty"` // box to be probed on behalf of the sender
 	Rumours  []Rumour      `msgpack:"r,omitempty"`
 	Config   Statement     `msgpack:"c"`
@@ -113,7 +113,7 @@
 }
 
 // ClosureNote reports that a failure domain was evacuated in an earlier era of the store, or that such an
-// evacuation ended (catalog.ClosureNote).
+// evacuation ended (catalog.EvacuationNote).
 type ClosureNote struct {
 	Domain   string `msgpack:"d"`
 	Closed   bool   `msgpack:"c"`
@@ -134,8 +134,8 @@
 	Round    uint8  `msgpack:"r,omitempty"` // round in which the receiver is asked to read, 0 if it is not asked
 }
 
-// BeatTo is a heartbeat to be sent to an address.
-type BeatTo struct {
+// OutgoingBeat is a heartbeat to be sent to an address.
+type OutgoingBeat struct {
 	Address string
 	Beat    Beat
 }
@@ -199,7 +199,7 @@
 		}
 		m.add(e)
 		m.changed = true
-		m.passOn(now, r, by)
+		m.queueGossip(now, r, by)
 		return true
 	}
 	if started := now.Add(-r.Up); r.ID == e.id && started.Before(e.started) {
@@ -209,8 +209,8 @@
 		return false
 	}
 	m.markChanged()
-	newLife := r.ID.Incarnation > e.id.Incarnation
-	if newLife {
+	newIncarnation := r.ID.Incarnation > e.id.Incarnation
+	if newIncarnation {
 		e.started = now.Add(-r.Up)
 		e.left = false
 	} else if e.state == MemberDead && r.State < MemberDead {
@@ -223,20 +223,20 @@
 	}
 	e.id, e.address, e.domain, e.round = r.ID, r.Address, r.Domain, r.Round
 	e.capacity, e.claims = r.Capacity, r.Claims
-	if newLife || r.State != MemberSuspect && r.State != MemberDead {
+	if newIncarnation || r.State != MemberSuspect && r.State != MemberDead {
 		e.unansweredSince = time.Time{}
 	}
 	if e.state != r.State {
 		e.state, e.since = r.State, now
 		m.changed = true
 	}
-	m.passOn(now, r, by)
+	m.queueGossip(now, r, by)
 	return true
 }
 
-// passOn gossips an entry with the next heartbeats, except while the fleet is forming, when table exchanges
+// queueGossip gossips an entry with the next heartbeats, except while the fleet is forming, when table exchanges
 // spread it.
-func (m *Members) passOn(now time.Time, r Rumour, by source) {
+func (m *Members) queueGossip(now time.Time, r Rumour, by source) {
 	if by == byHeartbeat && !m.Forming(now) {
 		m.gossip(r)
 	}
@@ -252,7 +252,7 @@
 	case e.state == MemberDead || r.State == MemberDead:
 		// After a partition, a report that a member is alive wins over its death: each side had
 		// declared the other side's boxes dead.
-		return (r.State > e.state) != m.healing(now) && r.State != e.state
+		return (r.State > e.state) != m.recentlyHealed(now) && r.State != e.state
 	}
 	return r.State > e.state
 }
--- a/src/crasher/register.go
+++ b/src/crasher/register.go
@@ -1,5 +1,5 @@
 // Package crasher identifies requests that crash the servers that run them. Register records what boxes observe (broken
-// exchanges, crashed servers, good responses) and gives a verdict on a content before it is sent.
+// exchanges, crashed servers, good responses) and decides whether a content may be sent.
 //
 // A broken exchange is not a crash, and every request running at a crashed server is a suspect. So a crash counts against a
 // content only if it is proven, by a refused connection or by the list of servers, and each incarnation counts once, however
@@ -30,23 +30,23 @@
 // Register holds what one box knows about contents that may crash servers. The zero value is ready to use.
 type Register struct {
 	entries  map[Key]*entry
-	broken   map[Life][]brokenExchange // broken exchanges without proof of a crash
-	ended    map[Life]time.Time        // crashes, and when they were proven
+	broken   map[Incarnation][]brokenExchange // broken exchanges without proof of a crash
+	ended    map[Incarnation]time.Time        // crashes, and when they were proven
 	goods    recentGood
 	rotation int // position in the rotation of Notes
 }
 
 // entry is a content with at least one crash.
 type entry struct {
-	ends    []end     // sorted by time
+	crashes []crash   // sorted by time
 	goodAt  time.Time // latest good response
-	changed time.Time // last change that other boxes must be told of
+	changed time.Time // last change to report to other boxes
 }
 
-// end is the crash of a server while it ran a content.
-type end struct {
-	life Life
-	at   time.Time
+// crash is the crash of a server while it ran a content.
+type crash struct {
+	incarnation Incarnation
+	at          time.Time
 }
 
 // brokenExchange is a broken exchange whose server is not known to have crashed.
@@ -63,19 +63,19 @@
 
 // RecordBroken records that exchanges of contents with an incarnation of a server broke. If the incarnation is known to have
 // crashed it counts the crash against the contents and returns them.
-func (r *Register) RecordBroken(now time.Time, life Life, keys ...Key) []Counted {
-	if at, known := r.ended[life]; known && now.Sub(at) <= proofWindow {
-		return r.addEnds(now, life, brokenExchangesAt(now, keys))
+func (r *Register) RecordBroken(now time.Time, incarnation Incarnation, keys ...Key) []Counted {
+	if at, known := r.ended[incarnation]; known && now.Sub(at) <= proofWindow {
+		return r.addCrashes(now, incarnation, brokenExchangesAt(now, keys))
 	}
 	if r.broken == nil {
-		r.broken = map[Life][]brokenExchange{}
+		r.broken = map[Incarnation][]brokenExchange{}
 	}
-	list, known := r.broken[life]
+	list, known := r.broken[incarnation]
 	if !known && len(r.broken) >= maxBroken {
 		return nil
 	}
 	list = append(list, brokenExchangesAt(now, keys)...)
-	r.broken[life] = list[:min(len(list), keysPerLife)]
+	r.broken[incarnation] = list[:min(len(list), keysPerIncarnation)]
 	return nil
 }
 
@@ -89,45 +89,45 @@
 }
 
 // RecordCrash records that an incarnation of a server has ended unplanned. It returns the contents that this counts against.
-func (r *Register) RecordCrash(now time.Time, life Life) []Counted {
+func (r *Register) RecordCrash(now time.Time, incarnation Incarnation) []Counted {
 	if r.ended == nil {
-		r.ended = map[Life]time.Time{}
+		r.ended = map[Incarnation]time.Time{}
 	}
-	if _, known := r.ended[life]; !known {
-		r.ended[life] = now
+	if _, known := r.ended[incarnation]; !known {
+		r.ended[incarnation] = now
 	}
-	list := r.broken[life]
-	delete(r.broken, life)
-	return r.addEnds(now, life, list)
+	list := r.broken[incarnation]
+	delete(r.broken, incarnation)
+	return r.addCrashes(now, incarnation, list)
 }
 
-// addEnds counts a crash against the contents of recent broken exchanges and returns them.
-func (r *Register) addEnds(now time.Time, life Life, list []brokenExchange) []Counted {
+// addCrashes counts a crash against the contents of recent broken exchanges and returns them.
+func (r *Register) addCrashes(now time.Time, incarnation Incarnation, list []brokenExchange) []Counted {
 	var out []Counted
 	for _, b := range list {
-		if now.Sub(b.at) > proofWindow || !r.addEnd(now, b.key, end{life: life, at: b.at}) {
+		if now.Sub(b.at) > proofWindow || !r.addCrash(now, b.key, crash{incarnation: incarnation, at: b.at}) {
 			continue
 		}
-		out = append(out, Counted{Key: b.key, Verdict: r.Verdict(now, b.key)})
+		out = append(out, Counted{Key: b.key, Verdict: r.Check(now, b.key)})
 	}
 	return out
 }
 
-// addEnd adds a crash to a content and reports whether it is new. Of two times for one incarnation the earlier one is kept.
-func (r *Register) addEnd(now time.Time, k Key, x end) bool {
+// addCrash adds a crash to a content and reports whether it is new. Of two times for one incarnation the earlier one is kept.
+func (r *Register) addCrash(now time.Time, k Key, x crash) bool {
 	e := r.entryFor(now, k)
-	known := slices.IndexFunc(e.ends, func(o end) bool { return o.life == x.life })
+	known := slices.IndexFunc(e.crashes, func(o crash) bool { return o.incarnation == x.incarnation })
 	switch {
 	case known < 0:
-		e.ends = append(e.ends, x)
-	case x.at.Before(e.ends[known].at):
-		e.ends[known].at = x.at
+		e.crashes = append(e.crashes, x)
+	case x.at.Before(e.crashes[known].at):
+		e.crashes[known].at = x.at
 	}
-	slices.SortFunc(e.ends, func(a, b end) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.life, b.life)) })
+	slices.SortFunc(e.crashes, func(a, b crash) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.incarnation, b.incarnation)) })
 	if known >= 0 {
 		return false
 	}
-	e.ends = e.ends[max(0, len(e.ends)-maxEnds):]
+	e.crashes = e.crashes[max(0, len(e.crashes)-maxEnds):]
 	if at, ok := r.goods.at(k); ok && at.After(e.goodAt) {
 		e.goodAt = at
 	}
@@ -179,14 +179,14 @@
 	return cleared
 }
 
-// Verdict returns the current verdict on a content.
-func (r *Register) Verdict(now time.Time, k Key) Verdict {
+// Check returns the current verdict on a content.
+func (r *Register) Check(now time.Time, k Key) Verdict {
 	e := r.entries[k]
 	if e == nil {
 		return Verdict{}
 	}
 	n := e.uncleared()
-	v := Verdict{Ends: n, Seen: len(e.ends)}
+	v := Verdict{Ends: n, Seen: len(e.crashes)}
 	if left := e.last().Add(barFor(n)).Sub(now); n >= barThreshold && left > 0 {
 		v.Barred, v.Left = true, left
 	}
@@ -200,7 +200,7 @@
 func (e *entry) uncleared() int {
 	from := e.goodAt.Add(goodPeriod)
 	n := 0
-	for _, x := range e.ends {
+	for _, x := range e.crashes {
 		if e.goodAt.IsZero() || x.at.After(from) {
 			n++
 		}
@@ -210,10 +210,10 @@
 
 // last returns the time of the latest crash.
 func (e *entry) last() time.Time {
-	if len(e.ends) == 0 {
+	if len(e.crashes) == 0 {
 		return e.goodAt
 	}
-	return e.ends[len(e.ends)-1].at
+	return e.crashes[len(e.crashes)-1].at
 }
 
 // barFor returns how long a content with a number of crashes is refused after the last one.
@@ -231,14 +231,14 @@
 			delete(r.entries, k)
 		}
 	}
-	for life, at := range r.ended {
+	for incarnation, at := range r.ended {
 		if now.Sub(at) > proofWindow {
-			delete(r.ended, life)
+			delete(r.ended, incarnation)
 		}
 	}
-	for life, list := range r.broken {
+	for incarnation, list := range r.broken {
 		if now.Sub(list[len(list)-1].at) > proofWindow {
-			delete(r.broken, life)
+			delete(r.broken, incarnation)
 		}
 	}
 	r.goods.sweep(now)
--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -11,7 +11,7 @@
 	lateFactor         = 1.1                    // share of the time left to the objective that the forecast may take
 	minRetryAfter      = 300 * time.Millisecond // minimum retry-after
 	maxRetryAfter      = 3 * time.Second        // maximum retry-after
-	returnPart         = 1.0                    // share of the excess over the objective that becomes the retry-after
+	retryAfterShare    = 1.0                    // retry-after as a share of the excess over the objective
 	notReadyAfter      = 300 * time.Millisecond // retry-after while this box has no confirmed configuration
 	otherBoxRetryAfter = 30 * time.Millisecond  // retry-after when another box can take the request at once
 )
@@ -35,11 +35,11 @@
 
 // Requests whose servers have all asked for rest.
 const (
-	// restPart is the share of its time that a request may wait for a rest to end; the remainder lets its
+	// restWaitShare is the share of its time that a request may wait for a rest to end; the remainder lets its
 	// caller retry. With 6 boxes and all servers resting, 2,437 of 2,500 callers are served; with 0.5 of the
 	// time 1,612, with none 929. With all of it 2,470 are, but refusals then come up to 2.9 s later than
 	// necessary.
-	restPart         = 0.75
+	restWaitShare    = 0.75
 	restPollInterval = 20 * time.Millisecond  // maximum polling interval of a waiting request; one answer of a fast service
 	restPolls        = 16                     // polls in the remaining waiting time: requests near their end poll more often
 	restStep         = time.Millisecond       // added to the polling interval for each step of lower urgency
@@ -52,21 +52,21 @@
 	coordinatorPause    = 500 * time.Millisecond // before a coordinator that did not answer, or named another, is asked again
 	coordinatorsAsked   = 3                      // boxes asked for one permit: the first, and the next after boxes without limit support
 	unableFor           = time.Minute            // for which a box whose release has no limit support is not chosen as coordinator
-	limitsTried         = 2                      // servers without a free permit before servers without a limit are preferred
+	maxLimitedTries     = 2                      // servers without a free permit that a request tries before it prefers servers without a limit
 	maxPermitRequests   = 4                      // questions for permits that one request may cause
-	lateWaitPart        = 0.25                   // share of its remaining time that a late request waits for a permit
+	lateWaitShare       = 0.25                   // share of its remaining time that a late request waits for a permit
 	urgencyStep         = 0.5                    // added to the divisor of the waiting time for each step of lower urgency
 	limitsTogether      = 30 * time.Millisecond  // for which changes of limits are batched into one message
 )
 
 // Membership and load notes.
 const (
-	waitLife     = 1500 * time.Millisecond // validity of a scheduler's note on its waiting times
-	seenLately   = 60 * time.Second        // for which a box last heard of counts as possibly alive for the shared retry budget
-	notesPerBeat = 64                      // load notes in one heartbeat
-	readsPerBeat = 48                      // notes on reads of prompt parts in one heartbeat, 18 bytes each
-	namesPerLine = 8                       // names in one log line
-	serverLines  = 32                      // changed servers logged one by one: the largest failure domain, but not a first list
+	waitNoteValidity = 1500 * time.Millisecond // validity of a scheduler's note on its waiting times
+	possiblyAliveFor = 60 * time.Second        // time for which a box counts as possibly alive in the shared retry budget after its last heartbeat
+	notesPerBeat     = 64                      // load notes in one heartbeat
+	readsPerBeat     = 48                      // notes on reads of prompt parts in one heartbeat, 18 bytes each
+	namesPerLine     = 8                       // names in one log line
+	serverLines      = 32                      // changed servers logged one by one: the largest failure domain, but not a first list
 
 	membersLogEvery  = time.Second     // minimum interval between logs of membership changes
 	announceTo       = 6               // boxes of a large fleet that an announcement goes to
@@ -105,12 +105,12 @@
 	readBackoff         = 150 * time.Millisecond // after the first failed read, doubled with each further one
 	maxBackoff          = time.Second            // for the boxes that read first
 	overdueAfter        = 350 * time.Millisecond // a watch this much late is reported to others; exceeds a slow store's latency (240 ms)
-	backoffBoxes        = 8                      // every so many boxes ranked ahead add maxBackoff, so that a fleet of any size makes 10 to 20 calls/s
+	backoffBoxes        = 8                      // maxBackoff is added for each group of this many boxes ranked ahead: a fleet of any size makes 10 to 20 calls/s
 	maxBackoffDoublings = 8                      // maximum doublings
 	listPausePerServer  = 100 * time.Microsecond // pause of a reader after a change of the list, per server in it
 	maxListPause        = 250 * time.Millisecond // maximum of that pause
 	namedLists          = 6                      // base lists that a pull offers for a difference
-	notReading          = 150 * time.Millisecond // interval at which a box checks whether it should read
+	readCheckInterval   = 150 * time.Millisecond // interval at which a box checks whether it should read
 	// trustFor is the age of a confirmation up to which a missing pipeline or token is reported as nonexistent.
 	trustFor = 2500 * time.Millisecond
 )
@@ -137,31 +137,31 @@
 
 // Jobs and their schedulers.
 const (
-	ackPatience   = 250 * time.Millisecond // for a scheduler to accept a job
-	askAgain      = 500 * time.Millisecond // interval at which an owner asks for an accepted job
-	handoverWait  = 60 * time.Millisecond  // for which a scheduler new to a pool waits for the previous one's handover
-	handoverAgain = time.Second            // minimum interval between such waits
-	handoverKeeps = time.Second            // for which a scheduler keeps a pool handed over to it, whichever box it would choose
-	maxSilentAsks = 2                      // unanswered questions after which another box is asked
+	ackPatience          = 250 * time.Millisecond // for a scheduler to accept a job
+	askAgain             = 500 * time.Millisecond // interval at which an owner asks for an accepted job
+	handoverWait         = 60 * time.Millisecond  // for which a scheduler new to a pool waits for the previous one's handover
+	handoverAgain        = time.Second            // minimum interval between such waits
+	minHoldAfterHandover = time.Second            // for which a scheduler keeps a pool handed over to it, whichever box it would choose
+	maxSilentAsks        = 2                      // unanswered questions after which another box is asked
 )
 
 // Choice of schedulers.
 const (
-	introduceEvery    = 50 * time.Millisecond   // interval at which a newly started box contacts seeds that it has not met
-	introduceFor      = 2 * time.Second         // after the start
-	settledAfter      = 20 * time.Second        // uptime before a box takes a pool over from another
-	cohortSpread      = 3 * time.Second         // boxes that started within this time of the oldest may schedule at once
-	formedAfter       = 2 * time.Second         // uptime of the oldest box by which all know one another: twice the time of 1,000 boxes
-	minCapacityShare  = 0.5                     // minimum capacity of a scheduler as a share of the largest machine's
-	twoReportsFrom    = 16                      // in fleets larger than this, two boxes must report a scheduler as silent
-	reportValidity    = time.Second             // validity of the first report
-	formingFor        = time.Second             // maximum wait of a new box to meet one that may schedule
-	formingPace       = 10 * time.Millisecond   // polling interval of that wait
-	heardLately       = 2 * core.LoadNotesEvery // a box heard of within this time is not silent, whatever others report
-	redirectValidity  = 1500 * time.Millisecond // validity of a scheduler's redirect to its successor
-	avoidFor          = 3 * time.Second         // for which a box that did not answer is not chosen
-	minRosterValidity = 100 * time.Millisecond  // minimum validity of the chosen schedulers while members change
-	maxRosterValidity = 5 * time.Second         // maximum validity while no member changes
+	seedContactInterval = 50 * time.Millisecond   // interval at which a newly started box contacts seeds that it has not met
+	seedContactPeriod   = 2 * time.Second         // after the start
+	settledAfter        = 20 * time.Second        // uptime before a box takes a pool over from another
+	cohortSpread        = 3 * time.Second         // boxes that started within this time of the oldest may schedule at once
+	formedAfter         = 2 * time.Second         // uptime of the oldest box by which all know one another: twice the time of 1,000 boxes
+	minCapacityShare    = 0.5                     // minimum capacity of a scheduler as a share of the largest machine's
+	twoReportsFrom      = 16                      // in fleets larger than this, two boxes must report a scheduler as silent
+	reportValidity      = time.Second             // validity of the first report
+	formingFor          = time.Second             // maximum wait of a new box to meet one that may schedule
+	formingPollInterval = 10 * time.Millisecond   // polling interval of that wait
+	recentContact       = 2 * core.LoadNotesEvery // a box heard of within this time is not silent, whatever others report
+	redirectValidity    = 1500 * time.Millisecond // validity of a scheduler's redirect to its successor
+	avoidFor            = 3 * time.Second         // for which a box that did not answer is not chosen
+	minRosterValidity   = 100 * time.Millisecond  // minimum validity of the chosen schedulers while members change
+	maxRosterValidity   = 5 * time.Second         // maximum validity while no member changes
 )
 
 // resultsPerMessage is the maximum number of held results reported to a scheduler in one message.
@@ -185,7 +185,7 @@
 	partnerPace   = 40 * time.Millisecond // interval of new estimates; a scheduler's tick
 )
 
-// Time after which a request's inputs are released; see inputs.go.
+// Time after which a request's inputs are freed; see inputs.go.
 const (
 	minFetch   = 60 * time.Millisecond // minimum; 25 ms brings no gain, and the fetch itself takes about 5 ms
 	maxFetch   = 2 * time.Second       // maximum
--- a/src/gateway/holdings.go
+++ b/src/gateway/holdings.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// take removes released results and returns them for their scheduler.
+// take removes freed results and returns them for their scheduler.
 func (h *holdings) take(now time.Time, pool string, handles []string) []batch.HeldResult {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -79,7 +79,7 @@
 	}
 	h.mu.Unlock()
 	for l := range lost {
-		l.of.lose(l.stage)
+		l.of.recordLost(l.stage)
 	}
 	return results
 }
--- a/src/gateway/rest.go
+++ b/src/gateway/rest.go
@@ -73,7 +73,7 @@
 	if !ok {
 		return s, false
 	}
-	return s, v.gateway.signals.judge(now, s).State == pushback.Full
+	return s, v.gateway.signals.check(now, s).State == pushback.Full
 }
 
 // serverExpected reports whether a server is or will be available although the choice found none: since then another
@@ -96,7 +96,7 @@
 
 // startBy returns until when a request may wait for a rest to end.
 func (v *requestRun) startBy() time.Time {
-	return v.began.Add(time.Duration(restPart * float64(v.deadline.Sub(v.began))))
+	return v.began.Add(time.Duration(restWaitShare * float64(v.deadline.Sub(v.began))))
 }
 
 // checkRest refuses a request before any stage runs if all its servers want rest for longer than it can wait.
--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -36,7 +36,7 @@
 	at   time.Time
 }
 
-// redirect is a scheduler's redirect of its pool to another box. It overrides this box's own view, which learns
+// redirect names the box that a pool's scheduler has handed the pool over to. It overrides this box's own view, which learns
 // of a change later in a large fleet.
 type redirect struct {
 	box   string
@@ -179,7 +179,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	r := &f.roster
-	if box == "" || box == f.gateway.ID.Name || now.Sub(f.seen[box]) < heardLately || now.Before(r.silent[box]) {
+	if box == "" || box == f.gateway.ID.Name || now.Sub(f.seen[box]) < recentContact || now.Before(r.silent[box]) {
 		return
 	}
 	last, reported := r.silenceReports[box]
@@ -214,8 +214,8 @@
 	return slices.ContainsFunc(f.core.Self.Claims, func(c core.Claim) bool { return c.Pool == hash })
 }
 
-// disclaim withdraws a claim.
-func (f *fleet) disclaim(pool string) {
+// releaseClaim gives up this box's claim to schedule a pool.
+func (f *fleet) releaseClaim(pool string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	claimed := f.claims(pool)
@@ -362,7 +362,7 @@
 // awaitFormed holds a job while this box does not know who schedules, for at most formingFor.
 func (g *Gateway) awaitFormed(ctx context.Context) {
 	for g.Settings.SharedBatches && g.fleet.forming(g.now()) && ctx.Err() == nil {
-		sleep(ctx, formingPace)
+		sleep(ctx, formingPollInterval)
 	}
 }
 
--- a/src/gateway/scheduling.go
+++ b/src/gateway/scheduling.go
@@ -23,17 +23,19 @@
 
 // scheduler is the scheduler of one pool.
 type scheduler struct {
-	mu         sync.Mutex
-	core       *batch.Scheduler
-	pool       string
-	usedAt     time.Time
-	delayedAt  time.Time // when calls were last delayed for a handover
-	receivedAt time.Time // when another box last handed the pool over to this one
-	foreign    bool      // another box was the pool's scheduler at the last check
+	mu                 sync.Mutex
+	core               *batch.Scheduler
+	pool               string
+	usedAt             time.Time
+	delayedAt          time.Time // when calls were last delayed for a handover
+	receivedAt         time.Time // when another box last handed the pool over to this one
+	scheduledElsewhere bool      // another box was the pool's scheduler at the last check
 }
 
 // justReceived reports whether another box has just handed the pool over to this one.
-func (s *scheduler) justReceived(now time.Time) bool { return now.Sub(s.receivedAt) < handoverKeeps }
+func (s *scheduler) justReceived(now time.Time) bool {
+	return now.Sub(s.receivedAt) < minHoldAfterHandover
+}
 
 func (d *schedulers) init(g *Gateway) {
 	d.gateway = g
@@ -56,8 +58,8 @@
 		d.mu.Unlock()
 		return s
 	}
-	s = &scheduler{core: batch.NewScheduler(d.gateway.ID.Name, *p), pool: pool, foreign: true}
-	s.core.VerdictOf, s.core.RestsUntil, s.core.LimitOf = d.gateway.suspects.Verdict, d.gateway.restsUntil, d.gateway.limitRate
+	s = &scheduler{core: batch.NewScheduler(d.gateway.ID.Name, *p), pool: pool, scheduledElsewhere: true}
+	s.core.VerdictOf, s.core.RestsUntil, s.core.LimitOf = d.gateway.suspects.Check, d.gateway.restsUntil, d.gateway.limitRate
 	d.all[pool] = s
 	d.mu.Unlock()
 	d.open(s, *p)
@@ -165,10 +167,10 @@
 		s.mu.Unlock()
 		return
 	}
-	s.foreign = true
+	s.scheduledElsewhere = true
 	h, a := s.core.HandOver(now, next)
 	s.mu.Unlock()
-	g.fleet.disclaim(s.pool)
+	g.fleet.releaseClaim(s.pool)
 	d.execute(s, a)
 	if !h.Empty() {
 		g.Log.Info("scheduler handed over", "pool", s.pool, "to", next, "results", len(h.Held), "calls", len(h.Busy), "jobs", len(a.Replies))
@@ -184,14 +186,14 @@
 	}
 	now := d.gateway.now()
 	s.mu.Lock()
-	s.receivedAt, s.foreign = now, false
+	s.receivedAt, s.scheduledElsewhere = now, false
 	s.core.TakeOver(now, h)
 	s.mu.Unlock()
 	d.gateway.fleet.claim(h.Pool)
 }
 
-// take handles a message of a job's owner or of another scheduler.
-func (d *schedulers) take(m batch.Message) {
+// handleMessage handles a message of a job's owner or of another scheduler.
+func (d *schedulers) handleMessage(m batch.Message) {
 	switch {
 	case m.Submit != nil:
 		d.submit(m.Submit)
@@ -225,11 +227,11 @@
 	if s.justReceived(now) && !d.gateway.Draining() {
 		elsewhere = ""
 	}
-	if elsewhere == "" && s.foreign && now.Sub(s.delayedAt) > handoverAgain {
+	if elsewhere == "" && s.scheduledElsewhere && now.Sub(s.delayedAt) > handoverAgain {
 		s.delayedAt = now
 		s.core.HoldUntil(now.Add(handoverWait))
 	}
-	s.foreign = elsewhere != ""
+	s.scheduledElsewhere = elsewhere != ""
 	a := s.core.Submit(now, j.Job(now), elsewhere)
 	s.mu.Unlock()
 	if elsewhere == "" {
@@ -285,20 +287,20 @@
 func (d *schedulers) freeAt(f batch.FreeCall) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	d.releaseResults(ctx, f.Server, f.Handles)
+	d.freeResults(ctx, f.Server, f.Handles)
 }
 
-// releaseResults releases results at a server, unless it wants no requests now; the results then expire there. The
+// freeResults frees results at a server, unless it wants no requests now; the results then expire there. The
 // scheduler keeps results while it knows that the server wants rest, so this only happens for a signal
 // received since.
-func (d *schedulers) releaseResults(ctx context.Context, s catalog.Server, handles []string) {
+func (d *schedulers) freeResults(ctx context.Context, s catalog.Server, handles []string) {
 	g := d.gateway
 	owner, v := "results of "+handles[0], pushback.Verdict{State: pushback.Full}
 	if _, ok := g.takePermit(ctx, s, owner, 0); ok {
 		v = g.signals.begin(g.now(), s, owner)
 	}
 	if !v.Open() {
-		g.Log.Info("results not released, server wants no requests", "server", s.ID, "state", v.State.String(), "results", len(handles))
+		g.Log.Info("results not freed, server accepts no requests now", "server", s.ID, "state", v.State.String(), "results", len(handles))
 		return
 	}
 	g.recordSignals(s, g.Backends.FreePieces(ctx, s, handles), "results given up", time.Time{})
@@ -313,7 +315,7 @@
 	r := PieceReply{Outcome: batch.CallWithheld}
 	if _, ok := g.takePermit(ctx, c.Server, owner, 0); ok {
 		if len(c.Free) > 0 {
-			d.releaseResults(ctx, c.Server, c.Free)
+			d.freeResults(ctx, c.Server, c.Free)
 		}
 		r = g.Backends.RunPieces(ctx, PieceCall{Server: c.Server, Items: c.Items, Start: g.startCheck(ctx, c.Server, "pieces", owner, began)})
 	}
@@ -344,9 +346,9 @@
 	g := d.gateway
 	switch outcome {
 	case batch.CallBroken:
-		g.brokeAt(c.Server, contentsOf(c.Items)...)
+		g.recordBrokenExchanges(c.Server, contentsOf(c.Items)...)
 	case batch.CallAbsent:
-		g.suspects.RecordCrash(lifeOf(c.Server), suspects.Refused)
+		g.suspects.RecordCrash(serverIncarnation(c.Server), suspects.Refused)
 	case batch.CallDone:
 		var made []batch.Item
 		for i, r := range results[:min(len(results), len(c.Items))] {
@@ -377,7 +379,7 @@
 	var out []core.WaitNote
 	for _, s := range d.list() {
 		s.mu.Lock()
-		if now.Sub(s.usedAt) < waitLife {
+		if now.Sub(s.usedAt) < waitNoteValidity {
 			w := s.core.Waits(now)
 			out = append(out, core.WaitNote{Pool: catalog.Hash(s.pool), Wait: w.All, Steps: w.Steps})
 		}
--- a/src/gateway/signals.go
+++ b/src/gateway/signals.go
@@ -32,8 +32,8 @@
 	w.any.Store(!w.register.Empty())
 }
 
-// judge returns what a server's signals allow now.
-func (w *serverSignals) judge(now time.Time, s catalog.Server) pushback.Verdict {
+// check returns what a server's signals allow now.
+func (w *serverSignals) check(now time.Time, s catalog.Server) pushback.Verdict {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.register.Check(now, signalServer(s))
@@ -49,8 +49,8 @@
 	return w.register.Begin(now, signalServer(s), owner)
 }
 
-// giveBack returns the permit of a request that was not sent.
-func (w *serverSignals) giveBack(id, owner string) {
+// returnPermit returns the permit of a request that was not sent.
+func (w *serverSignals) returnPermit(id, owner string) {
 	if w.any.Load() {
 		w.with(func(r *pushback.Register) { r.ReleasePermit(id, owner) })
 	}
@@ -68,12 +68,12 @@
 	if !g.signals.any.Load() {
 		return time.Time{}
 	}
-	return g.signals.judge(g.now(), *s).Until
+	return g.signals.check(g.now(), *s).Until
 }
 
-// leaves reports whether a listed server signalled that it leaves.
-func (g *Gateway) leaves(s catalog.Server) bool {
-	return g.signals.any.Load() && g.signals.judge(g.now(), s).State == pushback.Leaving
+// isLeaving reports whether a listed server signalled that it leaves.
+func (g *Gateway) isLeaving(s catalog.Server) bool {
+	return g.signals.any.Load() && g.signals.check(g.now(), s).State == pushback.Leaving
 }
 
 // recordSignals records the signals in a server's answer. what names the exchange in logs; sent is when it began, zero
@@ -145,15 +145,15 @@
 	defer p.mu.Unlock()
 	var out []core.LeavingNote
 	g.signals.with(func(r *pushback.Register) {
-		for _, s := range r.LeavingServers(p.named) {
+		for _, s := range r.LeavingServers(p.listedOrInUse) {
 			out = append(out, core.LeavingNote{Server: s.ID, Incarnation: uint64(s.Incarnation)})
 		}
 	})
 	return out
 }
 
-// named reports whether a server is listed as working, or used without an entry. p.mu is held.
-func (p *published) named(id string) bool {
+// listedOrInUse reports whether a server is listed as taking work, or used without an entry. p.mu is held.
+func (p *published) listedOrInUse(id string) bool {
 	if s := p.list.Get(id); s != nil && s.AcceptsWork() {
 		return true
 	}
--- a/src/gateway/stages.go
+++ b/src/gateway/stages.go
@@ -10,7 +10,7 @@
 	"github.com/stilemast/stilemast/src/crasher"
 )
 
-// results are what the stages of one request made.
+// results tracks the results of the stages of one request, which are held at servers.
 type results struct {
 	gateway  *Gateway
 	pipeline *catalog.Pipeline
@@ -25,9 +25,9 @@
 	onLoss  func()      // cancels the later stages; set before any stage is made
 }
 
-// lose records that the results of a stage are lost with their server. Stages that still need them are made
+// recordLost records that the results of a stage are lost with their server. Stages that still need them are made
 // again.
-func (r *results) lose(stage int) {
+func (r *results) recordLost(stage int) {
 	r.mu.Lock()
 	gone := !r.freed[stage]
 	r.freed[stage] = true
@@ -65,7 +65,7 @@
 	return handles, domain, size
 }
 
-// free releases the results of one stage, once.
+// free frees the results of one stage, once.
 func (r *results) free(stage int) {
 	r.mu.Lock()
 	handles := r.handles[stage]
@@ -79,7 +79,7 @@
 	g.sendBatch(g.schedulerOf(pool, nil), batch.Message{Free: &batch.Free{Pool: pool, Results: g.holdings.take(g.now(), pool, handles)}})
 }
 
-// freeAll releases all results still held.
+// freeAll frees all results still held.
 func (r *results) freeAll() {
 	if r == nil {
 		return
@@ -106,8 +106,8 @@
 	ends      []time.Time // expected completion of submitted stages
 }
 
-// typical returns the duration of a stage's calls at typical fill; calls also hold pieces of other requests.
-func (s *stageRun) typical(stage int) time.Duration { return s.callTime(stage, typicalFill) }
+// typicalCallTime returns the duration of a stage's calls at typical fill; calls also hold pieces of other requests.
+func (s *stageRun) typicalCallTime(stage int) time.Duration { return s.callTime(stage, typicalFill) }
 
 // callTime returns the duration of a stage's calls at a fill, as a share of the batch size.
 func (s *stageRun) callTime(stage int, fill float64) time.Duration {
@@ -192,7 +192,7 @@
 	g, ready := s.gateway, s.gateway.now()
 	s.awaitPartners(ctx, i)
 	began := g.now()
-	s.expectEnd(i, began.Add(s.ahead(began, i)))
+	s.expectEnd(i, began.Add(s.timeToResults(began, i)))
 	j := s.job(i)
 	done, reason := g.runJob(ctx, j, func() { s.freeRead(i) })
 	if done == nil {
@@ -203,9 +203,9 @@
 	}
 	s.results.mu.Lock()
 	s.results.handles[i], s.results.domains[i] = done.Handles, done.Domain
-	s.results.expires[i] = g.now().Add(s.lifeOf(i))
+	s.results.expires[i] = g.now().Add(s.resultLifetime(i))
 	s.results.mu.Unlock()
-	g.holdings.add(st.Pool, done, j.ResultBytes, g.now().Add(s.lifeOf(i)), s.results, i)
+	g.holdings.add(st.Pool, done, j.ResultBytes, g.now().Add(s.resultLifetime(i)), s.results, i)
 	s.freeRead(i)
 	g.Log.Info("stage made", "request", s.request.ID, "stage", i, "pool", st.Pool, "pieces", j.Pieces, "domain", done.Domain, "took_ms", g.now().Sub(began).Milliseconds(), "held_ms", began.Sub(ready).Milliseconds(), "slack_ms", j.Due.Sub(g.now()).Milliseconds())
 	return 0
@@ -213,7 +213,7 @@
 
 // job returns the job for a stage that is sent to its pool's scheduler.
 func (s *stageRun) job(i int) *batch.Job {
-	st, rest := s.pipeline.Stages[i], s.forecast(s.gateway.now()).rests[i]
+	st, rest := s.pipeline.Stages[i], s.forecast(s.gateway.now()).remaining[i]
 	j := &batch.Job{
 		Pool: st.Pool, Request: s.request.ID, Content: s.content.At(st.Pool), Class: s.pipeline.Name + "/" + st.Pool + "/" + string(rune('0'+i%10)),
 		Stage: i, Pieces: s.request.Pieces[i], ResultBytes: float64(st.ResultBytes), Priority: s.priority,
@@ -258,7 +258,7 @@
 	return handles, domain, size, expires
 }
 
-// freeRead releases the results that a stage was the last to read.
+// freeRead frees the results that a stage was the last to read.
 func (s *stageRun) freeRead(i int) {
 	r := s.results
 	r.mu.Lock()
@@ -280,8 +280,8 @@
 	}
 }
 
-// lifeOf returns the remaining lifetime of new results of a stage, less a margin for messages and queueing.
-func (s *stageRun) lifeOf(i int) time.Duration {
+// resultLifetime returns the remaining lifetime of new results of a stage, less a margin for messages and queueing.
+func (s *stageRun) resultLifetime(i int) time.Duration {
 	p := s.gateway.index.Load().Pool(s.pipeline.Stages[i].Pool)
 	if p == nil || p.Batch == nil || p.Batch.ResultTTL == 0 {
 		return time.Hour
--- a/src/gateway/suspects.go
+++ b/src/gateway/suspects.go
@@ -33,15 +33,15 @@
 	}
 }
 
-// lifeOf returns a server's incarnation for the tracker.
-func lifeOf(s catalog.Server) suspects.Server {
-	return suspects.Server{ID: s.ID, Address: s.Address, Life: crasher.LifeOf(s.ID, int64(s.Incarnation))}
+// serverIncarnation returns a server's incarnation for the tracker.
+func serverIncarnation(s catalog.Server) suspects.Server {
+	return suspects.Server{ID: s.ID, Address: s.Address, Incarnation: crasher.NewIncarnation(s.ID, int64(s.Incarnation))}
 }
 
-// brokeAt records that exchanges of contents with a server broke, unless the server left as planned.
-func (g *Gateway) brokeAt(s catalog.Server, keys ...crasher.Key) {
+// recordBrokenExchanges records that exchanges of contents with a server broke, unless the server left as planned.
+func (g *Gateway) recordBrokenExchanges(s catalog.Server, keys ...crasher.Key) {
 	if !g.hasLeft(s) {
-		g.suspects.RecordBroken(lifeOf(s), keys...)
+		g.suspects.RecordBroken(serverIncarnation(s), keys...)
 	}
 }
 
@@ -53,18 +53,18 @@
 		lapsed[id] = true
 	}
 	for _, id := range change.Gone {
-		if s := change.Before[id]; !lapsed[id] && s.AcceptsWork() && !g.leaves(*s) {
-			g.suspects.RecordCrash(lifeOf(*s), suspects.Listed)
+		if s := change.Before[id]; !lapsed[id] && s.AcceptsWork() && !g.isLeaving(*s) {
+			g.suspects.RecordCrash(serverIncarnation(*s), suspects.Listed)
 		}
 	}
 	for _, r := range effects.Restarted {
-		g.suspects.RecordCrash(lifeOf(r.Before), suspects.Listed)
+		g.suspects.RecordCrash(serverIncarnation(r.Before), suspects.Listed)
 	}
 }
 
 // hasLeft reports whether a server, as it was chosen, has left as far as this box knows.
 func (g *Gateway) hasLeft(s catalog.Server) bool {
-	if g.leaves(s) {
+	if g.isLeaving(s) {
 		return true
 	}
 	p := &g.published
@@ -78,12 +78,12 @@
 // sent or queued.
 func (v *requestRun) checkBarred() *code.Error {
 	g := v.gateway
-	if err := g.barredAt(v.content, v.pool); err != nil {
+	if err := g.contentRefusal(v.content, v.pool); err != nil {
 		return err
 	}
 	for i, st := range v.pipeline.Stages {
 		if v.request.Pieces[i] > 0 {
-			if err := g.barredAt(v.content, st.Pool); err != nil {
+			if err := g.contentRefusal(v.content, st.Pool); err != nil {
 				return err
 			}
 		}
@@ -91,10 +91,10 @@
 	return nil
 }
 
-// barredAt returns the refusal of a content at a pool, nil if it may run there. The retry-after is the
+// contentRefusal returns the refusal of a content at a pool, nil if it may run there. The retry-after is the
 // remaining time of the bar, after which a fixed server may be there.
-func (g *Gateway) barredAt(c crasher.Content, pool string) *code.Error {
-	d := g.suspects.Verdict(c.At(pool))
+func (g *Gateway) contentRefusal(c crasher.Content, pool string) *code.Error {
+	d := g.suspects.Check(c.At(pool))
 	if !d.Barred {
 		return nil
 	}
--- a/src/suspects/tracker.go
+++ b/src/suspects/tracker.go
@@ -57,9 +57,9 @@
 
 // Server is one incarnation of a backend server.
 type Server struct {
-	ID      string
-	Address string
-	Life    crasher.Life
+	ID          string
+	Address     string
+	Incarnation crasher.Incarnation
 }
 
 // Tracker is the register of one box. It is safe for concurrent use; set the exported fields before.
@@ -80,12 +80,12 @@
 
 	mu              sync.Mutex
 	register        crasher.Register
-	probing         map[crasher.Life]*probing
-	silent          map[crasher.Life]time.Time // servers that didn't respond, and when last
-	reportScheduled bool                       // a report to other boxes is scheduled
-	news            bool                       // it includes changes for all boxes
-	single          []crasher.Key              // contents with one crash, to report to their counter boxes
-	any             atomic.Bool                // the register isn't empty; most of the time it is
+	probing         map[crasher.Incarnation]*probing
+	silent          map[crasher.Incarnation]time.Time // servers that didn't respond, and when last
+	reportScheduled bool                              // a report to other boxes is scheduled
+	news            bool                              // it includes changes for all boxes
+	single          []crasher.Key                     // contents with one crash, to report to their counter boxes
+	any             atomic.Bool                       // the register isn't empty; most of the time it is
 }
 
 // probing is a server that is being probed after broken exchanges.
@@ -95,14 +95,14 @@
 	due    time.Time // time of the next probe; zero while one is running
 }
 
-// Verdict returns the crashes attributed to a content at a pool.
-func (u *Tracker) Verdict(k crasher.Key) crasher.Verdict {
+// Check returns the crashes attributed to a content at a pool.
+func (u *Tracker) Check(k crasher.Key) crasher.Verdict {
 	if !u.any.Load() {
 		return crasher.Verdict{}
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.register.Verdict(u.Now(), k)
+	return u.register.Check(u.Now(), k)
 }
 
 // RecordBroken records that exchanges of contents with a server broke, and probes whether the server has crashed.
@@ -111,13 +111,13 @@
 		return
 	}
 	u.mu.Lock()
-	counted := u.register.RecordBroken(u.Now(), s.Life, keys...)
-	ask := len(counted) == 0 && u.probing[s.Life] == nil && u.Probe != nil
+	counted := u.register.RecordBroken(u.Now(), s.Incarnation, keys...)
+	ask := len(counted) == 0 && u.probing[s.Incarnation] == nil && u.Probe != nil
 	if ask {
 		if u.probing == nil {
-			u.probing = map[crasher.Life]*probing{}
+			u.probing = map[crasher.Incarnation]*probing{}
 		}
-		u.probing[s.Life] = &probing{server: s}
+		u.probing[s.Incarnation] = &probing{server: s}
 	}
 	u.mu.Unlock()
 	u.logCounted(counted, s.ID, "known before")
@@ -148,11 +148,11 @@
 	now := u.Now()
 	if p == NoAnswer {
 		if u.silent == nil {
-			u.silent = map[crasher.Life]time.Time{}
+			u.silent = map[crasher.Incarnation]time.Time{}
 		}
-		u.silent[s.Life] = now
+		u.silent[s.Incarnation] = now
 	}
-	a := u.probing[s.Life]
+	a := u.probing[s.Incarnation]
 	if a == nil {
 		return true
 	}
@@ -160,7 +160,7 @@
 	a.due = now.Add(probeInterval)
 	last = p == Absent || a.tries >= probeTries
 	if last {
-		delete(u.probing, s.Life)
+		delete(u.probing, s.Incarnation)
 	}
 	return last
 }
@@ -170,8 +170,8 @@
 func (u *Tracker) onlySilent(s Server) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for life, at := range u.silent {
-		if life != s.Life && u.Now().Sub(at) < silentTogether {
+	for incarnation, at := range u.silent {
+		if incarnation != s.Incarnation && u.Now().Sub(at) < silentTogether {
 			return false
 		}
 	}
@@ -194,7 +194,7 @@
 // RecordCrash records that an incarnation of a server ended unplanned.
 func (u *Tracker) RecordCrash(s Server, proof Proof) {
 	u.mu.Lock()
-	counted := u.register.RecordCrash(u.Now(), s.Life)
+	counted := u.register.RecordCrash(u.Now(), s.Incarnation)
 	u.mu.Unlock()
 	u.logCounted(counted, s.ID, proof)
 }
@@ -205,7 +205,7 @@
 	var cleared []crasher.Counted
 	for _, k := range keys {
 		if u.register.RecordGood(u.Now(), k) {
-			cleared = append(cleared, crasher.Counted{Key: k, Verdict: u.register.Verdict(u.Now(), k)})
+			cleared = append(cleared, crasher.Counted{Key: k, Verdict: u.register.Check(u.Now(), k)})
 		}
 	}
 	u.mu.Unlock()
@@ -357,6 +357,6 @@
 	defer u.mu.Unlock()
 	now := u.Now()
 	u.register.Sweep(now)
-	maps.DeleteFunc(u.silent, func(_ crasher.Life, at time.Time) bool { return now.Sub(at) >= silentTogether })
+	maps.DeleteFunc(u.silent, func(_ crasher.Incarnation, at time.Time) bool { return now.Sub(at) >= silentTogether })
 	u.any.Store(!u.register.Empty())
 }
