--- a/src/batch/message.go
+++ b/src/batch/message.go
@@ -2,7 +2,9 @@
 // whichever box they come from: a server takes one call at a time and a call has a long fixed time, which the pieces
 // of many requests must share.
 //
-// The box that owns a request sends Submit to the pool's scheduler, which is the first live box by rendezvous hashing.
+// The box that owns a request sends Submit to the pool's scheduler: the running box whose claim to the pool has the
+// latest term, or if no box claims it, the first eligible box by rendezvous hashing, which also decides between equal
+// terms.
 // The scheduler answers Accept, forms a call whenever a server is free, sends Reading once every piece is in a call,
 // and ends the job with Done, which carries the handles of the results, or Failed. The owner repeats Submit while it
 // waits, and the scheduler answers repeats from memory, so a lost message or a lost scheduler delays a request but
--- a/src/faults/links_test.go
+++ b/src/faults/links_test.go
@@ -136,7 +136,7 @@
 	}()
 }
 
-// dial connects to a box. Its errors are port.NotConnected: nothing was sent.
+// dial connects to a box. Its errors are of type port.NotConnectedError: nothing was sent.
 func (f *fleet) dial(b *fakeBox, to string) (*fakeBox, error) {
 	time.Sleep(linkDelay)
 	t := f.liveBox(to)
--- a/src/gateway/boundary_test.go
+++ b/src/gateway/boundary_test.go
@@ -130,7 +130,7 @@
 func regions(names ...string) *catalog.Boundary { return &catalog.Boundary{Regions: names} }
 
 // Requests, their retries and the pieces of their stages are sent only inside the boundaries of their
-// pipeline and workspace; callers are refused at once where no server stands inside them.
+// pipeline and workspace; callers are refused at once if no server is inside them.
 func TestRequestsStayInsideBoundaries(t *testing.T) {
 	bind := func(pipeline, workspace *catalog.Boundary) func(*catalog.Catalog) {
 		return func(c *catalog.Catalog) {
--- a/src/gateway/constants.go
+++ b/src/gateway/constants.go
@@ -176,7 +176,7 @@
 // typicalFill is the expected fill of calls, as a share of the batch size, in estimates of a stage's time.
 const typicalFill = 0.5
 
-// largeResults is the size in bytes from which a stage's results are made in the failure domain of their reader.
+// largeResults is the size in bytes from which a stage's results are produced in the failure domain of their reader.
 const largeResults = 200_000
 
 // Stages that wait for others whose results are read together with theirs.
--- a/src/gateway/forecast.go
+++ b/src/gateway/forecast.go
@@ -47,8 +47,8 @@
 	return usual + time.Duration(part*float64(full-usual))
 }
 
-// expected estimates the time from now to the first output if no stage has been made yet, and the part of it
-// that is queueing.
+// expected estimates the time from now to the first output if no stage has been produced yet, and the part
+// of it that is queueing.
 func (f forecast) expected() (total, waits time.Duration) {
 	n := len(f.waits)
 	end, waited := make([]time.Duration, n), make([]time.Duration, n)
--- a/src/gateway/holdings.go
+++ b/src/gateway/holdings.go
@@ -33,7 +33,7 @@
 	h.pools, h.informed = map[string]map[string]holding{}, map[string]string{}
 }
 
-// add records the results of a job, which makes a stage of a request.
+// add records the results of a job, which produces a stage of a request.
 func (h *holdings) add(pool string, done *batch.Done, bytes float64, until time.Time, of *results, stage int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/src/gateway/jobs.go
+++ b/src/gateway/jobs.go
@@ -105,7 +105,7 @@
 }
 
 // runJob has a job done by its pool's scheduler and returns its result. When a scheduler stays silent, the
-// next box is asked; a piece may then be made twice. reading is called when every piece is in a call.
+// next box is asked; a piece may then be produced twice. reading is called when every piece is in a call.
 func (g *Gateway) runJob(ctx context.Context, j *batch.Job, reading func()) (*batch.Done, batch.Reason) {
 	id, answers := g.ownedJobs.open()
 	defer g.ownedJobs.close(id)
--- a/src/gateway/partners.go
+++ b/src/gateway/partners.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A large result occupies memory at its server from the call that makes it until it is read. That memory limits
+// A large result occupies memory at its server from the call that produces it until it is read. That memory limits
 // the pool's throughput, so a stage with large results starts only as early as needed to end together with the
 // other results that its reader needs.
 
--- a/src/gateway/permits.go
+++ b/src/gateway/permits.go
@@ -183,8 +183,8 @@
 	return port.Permits{N: t.Permits, Begin: t.Begin, Next: t.Next, Limit: noteOf(l.LimitNote)}
 }
 
-// permitGranter returns the box that should answer a request for permits, and whether it stands in for the
-// coordinator. This box stands in if it is next in rank and the coordinator answers neither the asking box
+// permitGranter returns the box that should answer a request for permits, and whether it answers in place of
+// the coordinator. This box does so if it is next in rank and the coordinator answers neither the asking box
 // nor this one.
 func (g *Gateway) permitGranter(ctx context.Context, q port.AskPermits) (box string, standsIn bool) {
 	passed := map[string]bool{}
--- a/src/gateway/ports.go
+++ b/src/gateway/ports.go
@@ -61,7 +61,7 @@
 	Start func() error
 }
 
-// PieceCall is one call that makes pieces of stages.
+// PieceCall is one call that produces pieces of stages.
 type PieceCall struct {
 	Server catalog.Server
 	Items  []batch.Item
@@ -93,7 +93,7 @@
 type Backends struct {
 	// Send sends a request once. The error is an exchange.NotSent when no byte left.
 	Send func(ctx context.Context, c *Call) (*Reply, error)
-	// RunPieces runs one call that makes pieces of stages.
+	// RunPieces runs one call that produces pieces of stages.
 	RunPieces func(ctx context.Context, c PieceCall) PieceReply
 	// FreePieces frees results at their server.
 	FreePieces func(ctx context.Context, s catalog.Server, handles []string) pushback.Signals
--- a/src/gateway/roster.go
+++ b/src/gateway/roster.go
@@ -214,7 +214,7 @@
 	return slices.ContainsFunc(f.core.Self.Claims, func(c core.Claim) bool { return c.Pool == hash })
 }
 
-// releaseClaim gives up this box's claim to schedule a pool.
+// releaseClaim withdraws this box's claim to schedule a pool.
 func (f *fleet) releaseClaim(pool string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/src/gateway/serve.go
+++ b/src/gateway/serve.go
@@ -220,7 +220,7 @@
 	return nil
 }
 
-// stageError returns the refusal for stages that were not made. The request itself has not run.
+// stageError returns the refusal for stages that were not produced. The request itself has not run.
 func (v *requestRun) stageError(ctx context.Context, r batch.Reason) *code.Error {
 	switch {
 	case v.gateway.stages.Err() != nil:
@@ -241,8 +241,8 @@
 	return refusal(code.BackendsDown, "stages", minRetryAfter, "the stages could not be made: %s", r)
 }
 
-// stagesReturn returns the retry-after of a request whose stages could not be made: the longest waiting time
-// in their pools.
+// stagesReturn returns the retry-after of a request whose stages could not be produced: the longest
+// waiting time in their pools.
 func (v *requestRun) stagesReturn() time.Duration {
 	longest := slices.Max(v.stages.forecast(v.gateway.now()).waits)
 	return min(maxRetryAfter, max(minRetryAfter, longest))
@@ -284,8 +284,8 @@
 	return status >= http.StatusOK && status < http.StatusMultipleChoices
 }
 
-// producersOf counts, by failure domain, the servers of the pool that makes the largest results that the request
-// itself reads; nil if the results are small.
+// producersOf counts, by failure domain, the servers of the pool that produces the largest results that the
+// request itself reads; nil if the results are small.
 func (g *Gateway) producersOf(p *catalog.Pipeline) map[string]int {
 	pool, most := "", 0
 	for _, i := range p.FinalStages() {
--- a/src/gateway/stages.go
+++ b/src/gateway/stages.go
@@ -22,11 +22,11 @@
 	domains []string
 	expires []time.Time // when they expire at their servers
 	lost    bool        // some were lost with their server before they were read
-	onLoss  func()      // cancels the later stages; set before any stage is made
+	onLoss  func()      // cancels the later stages; set before any stage is produced
 }
 
-// recordLost records that the results of a stage are lost with their server. Stages that still need them are made
-// again.
+// recordLost records that the results of a stage are lost with their server. Stages that still need them are
+// produced again.
 func (r *results) recordLost(stage int) {
 	r.mu.Lock()
 	gone := !r.freed[stage]
--- a/src/logging/async_writer.go
+++ b/src/logging/async_writer.go
@@ -73,7 +73,8 @@
 	}
 }
 
-// Close writes the buffered lines; it gives up if the pending writes do not complete within the given time.
+// Close writes the buffered lines. If the pending writes take longer than the given time, it returns without
+// writing these lines.
 func (s *AsyncWriter) Close(within time.Duration) {
 	s.mu.Lock()
 	if s.closed {
--- a/src/peer/client.go
+++ b/src/peer/client.go
@@ -169,7 +169,7 @@
 	}
 }
 
-// open connects and sends one message. If connecting fails, the error is a NotConnected.
+// open connects and sends one message. If connecting fails, the error is a port.NotConnectedError.
 func (c *Client) open(ctx context.Context, address string, m *Message) (net.Conn, func() bool, error) {
 	conn, err := c.dial(ctx, address)
 	if err != nil {
