--- a/src/config/document.go
+++ b/src/config/document.go
@@ -26,7 +26,7 @@
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	if err != nil {
-		return fmt.Errorf("invalid duration %q", string(b))
+		return fmt.Errorf("not a duration: %q", string(b))
 	}
 	*d = Duration(v)
 	return nil
