--- a/src/balance/balance.go
+++ b/src/balance/balance.go
@@ -24,8 +24,8 @@
 	AvoidLimited bool   // prefer servers without a request limit
 }
 
-// barred reports whether the request excludes a server, whatever the server's load.
-func (w *Request) barred(v *server) bool {
+// excludes reports whether the request excludes a server, whatever the server's load.
+func (w *Request) excludes(v *server) bool {
 	return w.Exclude[v.ID] || !w.Within.Allow(v.Domain) || w.Only != "" && w.Only != v.ID
 }
 
@@ -76,14 +76,14 @@
 type Pool struct {
 	Box    string
 	Domain string // of this box
-	// RestsUntil returns until when a server wants no requests from this box, as it said itself; nil if none rests.
+	// RestsUntil returns the end of the rest that a server asked for (pushback.Resting); nil if none rests.
 	RestsUntil func(*catalog.Server) time.Time
 	// Limits reports whether a server limits its request rate; nil if none does.
 	Limits func(*catalog.Server) bool
 	Boxes  int // number of boxes including this one; 0 to count only those that send reports
 
 	reports     map[string]boxReport // reports of other boxes, by name
-	names       map[uint64]*server   // servers by the hash of their ids
+	byHash      map[uint64]*server   // servers by the hash of their ids
 	busy        map[string]*server   // servers with requests of this box
 	paused      map[string]*server   // servers that are paused or were until recently
 	scale       float64              // factor from the reported loads to those of all boxes
@@ -101,7 +101,7 @@
 
 // NewPool returns a pool without servers for a box in a failure domain.
 func NewPool(box, domain string) *Pool {
-	return &Pool{Box: box, Domain: domain, salt: catalog.Hash(box), reports: map[string]boxReport{}, names: map[uint64]*server{}, busy: map[string]*server{}, paused: map[string]*server{}, servers: map[string]*server{}, domains: map[string]int{}, cached: map[uint64]map[uint64]time.Time{}, popularity: newPopularity()}
+	return &Pool{Box: box, Domain: domain, salt: catalog.Hash(box), reports: map[string]boxReport{}, byHash: map[uint64]*server{}, busy: map[string]*server{}, paused: map[string]*server{}, servers: map[string]*server{}, domains: map[string]int{}, cached: map[uint64]map[uint64]time.Time{}, popularity: newPopularity()}
 }
 
 // Configure sets the complete list of servers that take new work.
@@ -131,7 +131,7 @@
 		if st == nil {
 			st = &server{pace: 1, hash: catalog.Hash(v.ID)}
 			p.servers[v.ID] = st
-			p.names[st.hash] = st
+			p.byHash[st.hash] = st
 		} else {
 			p.domains[st.Domain]--
 		}
@@ -148,7 +148,7 @@
 // drop removes a server.
 func (p *Pool) drop(v *server) {
 	delete(p.servers, v.ID)
-	delete(p.names, v.hash)
+	delete(p.byHash, v.hash)
 	delete(p.busy, v.ID)
 	delete(p.paused, v.ID)
 	p.domains[v.Domain]--
@@ -204,7 +204,7 @@
 // dropReport removes a box's report and subtracts it from the sums.
 func (p *Pool) dropReport(box string) {
 	for _, n := range p.reports[box].notes {
-		if v := p.names[n.Server]; v != nil {
+		if v := p.byHash[n.Server]; v != nil {
 			v.peers.Requests = max(0, v.peers.Requests-n.Load.Requests)
 			v.peers.Tokens = max(0, v.peers.Tokens-n.Load.Tokens)
 		}
@@ -218,7 +218,7 @@
 	p.dropReport(box)
 	w := boxReport{at: now}
 	for _, n := range notes {
-		v := p.names[n.Server]
+		v := p.byHash[n.Server]
 		if v == nil {
 			continue
 		}
@@ -256,14 +256,14 @@
 func (p *Pool) Pick(now time.Time, w *Request) (catalog.Server, string, bool) {
 	var best *server
 	bestCost, why := 0.0, ""
-	p.popularity.note(now, w)
+	p.popularity.add(now, w)
 	p.scale = p.dropExpiredReports(now)
 	p.picks++
 	home, kept := p.home(w), p.cachedParts(w)
 	sparing := p.fewCold(now)
 	for pass := range 2 {
 		for _, v := range p.servers {
-			if w.barred(v) || w.Only == "" && p.wantsRest(now, v) || pass == 0 && (!v.usable(now) || sparing && v.cold(now)) {
+			if w.excludes(v) || w.Only == "" && p.wantsRest(now, v) || pass == 0 && (!v.usable(now) || sparing && v.cold(now)) {
 				continue
 			}
 			c := p.cost(now, v, w, kept, home) + p.jitter(v)
@@ -308,7 +308,7 @@
 		return true
 	}
 	for _, v := range p.servers {
-		if !w.barred(v) && !p.wantsRest(now, v) {
+		if !w.excludes(v) && !p.wantsRest(now, v) {
 			return true
 		}
 	}
--- a/src/batch/handover.go
+++ b/src/batch/handover.go
@@ -5,13 +5,13 @@
 )
 
 // HandOver ends the jobs that have no piece in a call, since box next schedules the pool now, and returns the results
-// and running calls that next has not been told of yet. This scheduler keeps accounting for them: if next is
+// and running calls that next has not been notified of yet. This scheduler keeps accounting for them: if next is
 // unreachable, the owners come back here.
 func (s *Scheduler) HandOver(now time.Time, next string) (Handover, Actions) {
 	h := Handover{Pool: s.pool.Name, Idle: s.idle}
 	s.idle = nil
 	var out Actions
-	for _, t := range s.sorted(now) {
+	for _, t := range s.orderedJobs(now) {
 		if t.running == 0 && len(t.pending) == t.Pieces && !t.resubmitted {
 			s.end(now, t, Message{Failed: &Failed{ID: t.ID, Reason: Moved, To: next}}, &out)
 		}
--- a/src/batch/incarnation.go
+++ b/src/batch/incarnation.go
@@ -21,13 +21,13 @@
 	if before == nil && !lost {
 		return
 	}
-	delete(s.freeing, v.ID)
+	delete(s.toFree, v.ID)
 	if before != nil && before.call != 0 {
 		rc := s.calls[before.call]
 		delete(s.calls, before.call)
 		s.requeue(now, rc, nil, CallWithheld, out)
 	}
-	for _, t := range s.sorted(now) {
+	for _, t := range s.orderedJobs(now) {
 		s.requeueLost(now, t, v.ID, out)
 	}
 }
--- a/src/batch/scheduler.go
+++ b/src/batch/scheduler.go
@@ -20,7 +20,7 @@
 	ended         bool
 	resubmitted   bool      // stays here even if another box schedules the pool
 	sent          time.Time // when a piece was last put in a call
-	read          bool      // its owner was told that the inputs have been read
+	read          bool      // its owner was notified that the inputs have been read
 	roomUncertain bool      // some of its pieces are at a server that may lack room for them
 }
 
@@ -34,10 +34,10 @@
 	ratio       float64   // moving average of measured over expected call time
 	probed      time.Time // when it last got a call although slow
 	freedAt     time.Time // when results were last freed there
-	handedTo    string    // scheduler that was told of the running call
+	handedTo    string    // scheduler that was notified of the running call
 	used        float64   // bytes of known results stored there
-	unknown     float64   // bytes of results there without known handles, as estimated at unknownAt
-	unknownAt   time.Time
+	untracked   float64   // bytes of results there without known handles, as estimated at untrackedAt
+	untrackedAt time.Time
 	listed      bool // takes new work
 }
 
@@ -74,7 +74,7 @@
 	Self      string                            // name of this box
 	VerdictOf func(crasher.Key) crasher.Verdict // returns the crashes attributed to a content; nil for none
 
-	// RestsUntil returns until when a server wants no calls, as it said itself; nil if no server rests.
+	// RestsUntil returns the end of the rest that a server asked for (pushback.Resting); nil if no server rests.
 	RestsUntil func(*catalog.Server) time.Time
 
 	// LimitOf returns a server's limit in requests per second, 0 for none; nil if no server has a limit.
@@ -86,7 +86,7 @@
 	servers    map[string]*serverState
 	calls      map[uint64]*runningCall
 	handles    map[string]held
-	freeing    map[string][]string  // handles to free, by server
+	toFree     map[string][]string  // handles to free, by server
 	holdUntil  time.Time            // no call before, to wait for a handover
 	idle       []string             // servers whose handed-over calls have ended since
 	freedEarly map[string]time.Time // handles that were freed before this scheduler knew them, by time
@@ -99,7 +99,7 @@
 func NewScheduler(self string, pool catalog.Pool) *Scheduler {
 	return &Scheduler{
 		Self: self, pool: pool, jobs: map[JobID]*job{}, ended: map[JobID]endedJob{}, servers: map[string]*serverState{},
-		calls: map[uint64]*runningCall{}, handles: map[string]held{}, freeing: map[string][]string{}, freedEarly: map[string]time.Time{}, pieces: map[string]float64{},
+		calls: map[uint64]*runningCall{}, handles: map[string]held{}, toFree: map[string][]string{}, freedEarly: map[string]time.Time{}, pieces: map[string]float64{},
 	}
 }
 
@@ -205,7 +205,7 @@
 		return out
 	}
 	if e, ok := s.ended[id]; ok && e.message.Done != nil {
-		s.release(now, e.message.Done.Handles)
+		s.queueFree(now, e.message.Done.Handles)
 	}
 	return out
 }
@@ -214,13 +214,13 @@
 func (s *Scheduler) Free(now time.Time, results []HeldResult) {
 	for _, r := range results {
 		if _, known := s.handles[r.Handle]; known {
-			s.release(now, []string{r.Handle})
+			s.queueFree(now, []string{r.Handle})
 			continue
 		}
 		s.freedEarly[r.Handle] = now
 		if v := s.servers[r.Server]; v != nil {
-			v.unknown = max(0, v.unknown-r.Bytes)
-			s.freeing[r.Server] = append(s.freeing[r.Server], r.Handle)
+			v.untracked = max(0, v.untracked-r.Bytes)
+			s.toFree[r.Server] = append(s.toFree[r.Server], r.Handle)
 		}
 	}
 }
@@ -236,7 +236,7 @@
 		}
 		s.handles[r.Handle] = held{server: r.Server, incarnation: v.Incarnation, bytes: r.Bytes, until: now.Add(r.Left)}
 		v.used += r.Bytes
-		v.unknown = max(0, v.unknown-r.Bytes)
+		v.untracked = max(0, v.untracked-r.Bytes)
 	}
 }
 
@@ -249,9 +249,9 @@
 	}
 }
 
-// release queues handles to be freed. Their memory counts as free at once, since the server frees them before its next
+// queueFree queues handles to be freed. Their memory counts as free at once, since the server frees them before its next
 // call.
-func (s *Scheduler) release(now time.Time, handles []string) {
+func (s *Scheduler) queueFree(now time.Time, handles []string) {
 	for _, h := range handles {
 		r, ok := s.handles[h]
 		if !ok {
@@ -260,7 +260,7 @@
 		delete(s.handles, h)
 		if v := s.servers[r.server]; v != nil {
 			v.used = max(0, v.used-r.bytes)
-			s.freeing[r.server] = append(s.freeing[r.server], h)
+			s.toFree[r.server] = append(s.toFree[r.server], h)
 		}
 	}
 }
@@ -283,7 +283,7 @@
 			delete(s.freedEarly, h)
 		}
 	}
-	for _, t := range s.sorted(now) {
+	for _, t := range s.orderedJobs(now) {
 		if now.After(t.Deadline) {
 			s.end(now, t, Message{Failed: &Failed{ID: t.ID, Reason: Late}}, &out)
 		} else if t.hasRead(now) {
@@ -300,7 +300,7 @@
 }
 
 // hasRead reports whether every piece of a job is in a call that must have read its inputs by now, and the owner has
-// not been told yet. The inputs are freed then rather than at the end of the call, since result memory is what limits
+// not been notified yet. The inputs are freed then rather than at the end of the call, since result memory is what limits
 // the throughput of pools that produce inputs. If a server may refuse pieces for lack of room the inputs are kept:
 // without them all earlier stages would have to run again for the refused pieces.
 func (t *job) hasRead(now time.Time) bool {
@@ -310,16 +310,16 @@
 // frees returns requests that free the queued handles at servers that accept them now.
 func (s *Scheduler) frees(now time.Time) []FreeCall {
 	var out []FreeCall
-	for id, hs := range s.freeing {
+	for id, hs := range s.toFree {
 		v := s.servers[id]
-		if v != nil && (s.restLeft(now, v) > 0 || !s.mayFree(now, v)) {
+		if v != nil && (s.restRemaining(now, v) > 0 || !s.mayFree(now, v)) {
 			continue // freed later, when the server accepts requests
 		}
 		if v != nil {
 			v.freedAt = now
 			out = append(out, FreeCall{Server: v.Server, Handles: hs})
 		}
-		delete(s.freeing, id)
+		delete(s.toFree, id)
 	}
 	return out
 }
@@ -331,7 +331,7 @@
 	s.ended[t.ID] = endedJob{message: m, at: now}
 	out.Replies = append(out.Replies, Reply{Box: t.ID.Box, Message: m})
 	if m.Done == nil {
-		s.release(now, t.handles)
+		s.queueFree(now, t.handles)
 	}
 }
 
--- a/src/box/suspects.go
+++ b/src/box/suspects.go
@@ -40,7 +40,7 @@
 		return suspects.Present
 	}
 	r, err := b.Backends.Load(ctx, server)
-	if err == nil && serverLife(s.ID, r.Incarnation).Life != s.Life {
+	if err == nil && serverIncarnation(s.ID, r.Incarnation).Incarnation != s.Incarnation {
 		return suspects.Absent
 	}
 	return suspects.PresenceOf(err)
@@ -73,11 +73,11 @@
 
 // barred returns an error if the request's content crashes the servers of a stage, nil if it may run there.
 func (f *flight) barred(s *config.Stage) *code.Error {
-	d := f.box.suspects.Verdict(f.content.At(s.Pool()))
+	d := f.box.suspects.Check(f.content.At(s.Pool()))
 	if !d.Barred {
 		return nil
 	}
-	return code.New(code.CrashesServers, "input", "%d servers of pool %s crashed while they ran this content", d.Ends, s.Pool()).After(d.Left)
+	return code.New(code.CrashesServers, "input", "%d servers of pool %s crashed while they ran this content", d.Ends, s.Pool()).WithRetryAfter(d.Left)
 }
 
 // barredAnywhere checks all stages of a request before any of them runs.
@@ -90,37 +90,37 @@
 	return nil
 }
 
-// noteCall reports the end of a call to the tracker of suspect contents.
-func (f *flight) noteCall(server *config.BackendServer, stage *config.Stage, err *port.CallError) {
+// recordCall reports the end of a call to the tracker of suspect contents.
+func (f *flight) recordCall(server *config.BackendServer, stage *config.Stage, err *port.CallError) {
 	b := f.box
-	life := b.lifeOf(stage.Pool(), server.Name())
+	incarnation := b.reportedIncarnation(stage.Pool(), server.Name())
 	switch {
 	case err == nil:
 		b.suspects.RecordGood(f.content.At(stage.Pool()))
 	case err.ConnectionRefused:
-		b.suspects.RecordCrash(life, suspects.Refused)
+		b.suspects.RecordCrash(incarnation, suspects.Refused)
 	case err.Failure == core.Broken && !server.Leaving():
-		b.suspects.RecordBroken(life, f.content.At(stage.Pool()))
+		b.suspects.RecordBroken(incarnation, f.content.At(stage.Pool()))
 	}
 }
 
-// lifeOf returns the incarnation of a server according to its last report.
-func (b *Box) lifeOf(pool, server string) suspects.Server {
+// reportedIncarnation returns the incarnation of a server according to its last report.
+func (b *Box) reportedIncarnation(pool, server string) suspects.Server {
 	var r core.Report
 	if p := b.pools.get(pool); p != nil {
 		p.locked(func(c *core.Pool) { r = c.LastReport(server) })
 	}
-	return serverLife(server, r.Incarnation)
+	return serverIncarnation(server, r.Incarnation)
 }
 
-// serverLife returns the identity of one incarnation of a server.
-func serverLife(server string, incarnation uint64) suspects.Server {
-	return suspects.Server{ID: server, Life: crasher.LifeOf(server, int64(incarnation))}
+// serverIncarnation returns the identity of one incarnation of a server.
+func serverIncarnation(server string, incarnation uint64) suspects.Server {
+	return suspects.Server{ID: server, Incarnation: crasher.NewIncarnation(server, int64(incarnation))}
 }
 
-// noteRestart notes that the previous incarnation of a server ended, if its report shows a new one.
-func (b *Box) noteRestart(server string, before, now core.Report) {
+// recordRestart records that the previous incarnation of a server ended, if its report shows a new one.
+func (b *Box) recordRestart(server string, before, now core.Report) {
 	if before.Incarnation != 0 && now.Incarnation > before.Incarnation {
-		b.suspects.RecordCrash(serverLife(server, before.Incarnation), suspects.Report)
+		b.suspects.RecordCrash(serverIncarnation(server, before.Incarnation), suspects.Report)
 	}
 }
--- a/src/catalog/holders.go
+++ b/src/catalog/holders.go
@@ -10,7 +10,7 @@
 const (
 	pullTimeout    = time.Second            // timeout for progress of a pull; longer than the timeout of each request for a part
 	defaultLink    = 10                     // Mbit/s assumed for a box whose link is unknown: the slowest seen on any site
-	maxBusy        = time.Second            // longest time that a box is skipped because it says that it is busy
+	maxBusy        = time.Second            // longest time that a box is skipped after it answered that it is busy
 	failureBackoff = 300 * time.Millisecond // time that a box is skipped after a failure; longer than it takes to find another one dead
 )
 
@@ -60,16 +60,16 @@
 
 // PullFailed skips a peer for a short time; NextPull may return another peer at once.
 func (f *Feed) PullFailed(now time.Time, from string) {
-	f.skip(from, now.Add(failureBackoff))
+	f.skipUntil(from, now.Add(failureBackoff))
 }
 
 // PullBusy skips a peer that is busy with other transfers; NextPull may return another peer at once.
 func (f *Feed) PullBusy(now time.Time, from string, wait time.Duration) {
-	f.skip(from, now.Add(min(max(wait, 0), maxBusy)))
+	f.skipUntil(from, now.Add(min(max(wait, 0), maxBusy)))
 }
 
-// skip excludes a peer from pulls until a time.
-func (f *Feed) skip(from string, until time.Time) {
+// skipUntil excludes a peer from pulls until a time.
+func (f *Feed) skipUntil(from string, until time.Time) {
 	f.skippedUntil[from] = until
 	if f.pulling == from {
 		f.pulling = ""
--- a/src/core/docsync.go
+++ b/src/core/docsync.go
@@ -28,7 +28,7 @@
 // Reads are a constant per region. A document spreads in a few heartbeat intervals times log of the fleet
 // size.
 //
-// A document that only a reader holds is lost with it if no other box has heard of it; the next reader
+// A document that only a reader holds is lost with it if no other box has learned of it; the next reader
 // finds it again. Not safe for concurrent use.
 type DocumentSync struct {
 	Self   string
@@ -82,8 +82,8 @@
 	return version > s.held.Version
 }
 
-// ReceiveStatement takes another box's statement. askedAt is when the heartbeat that it answers was sent, or zero.
-func (s *DocumentSync) ReceiveStatement(now time.Time, from string, st Statement, askedAt time.Time) {
+// HandleStatement takes another box's statement. askedAt is when the heartbeat that it answers was sent, or zero.
+func (s *DocumentSync) HandleStatement(now time.Time, from string, st Statement, askedAt time.Time) {
 	s.told[from] = st
 	if s.Offer(st.Version, st.Digest) && st.Version > s.wanted.Version {
 		s.wanted = st
@@ -105,9 +105,9 @@
 // Forget removes the statement of a box that is gone.
 func (s *DocumentSync) Forget(box string) { delete(s.told, box) }
 
-// ReadSucceeded takes the result of a read of the service that began at the given time, and reports whether the
+// ApplyRead takes the result of a read of the service that began at the given time, and reports whether the
 // document is newer than the held one and must be adopted. An older document confirms nothing.
-func (s *DocumentSync) ReadSucceeded(at time.Time, version uint64, digest string) bool {
+func (s *DocumentSync) ApplyRead(at time.Time, version uint64, digest string) bool {
 	if at.IsZero() {
 		return s.Offer(version, digest)
 	}
@@ -151,8 +151,8 @@
 // ReadFailed records a failed read of the service.
 func (s *DocumentSync) ReadFailed(at time.Time) { s.lastRead = at }
 
-// Pull returns the box to fetch the wanted document from now, or "".
-func (s *DocumentSync) Pull(now time.Time) (from string, want Statement) {
+// NextPull returns the box to fetch the wanted document from now, or "".
+func (s *DocumentSync) NextPull(now time.Time) (from string, want Statement) {
 	if s.wanted.Version <= s.held.Version || s.refused[s.wanted.Digest] {
 		return "", Statement{}
 	}
--- a/src/core/message.go
+++ b/src/core/message.go
@@ -6,17 +6,17 @@
 	"github.com/stilemast/stilemast/src/code"
 )
 
-// Failure is how a dispatched call failed, as far as the adapter can tell.
+// Failure is how a dispatched call failed, as observed by the adapter.
 type Failure uint8
 
 // Kinds of failure. Only NotSent proves that nothing ran.
 const (
-	NotSent  Failure = iota + 1 // no byte of the call left this box
-	Busy                        // the server answered that it takes no work at present
-	Leaving                     // the server answered that it is leaving
-	Broken                      // the connection or the answer failed after sending
-	Wrong                       // the server answered that the call itself is invalid
-	TimedOut                    // no answer within the timeout of the attempt
+	NotSent     Failure = iota + 1 // no byte of the call left this box
+	Busy                           // the server answered that it takes no work at present
+	Leaving                        // the server answered that it is leaving
+	Broken                         // the connection or the answer failed after sending
+	InvalidCall                    // the server answered that the call itself is invalid
+	TimedOut                       // no answer within the timeout of the attempt
 )
 
 // String returns the name of the failure for logs and traces.
@@ -30,7 +30,7 @@
 		return "leaving"
 	case Broken:
 		return "broken"
-	case Wrong:
+	case InvalidCall:
 		return "wrong"
 	case TimedOut:
 		return "timed_out"
--- a/src/core/pool.go
+++ b/src/core/pool.go
@@ -44,7 +44,7 @@
 	virtual         float64
 	seed            uint64
 	fifo            float64
-	backlog         [config.Classes]backlog // expected slot seconds of the waiting calls
+	backlog         [config.NumClasses]backlog // expected slot seconds of the waiting calls
 	stats           PoolStats
 	typical         poolAverages
 	prefix          *prefixIndex
@@ -63,7 +63,8 @@
 	mayWaitSince time.Time
 }
 
-// PoolStats holds the counters of a pool.
+// PoolStats holds the counters of a pool: retries, hedged calls, and calls dropped or refused because the queue was full or
+// their time was over. Unsettled is never incremented.
 type PoolStats struct {
 	Retries   int
 	Hedges    int
@@ -147,7 +148,7 @@
 	}
 	if len(p.waiting) >= p.MaxWaiting && !c.Started {
 		p.stats.Dropped++
-		return code.New(code.QueueFull, "", "pool %s has %d calls waiting", p.Name, len(p.waiting)).After(p.retryAfter(now))
+		return code.New(code.QueueFull, "", "pool %s has %d calls waiting", p.Name, len(p.waiting)).WithRetryAfter(p.retryAfter(now))
 	}
 	if len(p.eligible(c)) == 0 {
 		return code.New(code.NowhereToRun, "", "pool %s has no backend server inside the boundary", p.Name)
@@ -184,7 +185,7 @@
 		p.stats.Hedges++
 	case c.Retry:
 		if !p.retries.spend() {
-			return code.New(code.RetryBudgetSpent, "", "pool %s is failing and its retry budget is spent", p.Name).After(time.Second)
+			return code.New(code.RetryBudgetSpent, "", "pool %s is failing and its retry budget is spent", p.Name).WithRetryAfter(time.Second)
 		}
 		p.stats.Retries++
 	default:
@@ -301,7 +302,7 @@
 
 // nextCall returns the first call in order among the lanes that are not blocked, or nil.
 func (p *Pool) nextCall(now time.Time) *Call {
-	var best [config.Classes]*Call
+	var best [config.NumClasses]*Call
 	for _, l := range p.laneSeq {
 		if l.blocked == p.round {
 			continue
@@ -349,7 +350,7 @@
 	if c.slack(now, seconds(minRunFraction*c.cost)) >= 0 {
 		return nil
 	}
-	return code.New(code.CannotFinish, "", "stage %s could no longer finish by the deadline", c.Stage.Name()).After(p.retryAfter(now))
+	return code.New(code.CannotFinish, "", "stage %s could no longer finish by the deadline", c.Stage.Name()).WithRetryAfter(p.retryAfter(now))
 }
 
 // retryAfter estimates when the present backlog will be done, between 100 ms and 30 s.
@@ -405,7 +406,7 @@
 	switch f {
 	case 0:
 		if wasted && u == (Use{}) {
-			return true // cancelled by this box, which tells nothing about the server
+			return true // cancelled by this box, so no evidence about the server
 		}
 		s.succeeded()
 		s.learn(now, r, u)
@@ -418,7 +419,7 @@
 		if p.pushback.Check(now, pushback.Server{ID: name}).State != pushback.Resting { // the server's own rest time replaces our backoff
 			s.failed(now)
 		}
-	case Wrong:
+	case InvalidCall:
 		s.succeeded()
 	default:
 		s.failed(now)
--- a/src/core/table.go
+++ b/src/core/table.go
@@ -188,7 +188,7 @@
 // recentDeaths lists the members that the other box believes alive and that died recently in this box's view.
 // While a partition heals it lists none, because both sides consider the other's boxes dead.
 func (m *Members) recentDeaths(now time.Time, theirs map[uint32]uint64) []string {
-	if m.healing(now) {
+	if m.recentlyHealed(now) {
 		return nil
 	}
 	var out []string
@@ -263,7 +263,7 @@
 
 // FormingProbe returns a heartbeat to a random member while the fleet is forming. It is called more often than
 // Tick.
-func (m *Members) FormingProbe(now time.Time) []BeatTo {
+func (m *Members) FormingProbe(now time.Time) []OutgoingBeat {
 	if !m.Forming(now) || len(m.names) == 0 {
 		return nil
 	}
@@ -271,14 +271,14 @@
 	for i := range m.names {
 		name := m.names[(from+i)%len(m.names)]
 		if e := m.all[name]; e.state != MemberDead && e.address != "" {
-			return []BeatTo{m.ask(now, name)}
+			return []OutgoingBeat{m.ask(now, name)}
 		}
 	}
 	return nil
 }
 
-// healing reports whether a partition seems to have ended recently.
-func (m *Members) healing(now time.Time) bool {
+// recentlyHealed reports whether a partition seems to have ended recently.
+func (m *Members) recentlyHealed(now time.Time) bool {
 	return !m.healedAt.IsZero() && now.Sub(m.healedAt) < healingPeriod
 }
 
--- a/src/crasher/note.go
+++ b/src/crasher/note.go
@@ -18,7 +18,7 @@
 
 // EndNote reports a crash of a server while it ran a content.
 type EndNote struct {
-	Life Life          `msgpack:"l"`
+	Life Incarnation   `msgpack:"l"`
 	Age  time.Duration `msgpack:"a"`
 }
 
@@ -30,7 +30,7 @@
 	if len(r.entries) == 0 {
 		return nil
 	}
-	keys := r.keys(func(e *entry) bool { return len(e.ends) >= IsolationThreshold && now.Sub(e.changed) < newsPeriod })
+	keys := r.keys(func(e *entry) bool { return len(e.crashes) >= IsolationThreshold && now.Sub(e.changed) < newsPeriod })
 	return r.notes(now, keys[:min(len(keys), maxNews)])
 }
 
@@ -93,9 +93,9 @@
 	var out []Note
 	for _, k := range keys {
 		e := r.entries[k]
-		n := Note{Key: k, Ends: make([]EndNote, len(e.ends))}
-		for i, x := range e.ends {
-			n.Ends[i] = EndNote{Life: x.life, Age: now.Sub(x.at)}
+		n := Note{Key: k, Ends: make([]EndNote, len(e.crashes))}
+		for i, x := range e.crashes {
+			n.Ends[i] = EndNote{Life: x.incarnation, Age: now.Sub(x.at)}
 		}
 		if !e.goodAt.IsZero() {
 			n.Good = max(1, now.Sub(e.goodAt))
@@ -111,7 +111,7 @@
 	var out []Counted
 	for _, n := range notes[:min(len(notes), MaxNotes)] {
 		if r.mergeNote(now, n) {
-			out = append(out, Counted{Key: n.Key, Verdict: r.Verdict(now, n.Key)})
+			out = append(out, Counted{Key: n.Key, Verdict: r.Check(now, n.Key)})
 		}
 	}
 	return out
@@ -121,7 +121,7 @@
 func (r *Register) mergeNote(now time.Time, n Note) bool {
 	changed := false
 	for _, x := range n.Ends[:min(len(n.Ends), maxEnds)] {
-		if x.Age >= 0 && x.Age < maxBarTime && r.addEnd(now, n.Key, end{life: x.Life, at: now.Add(-x.Age)}) {
+		if x.Age >= 0 && x.Age < maxBarTime && r.addCrash(now, n.Key, crash{incarnation: x.Life, at: now.Add(-x.Age)}) {
 			changed = true
 		}
 	}
--- a/src/crasher/register_test.go
+++ b/src/crasher/register_test.go
@@ -15,32 +15,32 @@
 }
 
 // crashWith records the crash of a server while it ran contents.
-func crashWith(r *Register, now time.Time, life Life, keys ...Key) {
-	r.RecordBroken(now, life, keys...)
-	r.RecordCrash(now, life)
+func crashWith(r *Register, now time.Time, incarnation Incarnation, keys ...Key) {
+	r.RecordBroken(now, incarnation, keys...)
+	r.RecordCrash(now, incarnation)
 }
 
 func TestThirdCrashBarsContentForATime(t *testing.T) {
 	var r Register
 	k, now := keyOf(1), began
 	for i := range 3 {
-		if v := r.Verdict(now, k); v.Barred || v.Ends != i {
+		if v := r.Check(now, k); v.Barred || v.Ends != i {
 			t.Fatalf("after %d crashes: %+v", i, v)
 		}
 		now = now.Add(time.Minute)
-		crashWith(&r, now, Life(i), k)
+		crashWith(&r, now, Incarnation(i), k)
 	}
-	v := r.Verdict(now, k)
+	v := r.Check(now, k)
 	if !v.Barred || v.Left != firstBarTime {
 		t.Errorf("after the third crash: %+v", v)
 	}
 	now = now.Add(firstBarTime + time.Second)
 	r.Sweep(now)
-	if v := r.Verdict(now, k); v.Barred || v.Ends != 3 {
+	if v := r.Check(now, k); v.Barred || v.Ends != 3 {
 		t.Errorf("after the bar: %+v, want no bar and the same crashes", v)
 	}
 	crashWith(&r, now, 9, k)
-	if v := r.Verdict(now, k); !v.Barred || v.Left != 2*firstBarTime {
+	if v := r.Check(now, k); !v.Barred || v.Left != 2*firstBarTime {
 		t.Errorf("after another crash: %+v, want twice the time", v)
 	}
 }
@@ -49,16 +49,16 @@
 	var r Register
 	k := keyOf(1)
 	for i := range 5 {
-		r.RecordBroken(began, Life(i), k)
+		r.RecordBroken(began, Incarnation(i), k)
 	}
-	if v := r.Verdict(began, k); v.Ends != 0 {
+	if v := r.Check(began, k); v.Ends != 0 {
 		t.Errorf("broken exchanges alone: %+v", v)
 	}
 	later := began.Add(proofWindow + time.Second)
 	for i := range 5 {
-		r.RecordCrash(later, Life(i))
+		r.RecordCrash(later, Incarnation(i))
 	}
-	if v := r.Verdict(later, k); v.Ends != 0 {
+	if v := r.Check(later, k); v.Ends != 0 {
 		t.Errorf("servers that crashed long after: %+v", v)
 	}
 }
@@ -71,7 +71,7 @@
 	a.RecordBroken(began.Add(2*time.Millisecond), 7, k, k) // a second attempt there
 	a.Merge(began.Add(3*time.Millisecond), b.News(began.Add(3*time.Millisecond)))
 	a.Merge(began.Add(4*time.Millisecond), b.NotesOf(began.Add(4*time.Millisecond), []Key{k}))
-	if v := a.Verdict(began, k); v.Ends != 1 {
+	if v := a.Check(began, k); v.Ends != 1 {
 		t.Errorf("%+v, want one crash", v)
 	}
 }
@@ -92,12 +92,12 @@
 			r.RecordGood(began.Add(goodAt), k)
 		}
 		for i := range 4 {
-			crashWith(&r, began.Add(time.Duration(i)*time.Second), Life(i), k)
+			crashWith(&r, began.Add(time.Duration(i)*time.Second), Incarnation(i), k)
 		}
 		if goodAt > 0 {
 			r.RecordGood(began.Add(goodAt), k)
 		}
-		if v := r.Verdict(began.Add(6*time.Second), k); v.Ends != 0 || v.Barred {
+		if v := r.Check(began.Add(6*time.Second), k); v.Ends != 0 || v.Barred {
 			t.Errorf("a good response %s: %+v", name, v)
 		}
 	}
@@ -108,9 +108,9 @@
 	k := keyOf(1)
 	r.RecordGood(began, k)
 	for i := range 3 {
-		crashWith(&r, began.Add(goodPeriod+time.Duration(i+1)*time.Second), Life(i), k)
+		crashWith(&r, began.Add(goodPeriod+time.Duration(i+1)*time.Second), Incarnation(i), k)
 	}
-	if v := r.Verdict(began.Add(goodPeriod+5*time.Second), k); !v.Barred {
+	if v := r.Check(began.Add(goodPeriod+5*time.Second), k); !v.Barred {
 		t.Errorf("%+v", v)
 	}
 }
@@ -121,14 +121,14 @@
 	k := keyOf(1)
 	answered.RecordGood(began, k)
 	for i := range 3 {
-		crashWith(&saw, began.Add(time.Second), Life(i), k)
+		crashWith(&saw, began.Add(time.Second), Incarnation(i), k)
 	}
 	now := began.Add(1100 * time.Millisecond)
 	if changed := answered.Merge(now, saw.News(now)); len(changed) != 1 || changed[0].Verdict.Ends != 0 {
 		t.Fatalf("%+v", changed)
 	}
-	if changed := saw.Merge(now, answered.News(now)); len(changed) != 1 || saw.Verdict(now, k).Barred {
-		t.Errorf("%+v %+v", changed, saw.Verdict(now, k))
+	if changed := saw.Merge(now, answered.News(now)); len(changed) != 1 || saw.Check(now, k).Barred {
+		t.Errorf("%+v %+v", changed, saw.Check(now, k))
 	}
 }
 
@@ -156,10 +156,10 @@
 	crashWith(&r, began, 1, guilty)
 	crashWith(&r, began, 2, guilty)
 	for i := range maxEntries + 500 {
-		crashWith(&r, began, Life(100+i/keysPerLife), keyOf(i))
+		crashWith(&r, began, Incarnation(100+i/keysPerIncarnation), keyOf(i))
 	}
-	if len(r.entries) > maxEntries || r.Verdict(began, guilty).Ends != 2 {
-		t.Errorf("%d entries, the verdict on the guilty one: %+v", len(r.entries), r.Verdict(began, guilty))
+	if len(r.entries) > maxEntries || r.Check(began, guilty).Ends != 2 {
+		t.Errorf("%d entries, the verdict on the guilty one: %+v", len(r.entries), r.Check(began, guilty))
 	}
 	if news := r.News(began); len(news) != 1 || news[0].Key != guilty {
 		t.Errorf("%d notes, the first of %s", len(news), news[0].Key)
@@ -179,18 +179,18 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond)
 			r := &boxes[rapid.IntRange(0, 2).Draw(t, "box")]
-			k, life := keyOf(rapid.IntRange(0, 2).Draw(t, "content")), Life(rapid.IntRange(0, 9).Draw(t, "life"))
+			k, incarnation := keyOf(rapid.IntRange(0, 2).Draw(t, "content")), Incarnation(rapid.IntRange(0, 9).Draw(t, "life"))
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				r.RecordBroken(now, life, k)
+				r.RecordBroken(now, incarnation, k)
 			case 1:
-				r.RecordCrash(now, life)
+				r.RecordCrash(now, incarnation)
 			case 2:
 				r.RecordGood(now, k)
 			case 3:
 				r.Merge(now, boxes[rapid.IntRange(0, 2).Draw(t, "other")].Notes(now))
 			case 4:
-				crashWith(r, now, life, k)
+				crashWith(r, now, incarnation, k)
 			}
 		}
 		for range 3 {
@@ -202,7 +202,7 @@
 		}
 		for n := range 3 {
 			for i := 1; i < len(boxes); i++ {
-				if a, b := boxes[0].Verdict(now, keyOf(n)), boxes[i].Verdict(now, keyOf(n)); a != b {
+				if a, b := boxes[0].Check(now, keyOf(n)), boxes[i].Check(now, keyOf(n)); a != b {
 					t.Fatalf("content %d: box 0 has %+v, box %d %+v", n, a, i, b)
 				}
 			}
--- a/src/gateway/attempts.go
+++ b/src/gateway/attempts.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// needsStages reports whether results that were released are needed again.
+// needsStages reports whether results that were freed are needed again.
 func (v *requestRun) needsStages() bool {
 	if v.stageResults == nil {
 		return false
@@ -185,17 +185,17 @@
 	defer watch.Stop()
 	c.Start = v.startInBoundary(s, g.startCheck(ctx, s, "request "+v.request.ID, v.request.ID, now))
 	began := g.now()
-	stop := v.releaseInputs(e, len(handles) > 0)
+	stop := v.freeInputs(e, len(handles) > 0)
 	defer stop()
 	reply, err := g.Backends.Send(ctx, c)
 	var notSent *exchange.NotSent
 	if errors.As(err, &notSent) {
-		g.signals.giveBack(s.ID, v.request.ID)
+		g.signals.returnPermit(s.ID, v.request.ID)
 		outcome := balance.Broken
 		switch {
 		case exchange.ConnectionRefused(err):
 			outcome = balance.Absent
-			g.suspects.RecordCrash(lifeOf(s), suspects.Refused)
+			g.suspects.RecordCrash(serverIncarnation(s), suspects.Refused)
 		case errors.Is(err, ErrServerRests):
 			outcome, v.uncounted, v.restingServers = balance.Dropped, true, append(v.restingServers, s.ID)
 		case errors.Is(err, ErrServerLeft), errors.Is(err, errOutside):
@@ -235,10 +235,10 @@
 // possible is lost with it, and is not retried from the second end on.
 func (v *requestRun) checkContent() *code.Error {
 	g := v.gateway
-	if err := g.barredAt(v.content, v.pool); err != nil {
+	if err := g.contentRefusal(v.content, v.pool); err != nil {
 		return err
 	}
-	d := g.suspects.Verdict(v.content.At(v.pool))
+	d := g.suspects.Check(v.content.At(v.pool))
 	v.wish.LeastLoaded = d.Ends > 0
 	if d.Ends >= crasher.IsolationThreshold && v.attempts > 0 {
 		return code.New(code.CrashesServers, "body", "%d servers of %s ended while they ran this content", d.Ends, v.pool)
@@ -246,10 +246,10 @@
 	return nil
 }
 
-// recordBreak records that the exchange with a server recordBreak, unless the caller ended it.
+// recordBreak records that the exchange with a server broke, unless the caller ended it.
 func (v *requestRun) recordBreak(ctx context.Context, s catalog.Server) {
 	if !v.callerLeft(ctx) || errors.Is(context.Cause(ctx), errSilent) {
-		v.gateway.brokeAt(s, v.content.At(v.pool))
+		v.gateway.recordBrokenExchanges(s, v.content.At(v.pool))
 	}
 }
 
--- a/src/gateway/fleet.go
+++ b/src/gateway/fleet.go
@@ -76,7 +76,7 @@
 	}
 	f.core.Expect = g.beatFiller(now)
 	out := f.core.FormingProbe(now)
-	if now.Sub(g.startedAt) <= introduceFor {
+	if now.Sub(g.startedAt) <= seedContactPeriod {
 		out = append(out, f.seedBeats(now)...)
 	}
 	f.mu.Unlock()
@@ -84,14 +84,14 @@
 }
 
 // seedBeats returns heartbeats to the seeds that belong to no known living member.
-func (f *fleet) seedBeats(now time.Time) []core.BeatTo {
+func (f *fleet) seedBeats(now time.Time) []core.OutgoingBeat {
 	known := map[string]bool{f.gateway.Settings.Address: true}
 	for _, m := range f.core.All() {
 		if m.State() != core.MemberDead {
 			known[m.Address()] = true
 		}
 	}
-	var out []core.BeatTo
+	var out []core.OutgoingBeat
 	for _, s := range f.gateway.Settings.Seeds {
 		if !known[s] {
 			out = append(out, f.core.Introduce(now, s))
@@ -100,7 +100,7 @@
 	return out
 }
 
-func (g *Gateway) send(beats []core.BeatTo) {
+func (g *Gateway) send(beats []core.OutgoingBeat) {
 	for _, o := range beats {
 		g.Peers.Beat(o.Address, o.Beat)
 	}
@@ -361,13 +361,13 @@
 	return f.usableNow
 }
 
-// boxes counts the boxes that may be alive, including those heard of within seenLately.
+// boxes counts the boxes that may be alive, including those heard of within possiblyAliveFor.
 func (f *fleet) boxes(now time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 1
 	for b, at := range f.seen {
-		if now.Sub(at) > seenLately {
+		if now.Sub(at) > possiblyAliveFor {
 			delete(f.seen, b)
 			continue
 		}
@@ -433,7 +433,7 @@
 func (f *fleet) waitsIn(now time.Time, pool string) backlog.Waits {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if n := f.waits[catalog.Hash(pool)]; now.Sub(n.at) < waitLife {
+	if n := f.waits[catalog.Hash(pool)]; now.Sub(n.at) < waitNoteValidity {
 		return n.waits
 	}
 	return backlog.Waits{}
--- a/src/gateway/forecast.go
+++ b/src/gateway/forecast.go
@@ -10,24 +10,24 @@
 type forecast struct {
 	run *stageRun
 	// Queueing time of a piece of each stage at its place in the queue; 0 for a stage without pieces.
-	waits []time.Duration
-	calls []time.Duration // duration of each stage's calls; 0 for a stage without pieces
-	rests []time.Duration // from the end of each stage to the first output
-	first time.Duration   // from the end of the last stage to the first output
+	waits     []time.Duration
+	calls     []time.Duration // duration of each stage's calls; 0 for a stage without pieces
+	remaining []time.Duration // from the end of each stage to the first output
+	first     time.Duration   // from the end of the last stage to the first output
 }
 
 // forecast works backwards from the objective: the due time of a stage, and so its queueing time, depends on
 // the stages after it.
 func (s *stageRun) forecast(now time.Time) forecast {
 	n := len(s.pipeline.Stages)
-	f := forecast{run: s, waits: make([]time.Duration, n), calls: make([]time.Duration, n), rests: make([]time.Duration, n), first: s.gateway.estimates.get(s.pipeline.Name)}
+	f := forecast{run: s, waits: make([]time.Duration, n), calls: make([]time.Duration, n), remaining: make([]time.Duration, n), first: s.gateway.estimates.get(s.pipeline.Name)}
 	for i := n - 1; i >= 0; i-- {
-		f.rests[i] = f.first
+		f.remaining[i] = f.first
 		for _, k := range s.followers[i] {
-			f.rests[i] = max(f.rests[i], f.waits[k]+f.calls[k]+f.rests[k])
+			f.remaining[i] = max(f.remaining[i], f.waits[k]+f.calls[k]+f.remaining[k])
 		}
 		if s.request.Pieces[i] > 0 {
-			due := batch.EffectiveDue(s.objective.Add(-f.rests[i]), s.priority)
+			due := batch.EffectiveDue(s.objective.Add(-f.remaining[i]), s.priority)
 			w := s.gateway.waitsIn(now, s.pipeline.Stages[i].Pool)
 			f.waits[i], f.calls[i] = w.At(due.Sub(now)), s.underLoad(i, w.All)
 		}
@@ -39,7 +39,7 @@
 // to full calls when one call's duration of work waits. Assuming half-full calls under load would admit
 // chains of three pools that are late and delay others.
 func (s *stageRun) underLoad(stage int, wait time.Duration) time.Duration {
-	usual, full := s.typical(stage), s.callTime(stage, 1)
+	usual, full := s.typicalCallTime(stage), s.callTime(stage, 1)
 	if full == 0 {
 		return 0
 	}
@@ -47,8 +47,8 @@
 	return usual + time.Duration(part*float64(full-usual))
 }
 
-// expected estimates the time from now to the first output if no stage has been made yet, and the part of it
-// that is queueing.
+// expected estimates the time from now to the first output if no stage has been produced yet, and the part
+// of it that is queueing.
 func (f forecast) expected() (total, waits time.Duration) {
 	n := len(f.waits)
 	end, waited := make([]time.Duration, n), make([]time.Duration, n)
--- a/src/gateway/gateway.go
+++ b/src/gateway/gateway.go
@@ -88,7 +88,7 @@
 	Unusable  func(document, reason string) // an unusable server entry or configuration was read
 	Withheld  func(pool string)             // a chosen server stopped taking new work before the first byte was sent
 	Suspected func(contents int)            // a server ended while it ran so many contents
-	// Signalled: a server leaves, wants rest or limits its requests, or another box reported that it leaves.
+	// Signalled: a server leaves, asks for rest or limits its requests, or another box reported that it leaves.
 	Signalled func(pool, signal string)
 	Permitted func(pool string, ok bool) // a permit of a server with a limit was requested
 }
@@ -99,7 +99,7 @@
 	g.every(ctx, tickEvery, g.tick)
 	g.every(ctx, core.HeartbeatEvery, g.sendHeartbeats)
 	g.every(ctx, core.LoadNotesEvery, g.sendNews)
-	g.every(ctx, introduceEvery, g.contactSeeds)
+	g.every(ctx, seedContactInterval, g.contactSeeds)
 	g.every(ctx, scheduleTick, g.schedulers.tick)
 	g.every(ctx, tickEvery, g.pullPublished)
 	g.background.Add(2)
@@ -290,7 +290,7 @@
 func (g *Gateway) HandleBatch(m batch.Message) {
 	g.fleet.recordSender(m.From, m.Address)
 	if m.Submit != nil || m.Withdraw != nil || m.Free != nil || m.Held != nil || m.Handover != nil {
-		g.schedulers.take(m)
+		g.schedulers.handleMessage(m)
 		return
 	}
 	g.ownedJobs.take(m)
--- a/src/gateway/limits.go
+++ b/src/gateway/limits.go
@@ -130,7 +130,7 @@
 // permits for the urgent ones.
 func (v *requestRun) permitPatience(now time.Time) time.Duration {
 	inTime := v.objective.Add(-v.gateway.estimates.get(v.pipeline.Name)).Sub(now)
-	lateAnswer := time.Duration(lateWaitPart * float64(v.deadline.Sub(now)))
+	lateAnswer := time.Duration(lateWaitShare * float64(v.deadline.Sub(now)))
 	return time.Duration(float64(max(inTime, lateAnswer)) / (1 + urgencyStep*float64(max(0, v.priority))))
 }
 
@@ -151,7 +151,7 @@
 }
 
 // permitted reports whether a request got a permit at the chosen server, and waits for its begin. After
-// limitsTried servers without a free permit, servers without a limit are preferred, and a permit in advance
+// maxLimitedTries servers without a free permit, servers without a limit are preferred, and a permit in advance
 // is requested at the next server with a limit.
 func (v *requestRun) permitted(ctx context.Context, s catalog.Server) bool {
 	now, patience := v.gateway.now(), time.Duration(0)
@@ -164,6 +164,6 @@
 		return true
 	}
 	v.permitRequests++
-	v.wish.AvoidLimited = v.permitRequests >= limitsTried
+	v.wish.AvoidLimited = v.permitRequests >= maxLimitedTries
 	return false
 }
--- a/src/gateway/published.go
+++ b/src/gateway/published.go
@@ -18,17 +18,17 @@
 
 	applying sync.Mutex // held while pools and schedulers get their servers, so that the newest change wins
 
-	mu       sync.Mutex
-	catalogs *catalog.Feed
-	lists    *catalog.Feed
-	held     *catalog.Catalog
-	list     *catalog.List    // of servers, as published
-	registry catalog.Registry // this box's view of the servers
-	closures catalog.Evacuations
-	eras     eras
-	known    bool // a list of servers has been received
-	source   catalogSource
-	partial  partialDocument
+	mu          sync.Mutex
+	catalogs    *catalog.Feed
+	lists       *catalog.Feed
+	held        *catalog.Catalog
+	list        *catalog.List    // of servers, as published
+	registry    catalog.Registry // this box's view of the servers
+	evacuations catalog.Evacuations
+	eras        eras
+	known       bool // a list of servers has been received
+	source      catalogSource
+	partial     partialDocument
 }
 
 func (p *published) init(g *Gateway) {
@@ -190,8 +190,8 @@
 		raw = g.encode(c)
 	}
 	p.held = c
-	evacuations := p.closures.ApplyConfig(now, c.Evacuated, revision, heldRevision.Era())
-	kept := p.closures.Unlisted()
+	evacuations := p.evacuations.ApplyConfig(now, c.Evacuated, revision, heldRevision.Era())
+	kept := p.evacuations.Unlisted()
 	p.source.setCurrent(digest, raw)
 	g.index.Store(catalog.NewIndex(c))
 	p.mu.Unlock()
